--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -65,7 +65,21 @@
   stamp: number;
 }
 
-export type ReplicaState = 'loading' | 'following' | 'stopped';
+/**
+ * `loading`: reads all live state, page by page. `catching_up`: applies what was committed while it read.
+ * `following`: complete up to the epoch in `applied`, and kept so by the watch.
+ */
+export type ReplicaState = 'loading' | 'catching_up' | 'following' | 'stopped';
+
+/** What a node's copy of the state holds at this moment, for tests and tools. */
+export interface StateCopy {
+  member: string;
+  state: ReplicaState;
+  /** Epoch up to which every commit is applied. */
+  applied: number;
+  ledger: Ledger;
+}
+
 export type Final = 'done' | 'withdrawn';
 
 const BLOCK: Micros = 10 * SECOND;
@@ -94,6 +108,8 @@
   baton = { value: 0, stamp: 0 };
   private checkpoint: { id: string; positions: Positions; chunks: number; stamp: number } = NO_CHECKPOINT;
   applied = 0;
+  /** Epoch of the last page read: before it is applied, the copy may lack what other pages missed. */
+  private catchUpTo = 0;
   /** Steady time at which the state was known to be complete, or -Infinity. */
   freshAt = -Infinity;
   state: ReplicaState = 'loading';
@@ -254,17 +270,26 @@
     }
   }
 
-  private async load(): Promise<void> {
+  /**
+   * All live rows as of the epoch `from`. Pages are read one after the other, so a later page may hold what was
+   * committed after an earlier one was read. Such rows are left to the watch, which brings them in their order
+   * with all that the earlier pages missed: applied here, a start could come before the end that it relies on.
+   */
+  private async readLiveState(): Promise<{ rows: Row[]; from: number; to: number }> {
     const rows: Row[] = [];
-    let first: number | null = null;
+    let from: number | null = null;
     for (let after = ''; ;) {
       const page = await this.store.list(NOW, after);
-      first ??= page.epoch;
+      from ??= page.epoch;
       rows.push(...page.rows);
       const last = page.rows.at(-1);
-      if (!page.more || !last) break;
+      if (!page.more || !last) return { rows: rows.filter(committedBy(from)), from, to: page.epoch };
       after = last.path;
     }
+  }
+
+  private async load(): Promise<void> {
+    const { rows, from, to } = await this.readLiveState();
     this.ledger = new Ledger();
     this.jobs.clear();
     this.ended.clear();
@@ -291,14 +316,15 @@
     // The order of commits is the order of their epochs, whichever logs they went to.
     records.sort(inOrder);
     for (const row of records) {
-      // Pages are read one after the other: a place may have been taken anew since the checkpoint was read.
+      // A place may have been taken anew since the checkpoint was read.
       if (!this.takeRecord(row)) throw new Error('log and checkpoint were read at different times');
     }
     for (const job of [...this.ledger.books.keys()]) if (!this.jobs.has(job)) this.ledger.drop(job);
-    this.applied = first;
-    this.enter('following');
-    this.log.info({ jobs: this.jobs.size, records: this.ledger.size, epoch: first }, 'state loaded');
-    this.announce();
+    this.applied = from;
+    this.catchUpTo = to;
+    this.log.info({ jobs: this.jobs.size, records: this.ledger.size, epoch: from, to }, 'state loaded');
+    this.enter('catching_up');
+    this.announceIfCurrent();
   }
 
   private async follow(): Promise<void> {
@@ -316,6 +342,11 @@
     this.changes.add(answer.news.length);
     for (const change of answer.news.sort(inOrder)) this.take(change);
     this.applied = Math.max(this.applied, answer.epoch);
+    this.announceIfCurrent();
+  }
+
+  private announceIfCurrent(): void {
+    if (this.state === 'catching_up' && this.applied >= this.catchUpTo) this.enter('following');
     if (this.state === 'following') this.announce();
   }
 
@@ -393,6 +424,10 @@
   }
 }
 
+function committedBy(epoch: number): (row: Row) => boolean {
+  return (row) => row.stamp <= epoch;
+}
+
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
 function inOrder(x: Change, y: Change): number {
   return x.stamp - y.stamp || Number(x.value?.['Nth'] ?? 0) - Number(y.value?.['Nth'] ?? 0);
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -12,6 +12,7 @@
   type RecordDraft,
   Replica,
   type ShareOwner,
+  type StateCopy,
 } from '#cluster';
 import type { Settings, Tuning } from '#settings';
 import { Pace, StoreClient } from '#store';
@@ -148,6 +149,12 @@
     this.wake();
   }
 
+  /** This node's copy of the state, for tests and tools. */
+  stateCopy(): StateCopy {
+    const { state, applied, ledger } = this.replica;
+    return { member: this.parts.settings.member, state, applied, ledger };
+  }
+
   /** What this node tells its peers. */
   word(): PeerWord {
     return { baton: this.replica.baton.value, served: this.isServed() };
--- a/packages/testkit/chaos.test.ts
+++ b/packages/testkit/chaos.test.ts
@@ -294,7 +294,9 @@
   const log = process.env['CHAOS_LOG'] === undefined ? undefined : { debug: say, info: say, error: say };
   // Every other deployment has small values, so that checkpoints take many commits.
   const settings = seed % 2 === 0 ? {} : { valueBytes: 700, txnOps: 3 };
-  const world = new SimWorld({ seed, settings, ...(log ? { log } : {}) });
+  // A start of a node reads the live state in many pages, and commits land between them.
+  const pageRows = seed % 3 === 0 ? 1000 : 5;
+  const world = new SimWorld({ seed, settings, pageRows, ...(log ? { log } : {}) });
   const { random, clock } = world;
   let jobs = 0;
   const arrive = (): void => {
--- /dev/null
+++ b/packages/testkit/full-fleet.test.ts
@@ -0,0 +1,81 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { SECOND } from '#wire';
+import { sampleJob } from './rules.js';
+import { SAMPLE_TYPES, SimWorld } from './sim-world.js';
+
+/** When the troubles begin and end. */
+const TROUBLES = { from: 25 * SECOND, until: 110 * SECOND };
+
+/**
+ * More work than a small fleet holds: two teams with guarantees, tasks that are stopped for others, and a guest team
+ * with hundreds of jobs of one task. The owners of shares end again and again, and are back at once or after seconds,
+ * while the state service is slow, so that a node reads the live state while commits land.
+ */
+async function fullFleet(seed: number): Promise<SimWorld> {
+  const teams = [
+    { name: 'blue', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
+    { name: 'green', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
+    { name: 'guest', cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: 0 },
+  ];
+  const settings = { teams, stateRps: 200, stateWriteRps: 80, sockets: 2000 };
+  const types = SAMPLE_TYPES.filter((t) => t.Sku === 'small');
+  const world = new SimWorld({ seed, settings, types, capacity: 5, pageRows: 8 });
+  const { random, clock } = world;
+  let jobs = 0;
+  const nextId = (): string => `j-${String(jobs++).padStart(6, '0')}`;
+  const cancelAfter = (share: number): number | null => (random() < share ? random() * 20 * SECOND : null);
+  const guests = (): void => {
+    if (clock.time > TROUBLES.until) return;
+    const change = {
+      Crew: 'guest',
+      Lane: 'probes',
+      Rank: 'best_effort' as const,
+      Pieces: 1,
+      Cpus: 0.5,
+      MemGb: 1,
+    };
+    world.submit(sampleJob(nextId(), { ...change, ExpectS: 3 + random() * 12 }), cancelAfter(0.1));
+    clock.at(random() * 0.6 * SECOND, guests);
+  };
+  const teamJobs = (): void => {
+    if (clock.time > TROUBLES.until) return;
+    const saves = random() < 0.5;
+    const change = {
+      ...{ Crew: random() < 0.5 ? 'blue' : 'green', Rank: random() < 0.3 ? ('urgent' as const) : 'normal' },
+      ...{ Pieces: 1 + Math.floor(random() * 8), Cpus: random() < 0.5 ? 2 : 4, MemGb: 6 },
+      ...{ ExpectS: 5 + random() * 15, BookmarkS: saves ? 2 : 0, StashS: saves ? 1 : 0 },
+    };
+    world.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
+    clock.at(random() * 4 * SECOND, teamJobs);
+  };
+  const endNode = (): void => {
+    if (clock.time > TROUBLES.until) return;
+    const node = Math.floor(random() * world.nodeCount);
+    world.killNode(node);
+    clock.at((random() < 0.5 ? 0.3 : 6) * random() * SECOND, () => {
+      world.startNode(node);
+    });
+    clock.at((3 + random() * 12) * SECOND, endNode);
+  };
+  clock.at(SECOND, guests);
+  clock.at(SECOND, teamJobs);
+  clock.at(TROUBLES.from, endNode);
+  clock.at(TROUBLES.from, () => world.net.slow.set('10.2.0.1:2379', 4));
+  clock.at(TROUBLES.until, () => world.net.slow.delete('10.2.0.1:2379'));
+  await world.run(TROUBLES.until + 15 * SECOND);
+  world.rules.troublesOver(clock.time);
+  await world.run(200 * SECOND);
+  return world;
+}
+
+const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 4)];
+for (let seed = FROM; seed < FROM + RUNS; seed++) {
+  test(`rules hold on a full fleet with guests while owners end, seed ${seed}`, async (t) => {
+    const world = await fullFleet(seed);
+    t.diagnostic(`${world.rules.starts} starts`);
+    assert.ok(world.rules.starts > 200, `only ${world.rules.starts} starts`);
+    assert.deepEqual(world.rules.unfinished(), []);
+    assert.deepEqual(world.rules.neglected(), []);
+  });
+}
--- a/packages/testkit/index.ts
+++ b/packages/testkit/index.ts
@@ -1,3 +1,4 @@
+export * from './agreement.js';
 export * from './rules.js';
 export * from './sim-clock.js';
 export * from './sim-cloud.js';
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -13,8 +13,13 @@
   writeRps: number;
   txnOps: number;
   valueBytes: number;
+  /** Rows that one answer to a list request holds at most. */
+  pageRows: number;
 }
 
+/** Bytes that one answer to a list request holds at most. */
+const PAGE_BYTES = 512 * 1024;
+
 interface Watch {
   from: string;
   prefix: string;
@@ -112,13 +117,17 @@
   private list(query: URLSearchParams): Served {
     const prefix = query.get('Starts') ?? '';
     const after = query.get('After') ?? '';
-    const limit = Number(query.get('Limit') ?? 1000);
+    const limit = Math.min(this.limits.pageRows, Number(query.get('Limit') ?? this.limits.pageRows));
     const keys = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    const Rows = keys.slice(0, limit).map((k) => {
-      const row = this.rows.get(k) as Row;
-      return { Path: k, V: row.value, Stamp: row.stamp };
-    });
-    return { status: 200, body: { Rows, More: keys.length > limit, Epoch: this.epoch } };
+    const Rows: Fields[] = [];
+    let bytes = 0;
+    for (const key of keys.slice(0, limit)) {
+      const row = this.rows.get(key) as Row;
+      bytes += key.length + Buffer.byteLength(JSON.stringify(row.value));
+      if (Rows.length > 0 && bytes > PAGE_BYTES) break;
+      Rows.push({ Path: key, V: row.value, Stamp: row.stamp });
+    }
+    return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.epoch } };
   }
 
   private commit(body: Fields): Served {
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -4,6 +4,7 @@
   chunkKey,
   CHUNKS,
   LEAD,
+  type Ledger,
   type Logger,
   logOfKey,
   LOGS,
@@ -22,6 +23,7 @@
   type Submission,
 } from '#wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
+import { LedgerAgreement } from './agreement.js';
 import { BrokenRule, type FreeRoom, RuleChecker, sampleJob } from './rules.js';
 import { type Gate, SimClock } from './sim-clock.js';
 import { type CloudHost, SimCloud } from './sim-cloud.js';
@@ -103,6 +105,8 @@
   types?: readonly MachineType[];
   /** How many machines a type, zone and kind holds. */
   capacity?: number;
+  /** Rows that the state service puts into one answer to a list request. */
+  pageRows?: number;
   /** `cancel_s` as users were promised it, where the controllers are to be told another. */
   promisedCancel?: Micros;
 }
@@ -117,6 +121,7 @@
   readonly store: SimStore;
   readonly cloud: SimCloud;
   readonly rules: RuleChecker;
+  private readonly agreement = new LedgerAgreement();
   readonly workers = new Map<string, SimWorker>();
   readonly specs = new Map<string, Submission>();
   /** Answers the users got, by job: the last state each was told. */
@@ -129,6 +134,8 @@
   private starts = 0;
   private faultyShare = 0;
   private nextIdleCheck: Micros = 0;
+  /** By copy of the ledger: the epoch at which it was last compared. */
+  private readonly checkedAt = new WeakMap<Ledger, number>();
   /** The first thing that went wrong in a callback; thrown by {@link run}. */
   private broken: unknown = null;
 
@@ -143,11 +150,13 @@
       writeRps: settings.stateWriteRps,
       txnOps: settings.txnOps,
       valueBytes: settings.valueBytes,
+      pageRows: options.pageRows ?? 1000,
     });
     this.store.beforeApply = (guards, writes) => {
       this.checkOwnership(guards, writes);
     };
     this.store.afterApply = (writes) => {
+      this.agreement.applied(writes);
       this.checkCheckpoint(writes);
       this.tellOf(writes);
     };
@@ -290,12 +299,22 @@
     await this.clock.run(this.clock.time + duration, () => {
       if (this.broken !== null) throw this.broken;
       this.rules.check(this.clock.time);
+      this.checkAgreement();
       if (this.clock.time < this.nextIdleCheck) return;
       this.nextIdleCheck = this.clock.time + SECOND;
       this.rules.checkIdle(this.clock.time, this.freeRooms());
     });
   }
 
+  /** Once for each epoch: a node's copy changes with nothing else. */
+  private checkAgreement(): void {
+    const { epoch } = this.store;
+    const copies = this.nodes.flatMap((n) => (n.controller ? [n.controller.stateCopy()] : []));
+    const current = copies.filter((c) => c.applied === epoch && this.checkedAt.get(c.ledger) !== epoch);
+    for (const { ledger } of current) this.checkedAt.set(ledger, epoch);
+    this.agreement.check(current, epoch);
+  }
+
   private freeRooms(): FreeRoom[] {
     const working = [...this.workers.values()].filter((w) => w.alive && !w.isFaulty && w.recallS === null);
     return working.map((w) => ({ machine: w.machine, ...w.room() }));
