--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -8,3 +8,4 @@
 export * from './writer.js';
 export * from './peers.js';
 export * from './steward.js';
+export * from './worker-contact.js';
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -6,6 +6,14 @@
 
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
+/** Whom a node can't reach. */
+export interface MemberContacts {
+  /** Members, by its peer links. */
+  deaf: string[];
+  /** Its workers ask the other nodes, and none of them arrives here. */
+  workersUnreachable: boolean;
+}
+
 /** How long a member outlives its last sign of life. */
 const LIFE: Micros = 3 * SECOND;
 const RENEW: Micros = 800 * MS;
@@ -22,7 +30,7 @@
   private standing: { nonce: string; permit: Count; at: Micros } | null = null;
   private count = 0;
   private campaigning = false;
-  private deaf: string[] = [];
+  private contacts: MemberContacts = { deaf: [], workersUnreachable: false };
   private telling = false;
 
   constructor(
@@ -53,14 +61,15 @@
   }
 
   /** Tells the others whom this node can't reach, if its card doesn't say so yet. */
-  async tellDeaf(deaf: string[]): Promise<void> {
-    this.deaf = deaf;
+  async tellContacts(change: Partial<MemberContacts>): Promise<void> {
+    this.contacts = { ...this.contacts, ...change };
     const card = this.replica.members.get(this.member);
     // Compared with the card as it stands: a commit that failed is made good the next time.
     if (this.telling || !this.standing || !card || !this.isOurs(card.nonce)) return;
-    if (card.deaf.join() === deaf.join()) return;
+    const { deaf, workersUnreachable } = this.contacts;
+    if (card.deaf.join() === deaf.join() && card.workersUnreachable === workersUnreachable) return;
     this.telling = true;
-    this.log.info({ deaf }, 'peers out of reach');
+    this.log.info(this.contacts, 'out of reach');
     const { permit } = this.standing;
     const result = await this.store.commit(
       [{ path: memberKey(this.member), stamp: card.stamp }],
@@ -96,7 +105,11 @@
   }
 
   private card(standing: { nonce: string; permit: Count }): Record<string, unknown> {
-    return { Nonce: standing.nonce, Zone: this.zone, Permit: standing.permit, Deaf: this.deaf };
+    const { deaf, workersUnreachable } = this.contacts;
+    return {
+      ...{ Nonce: standing.nonce, Zone: this.zone, Permit: standing.permit },
+      ...{ Deaf: deaf, WorkersUnreachable: workersUnreachable },
+    };
   }
 
   private async join(): Promise<void> {
--- a/packages/cluster/peers.ts
+++ b/packages/cluster/peers.ts
@@ -4,10 +4,14 @@
 /** What came of a ping: `refused` hints at a dead process, `silent` at a cut. Neither proves anything. */
 export type PingResult = 'ok' | 'refused' | 'silent';
 
-/** What a node tells its peers: the highest token it knows, and whether the state service serves it. */
+/** What a node tells its peers. */
 export interface PeerWord {
+  /** The highest token that it knows. */
   baton: number;
+  /** The state service serves it. */
   served: boolean;
+  /** By owner: how many machines' workers it has sent there of late. */
+  referred: Record<string, number>;
 }
 
 export interface PingAnswer {
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -21,6 +21,7 @@
   TYPES,
 } from './keys.js';
 import type { CheckpointRow } from './checkpoint.js';
+import type { MemberContacts } from './membership.js';
 import { Ledger, type PlacementRecord, type Positions } from './ledger.js';
 import { type Change, Meter, Pace, type Row, type StoreClient, StoreError } from '#store';
 import {
@@ -55,13 +56,11 @@
   baton: number;
 }
 
-export interface Member {
+export interface Member extends MemberContacts {
   member: string;
   nonce: string;
   zone: string;
   permit: Count;
-  /** Members that it can't reach at present, by its peer links. */
-  deaf: string[];
   stamp: number;
 }
 
@@ -449,6 +448,7 @@
     zone: String(value['Zone']),
     permit: value['Permit'] as Count,
     deaf: Array.isArray(deaf) ? deaf.map(String) : [],
+    workersUnreachable: value['WorkersUnreachable'] === true,
     stamp,
   };
 }
--- a/packages/cluster/steward.ts
+++ b/packages/cluster/steward.ts
@@ -36,6 +36,12 @@
   return new Map(rows.map((r) => [r.member, Math.floor(r.exact) + (left-- > 0 ? 1 : 0)]));
 }
 
+/** Members that can own shares: those that their workers reach, or all if there is none. */
+export function eligible<M extends { workersUnreachable: boolean }>(members: readonly M[]): readonly M[] {
+  const reached = members.filter((m) => !m.workersUnreachable);
+  return reached.length > 0 ? reached : members;
+}
+
 /**
  * Which shares get a new owner: all that have none, and one from a member that has more than its part to one
  * that has less.
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -1,6 +1,7 @@
 import type { Answer } from '#api';
 import { CloudClient } from '#cloud';
 import {
+  CONTACT_STEP,
   type HostBook,
   type LogId,
   type Logger,
@@ -13,6 +14,7 @@
   Replica,
   type ShareOwner,
   type StateCopy,
+  WorkerContact,
 } from '#cluster';
 import type { Settings, Tuning } from '#settings';
 import { Pace, StoreClient } from '#store';
@@ -72,6 +74,7 @@
   private readonly scheduler: Scheduler;
   private readonly leader: Leader;
   private readonly peers: PeerWatch;
+  private readonly contact: WorkerContact;
   private readonly clock: Clock;
   private readonly log: Logger;
   private round: RoundState = 'resting';
@@ -101,6 +104,7 @@
     const replica = new Replica(store, clock, log, settings.stateRps);
     this.replica = replica;
     this.roster = new Roster(settings);
+    this.contact = new WorkerContact(settings);
     const { member, domain } = settings;
     const { incarnation, random } = parts;
     this.membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
@@ -124,7 +128,7 @@
       log,
       (deaf) => {
         // A peer without a member key is dead, not out of reach.
-        void membership.tellDeaf(deaf.filter((name) => replica.members.has(name)));
+        void membership.tellContacts({ deaf: deaf.filter((name) => replica.members.has(name)) });
       },
       (word) => {
         this.hear(word);
@@ -138,6 +142,7 @@
     void this.membership.run();
     void this.playRounds();
     void this.keepFresh();
+    void this.watchContact();
     this.peers.start();
   }
 
@@ -157,7 +162,8 @@
 
   /** What this node tells its peers. */
   word(): PeerWord {
-    return { baton: this.replica.baton.value, served: this.isServed() };
+    const referred = this.contact.referrals(this.clock.now());
+    return { baton: this.replica.baton.value, served: this.isServed(), referred };
   }
 
   /**
@@ -173,6 +179,7 @@
   async report(body: unknown): Promise<Answer> {
     const report = parseReport(body);
     if (!report) return { status: 400, body: { error: 'not a report' } };
+    this.contact.heard();
     // Refused in the middle of a move, a worker would look for its owner elsewhere, a second for each node.
     if (this.isMoving(report.Host)) await this.takenIn(MOVE_WAIT);
     const refusal = this.notEntitled(report);
@@ -216,9 +223,9 @@
     const owner = at === null ? undefined : owners.get(at);
     if (!owner) return unavailable('no owner known');
     if (!this.ownShares().has(at ?? -1)) {
-      return owner.member === this.parts.settings.member
-        ? unavailable('not ready yet')
-        : { status: 421, body: { Foreman: owner.member } };
+      if (owner.member === this.parts.settings.member) return unavailable('not ready yet');
+      this.contact.sentTo(owner.member, report.Host, this.clock.now());
+      return { status: 421, body: { Foreman: owner.member } };
     }
     if (book.share === null || this.isLettingGo(report.Host)) return unavailable('machine on the move');
     // A higher token than the highest known here: somebody else may own this by now.
@@ -259,7 +266,8 @@
     return now - this.peerServedAt <= PEER_NEWS && this.peerServedAt - this.replica.freshAt > unserved;
   }
 
-  private hear({ baton, served }: PeerWord): void {
+  private hear({ baton, served, referred }: PeerWord): void {
+    this.contact.expect(referred[this.parts.settings.member] ?? 0);
     this.peerHeardAt = this.clock.now();
     if (served) this.peerServedAt = this.peerHeardAt;
     if (baton > this.heard.baton) this.heard = { baton, since: this.clock.now() };
@@ -439,6 +447,15 @@
     this.log.info({ piece, host, try: ending.placement.try, outcome: ending.outcome }, 'task ended');
   }
 
+  /** Tells the leader when the workers of this node reach every node but this one. */
+  private async watchContact(): Promise<void> {
+    while (!this.stopped()) {
+      await sleep(this.clock, CONTACT_STEP);
+      this.contact.step(this.ownShares().size > 0, this.clock.now());
+      void this.membership.tellContacts({ workersUnreachable: this.contact.state === 'unreachable' });
+    }
+  }
+
   /** Keeps the age of the state known: leases may be renewed only while it is small enough. */
   private async keepFresh(): Promise<void> {
     while (!this.stopped()) {
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -1,6 +1,7 @@
 import {
   BATON,
   cutZones,
+  eligible,
   LEAD,
   type LogId,
   type Logger,
@@ -146,11 +147,11 @@
     const { replica, membership, store, settings, log, clock } = this.parts;
     const lead = membership.lead();
     if (this.assigning || !lead) return;
-    const members = [...replica.members.values()];
+    const members = eligible([...replica.members.values()]);
     const plan = planShares(settings.initialSize, replica.owners, members, this.weights());
     const orphaned = plan.some(({ share }) => {
       const owner = replica.owners.get(share);
-      return !owner || replica.members.get(owner.member)?.nonce !== owner.nonce;
+      return !owner || !members.some((m) => m.member === owner.member && m.nonce === owner.nonce);
     });
     if (plan.length === 0 || (!orphaned && clock.now() - this.lastShares < REBALANCE)) return;
     this.assigning = true;
--- a/packages/daemon/links.ts
+++ b/packages/daemon/links.ts
@@ -13,6 +13,7 @@
     { name: 'number', type: 'long' },
     { name: 'baton', type: 'long' },
     { name: 'served', type: 'boolean' },
+    { name: 'referred', type: { type: 'map', values: 'int' } },
   ],
 });
 
@@ -130,7 +131,8 @@
     socket.on('close', lost);
     readMessages(socket, (message) => {
       if (message.number === this.waiting?.number) {
-        this.waiting.done('ok', { baton: message.baton, served: message.served });
+        const { baton, served, referred } = message;
+        this.waiting.done('ok', { baton, served, referred });
       }
     });
     socket.connect(splitAddress(this.endpoint));
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -235,7 +235,8 @@
     const awake = (): Promise<void> => new Promise(gate);
     this.net.serve(settings.clusterListen, settings.domain, async () => {
       await awake();
-      return { status: 200, body: { Baton: controller.word().baton, Served: controller.word().served } };
+      const { baton, served, referred } = controller.word();
+      return { status: 200, body: { Baton: baton, Served: served, Referred: referred } };
     });
     this.net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
       await awake();
@@ -394,7 +395,11 @@
       call(endpoint, 'GET', '/', undefined, timeout).then(
         (reply) => ({
           result: 'ok',
-          word: { baton: Number(reply.body['Baton']), served: reply.body['Served'] === true },
+          word: {
+            baton: Number(reply.body['Baton']),
+            served: reply.body['Served'] === true,
+            referred: (reply.body['Referred'] ?? {}) as Record<string, number>,
+          },
         }),
         (cause: unknown) => ({
           result: String(cause).includes('refused') ? 'refused' : 'silent',
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -229,3 +229,37 @@
   await world.run(30 * SECOND);
   assert.equal(world.told.get('j-1'), 'withdrawn');
 });
+
+// Such a node kept its shares, since its peers and the state service reached it: its workers were sent back to it until
+// their leases ran out.
+test('a node that loses only its workers hands its shares on before their leases run out', async () => {
+  const world = new SimWorld({ seed: 121, settings: { stateRps: 200, stateWriteRps: 80 } });
+  world.clock.at(2 * SECOND, () => {
+    world.submit(sampleJob('j-0', { Crew: 'blue', Pieces: 8, ExpectS: 300 }));
+    world.submit(sampleJob('j-1', { Crew: 'green', Pieces: 8, ExpectS: 300 }));
+  });
+  await world.run(40 * SECOND);
+  const running = (): string[] =>
+    ['j-0', 'j-1'].flatMap((id) => world.rules.on(id).map(({ piece, host }) => `${piece} on ${host}`));
+  const before = running();
+  const reportsTo = new Map<number, number>();
+  for (const w of world.workers.values()) reportsTo.set(w.reportsTo, (reportsTo.get(w.reportsTo) ?? 0) + 1);
+  const [node, workers] = [...reportsTo].sort((a, b) => b[1] - a[1])[0] ?? [0, 0];
+  assert.ok(workers >= 2, 'no node has two workers');
+  const links = [...world.workers.keys()].map((name) => `${name}>10.0.0.${node}:80`);
+  for (const link of links) world.net.refused.add(link);
+  await world.run(15 * SECOND);
+  const reports = world.workerReports(node);
+  await world.run(15 * SECOND);
+  assert.equal(world.workerReports(node), reports);
+  assert.equal(world.health(node), 200);
+  const after = running();
+  assert.deepEqual(
+    before.filter((task) => !after.includes(task)),
+    [],
+  );
+  // Back in reach it owns shares again after a while.
+  for (const link of links) world.net.refused.delete(link);
+  await world.run(60 * SECOND);
+  assert.ok(world.workerReports(node) > reports, 'it was not tried again');
+});
