--- a/packages/api/api.test.ts
+++ b/packages/api/api.test.ts
@@ -14,7 +14,7 @@
     return Promise.resolve({ status: 503, body: { error: 'later' }, retryAfterS: 2, close: true });
   },
   show: (id) => Promise.resolve({ status: 200, body: { Uid: id } }),
-  withdraw: () => Promise.reject(new Error('a fault')),
+  cancel: () => Promise.reject(new Error('a fault')),
   report: () => Promise.resolve({ status: 200, body: { Baton: 18446744073709551615n } }),
   health: () => ({ status: 200, body: {} }),
 };
--- a/packages/api/index.ts
+++ b/packages/api/index.ts
@@ -16,7 +16,7 @@
 export interface Service {
   submit(body: unknown): Promise<Answer>;
   show(id: string): Promise<Answer>;
-  withdraw(id: string): Promise<Answer>;
+  cancel(id: string): Promise<Answer>;
   report(body: unknown): Promise<Answer>;
   health(): Answer;
 }
@@ -71,7 +71,7 @@
     method: 'POST',
     path: /^\/submissions\/([^/]+)\/withdraw$/,
     takesBody: false,
-    run: (s, id) => s.withdraw(id),
+    run: (s, id) => s.cancel(id),
   },
   { method: 'GET', path: /^\/healthz$/, takesBody: false, run: (s) => s.health() },
 ];
--- a/packages/cloud/index.ts
+++ b/packages/cloud/index.ts
@@ -1,10 +1,10 @@
 import {
   type Caller,
-  type HostRow,
+  type ListedMachine,
   isFields,
   type MachineType,
   type Micros,
-  type Rental,
+  type RentalRequest,
   SECOND,
 } from '#wire';
 
@@ -28,21 +28,22 @@
     );
     if (reply?.status !== 200 || !Array.isArray(reply.body['Builds'])) return null;
     return reply.body['Builds'].filter(isFields).map((b) => ({
-      Sku: String(b['Sku']),
-      Cpus: Number(b['Cpus']),
-      Gpus: Number(b['Gpus']),
-      MemGb: Number(b['MemGb']),
-      CacheGb: Number(b['CacheGb']),
-      FetchGbPerS: Number(b['FetchGbPerS']),
-      Price: Number(b['Price']),
-      LowPrice: Number(b['LowPrice']),
-      BootS: Number(b['BootS']),
-      Halls: Array.isArray(b['Halls']) ? b['Halls'].map(String) : [],
+      name: String(b['Sku']),
+      cpus: Number(b['Cpus']),
+      gpus: Number(b['Gpus']),
+      memGb: Number(b['MemGb']),
+      cacheGb: Number(b['CacheGb']),
+      fetchGbPerS: Number(b['FetchGbPerS']),
+      price: Number(b['Price']),
+      spotPrice: Number(b['LowPrice']),
+      bootS: Number(b['BootS']),
+      zones: Array.isArray(b['Halls']) ? b['Halls'].map(String) : [],
     }));
   }
 
-  async rent(rental: Rental): Promise<RentResult> {
-    const reply = await this.call(this.endpoint, 'POST', '/rentals', rental, TIMEOUT).catch(() => null);
+  async rent({ id, machineType, zone, spot, count }: RentalRequest): Promise<RentResult> {
+    const body = { Hire: id, Build: machineType, Hall: zone, Loaners: spot, Number: count };
+    const reply = await this.call(this.endpoint, 'POST', '/rentals', body, TIMEOUT).catch(() => null);
     if (!reply) return { kind: 'unknown' };
     if (reply.status === 200 && Array.isArray(reply.body['Hosts'])) {
       return { kind: 'rented', hosts: reply.body['Hosts'].map(String) };
@@ -59,26 +60,26 @@
   }
 
   /** Every machine the cloud lists at the moment, or null if the list could not be read whole. */
-  async machines(): Promise<HostRow[] | null> {
-    const rows: HostRow[] = [];
+  async machines(): Promise<ListedMachine[] | null> {
+    const rows: ListedMachine[] = [];
     for (let after = ''; ;) {
       const path = `/rentals?${after === '' ? '' : `After=${after}&`}Limit=500`;
       const reply = await this.call(this.endpoint, 'GET', path, undefined, TIMEOUT).catch(() => null);
       if (reply?.status !== 200 || !Array.isArray(reply.body['Hosts'])) return null;
       for (const h of reply.body['Hosts'].filter(isFields)) {
         rows.push({
-          Uid: String(h['Uid']),
-          Endpoint: String(h['Endpoint']),
-          Build: String(h['Build']),
-          Hall: String(h['Hall']),
-          Loaners: h['Loaners'] === true,
-          Status: h['Status'] as HostRow['Status'],
-          AgeS: Number(h['AgeS']),
+          host: String(h['Uid']),
+          address: String(h['Endpoint']),
+          machineType: String(h['Build']),
+          zone: String(h['Hall']),
+          spot: h['Loaners'] === true,
+          state: h['Status'] as ListedMachine['state'],
+          ageS: Number(h['AgeS']),
         });
       }
       const last = rows.at(-1);
       if (reply.body['More'] !== true || !last) return rows;
-      after = last.Uid;
+      after = last.host;
     }
   }
 }
--- a/packages/cluster/checkpoint.ts
+++ b/packages/cluster/checkpoint.ts
@@ -97,7 +97,7 @@
     else {
       const [, job, crew, at, attempt, need, on] = row;
       const On = on.map(([i, m, shift]): [number, string, Count] => [i, machines[m] ?? '', shift]);
-      sink.start({ Job: job, Crew: name(crew), Bundle: '', Need: need, On }, attempt, base + at);
+      sink.start({ Job: job, team: name(crew), image: '', Need: need, On }, attempt, base + at);
     }
   }
 }
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -23,10 +23,10 @@
     const draft: Partial<PlacementRecord> = {};
     let log: LogId = a % 2;
     if (kind === 0) {
-      draft.Starts = [{ Job: job, Crew: 'blue', Bundle: `i-${a}`, Need: [1, 0, 2], On: [[b, host, 1]] }];
+      draft.Starts = [{ Job: job, team: 'blue', image: `i-${a}`, Need: [1, 0, 2], On: [[b, host, 1]] }];
       draft.Prices = { small: [0.1 * a, 0, 0] };
     } else if (kind === 1 && placed) {
-      draft.Ends = [[job, b, placed.try, (['done', 'lost', 'error'] as const)[a % 3] ?? 'done']];
+      draft.Ends = [[job, b, placed.try, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
     } else if (kind === 2) draft.Releases = [[host, [1, b]]];
     else if (kind === 3) draft.Takes = [host];
     else if (kind === 4) draft.Status = [[host, 'up']];
@@ -97,7 +97,7 @@
     const Starts: StartGroup[] = [];
     for (let i = 0; i < On.length; i += 25) {
       const part = On.slice(i, i + 25);
-      Starts.push({ Job: `j-${i}`, Crew: 'blue', Bundle: `img-${i % 7}`, Need: [2, 0, 7.1], On: part });
+      Starts.push({ Job: `j-${i}`, team: 'blue', image: `img-${i % 7}`, Need: [2, 0, 7.1], On: part });
     }
     ledger.apply(share, { Seq: 1, At: 1.7e12 + 500, Starts });
   }
@@ -127,7 +127,7 @@
 });
 
 const HOST = (host: string, share: number): HostRow => [host, 'small', 'east', false, 0, share];
-const START = { Job: 'j-1', Crew: 'blue', Bundle: 'i', Need: [1, 0, 1] as [number, number, number] };
+const START = { Job: 'j-1', team: 'blue', image: 'i', Need: [1, 0, 1] as [number, number, number] };
 
 test('a record that is not the next of its log is refused, one already applied changes nothing', () => {
   const ledger = new Ledger();
@@ -197,8 +197,8 @@
       const draft: RecordDraft = {
         Ends: Array.from({ length: ends }, (_, i) => [`j-${i}`, i, 7, 'done']),
         Starts: [
-          { Job: 'j-1', Crew: 'blue', Bundle: 'i', Need: [1, 0, 2], On: [] },
-          { Job: 'j-2', Crew: 'green', Bundle: 'i', Need: [2.5, 0, 2], On: [] },
+          { Job: 'j-1', team: 'blue', image: 'i', Need: [1, 0, 2], On: [] },
+          { Job: 'j-2', team: 'green', image: 'i', Need: [2.5, 0, 2], On: [] },
         ],
       };
       for (let i = 0; i < starts; i++) draft.Starts?.[i % 2]?.On.push([i, `n-${i}`, 1]);
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -1,4 +1,4 @@
-import { type Count, pieceName } from '#wire';
+import { type Count, taskName } from '#wire';
 import { type CheckpointRow, readRows } from './checkpoint.js';
 import { DoneSet } from './done-set.js';
 import type { LogId } from './keys.js';
@@ -80,14 +80,14 @@
   at: number;
 }
 
-export type Outcome = 'done' | 'halted' | 'error' | 'refused' | 'lost' | 'undelivered';
+export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
 
 /** Starts of one job: `On` holds index, host and session for each. The record's number makes the attempt. */
 export interface StartGroup {
   Job: string;
-  Crew: string;
+  team: string;
   /** Name of its image, which the machines will have from then on. */
-  Bundle: string;
+  image: string;
   Need: [number, number, number];
   On: [number, string, Count][];
 }
@@ -277,7 +277,7 @@
         const taken = this.placement(group.Job, on[0]) ?? this.books.get(group.Job)?.done.has(on[0]);
         const book = ours(on[1]);
         if (!book || taken) continue;
-        book.images = [...book.images.filter((i) => i !== group.Bundle), group.Bundle].slice(-IMAGES_KEPT);
+        book.images = [...book.images.filter((i) => i !== group.image), group.image].slice(-IMAGES_KEPT);
         this.put(group, on, record.Seq * ATTEMPT_STRIDE + share, record.At);
       }
     }
@@ -299,9 +299,9 @@
   private put(group: StartGroup, on: StartGroup['On'][number], attempt: number, at: number): void {
     const [cpus, gpus, memGb] = group.Need;
     const [index, host, shift] = on;
-    const piece = pieceName(group.Job, index);
+    const piece = taskName(group.Job, index);
     const placement: Placement = {
-      ...{ job: group.Job, index, piece, crew: group.Crew, try: attempt, host, shift, at },
+      ...{ job: group.Job, index, piece, crew: group.team, try: attempt, host, shift, at },
       ...{ cpus, gpus, memGb },
     };
     this.book(group.Job).placed.set(index, placement);
@@ -318,7 +318,7 @@
     if (outcome === 'done') {
       book.errors = 0;
       host.errors = 0;
-    } else if (outcome === 'error') {
+    } else if (outcome === 'failed') {
       book.errors++;
       book.failedAt = at;
       if (book.errors >= JOB_AT_FAULT) return;
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -15,7 +15,7 @@
 }
 
 function start(machine: string): StartGroup[] {
-  return [{ Job: 'j-1', Crew: 'blue', Bundle: 'img', Need: [1, 0, 1], On: [[0, machine, 1]] }];
+  return [{ Job: 'j-1', team: 'blue', image: 'img', Need: [1, 0, 1], On: [[0, machine, 1]] }];
 }
 
 /**
@@ -37,7 +37,7 @@
   },
   { log: 0, record: { Seq: 1, At: 1, Starts: start('n-1') } },
   { log: 1, record: { Seq: 1, At: 1, Status: [['n-2', 'up']] } },
-  { log: 0, record: { Seq: 2, At: 2, Ends: [['j-1', 0, 1024, 'halted']], Releases: [['n-3', null]] } },
+  { log: 0, record: { Seq: 2, At: 2, Ends: [['j-1', 0, 1024, 'stopped']], Releases: [['n-3', null]] } },
   { log: 1, record: { Seq: 2, At: 3, Takes: ['n-3'], Starts: start('n-2') } },
 ];
 
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -33,11 +33,11 @@
   MS,
   SECOND,
   sleep,
-  type Submission,
+  type JobSpec,
 } from '#wire';
 
 export interface LiveJob {
-  spec: Submission;
+  spec: JobSpec;
   /** Time of day of its acceptance, in milliseconds. */
   at: number;
   /** Order of acceptance. */
@@ -79,7 +79,7 @@
   ledger: Ledger;
 }
 
-export type Final = 'done' | 'withdrawn';
+export type Final = 'done' | 'cancelled';
 
 const BLOCK: Micros = 10 * SECOND;
 /** Least time between two reads of the epoch: polls in between wait for the same one. */
@@ -406,7 +406,7 @@
   private takeJob(id: string, { value, stamp }: Change): void {
     this.ended.delete(id);
     if (value && value['Status'] === undefined) {
-      this.jobs.set(id, { spec: value['Job'] as Submission, at: Number(value['At']), stamp });
+      this.jobs.set(id, { spec: value['Job'] as JobSpec, at: Number(value['At']), stamp });
       return;
     }
     this.jobs.delete(id);
@@ -433,7 +433,7 @@
 }
 
 function finalOf(value: Fields): Final {
-  return value['Status'] === 'done' ? 'done' : 'withdrawn';
+  return value['Status'] === 'done' ? 'done' : 'cancelled';
 }
 
 function leadOf(value: Fields, stamp: number): Lead {
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/writer.test.ts
@@ -85,12 +85,12 @@
 
 test('an ended job is put away only as it lies there', async () => {
   const { writer, replica, sent } = notingWriter();
-  replica.ended.set('j-1', { status: 'withdrawn', stamp: 32 });
+  replica.ended.set('j-1', { status: 'cancelled', stamp: 32 });
   await writer.tidy();
   assert.deepEqual(sent[0]?.guards, [
     { path: LEAD, stamp: 1 },
     { path: jobKey('j-1'), stamp: 32 },
   ]);
-  const value = { Status: 'withdrawn' };
+  const value = { Status: 'cancelled' };
   assert.deepEqual(sent[0].writes, [{ remove: jobKey('j-1') }, { set: overKey('j-1'), value }]);
 });
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -101,7 +101,7 @@
       const guards = this.ownerships(new Set(shares));
       if (!guards) return;
       const some = jobs.slice(i, i + perTxn);
-      // A withdrawal that came first has changed the key: then the job stays withdrawn.
+      // A cancellation that came first has changed the key: then the job stays cancelled.
       for (const [id, job] of some) guards.push({ path: jobKey(id), stamp: job.stamp });
       const writes = some.map(([id]) => endWrite(id, 'done'));
       if (!(await this.settle(guards, writes))) return;
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -18,7 +18,18 @@
 } from '#cluster';
 import type { Settings, Tuning } from '#settings';
 import { Pace, StoreClient } from '#store';
-import { type Caller, type Clock, type Micros, MS, parseReport, type Report, SECOND, sleep } from '#wire';
+import {
+  type Caller,
+  type Clock,
+  encodeRedirect,
+  encodeReportAnswer,
+  type Micros,
+  MS,
+  parseReport,
+  SECOND,
+  sleep,
+  type WorkerReport,
+} from '#wire';
 import { type Ending, renewalBound, Roster } from '#workers';
 import { Leader } from './leader.js';
 import { Scheduler } from './scheduler.js';
@@ -181,23 +192,23 @@
     if (!report) return { status: 400, body: { error: 'not a report' } };
     this.contact.heard();
     // Refused in the middle of a move, a worker would look for its owner elsewhere, a second for each node.
-    if (this.isMoving(report.Host)) await this.takenIn(MOVE_WAIT);
+    if (this.isMoving(report.host)) await this.takenIn(MOVE_WAIT);
     const refusal = this.notEntitled(report);
     if (refusal) return refusal;
     this.followOwnership();
-    const first = !this.roster.sessions.has(report.Host);
+    const first = !this.roster.sessions.has(report.host);
     // An older report than the newest known: its worker has given this exchange up.
     if (!this.roster.receive(report, this.clock.now())) return unavailable('stale report');
-    if (first || this.scheduler.hasNews(report.Host)) await this.takenIn(NEWS_WAIT);
+    if (first || this.scheduler.hasNews(report.host)) await this.takenIn(NEWS_WAIT);
     const again = this.notEntitled(report);
     if (again) return again;
     this.followOwnership();
     // While the answer waited, the machine may have left and come back: then nothing is known of its worker.
-    if (this.roster.sessions.get(report.Host)?.report !== report) return unavailable('stale report');
+    if (this.roster.sessions.get(report.host)?.report !== report) return unavailable('stale report');
     const now = this.clock.now();
-    const orders = this.roster.orders(report.Host, this.replica.ledger, this.replica.jobs, this.isServed());
-    this.roster.answered(report.Host, now);
-    return { status: 200, body: { Baton: this.replica.baton.value, Orders: orders } };
+    const orders = this.roster.orders(report.host, this.replica.ledger, this.replica.jobs, this.isServed());
+    this.roster.answered(report.host, now);
+    return { status: 200, body: encodeReportAnswer({ token: this.replica.baton.value, commands: orders }) };
   }
 
   /** A round of this node lets the machine go at present, or is to take it. */
@@ -215,21 +226,21 @@
   }
 
   /** The answer for a worker if this node may not act for the controllers towards it now. */
-  private notEntitled(report: Report): Answer | null {
+  private notEntitled(report: WorkerReport): Answer | null {
     const { ledger, owners, baton, state } = this.replica;
-    const book = ledger.hosts.get(report.Host);
+    const book = ledger.hosts.get(report.host);
     if (!book || state !== 'following') return unavailable('machine not known');
     const at = shareOf(book);
     const owner = at === null ? undefined : owners.get(at);
     if (!owner) return unavailable('no owner known');
     if (!this.ownShares().has(at ?? -1)) {
       if (owner.member === this.parts.settings.member) return unavailable('not ready yet');
-      this.contact.sentTo(owner.member, report.Host, this.clock.now());
-      return { status: 421, body: { Foreman: owner.member } };
+      this.contact.sentTo(owner.member, report.host, this.clock.now());
+      return { status: 421, body: encodeRedirect(owner.member) };
     }
-    if (book.share === null || this.isLettingGo(report.Host)) return unavailable('machine on the move');
+    if (book.share === null || this.isLettingGo(report.host)) return unavailable('machine on the move');
     // A higher token than the highest known here: somebody else may own this by now.
-    if (report.Baton > baton.value || this.isOutdated()) return unavailable('superseded');
+    if (report.token > baton.value || this.isOutdated()) return unavailable('superseded');
     return this.stateAge() > renewalBound(this.parts.settings) ? unavailable('state not reachable') : null;
   }
 
@@ -394,7 +405,7 @@
     this.enterRound('finishing');
     const complete = [...replica.jobs].filter(([id, job]) => {
       const done = replica.ledger.books.get(id)?.done.count ?? 0;
-      return done >= job.spec.Pieces && shares.has(this.scheduler.shareOf(job.spec.Crew));
+      return done >= job.spec.taskCount && shares.has(this.scheduler.shareOf(job.spec.team));
     });
     if (complete.length > 0) await this.writer.finish(complete, [...shares]);
   }
@@ -425,7 +436,7 @@
       // One that goes back to the cloud is let go only when nothing can be on it any more.
       if (to === null || (to === 'return' && ledger.onHost.has(host))) continue;
       const report = this.roster.sessions.get(host)?.report;
-      (draft(share).Releases ??= []).push([host, report ? [report.Shift, report.Tally] : null]);
+      (draft(share).Releases ??= []).push([host, report ? [report.session, report.sequence] : null]);
       this.lettingGo.set(host, { log: share, seq: Infinity });
     }
     return drafts;
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -186,7 +186,7 @@
     const weights = new Map<string, number>();
     if (cuts.size === 0) return weights;
     for (const host of replica.ledger.hosts.values()) {
-      const cpus = replica.types.get(host.build)?.Cpus ?? 1;
+      const cpus = replica.types.get(host.build)?.cpus ?? 1;
       const near = members.filter((m) => this.reaches(m, host.hall, cuts));
       for (const m of near) weights.set(m, (weights.get(m) ?? 0) + cpus / near.length);
     }
@@ -279,7 +279,7 @@
       else if (!this.poorSince.has(host)) this.poorSince.set(host, now);
       const poorFor = now - (this.poorSince.get(host) ?? now);
       const { loaners } = book;
-      machines.push({ host, loaners, price: loaners ? type.LowPrice : type.Price, total, left, poorFor });
+      machines.push({ host, loaners, price: loaners ? type.spotPrice : type.price, total, left, poorFor });
     }
     for (const host of this.poorSince.keys())
       if (!replica.ledger.hosts.has(host)) this.poorSince.delete(host);
@@ -302,7 +302,7 @@
       if (host.status === 'new') row.booting++;
       else {
         row.machines++;
-        row.cpus += replica.types.get(host.build)?.Cpus ?? 0;
+        row.cpus += replica.types.get(host.build)?.cpus ?? 0;
         for (const p of replica.ledger.placementsOn(host.host)) row.placed += p.cpus;
       }
     }
@@ -316,10 +316,10 @@
     const lead = membership.lead();
     if (!types) this.lastTypes = clock.now() - TYPES_EVERY + SECOND;
     if (!types || !lead) return;
-    const changed = types.filter((t) => differs(t, replica.types.get(t.Sku)));
+    const changed = types.filter((t) => differs(t, replica.types.get(t.name)));
     for (let i = 0; i < changed.length; i += settings.txnOps) {
       const writes: Write[] = changed.slice(i, i + settings.txnOps).map((t) => ({
-        set: TYPES + t.Sku,
+        set: TYPES + t.name,
         value: { Type: t } as unknown as Fields,
       }));
       await store.commit([{ path: LEAD, stamp: lead.stamp }], writes);
@@ -334,7 +334,7 @@
 /** Spot prices move all the time: only a change worth a write counts. */
 function differs(a: MachineType, b: MachineType | undefined): boolean {
   if (!b) return true;
-  const { LowPrice: low, ...fixed } = a;
-  const { LowPrice: oldLow, ...oldFixed } = b;
+  const { spotPrice: low, ...fixed } = a;
+  const { spotPrice: oldLow, ...oldFixed } = b;
   return Math.abs(low - oldLow) > 0.05 * oldLow || JSON.stringify(fixed) !== JSON.stringify(oldFixed);
 }
--- a/packages/daemon/main.ts
+++ b/packages/daemon/main.ts
@@ -94,7 +94,7 @@
     {
       submit: (body) => controller.users.submit(body),
       show: (id) => controller.users.show(id),
-      withdraw: (id) => controller.users.withdraw(id),
+      cancel: (id) => controller.users.cancel(id),
       report: (body) => controller.report(body),
       health: () => controller.health(),
     },
--- a/packages/daemon/scheduler.ts
+++ b/packages/daemon/scheduler.ts
@@ -23,7 +23,7 @@
   type WaitingJob,
 } from '#pricing';
 import type { Objective, Settings, Tuning } from '#settings';
-import { type Clock, fromSeconds, type Micros, MS, type Rank, RANKS, SECOND, type Submission } from '#wire';
+import { type Clock, fromSeconds, type Micros, MS, type Rank, RANKS, SECOND, type JobSpec } from '#wire';
 import { attemptKey, type Ending, placementOf, type Roster, type Session } from '#workers';
 
 export interface RoundPlan {
@@ -117,7 +117,7 @@
     const session = this.roster.sessions.get(host);
     if (!session) return false;
     const { ledger } = this.replica;
-    return session.report.Pieces.some((p) => p.Status === 'exited' && placementOf(ledger, host, p) !== null);
+    return session.report.tasks.some((p) => p.state === 'exited' && placementOf(ledger, host, p) !== null);
   }
 
   learn({ placement, outcome }: Ending): void {
@@ -128,12 +128,12 @@
     session?.runningSince.delete(attemptKey(placement.piece, placement.try));
     if (outcome === 'refused' && session) {
       session.shunnedUntil = Math.max(session.shunnedUntil, now + 5 * SECOND);
-    } else if (outcome === 'done' && job && began !== null && job.spec.ExpectS > 0) {
-      const ratio = (now - began) / fromSeconds(job.spec.ExpectS);
+    } else if (outcome === 'done' && job && began !== null && job.spec.estimateS > 0) {
+      const ratio = (now - began) / fromSeconds(job.spec.estimateS);
       // A task whose result was kept from an earlier attempt ends at once and tells nothing of its class.
       if (ratio < KEPT_RESULT) return;
-      const old = this.ratios.get(job.spec.Lane) ?? 1;
-      this.ratios.set(job.spec.Lane, old + 0.1 * (Math.min(5, ratio) - old));
+      const old = this.ratios.get(job.spec.jobClass) ?? 1;
+      this.ratios.set(job.spec.jobClass, old + 0.1 * (Math.min(5, ratio) - old));
       const beganMs = Math.round((this.clock.wall() - now + began) / MS - placement.at);
       this.log.debug({ piece: placement.piece, beganMs, ranMs: Math.round((now - began) / MS) }, 'task done');
     }
@@ -189,14 +189,14 @@
     if (owed === 0) return { owed, borrowed };
     for (const { room } of soon) owed -= room.cpus;
     for (const { to, share, build } of ledger.hosts.values()) {
-      if (typeof to === 'number' && to !== share && shares.has(to)) owed -= types.get(build)?.Cpus ?? 0;
+      if (typeof to === 'number' && to !== share && shares.has(to)) owed -= types.get(build)?.cpus ?? 0;
     }
     return { owed: Math.max(0, owed), borrowed };
   }
 
   /** Run time of a task: its owner's estimate, put right by what was seen of its class. */
-  private expected(spec: Submission): Micros {
-    return fromSeconds(spec.ExpectS) * (this.ratios.get(spec.Lane) ?? 1);
+  private expected(spec: JobSpec): Micros {
+    return fromSeconds(spec.estimateS) * (this.ratios.get(spec.jobClass) ?? 1);
   }
 
   /** Expected time a running task still takes; 0 if it should be over. */
@@ -224,11 +224,11 @@
   }
 
   /** Half of the time that a job's users leave for waiting; 0 if they tell of none. */
-  private patience(spec: Submission, run: Micros): Micros {
-    const aims = (this.objectives.get(spec.Lane) ?? []).map((o) =>
+  private patience(spec: JobSpec, run: Micros): Micros {
+    const aims = (this.objectives.get(spec.jobClass) ?? []).map((o) =>
       o.kind === 'wait' ? (o.within ?? 0) : (o.within ?? 0) - run,
     );
-    if (spec.DueS !== null) aims.push(fromSeconds(spec.DueS) - run);
+    if (spec.deadlineS !== null) aims.push(fromSeconds(spec.deadlineS) - run);
     return aims.length === 0 ? 0 : Math.min(...aims) / 2;
   }
 
@@ -240,7 +240,7 @@
     };
     for (const { job } of starts) {
       const spec = this.replica.jobs.get(job)?.spec;
-      if (spec) add(spec.Crew, spec.Cpus);
+      if (spec) add(spec.team, spec.cpus);
     }
     for (const p of ending) add(p.crew, -p.cpus);
     return changes;
@@ -271,7 +271,7 @@
       const count = wanted - serve(freeing, job, wanted);
       const within = slots({ ...need, gpus: 0, memGb: 0 }, amounts((guarantee.get(crew) ?? 0) - used));
       const safe = Math.min(count, within);
-      const rank = RANKS.indexOf(spec.Rank);
+      const rank = RANKS.indexOf(spec.rank);
       if (safe > 0) claims.push({ job, count: safe, rank, guaranteed: true });
       if (count > safe && rank > RANKS.indexOf('normal')) {
         claims.push({ job, count: count - safe, rank, guaranteed: false });
@@ -283,12 +283,12 @@
       for (const p of ledger.placementsOn(host)) {
         const spec = jobs.get(p.job)?.spec;
         // A start that is stopped too soon was no start to its user.
-        if (!spec || spec.BookmarkS <= 0 || wall - p.at * MS < SETTLED) continue;
+        if (!spec || spec.checkpointS <= 0 || wall - p.at * MS < SETTLED) continue;
         if (this.remaining(p) < ALMOST_DONE) continue;
         const { cpus, gpus, memGb, piece } = p;
         const beyond = ledger.used(p.crew).cpus > (guarantee.get(p.crew) ?? 0);
-        const row = { cpus, gpus, memGb, piece, host, rank: RANKS.indexOf(spec.Rank), beyond };
-        const windDownS = Math.ceil(spec.StashS) + 1;
+        const row = { cpus, gpus, memGb, piece, host, rank: RANKS.indexOf(spec.rank), beyond };
+        const windDownS = Math.ceil(spec.saveS) + 1;
         victims.set(piece, { ...row, saves: true, placement: p, windDownS });
       }
     }
@@ -387,7 +387,7 @@
     const room = amountsOf(type);
     for (const p of ledger.placementsOn(host)) if (!ending.has(p)) take(room, p, 1);
     const { build, hall, loaners } = book;
-    const upkeep = (loaners ? type.LowPrice : type.Price) / Math.max(type.Cpus, 1);
+    const upkeep = (loaners ? type.spotPrice : type.price) / Math.max(type.cpus, 1);
     const busyFor = (): Micros => this.busyFor(host);
     return {
       ...{ host, build, hall, loaners, total: amountsOf(type), room, busyFor, upkeep },
@@ -412,8 +412,8 @@
    * How many tasks of a job are to be placed. One that fails on machine after machine tries with a single task, ever
    * more rarely: it takes next to no room, and a first success sets it free.
    */
-  private wanted(spec: Submission, book: JobBook | undefined): number {
-    const count = spec.Pieces - (book?.done.count ?? 0) - (book?.placed.size ?? 0);
+  private wanted(spec: JobSpec, book: JobBook | undefined): number {
+    const count = spec.taskCount - (book?.done.count ?? 0) - (book?.placed.size ?? 0);
     if (!book || book.errors < JOB_AT_FAULT) return count;
     const rest = Math.min(LONGEST_REST, 2 ** book.errors * SECOND);
     const resting = this.clock.wall() < book.failedAt * MS + rest;
@@ -422,7 +422,7 @@
 
   private hasStranger(host: string, session: Session): boolean {
     const { ledger } = this.replica;
-    return session.report.Pieces.some((p) => p.Status !== 'exited' && placementOf(ledger, host, p) === null);
+    return session.report.tasks.some((p) => p.state !== 'exited' && placementOf(ledger, host, p) === null);
   }
 
   private waiting(crews: ReadonlySet<string>, ending: ReadonlySet<Placement>): WaitingJob[] {
@@ -431,7 +431,7 @@
     const out: WaitingJob[] = [];
     for (const [id, job] of jobs) {
       const { spec } = job;
-      if (!crews.has(spec.Crew)) continue;
+      if (!crews.has(spec.team)) continue;
       const book = ledger.books.get(id);
       const count = this.wanted(spec, book);
       if (count <= 0) continue;
@@ -444,21 +444,21 @@
       const waited = Math.max(0, wall - job.at * MS) / this.tuning.waitDoubles;
       // Spare room is what guests are for: what has begun of their work is not raised above that of others.
       const begun = book !== undefined && (book.placed.size > 0 || book.done.count > 0);
-      const raised = this.guests.has(spec.Crew) && begun ? 1 : raise(waited);
+      const raised = this.guests.has(spec.team) && begun ? 1 : raise(waited);
       out.push({
         id,
-        crew: spec.Crew,
-        need: { cpus: spec.Cpus, gpus: spec.Gpus, memGb: spec.MemGb },
-        priority: RANK_PRIORITY[spec.Rank] * raised,
+        crew: spec.team,
+        need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
+        priority: RANK_PRIORITY[spec.rank] * raised,
         order: job.stamp,
         waiting: count,
-        pieces: spec.Pieces,
-        builds: spec.Builds,
-        hall: spec.Hall,
-        samePlace: spec.SamePlace,
-        scatter: spec.Scatter,
-        loaners: spec.Loaners,
-        bundle: spec.Bundle,
+        pieces: spec.taskCount,
+        builds: spec.machineTypes,
+        hall: spec.zone,
+        samePlace: spec.singleZone,
+        scatter: spec.spreadZones,
+        loaners: spec.allowsSpot,
+        bundle: spec.image,
         placedByHall,
       });
     }
@@ -466,7 +466,7 @@
   }
 
   private hallOf(host: string): string {
-    return this.replica.ledger.hosts.get(host)?.hall ?? this.roster.sessions.get(host)?.report.Hall ?? '?';
+    return this.replica.ledger.hosts.get(host)?.hall ?? this.roster.sessions.get(host)?.report.zone ?? '?';
   }
 
   /** Gives each start its task and sorts them by the share of their machine. */
@@ -479,17 +479,17 @@
       const share = this.replica.ledger.hosts.get(host)?.share ?? null;
       if (!spec || !session || share === null) continue;
       let indices = open.get(job);
-      if (!indices) open.set(job, (indices = this.openIndices(job, spec.Pieces)));
+      if (!indices) open.set(job, (indices = this.openIndices(job, spec.taskCount)));
       const index = indices.next();
       if (index.done === true) continue;
       let groups = byShare.get(share);
       if (!groups) byShare.set(share, (groups = []));
       let group = groups.find((g) => g.Job === job);
       if (!group) {
-        const { Crew, Bundle, Cpus, Gpus, MemGb } = spec;
-        groups.push((group = { Job: job, Crew, Bundle, Need: [Cpus, Gpus, MemGb], On: [] }));
+        const { team, image, cpus, gpus, memGb } = spec;
+        groups.push((group = { Job: job, team, image, Need: [cpus, gpus, memGb], On: [] }));
       }
-      group.On.push([index.value, host, session.report.Shift]);
+      group.On.push([index.value, host, session.report.session]);
     }
     return byShare;
   }
--- a/packages/daemon/users.ts
+++ b/packages/daemon/users.ts
@@ -5,13 +5,14 @@
 import type { StoreClient } from '#store';
 import {
   type Clock,
-  isFields,
+  encodeJobState,
   isJobId,
-  type JobAnswer,
+  type JobState,
   MS,
   parseSubmission,
   sleep,
-  type Submission,
+  submittedId,
+  type JobSpec,
 } from '#wire';
 
 /** Another node may be able to: a new connection lets the load balancer choose again. */
@@ -36,26 +37,27 @@
     if ('invalid' in parsed) {
       const malformed: Answer = { status: 400, body: { error: `invalid: ${parsed.invalid}` } };
       // The job that was accepted under an id stays the one it names, whatever else is sent under it later.
-      const id = isFields(body) ? body['Uid'] : null;
-      return isJobId(id) ? this.known(id, malformed) : malformed;
+      const id = submittedId(body);
+      return id === null ? malformed : this.known(id, malformed);
     }
     const { job } = parsed;
     if (this.replica.types.size === 0) return unavailable('machine types not known yet');
     const never = this.neverRuns(job);
-    if (never !== null) return this.known(job.Uid, { status: 422, body: { error: never } });
+    if (never !== null) return this.known(job.id, { status: 422, body: { error: never } });
     const value = { At: Math.floor(this.clock.wall() / MS), Job: job };
     for (let i = 0; i < TRIES; i++) {
       if (i > 0) await sleep(this.clock, 150 * MS);
       // Both keys must be absent: a repeat that comes after the job's end must not start it again.
       const result = await this.store.commit(
         [
-          { path: jobKey(job.Uid), stamp: 0 },
-          { path: overKey(job.Uid), stamp: 0 },
+          { path: jobKey(job.id), stamp: 0 },
+          { path: overKey(job.id), stamp: 0 },
         ],
-        [{ set: jobKey(job.Uid), value }],
+        [{ set: jobKey(job.id), value }],
       );
-      if (result.kind === 'applied') return { status: 201, body: { Uid: job.Uid, Status: 'pending' } };
-      if (result.kind === 'refused') return this.known(job.Uid, AWAY);
+      if (result.kind === 'applied')
+        return { status: 201, body: encodeJobState({ id: job.id, status: 'pending' }) };
+      if (result.kind === 'refused') return this.known(job.id, AWAY);
       if (result.kind === 'not_executed' && result.status !== 429) return AWAY;
     }
     return AWAY;
@@ -66,7 +68,7 @@
     return this.known(id, { status: 404, body: { error: 'no such job' } });
   }
 
-  async withdraw(id: string): Promise<Answer> {
+  async cancel(id: string): Promise<Answer> {
     const missing: Answer = { status: 404, body: { error: 'no such job' } };
     if (!isJobId(id)) return missing;
     for (let i = 0; i < TRIES; i++) {
@@ -79,9 +81,9 @@
           { path: jobKey(id), stamp: live.stamp },
           { path: overKey(id), stamp: 0 },
         ],
-        [endWrite(id, 'withdrawn')],
+        [endWrite(id, 'cancelled')],
       );
-      if (result.kind === 'applied') return { status: 200, body: { Uid: id, Status: 'withdrawn' } };
+      if (result.kind === 'applied') return over(id, 'cancelled');
       if (result.kind === 'not_executed' && result.status !== 429) return AWAY;
     }
     return AWAY;
@@ -93,7 +95,7 @@
     if (settled) return over(id, settled);
     if (!(await this.replica.barrier())) return AWAY;
     const live = this.replica.jobs.get(id);
-    if (live) return { status: 200, body: this.describe(id) };
+    if (live) return { status: 200, body: encodeJobState(this.describe(id)) };
     try {
       const final = await this.replica.final(id);
       return final ? over(id, final) : otherwise;
@@ -102,30 +104,31 @@
     }
   }
 
-  private describe(id: string): JobAnswer {
+  private describe(id: string): JobState {
     const book = this.replica.ledger.books.get(id);
     const running = book?.placed.size ?? 0;
-    return { Uid: id, Status: running > 0 ? 'running' : 'pending', done: book?.done.count ?? 0, running };
+    const status = running > 0 ? 'running' : 'pending';
+    return { id, status, done: book?.done.count ?? 0, running };
   }
 
-  private neverRuns(job: Submission): string | null {
-    const team = this.settings.teams.find((t) => t.name === job.Crew);
-    if (!team) return `unknown team ${job.Crew}`;
-    const need = { cpus: job.Cpus, gpus: job.Gpus, memGb: job.MemGb };
+  private neverRuns(job: JobSpec): string | null {
+    const team = this.settings.teams.find((t) => t.name === job.team);
+    if (!team) return `unknown team ${job.team}`;
+    const need = { cpus: job.cpus, gpus: job.gpus, memGb: job.memGb };
     const open = [...this.replica.types.values()].some(
       (t) =>
-        (job.Builds === null || job.Builds.includes(t.Sku)) &&
-        (job.Hall === null || t.Halls.includes(job.Hall)) &&
-        fits(need, { cpus: t.Cpus, gpus: t.Gpus, memGb: t.MemGb }),
+        (job.machineTypes === null || job.machineTypes.includes(t.name)) &&
+        (job.zone === null || t.zones.includes(job.zone)) &&
+        fits(need, { cpus: t.cpus, gpus: t.gpus, memGb: t.memGb }),
     );
     if (!open) return 'a task fits no allowed machine type';
     if (!fits(need, { cpus: team.cpusMax, gpus: team.gpusMax, memGb: Infinity })) {
-      return `a task needs more than the limit of team ${job.Crew}`;
+      return `a task needs more than the limit of team ${job.team}`;
     }
     return null;
   }
 }
 
 function over(id: string, final: Final): Answer {
-  return { status: 200, body: { Uid: id, Status: final } };
+  return { status: 200, body: encodeJobState({ id, status: final }) };
 }
--- a/packages/fleet/keeper.ts
+++ b/packages/fleet/keeper.ts
@@ -1,6 +1,14 @@
 import type { Destination, HostBook, Ledger, Logger, RecordDraft } from '#cluster';
 import { type CloudClient, MAX_DELETE, MAX_RENT } from '#cloud';
-import { type Clock, fromSeconds, type HostRow, type MachineType, type Micros, MS, SECOND } from '#wire';
+import {
+  type Clock,
+  fromSeconds,
+  type ListedMachine,
+  type MachineType,
+  type Micros,
+  MS,
+  SECOND,
+} from '#wire';
 import {
   amountsOf,
   type Coming,
@@ -51,7 +59,7 @@
   private readonly refusals = new Map<string, { until: Micros; pause: Micros }>();
   private readonly gone = new Map<string, Micros>();
   private readonly idleSince = new Map<string, Micros>();
-  private listed: Map<string, HostRow> | null = null;
+  private listed: Map<string, ListedMachine> | null = null;
   /** Listed machines that stopped and are in nobody's books. */
   private readonly wrecks = new Set<string>();
   private lastList: Micros = -Infinity;
@@ -123,7 +131,7 @@
   }
 
   private isBooting(host: HostBook): boolean {
-    const boot = fromSeconds(this.facts().types.get(host.build)?.BootS ?? 60);
+    const boot = fromSeconds(this.facts().types.get(host.build)?.bootS ?? 60);
     return host.status === 'new' && this.age(host) <= boot * 2.2 + 5 * SECOND;
   }
 
@@ -184,11 +192,11 @@
     this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
     const { build, hall, loaners, number } = hire;
     const result = await this.cloud.rent({
-      Hire: name,
-      Build: build,
-      Hall: hall,
-      Loaners: loaners,
-      Number: number,
+      id: name,
+      machineType: build,
+      zone: hall,
+      spot: loaners,
+      count: number,
     });
     if (this.facts().ledger.hires.get(name) === undefined) return;
     this.asking.set(name, this.clock.now() + HIRE_RETRY);
@@ -227,12 +235,12 @@
     const rows = await this.cloud.machines();
     this.listing = false;
     if (!rows) return;
-    this.listed = new Map(rows.map((r) => [r.Uid, r]));
+    this.listed = new Map(rows.map((r) => [r.host, r]));
     const { ledger, shareFor } = this.facts();
     for (const r of rows) {
-      const offer = { build: r.Build, hall: r.Hall, loaners: r.Loaners };
-      if (r.Status === 'failed' && !ledger.hosts.has(r.Uid)) this.wrecks.add(r.Uid);
-      else if (this.isUnknown(r.Uid)) this.adopt(r.Uid, offer, shareFor(r.Hall), r.AgeS);
+      const offer = { build: r.machineType, hall: r.zone, loaners: r.spot };
+      if (r.state === 'failed' && !ledger.hosts.has(r.host)) this.wrecks.add(r.host);
+      else if (this.isUnknown(r.host)) this.adopt(r.host, offer, shareFor(r.zone), r.ageS);
     }
     for (const [host, until] of this.gone) if (until < now) this.gone.delete(host);
   }
@@ -263,7 +271,7 @@
     if (host.share === null && host.to === 'return') return 'returned';
     if (host.status === 'lost') return 'lost';
     const row = this.listed?.get(host.host);
-    if (row?.Status === 'failed') return 'failed';
+    if (row?.state === 'failed') return 'failed';
     if (host.status === 'up') return null;
     // The list lags by up to twice its nominal time; a machine that it should show by now is gone.
     if (this.listed && !row && this.age(host) > listLag * 2 + 8 * SECOND) return 'not listed';
--- a/packages/fleet/planner.ts
+++ b/packages/fleet/planner.ts
@@ -37,7 +37,7 @@
 }
 
 export function amountsOf(type: MachineType): Amounts {
-  return { cpus: type.Cpus, gpus: type.Gpus, memGb: type.MemGb };
+  return { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
 }
 
 /**
@@ -58,7 +58,7 @@
       plans.set(key, plan);
       plan.number++;
       perHall.set(offer.hall, (perHall.get(offer.hall) ?? 0) + 1);
-      const type = input.types.find((t) => t.Sku === offer.build) as MachineType;
+      const type = input.types.find((t) => t.name === offer.build) as MachineType;
       const room = amountsOf(type);
       const n = Math.min(left, slots(job.need, room));
       take(room, job.need, n);
@@ -102,11 +102,11 @@
   for (const type of input.types) {
     const room = amountsOf(type);
     if (!fits(job.need, room)) continue;
-    for (const hall of type.Halls) {
+    for (const hall of type.zones) {
       for (const loaners of [true, false]) {
-        const offer = { build: type.Sku, hall, loaners };
+        const offer = { build: type.name, hall, loaners };
         if (!suits(job, offer) || input.refused(offer)) continue;
-        const price = (loaners ? type.LowPrice : type.Price) / Math.min(count, slots(job.need, room));
+        const price = (loaners ? type.spotPrice : type.price) / Math.min(count, slots(job.need, room));
         const score: [number, number] = [price, perHall.get(hall) ?? 0];
         if (score[0] < bestScore[0] - 1e-9 || (score[0] < bestScore[0] + 1e-9 && score[1] < bestScore[1])) {
           best = offer;
--- a/packages/fleet/plans.test.ts
+++ b/packages/fleet/plans.test.ts
@@ -5,9 +5,9 @@
 import { type MovableMachine, planMoves } from './moves.js';
 import { type Drainable, planDrains, planRentals, planReturns } from './planner.js';
 
-const TYPE = { Cpus: 4, Gpus: 0, MemGb: 16, CacheGb: 9, FetchGbPerS: 1, BootS: 30, Halls: ['east', 'west'] };
-const SMALL = { ...TYPE, Sku: 'small', Price: 3, LowPrice: 1 };
-const LARGE = { ...TYPE, Sku: 'large', Cpus: 16, MemGb: 64, Price: 11, LowPrice: 5, Halls: ['east'] };
+const TYPE = { cpus: 4, gpus: 0, memGb: 16, cacheGb: 9, fetchGbPerS: 1, bootS: 30, zones: ['east', 'west'] };
+const SMALL = { ...TYPE, name: 'small', price: 3, spotPrice: 1 };
+const LARGE = { ...TYPE, name: 'large', cpus: 16, memGb: 64, price: 11, spotPrice: 5, zones: ['east'] };
 
 function job(change: Partial<WaitingJob> = {}): WaitingJob {
   return {
--- a/packages/testkit/chaos.test.ts
+++ b/packages/testkit/chaos.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import type { Rank, Submission } from '#wire';
+import type { Rank, JobSpec } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld, type WorldEvent } from './sim-world.js';
 
@@ -11,23 +11,23 @@
   return items[Math.floor(random() * items.length)] as T;
 }
 
-function randomJob(random: () => number, n: number): Submission {
+function randomJob(random: () => number, n: number): JobSpec {
   const pieces = 1 + Math.floor(random() * 6);
   return sampleJob(`j-${String(n).padStart(6, '0')}`, {
-    Crew: pick(random, ['blue', 'green']),
-    Rank: pick(random, RANKS),
-    Pieces: pieces,
-    Cpus: pick(random, [1, 2, 4]),
-    MemGb: pick(random, [1, 4, 14]),
-    Bundle: pick(random, ['img-1', 'img-2']),
-    Builds: random() < 0.2 ? ['large'] : null,
-    Hall: random() < 0.15 ? pick(random, ['east', 'west']) : null,
-    SamePlace: random() < 0.2,
-    Scatter: random() < 0.2,
-    Loaners: random() < 0.7,
-    ExpectS: 2 + random() * 12,
-    BookmarkS: random() < 0.3 ? 3 : 0,
-    StashS: 1,
+    team: pick(random, ['blue', 'green']),
+    rank: pick(random, RANKS),
+    taskCount: pieces,
+    cpus: pick(random, [1, 2, 4]),
+    memGb: pick(random, [1, 4, 14]),
+    image: pick(random, ['img-1', 'img-2']),
+    machineTypes: random() < 0.2 ? ['large'] : null,
+    zone: random() < 0.15 ? pick(random, ['east', 'west']) : null,
+    singleZone: random() < 0.2,
+    spreadZones: random() < 0.2,
+    allowsSpot: random() < 0.7,
+    estimateS: 2 + random() * 12,
+    checkpointS: random() < 0.3 ? 3 : 0,
+    saveS: 1,
   });
 }
 
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -19,7 +19,7 @@
     { name: 'guest', cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: 0 },
   ];
   const settings = { teams, stateRps: 200, stateWriteRps: 80, sockets: 2000 };
-  const types = SAMPLE_TYPES.filter((t) => t.Sku === 'small');
+  const types = SAMPLE_TYPES.filter((t) => t.name === 'small');
   const world = new SimWorld({ seed, settings, types, capacity: 5, pageRows: 8 });
   const { random, clock } = world;
   let jobs = 0;
@@ -28,23 +28,23 @@
   const guests = (): void => {
     if (clock.time > TROUBLES.until) return;
     const change = {
-      Crew: 'guest',
-      Lane: 'probes',
-      Rank: 'best_effort' as const,
-      Pieces: 1,
-      Cpus: 0.5,
-      MemGb: 1,
+      team: 'guest',
+      jobClass: 'probes',
+      rank: 'best_effort' as const,
+      taskCount: 1,
+      cpus: 0.5,
+      memGb: 1,
     };
-    world.submit(sampleJob(nextId(), { ...change, ExpectS: 3 + random() * 12 }), cancelAfter(0.1));
+    world.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelAfter(0.1));
     clock.at(random() * 0.6 * SECOND, guests);
   };
   const teamJobs = (): void => {
     if (clock.time > TROUBLES.until) return;
     const saves = random() < 0.5;
     const change = {
-      ...{ Crew: random() < 0.5 ? 'blue' : 'green', Rank: random() < 0.3 ? ('urgent' as const) : 'normal' },
-      ...{ Pieces: 1 + Math.floor(random() * 8), Cpus: random() < 0.5 ? 2 : 4, MemGb: 6 },
-      ...{ ExpectS: 5 + random() * 15, BookmarkS: saves ? 2 : 0, StashS: saves ? 1 : 0 },
+      ...{ team: random() < 0.5 ? 'blue' : 'green', rank: random() < 0.3 ? ('urgent' as const) : 'normal' },
+      ...{ taskCount: 1 + Math.floor(random() * 8), cpus: random() < 0.5 ? 2 : 4, memGb: 6 },
+      ...{ estimateS: 5 + random() * 15, checkpointS: saves ? 2 : 0, saveS: saves ? 1 : 0 },
     };
     world.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
     clock.at(random() * 4 * SECOND, teamJobs);
--- a/packages/testkit/meetings.test.ts
+++ b/packages/testkit/meetings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BATON, LEAD } from '#cluster';
-import { type Fields, isFields, type Micros, SECOND, type Submission } from '#wire';
+import { encodeSubmission, type Fields, isFields, type Micros, SECOND, type JobSpec } from '#wire';
 import { BrokenRule, sampleJob } from './rules.js';
 import { SAMPLE_TYPES, SimWorld, type WorldOptions } from './sim-world.js';
 
@@ -18,7 +18,7 @@
   const world = newWorld(options);
   world.clock.at(2 * SECOND, () => {
     TEAMS.forEach((team, i) => {
-      world.submit(sampleJob(`j-${i}`, { Crew: team.name, Pieces: 10, ExpectS: 200 }));
+      world.submit(sampleJob(`j-${i}`, { team: team.name, taskCount: 10, estimateS: 200 }));
     });
   });
   await world.run(40 * SECOND);
@@ -49,7 +49,7 @@
   void world.withdraw(job, node).then((s) => (status = s));
   for (let i = 0; i < 15 && status === 0; i++) await world.run(0.1 * SECOND);
   assert.equal(status, 200, 'not confirmed');
-  assert.equal(world.told.get(job), 'withdrawn');
+  assert.equal(world.told.get(job), 'cancelled');
 }
 
 /** The state service refuses the leader alone, another node confirms a withdrawal, then it is out for all. */
@@ -98,10 +98,10 @@
 });
 
 /** Work that ends within the test: one job of some tasks for each team. */
-async function shortWork(world: SimWorld, change: Partial<Submission> = {}): Promise<string[]> {
+async function shortWork(world: SimWorld, change: Partial<JobSpec> = {}): Promise<string[]> {
   const ids = TEAMS.map((_, i) => `j-1${i}`);
   ids.forEach((id, i) => {
-    world.submit(sampleJob(id, { Crew: TEAMS[i]?.name ?? '', Pieces: 3, ExpectS: 25, ...change }));
+    world.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 3, estimateS: 25, ...change }));
   });
   await world.run(35 * SECOND);
   for (const id of ids) assert.ok(world.rules.on(id).length > 0, `${id} doesn't run`);
@@ -112,7 +112,7 @@
 async function untilOver(world: SimWorld, jobs: readonly string[], most = 200): Promise<void> {
   world.rules.troublesOver(world.clock.time);
   for (let i = 0; i < most; i++) {
-    if (jobs.every((id) => ['done', 'withdrawn'].includes(world.told.get(id) ?? ''))) return;
+    if (jobs.every((id) => ['done', 'cancelled'].includes(world.told.get(id) ?? ''))) return;
     await world.run(SECOND);
   }
   assert.fail(`not over in time: ${jobs.map((id) => `${id} ${world.told.get(id)}`).join()}`);
@@ -151,7 +151,7 @@
     [82, true],
   ] as const) {
     const world = newWorld({ seed });
-    const jobs = await shortWork(world, { ExpectS: 60 });
+    const jobs = await shortWork(world, { estimateS: 60 });
     const leader = holderOf(world, LEAD);
     const hosts = machinesOf(world, jobs);
     for (const host of hosts.slice(0, 2)) {
@@ -178,7 +178,9 @@
       const id = `j-2${i}`;
       ids.push(id);
       const Rank = i % 3 === 0 ? 'urgent' : i % 3 === 1 ? 'normal' : 'best_effort';
-      world.submit(sampleJob(id, { Crew: TEAMS[i % 3]?.name ?? '', Pieces: 8, ExpectS: 10, Rank, MemGb: 6 }));
+      world.submit(
+        sampleJob(id, { team: TEAMS[i % 3]?.name ?? '', taskCount: 8, estimateS: 10, rank: Rank, memGb: 6 }),
+      );
     }
   });
   await world.run(40 * SECOND);
@@ -209,7 +211,7 @@
 test('jobs of two and three tasks end far apart across a change of leader', async () => {
   for (const seed of [85, 86]) {
     const world = newWorld({ seed });
-    const jobs = await shortWork(world, { Pieces: 2, ExpectS: 30 });
+    const jobs = await shortWork(world, { taskCount: 2, estimateS: 30 });
     let rounds = 0;
     // A change of leader at every end of a task, so that one falls between the ends of each job.
     for (let left = -1; rounds < 4; rounds++) {
@@ -232,9 +234,9 @@
   for (const seed of [87, 88]) {
     const teams = TEAMS.map((t) => ({ ...t, cpusMax: 12 }));
     const world = newWorld({ seed, settings: { teams } });
-    const jobs = await shortWork(world, { Pieces: 6, ExpectS: 80 });
+    const jobs = await shortWork(world, { taskCount: 6, estimateS: 80 });
     assert.equal(world.rules.on('j-10').length, 6, 'the team is not at its limit');
-    world.submit(sampleJob('j-20', { Crew: 'blue', Pieces: 6, ExpectS: 10 }));
+    world.submit(sampleJob('j-20', { team: 'blue', taskCount: 6, estimateS: 10 }));
     await world.run(3 * SECOND);
     const [mute, away] = machinesOf(world, ['j-10']);
     assert.ok(mute !== undefined && away !== undefined);
@@ -260,7 +262,7 @@
     [90, 14],
   ] as const) {
     const world = newWorld({ seed });
-    const jobs = await shortWork(world, { ExpectS: 60 });
+    const jobs = await shortWork(world, { estimateS: 60 });
     const leader = holderOf(world, LEAD);
     const hosts = machinesOf(world, jobs);
     for (const host of hosts) world.net.hold(host);
@@ -283,10 +285,10 @@
 test('jobs bound to one place lose machines, some of which cannot be asked', async () => {
   for (const seed of [91, 92]) {
     const world = newWorld({ seed });
-    const kinds: Partial<Submission>[] = [{ SamePlace: true }, { Scatter: true }, { Hall: 'west' }];
+    const kinds: Partial<JobSpec>[] = [{ singleZone: true }, { spreadZones: true }, { zone: 'west' }];
     const ids = kinds.map((kind, i) => {
       const id = `j-3${i}`;
-      world.submit(sampleJob(id, { Crew: TEAMS[i]?.name ?? '', Pieces: 5, ExpectS: 50, ...kind }));
+      world.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 5, estimateS: 50, ...kind }));
       return id;
     });
     await world.run(35 * SECOND);
@@ -309,7 +311,7 @@
 test('leaders change ten times in two minutes, also inside an outage', async () => {
   for (const outage of [false, true]) {
     const world = newWorld({ seed: 93 });
-    const jobs = await shortWork(world, { ExpectS: 120 });
+    const jobs = await shortWork(world, { estimateS: 120 });
     const tokens: number[] = [];
     const asked = world.store.asked;
     const refused = world.store.refused;
@@ -339,7 +341,7 @@
 
 test('the state service is slow, then refuses the leader alone, then all, while users cancel and ask', async () => {
   const world = newWorld({ seed: 94 });
-  const jobs = await shortWork(world, { ExpectS: 80 });
+  const jobs = await shortWork(world, { estimateS: 80 });
   const leader = holderOf(world, LEAD);
   world.net.slow.set('10.2.0.1:2379', 60);
   await world.run(5 * SECOND);
@@ -365,7 +367,7 @@
   world.store.setOutage(false);
   world.store.shunned.clear();
   await untilOver(world, jobs);
-  assert.equal(world.told.get('j-11'), 'withdrawn');
+  assert.equal(world.told.get('j-11'), 'cancelled');
 });
 
 test('a leader loses state and peers, not its workers and users; jobs are cancelled through the new one', async () => {
@@ -402,7 +404,7 @@
     [99, 'reset'],
   ] as const) {
     const world = newWorld({ seed });
-    const jobs = await shortWork(world, { ExpectS: 50 });
+    const jobs = await shortWork(world, { estimateS: 50 });
     world.net.isolate('west', mode);
     await world.run(5 * SECOND);
     await confirmWithdrawal(world, 'j-10', 0);
@@ -414,7 +416,7 @@
 
 test('all controllers are away for longer than a lease', async () => {
   const world = newWorld({ seed: 100 });
-  const jobs = await shortWork(world, { ExpectS: 60 });
+  const jobs = await shortWork(world, { estimateS: 60 });
   assert.ok(jobs.every((id) => world.rules.on(id).length > 0));
   await killFor(world, [0, 1, 2], 11 * SECOND);
   assert.deepEqual(
@@ -428,7 +430,7 @@
 
 test('workers reach no controller while a job is cancelled', async () => {
   const world = newWorld({ seed: 101 });
-  const jobs = await shortWork(world, { ExpectS: 60 });
+  const jobs = await shortWork(world, { estimateS: 60 });
   for (const host of world.workers.keys()) refuseAll(world, host, true);
   await confirmWithdrawal(world, 'j-10', 1);
   await world.run(6 * SECOND);
@@ -441,13 +443,13 @@
 test('transactions without an answer are carried out late, after newer ones, across ends of controllers', async () => {
   for (const seed of [102, 103, 104]) {
     const world = newWorld({ seed, settings: { valueBytes: 700, txnOps: 4 } });
-    const jobs = await shortWork(world, { ExpectS: 30, Pieces: 6 });
+    const jobs = await shortWork(world, { estimateS: 30, taskCount: 6 });
     world.store.lateWrites = 0.4;
     for (let i = 0; i < 8; i++) {
       const id = `j-4${i}`;
       jobs.push(id);
       world.submit(
-        sampleJob(id, { Crew: TEAMS[i % 3]?.name ?? '', Pieces: 4, ExpectS: 8 }),
+        sampleJob(id, { team: TEAMS[i % 3]?.name ?? '', taskCount: 4, estimateS: 8 }),
         i % 2 === 0 ? 9 * SECOND : null,
       );
       if (i % 3 === 1) await killFor(world, [i % 3], 0.2 * SECOND);
@@ -467,7 +469,7 @@
   let n = 0;
   const next = (): void => {
     const id = `j-5${n++}`;
-    const spec = sampleJob(id, { Crew: TEAMS[n % 3]?.name ?? '', Pieces: 1 + (n % 2), ExpectS: 4 });
+    const spec = sampleJob(id, { team: TEAMS[n % 3]?.name ?? '', taskCount: 1 + (n % 2), estimateS: 4 });
     world.submit(spec);
     if (n < 24) world.clock.at(4 * SECOND, next);
   };
@@ -484,7 +486,9 @@
         const spec = world.specs.get(id);
         void world.withdraw(id, 0).then((s) => answers.push(s));
         void world.ask(id, 1, 'GET', `/submissions/${id}`).then((s) => answers.push(s));
-        void world.ask(id, 2, 'POST', '/submissions', spec).then((s) => answers.push(s));
+        void world
+          .ask(id, 2, 'POST', '/submissions', spec && encodeSubmission(spec))
+          .then((s) => answers.push(s));
       });
     }
   };
@@ -492,7 +496,7 @@
   assert.ok(ends.size >= 24, `${ends.size} ends met`);
   assert.ok([...ends.values()].every((answers) => answers.length === 3 && answers.every((s) => s === 200)));
   const told = [...ends.keys()].map((id) => world.told.get(id));
-  assert.ok(told.includes('done') && told.includes('withdrawn'), 'only one order of the two occurred');
+  assert.ok(told.includes('done') && told.includes('cancelled'), 'only one order of the two occurred');
   // What was said stays said, also after every process has ended.
   await killFor(world, [0, 1, 2], SECOND);
   await world.run(8 * SECOND);
@@ -503,7 +507,7 @@
   for (const seed of [106, 107]) {
     const world = newWorld({ seed });
     world.net.weather = { trouble: 0, hold: 0, copies: 1, copyAfter: 40 * SECOND };
-    const jobs = await shortWork(world, { ExpectS: 40 });
+    const jobs = await shortWork(world, { estimateS: 40 });
     const hosts = machinesOf(world, jobs);
     // Leases run out: the attempts that follow are new, and so are the sessions.
     for (const host of hosts) refuseAll(world, host, true);
@@ -524,7 +528,7 @@
     [110, 4],
   ] as const) {
     const world = newWorld({ seed });
-    const jobs = await shortWork(world, { ExpectS: 60 });
+    const jobs = await shortWork(world, { estimateS: 60 });
     const first = holderOf(world, LEAD);
     world.killNode(first);
     const second = await untilLed(world, first);
@@ -553,7 +557,7 @@
 // A release names the newest report that its owner had. Answered after that, a worker might be told of a start that
 // the next owner, with an older copy of a report, would take for one that never reached it.
 test('a worker is not answered while the release of its machine may yet land', async () => {
-  const world = newWorld({ seed: 111, types: SAMPLE_TYPES.filter((t) => t.Sku === 'small'), capacity: 2 });
+  const world = newWorld({ seed: 111, types: SAMPLE_TYPES.filter((t) => t.name === 'small'), capacity: 2 });
   const leaving = new Set<string>();
   const answers: number[] = [];
   world.store.isLate = (writes) => {
@@ -566,9 +570,9 @@
   world.onReport = (host, _node, status) => {
     if (leaving.has(host) && world.store.late.came === 0) answers.push(status);
   };
-  world.submit(sampleJob('j-1', { Crew: 'blue', Pieces: 6, ExpectS: 20 }));
+  world.submit(sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 20 }));
   await world.run(15 * SECOND);
-  world.submit(sampleJob('j-2', { Crew: 'green', Pieces: 10, ExpectS: 20 }));
+  world.submit(sampleJob('j-2', { team: 'green', taskCount: 10, estimateS: 20 }));
   for (let i = 0; i < 400 && world.store.late.came === 0; i++) await world.run(0.1 * SECOND);
   assert.ok(world.store.late.came > 0, 'no machine was let go');
   assert.ok(answers.length > 2, `only ${answers.length} reports in between`);
--- a/packages/testkit/rules.test.ts
+++ b/packages/testkit/rules.test.ts
@@ -38,17 +38,17 @@
   [
     'quota',
     () => {
-      const rules = checker({ Pieces: 4 });
+      const rules = checker({ taskCount: 4 });
       for (const i of [0, 1, 2, 3]) rules.began(`j-1/${i}`, east, 1);
     },
   ],
-  ['wrong_place', () => checker({ Builds: ['large'] }).began('j-1/0', east, 1)],
-  ['wrong_place', () => checker({ Hall: 'west' }).began('j-1/0', east, 1)],
-  ['wrong_place', () => checker({ Loaners: false }).began('j-1/0', { ...east, loaners: true }, 1)],
+  ['wrong_place', () => checker({ machineTypes: ['large'] }).began('j-1/0', east, 1)],
+  ['wrong_place', () => checker({ zone: 'west' }).began('j-1/0', east, 1)],
+  ['wrong_place', () => checker({ allowsSpot: false }).began('j-1/0', { ...east, loaners: true }, 1)],
   [
     'wrong_place',
     () => {
-      const rules = checker({ SamePlace: true });
+      const rules = checker({ singleZone: true });
       rules.began('j-1/0', east, 1);
       rules.began('j-1/1', west, 1);
     },
@@ -56,7 +56,7 @@
   [
     'wrong_place',
     () => {
-      const rules = checker({ Scatter: true, Pieces: 3 });
+      const rules = checker({ spreadZones: true, taskCount: 3 });
       for (const i of [0, 1, 2]) rules.began(`j-1/${i}`, east, 1);
     },
   ],
@@ -66,7 +66,7 @@
       const rules = checker();
       rules.began('j-1/0', east, 1);
       rules.cancelAsked('j-1');
-      rules.told('j-1', 200, 'withdrawn', SECOND);
+      rules.told('j-1', 200, 'cancelled', SECOND);
       rules.check(12 * SECOND);
     },
   ],
@@ -75,7 +75,7 @@
     () => {
       const rules = checker();
       rules.cancelAsked('j-1');
-      rules.told('j-1', 200, 'withdrawn', SECOND);
+      rules.told('j-1', 200, 'cancelled', SECOND);
       rules.began('j-1/0', east, 12 * SECOND);
     },
   ],
@@ -86,20 +86,20 @@
   [
     'went_back',
     () => {
-      const rules = checker({ Pieces: 1 });
+      const rules = checker({ taskCount: 1 });
       rules.began('j-1/0', east, 1);
       rules.ended('j-1/0', true);
       rules.told('j-1', 200, 'done', 2);
       rules.told('j-1', 200, 'running', 3);
     },
   ],
-  ['went_back', () => checker().told('j-1', 200, 'withdrawn', 1)],
+  ['went_back', () => checker().told('j-1', 200, 'cancelled', 1)],
   [
     'went_back',
     () => {
       const rules = checker();
       rules.cancelAsked('j-1');
-      rules.told('j-1', 200, 'withdrawn', 2, 1);
+      rules.told('j-1', 200, 'cancelled', 2, 1);
       // Asked at the very moment at which the end was told, and after it, older answers are not allowed.
       rules.told('j-1', 200, 'pending', 3, 2);
     },
@@ -109,7 +109,7 @@
     () => {
       const rules = checker();
       rules.cancelAsked('j-1');
-      rules.told('j-1', 200, 'withdrawn', 2, 1);
+      rules.told('j-1', 200, 'cancelled', 2, 1);
       // Two ends can't both be true, whichever was asked for first.
       rules.ended('j-1/0', true);
       rules.ended('j-1/1', true);
@@ -137,7 +137,7 @@
 test('an answer that was asked for before the end was told may be older, and reach its user later', () => {
   const rules = checker();
   rules.cancelAsked('j-1');
-  rules.told('j-1', 200, 'withdrawn', 5, 3);
+  rules.told('j-1', 200, 'cancelled', 5, 3);
   rules.told('j-1', 200, 'running', 6, 4);
 });
 
@@ -148,14 +148,14 @@
     const room = { machine: east, cpus, gpus: 0, memGb: 16 };
     for (let s = 0; s < 200; s += 50) rules.checkIdle(s * SECOND, [room]);
   };
-  waits({ Cpus: 4 }, 2);
-  waits({ Cpus: 8 }, 12);
-  waits({ Hall: 'west' }, 4);
+  waits({ cpus: 4 }, 2);
+  waits({ cpus: 8 }, 12);
+  waits({ zone: 'west' }, 4);
   waits({}, 4, false);
 });
 
 test('the checker lets a plain life of a job pass', () => {
-  const rules = checker({ Pieces: 2 });
+  const rules = checker({ taskCount: 2 });
   for (const i of [0, 1]) rules.began(`j-1/${i}`, east, 1);
   for (const i of [0, 1]) rules.ended(`j-1/${i}`, true);
   rules.told('j-1', 200, 'done', 3);
@@ -166,13 +166,13 @@
 test('a neglected class, team or largest job is seen, and one that was served is not', () => {
   const rules = new RuleChecker(LIMITS, 10 * SECOND);
   const jobs = [
-    sampleJob('j-1', { Lane: 'fast', Pieces: 1 }),
-    sampleJob('j-2', { Lane: 'slow', Pieces: 4, Crew: 'green' }),
-    sampleJob('j-3', { Lane: 'slow', Pieces: 1 }),
+    sampleJob('j-1', { jobClass: 'fast', taskCount: 1 }),
+    sampleJob('j-2', { jobClass: 'slow', taskCount: 4, team: 'green' }),
+    sampleJob('j-3', { jobClass: 'slow', taskCount: 1 }),
   ];
   for (const job of jobs) {
     rules.submitted(job, 0);
-    rules.told(job.Uid, 201, 'pending', 0);
+    rules.told(job.id, 201, 'pending', 0);
   }
   for (const id of ['j-1', 'j-3']) {
     rules.began(`${id}/0`, east, SECOND);
--- a/packages/testkit/rules.ts
+++ b/packages/testkit/rules.ts
@@ -1,4 +1,4 @@
-import { type JobStatus, type Micros, SECOND, type Submission, type Rank } from '#wire';
+import { type JobStatus, type Micros, SECOND, type JobSpec, type Rank } from '#wire';
 
 /** Once all troubles are over, a question about a job is answered within this time. */
 const ANSWER_WITHIN: Micros = 75 * SECOND;
@@ -39,7 +39,7 @@
 }
 
 interface JobFacts {
-  spec: Submission;
+  spec: JobSpec;
   accepted: boolean;
   done: Set<number>;
   told: JobStatus | null;
@@ -81,9 +81,9 @@
     private readonly cancel: Micros,
   ) {}
 
-  submitted(spec: Submission, now: Micros): void {
-    if (this.jobs.has(spec.Uid)) return;
-    this.jobs.set(spec.Uid, {
+  submitted(spec: JobSpec, now: Micros): void {
+    if (this.jobs.has(spec.id)) return;
+    this.jobs.set(spec.id, {
       spec,
       accepted: false,
       done: new Set(),
@@ -96,7 +96,7 @@
       beganAt: null,
       idleSince: null,
     });
-    this.asking.add(spec.Uid);
+    this.asking.add(spec.id);
   }
 
   cancelAsked(id: string): void {
@@ -149,7 +149,7 @@
     }
     if (!done || !job) return;
     job.done.add(Number(piece.slice(cut + 1)));
-    if (job.done.size >= job.spec.Pieces) this.onEvent('last end');
+    if (job.done.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
   /** Tasks of the job that are on machines: piece and machine of each. */
@@ -176,25 +176,25 @@
   }
 
   private waiting(id: string, job: JobFacts): number {
-    return job.spec.Pieces - job.done.size - this.on(id).length;
+    return job.spec.taskCount - job.done.size - this.on(id).length;
   }
 
-  private isUnderLimit({ Crew, Cpus, Gpus }: Submission): boolean {
-    const limit = this.limits.get(Crew);
-    const used = this.used.get(Crew) ?? { cpus: 0, gpus: 0 };
-    return !limit || (used.cpus + Cpus <= limit.cpus && used.gpus + Gpus <= limit.gpus);
+  private isUnderLimit({ team, cpus, gpus }: JobSpec): boolean {
+    const limit = this.limits.get(team);
+    const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
+    return !limit || (used.cpus + cpus <= limit.cpus && used.gpus + gpus <= limit.gpus);
   }
 
-  private takes(spec: Submission, { machine, cpus, gpus, memGb }: FreeRoom): boolean {
+  private takes(spec: JobSpec, { machine, cpus, gpus, memGb }: FreeRoom): boolean {
     return (
-      spec.Cpus <= cpus && spec.Gpus <= gpus && spec.MemGb <= memGb && this.misplaced(spec, machine) === null
+      spec.cpus <= cpus && spec.gpus <= gpus && spec.memGb <= memGb && this.misplaced(spec, machine) === null
     );
   }
 
   /** All tasks of the job are done. */
   isComplete(id: string): boolean {
     const job = this.jobs.get(id);
-    return job !== undefined && job.done.size >= job.spec.Pieces;
+    return job !== undefined && job.done.size >= job.spec.taskCount;
   }
 
   isDone(piece: string): boolean {
@@ -244,90 +244,100 @@
     };
     const jobs = [...this.jobs.values()].filter((j) => j.accepted && !j.cancelAsked);
     for (const job of jobs) {
-      into(`class ${job.spec.Lane}`, job);
-      into(`team ${job.spec.Crew}`, job);
+      into(`class ${job.spec.jobClass}`, job);
+      into(`team ${job.spec.team}`, job);
     }
     const complaints: string[] = [];
-    for (const lane of new Set(jobs.map((j) => j.spec.Lane))) {
-      const ranked = jobs.filter((j) => j.spec.Lane === lane).sort((a, b) => b.spec.Pieces - a.spec.Pieces);
+    for (const lane of new Set(jobs.map((j) => j.spec.jobClass))) {
+      const ranked = jobs
+        .filter((j) => j.spec.jobClass === lane)
+        .sort((a, b) => b.spec.taskCount - a.spec.taskCount);
       for (const job of ranked.slice(0, Math.ceil(ranked.length / 10))) {
         into(`largest of ${lane}`, job);
         const wait = (job.beganAt ?? Infinity) - job.submittedAt;
-        if (wait > LARGEST_BEGINS) complaints.push(`${job.spec.Uid} of ${lane} began too late`);
+        if (wait > LARGEST_BEGINS) complaints.push(`${job.spec.id} of ${lane} began too late`);
       }
     }
     for (const [name, members] of groups) {
-      const served = members.filter((j) => j.done.size >= j.spec.Pieces).length;
+      const served = members.filter((j) => j.done.size >= j.spec.taskCount).length;
       if (served * 2 < members.length) complaints.push(`${name}: ${served} of ${members.length} done`);
     }
     return complaints;
   }
 
   private toldState(id: string, job: JobFacts, state: JobStatus | null, now: Micros): void {
-    if (state === 'done' && job.done.size < job.spec.Pieces) {
-      throw new BrokenRule('not_done', `${id} with ${job.done.size} of ${job.spec.Pieces} tasks done`);
+    if (state === 'done' && job.done.size < job.spec.taskCount) {
+      throw new BrokenRule('not_done', `${id} with ${job.done.size} of ${job.spec.taskCount} tasks done`);
     }
-    if (state === 'withdrawn' && !job.cancelAsked)
+    if (state === 'cancelled' && !job.cancelAsked)
       throw new BrokenRule('went_back', `${id} was never cancelled`);
     if (isFinal(job.told) && state !== job.told)
       throw new BrokenRule('went_back', `${id}: ${job.told}, ${state}`);
     job.told = state;
     if (isFinal(state)) job.finalAt ??= now;
-    if (state === 'withdrawn' && job.cancelledAt === null) {
+    if (state === 'cancelled' && job.cancelledAt === null) {
       job.cancelledAt = now;
       this.cancelled.add(id);
       this.onEvent('confirmed');
     }
   }
 
-  private checkPlace(spec: Submission, piece: string, machine: MachineFacts): void {
+  private checkPlace(spec: JobSpec, piece: string, machine: MachineFacts): void {
     const why = this.misplaced(spec, machine);
     if (why !== null) throw new BrokenRule('wrong_place', `${piece} on ${machine.host}: ${why}`);
   }
 
   /** Why one more task of the job must not be on that machine now, or null. */
-  private misplaced(spec: Submission, machine: MachineFacts): string | null {
-    if (spec.Builds && !spec.Builds.includes(machine.build)) return 'type';
-    if (spec.Hall !== null && spec.Hall !== machine.hall) return 'zone';
-    if (!spec.Loaners && machine.loaners) return 'spot';
-    const others = [...this.running.values()].filter((r) => r.job === spec.Uid).map((r) => r.machine.hall);
-    if (spec.SamePlace && others.some((hall) => hall !== machine.hall))
+  private misplaced(spec: JobSpec, machine: MachineFacts): string | null {
+    if (spec.machineTypes && !spec.machineTypes.includes(machine.build)) return 'type';
+    if (spec.zone !== null && spec.zone !== machine.hall) return 'zone';
+    if (!spec.allowsSpot && machine.loaners) return 'spot';
+    const others = [...this.running.values()].filter((r) => r.job === spec.id).map((r) => r.machine.hall);
+    if (spec.singleZone && others.some((hall) => hall !== machine.hall))
       return 'not the zone of its other tasks';
     const here = others.filter((hall) => hall === machine.hall).length + 1;
-    return spec.Scatter && here > Math.ceil(spec.Pieces / 2) ? 'too many in one zone' : null;
+    return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
   }
 
   private pieces(crew: string): string {
-    const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.Crew === crew);
+    const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === crew);
     return ours.map((r) => `${r.piece} on ${r.machine.host}`).join(', ');
   }
 
-  private charge(spec: Submission, sign: 1 | -1): void {
-    const used = this.used.get(spec.Crew) ?? { cpus: 0, gpus: 0 };
-    used.cpus += sign * spec.Cpus;
-    used.gpus += sign * spec.Gpus;
-    this.used.set(spec.Crew, used);
-    const limit = this.limits.get(spec.Crew);
+  private charge(spec: JobSpec, sign: 1 | -1): void {
+    const used = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    used.cpus += sign * spec.cpus;
+    used.gpus += sign * spec.gpus;
+    this.used.set(spec.team, used);
+    const limit = this.limits.get(spec.team);
     if (limit && (used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6)) {
       throw new BrokenRule(
         'quota',
-        `${spec.Crew} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.pieces(spec.Crew)}`,
+        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.pieces(spec.team)}`,
       );
     }
   }
 }
 
 function isFinal(state: JobStatus | null): boolean {
-  return state === 'done' || state === 'withdrawn';
+  return state === 'done' || state === 'cancelled';
 }
 
 /** A job as users might submit it, for tests to vary. */
-export function sampleJob(id: string, change: Partial<Submission> = {}): Submission {
+export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
   const rank: Rank = 'normal';
   return {
-    ...{ Uid: id, Lane: 'batch', Crew: 'blue', Shape: 'array', Rank: rank, Pieces: 3 },
-    ...{ Cpus: 2, Gpus: 0, MemGb: 4, Bundle: 'img-1', SizeGb: 1, Builds: null, Hall: null },
-    ...{ SamePlace: false, Scatter: false, Loaners: true, ExpectS: 10, BookmarkS: 0, StashS: 0, DueS: null },
+    ...{ id: id, jobClass: 'batch', team: 'blue', shape: 'array', rank: rank, taskCount: 3 },
+    ...{ cpus: 2, gpus: 0, memGb: 4, image: 'img-1', imageGb: 1, machineTypes: null, zone: null },
+    ...{
+      singleZone: false,
+      spreadZones: false,
+      allowsSpot: true,
+      estimateS: 10,
+      checkpointS: 0,
+      saveS: 0,
+      deadlineS: null,
+    },
     ...change,
   };
 }
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -8,10 +8,10 @@
 test('a job of 100,000 tasks is taken and worked on, and a small one beside it is not held up', async () => {
   const world = new SimWorld({ seed: 77 });
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-1', { Pieces: 100_000, Cpus: 1, ExpectS: 1, Crew: 'blue' }));
+    world.submit(sampleJob('j-1', { taskCount: 100_000, cpus: 1, estimateS: 1, team: 'blue' }));
   });
   world.clock.at(30 * SECOND, () => {
-    world.submit(sampleJob('j-2', { Pieces: 2, ExpectS: 2, Crew: 'green' }));
+    world.submit(sampleJob('j-2', { taskCount: 2, estimateS: 2, team: 'green' }));
   });
   await world.run(120 * SECOND);
   assert.equal(world.told.get('j-1'), 'running');
@@ -21,11 +21,11 @@
 
 test('a fleet of three hundred machines and its tasks fit into the budgets of the state service', async () => {
   const zones = ['east', 'west'];
-  const type = { Sku: 'small', Cpus: 4, Gpus: 0, MemGb: 16, CacheGb: 60, FetchGbPerS: 0.5 };
+  const type = { name: 'small', cpus: 4, gpus: 0, memGb: 16, cacheGb: 60, fetchGbPerS: 0.5 };
   const world = new SimWorld({
     seed: 78,
     capacity: 80,
-    types: [{ ...type, Price: 0.24, LowPrice: 0.09, BootS: 10, Halls: zones }],
+    types: [{ ...type, price: 0.24, spotPrice: 0.09, bootS: 10, zones: zones }],
     settings: {
       teams: ['blue', 'green', 'red'].map((name) => ({ name, cpus: 500, cpusMax: 900, gpus: 0, gpusMax: 0 })),
       ...{ stateRps: 60, stateWriteRps: 20, valueBytes: 4096, txnOps: 8 },
@@ -34,8 +34,8 @@
   let n = 0;
   const arrive = (): void => {
     if (world.clock.time > 30 * SECOND) return;
-    const Crew = ['blue', 'green', 'red'][n % 3] as string;
-    world.submit(sampleJob(`j-${n++}`, { Crew, Pieces: 60, ExpectS: 15, Bundle: `img-${n % 5}` }));
+    const team = ['blue', 'green', 'red'][n % 3] as string;
+    world.submit(sampleJob(`j-${n++}`, { team, taskCount: 60, estimateS: 15, image: `img-${n % 5}` }));
     world.clock.at(SECOND, arrive);
   };
   world.clock.at(2 * SECOND, arrive);
@@ -58,16 +58,16 @@
 
 /** Tasks that are stopped for two that need a machine each, of two such tasks on every machine. */
 async function stoppedForTwo(seed: number): Promise<number> {
-  const types = SAMPLE_TYPES.filter((t) => t.Sku === 'small');
+  const types = SAMPLE_TYPES.filter((t) => t.name === 'small');
   const world = new SimWorld({ seed, capacity: 1, types });
   world.clock.at(2 * SECOND, () => {
-    const saving = { Rank: 'best_effort' as const, BookmarkS: 2, StashS: 8, ExpectS: 400, Cpus: 2 };
-    world.submit(sampleJob('j-0', { ...saving, Crew: 'blue', Pieces: 6, MemGb: 7 }));
-    world.submit(sampleJob('j-1', { ...saving, Crew: 'green', Pieces: 2, MemGb: 7 }));
+    const saving = { rank: 'best_effort' as const, checkpointS: 2, saveS: 8, estimateS: 400, cpus: 2 };
+    world.submit(sampleJob('j-0', { ...saving, team: 'blue', taskCount: 6, memGb: 7 }));
+    world.submit(sampleJob('j-1', { ...saving, team: 'green', taskCount: 2, memGb: 7 }));
   });
   await world.run(100 * SECOND);
-  const change = { Rank: 'prod' as const, Crew: 'green', Pieces: 2, Cpus: 4, MemGb: 14 };
-  world.submit(sampleJob('j-9', { ...change, ExpectS: 10 }));
+  const change = { rank: 'prod' as const, team: 'green', taskCount: 2, cpus: 4, memGb: 14 };
+  world.submit(sampleJob('j-9', { ...change, estimateS: 10 }));
   await world.run(60 * SECOND);
   assert.equal(world.told.get('j-9'), 'done');
   return [...world.workers.values()].reduce((sum, w) => sum + w.halts, 0);
@@ -76,10 +76,10 @@
 // A machine that came up used to be told of its first task a whole time between two reports later.
 test('a machine that comes up while tasks wait gets one with the answer to its first report', async () => {
   const settings = { report: 6 * SECOND, lease: 20 * SECOND, cancel: 45 * SECOND };
-  const world = new SimWorld({ seed: 80, settings, types: SAMPLE_TYPES.filter((t) => t.Sku === 'small') });
+  const world = new SimWorld({ seed: 80, settings, types: SAMPLE_TYPES.filter((t) => t.name === 'small') });
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-1', { Crew: 'blue', Pieces: 10, ExpectS: 60 }));
-    world.submit(sampleJob('j-2', { Crew: 'green', Pieces: 8, ExpectS: 60 }));
+    world.submit(sampleJob('j-1', { team: 'blue', taskCount: 10, estimateS: 60 }));
+    world.submit(sampleJob('j-2', { team: 'green', taskCount: 8, estimateS: 60 }));
   });
   const upAt = new Map<string, number>();
   const waits: number[] = [];
@@ -106,7 +106,7 @@
     ...{ name, cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: Infinity },
   }));
   const world = new SimWorld({ seed: 81, capacity: 10, settings: { teams, stateWriteRps: 20 } });
-  const small = { Crew: 'blue', Pieces: 1, Cpus: 0.25, MemGb: 0.5, ExpectS: 12 };
+  const small = { team: 'blue', taskCount: 1, cpus: 0.25, memGb: 0.5, estimateS: 12 };
   const ids = [...Array(150).keys()].map((i) => `j-${i}`);
   ids.forEach((id, i) => {
     world.clock.at(SECOND * (2 + i / 5), () => {
@@ -146,13 +146,13 @@
     { name: 'guest', ...none },
   ];
   const world = new SimWorld({ seed: 82, nodes: 1, capacity: 1, settings: { teams } });
-  const low = { Rank: 'best_effort' as const, ExpectS: 15, Cpus: 2 };
+  const low = { rank: 'best_effort' as const, estimateS: 15, cpus: 2 };
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-1', { ...low, Crew: 'guest', Pieces: 300 }));
+    world.submit(sampleJob('j-1', { ...low, team: 'guest', taskCount: 300 }));
   });
   await world.run(150 * SECOND);
   assert.ok(world.rules.on('j-1').length > 8, 'the guest has no room');
-  world.submit(sampleJob('j-2', { ...low, Crew: 'blue', Pieces: 24 }));
+  world.submit(sampleJob('j-2', { ...low, team: 'blue', taskCount: 24 }));
   await world.run(60 * SECOND);
   assert.equal(world.told.get('j-2'), 'done');
   assert.equal(world.rules.isComplete('j-1'), false);
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -13,6 +13,21 @@
   rows: Fields[];
 }
 
+function encodeType(type: MachineType): Fields {
+  return {
+    Sku: type.name,
+    Cpus: type.cpus,
+    Gpus: type.gpus,
+    MemGb: type.memGb,
+    CacheGb: type.cacheGb,
+    FetchGbPerS: type.fetchGbPerS,
+    Price: type.price,
+    LowPrice: type.spotPrice,
+    BootS: type.bootS,
+    Halls: type.zones,
+  };
+}
+
 /** The cloud: rents machines, whose workers `boot` starts and `destroy` ends. */
 export class SimCloud {
   readonly hosts = new Map<string, CloudHost>();
@@ -38,7 +53,8 @@
     if (this.outage) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(path, 'http://cloud');
     const fields = isFields(body) ? body : {};
-    if (url.pathname === '/machine_types') return { status: 200, body: { Builds: this.types } };
+    if (url.pathname === '/machine_types')
+      return { status: 200, body: { Builds: this.types.map(encodeType) } };
     if (method === 'POST' && url.pathname === '/rentals') return this.rent(fields);
     if (method === 'POST' && url.pathname === '/rentals/delete')
       return this.remove(fields['Hosts'] as string[]);
@@ -81,7 +97,7 @@
       this.hosts.set(name, host);
       Hosts.push(name);
       const never = this.random() < 0.05;
-      const boot = (this.types.find((t) => t.Sku === facts.build)?.BootS ?? 10) * SECOND;
+      const boot = (this.types.find((t) => t.name === facts.build)?.bootS ?? 10) * SECOND;
       if (never) continue;
       this.clock.at(boot * (0.6 + this.random() * 0.9), () => {
         if (this.hosts.get(name) !== host) return;
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -6,7 +6,7 @@
   type Micros,
   MS,
   SECOND,
-  type Submission,
+  type JobSpec,
 } from '#wire';
 import type { MachineFacts, RuleChecker } from './rules.js';
 import type { Gate, SimClock } from './sim-clock.js';
@@ -28,7 +28,7 @@
   clock: SimClock;
   random: () => number;
   rules: RuleChecker;
-  job: (id: string) => Submission | undefined;
+  job: (id: string) => JobSpec | undefined;
   /** Addresses of the controller nodes by name. */
   nodes: { member: string; endpoint: string }[];
   caller: (gate: Gate) => Caller;
@@ -193,23 +193,23 @@
     else if (other) this.exit(task, 'in_use');
     else if (!this.hasRoom()) this.exit(task, 'full');
     else {
-      const fetch = this.images.has(spec.Bundle) ? 0 : SECOND * spec.SizeGb * (0.7 + random() * 0.6);
+      const fetch = this.images.has(spec.image) ? 0 : SECOND * spec.imageGb * (0.7 + random() * 0.6);
       clock.at(fetch, () => {
         if (!this.alive || this.tasks.get(key) !== task || task.status !== 'pulling') return;
-        this.images.add(spec.Bundle);
+        this.images.add(spec.image);
         this.begin(key, task, spec);
       });
     }
   }
 
-  private begin(key: string, task: Task, spec: Submission): void {
+  private begin(key: string, task: Task, spec: JobSpec): void {
     const { clock, rules, random } = this.world;
     rules.began(task.piece, this.machine, clock.time);
     task.status = 'running';
     this.changed = true;
     const known = rules.isDone(task.piece);
-    const run = known ? 0 : fromSeconds(spec.ExpectS * (0.6 + random() * 0.8));
-    const fails = this.world.faulty || spec.Lane === 'broken';
+    const run = known ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
+    const fails = this.world.faulty || spec.jobClass === 'broken';
     const finish = (): void => {
       if (!this.alive || this.tasks.get(key) !== task || task.status !== 'running') return;
       if (this.hanging) clock.at(500 * MS, finish);
@@ -222,10 +222,10 @@
     const spec = this.world.job(task.piece.slice(0, task.piece.lastIndexOf('/')));
     if (task.status === 'exited') return;
     if (task.status !== 'saving') this.halts++;
-    if (task.status === 'running' && spec && spec.BookmarkS > 0 && windDownS >= spec.StashS) {
+    if (task.status === 'running' && spec && spec.checkpointS > 0 && windDownS >= spec.saveS) {
       task.status = 'saving';
       this.changed = true;
-      this.world.clock.at(fromSeconds(spec.StashS), () => {
+      this.world.clock.at(fromSeconds(spec.saveS), () => {
         if (this.alive && task.status === 'saving') {
           task.stored = true;
           this.exit(task, 'halted');
@@ -258,9 +258,9 @@
     for (const t of this.tasks.values()) {
       if (t.status === 'exited') continue;
       const other = this.world.job(t.piece.slice(0, t.piece.lastIndexOf('/')));
-      left.cpus -= other?.Cpus ?? 0;
-      left.gpus -= other?.Gpus ?? 0;
-      left.memGb -= other?.MemGb ?? 0;
+      left.cpus -= other?.cpus ?? 0;
+      left.gpus -= other?.gpus ?? 0;
+      left.memGb -= other?.memGb ?? 0;
     }
     return left;
   }
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -13,6 +13,8 @@
 } from '#cluster';
 import { type Settings, standardTuning } from '#settings';
 import {
+  decodeJobStatus,
+  encodeSubmission,
   type Fields,
   isFields,
   type JobStatus,
@@ -20,7 +22,7 @@
   type Micros,
   MS,
   SECOND,
-  type Submission,
+  type JobSpec,
 } from '#wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { LedgerAgreement } from './agreement.js';
@@ -71,12 +73,12 @@
 
 export const SAMPLE_TYPES: MachineType[] = [
   {
-    ...{ Sku: 'small', Cpus: 4, Gpus: 0, MemGb: 16, CacheGb: 40, FetchGbPerS: 1, Price: 1, LowPrice: 0.3 },
-    ...{ BootS: 6, Halls: ZONES },
+    ...{ name: 'small', cpus: 4, gpus: 0, memGb: 16, cacheGb: 40, fetchGbPerS: 1, price: 1, spotPrice: 0.3 },
+    ...{ bootS: 6, zones: ZONES },
   },
   {
-    ...{ Sku: 'large', Cpus: 12, Gpus: 2, MemGb: 64, CacheGb: 80, FetchGbPerS: 1, Price: 4, LowPrice: 1.2 },
-    ...{ BootS: 8, Halls: ['east'] },
+    ...{ name: 'large', cpus: 12, gpus: 2, memGb: 64, cacheGb: 80, fetchGbPerS: 1, price: 4, spotPrice: 1.2 },
+    ...{ bootS: 8, zones: ['east'] },
   },
 ];
 
@@ -123,7 +125,7 @@
   readonly rules: RuleChecker;
   private readonly agreement = new LedgerAgreement();
   readonly workers = new Map<string, SimWorker>();
-  readonly specs = new Map<string, Submission>();
+  readonly specs = new Map<string, JobSpec>();
   /** Answers the users got, by job: the last state each was told. */
   readonly told = new Map<string, JobStatus>();
   /** Told of what a second trouble may follow upon. */
@@ -246,7 +248,7 @@
           : path === '/submissions' && method === 'POST'
             ? await controller.users.submit(body)
             : method === 'POST'
-              ? await controller.users.withdraw(path.split('/')[2] ?? '')
+              ? await controller.users.cancel(path.split('/')[2] ?? '')
               : await controller.users.show(path.split('/')[2] ?? '');
       if (path === '/v1/report') {
         if (answer.status === 200) this.renewals.set(index, this.workerReports(index) + 1);
@@ -293,8 +295,8 @@
   }
 
   /** Submits a job as a user does: again and again until it is taken, then polls until it is over. */
-  submit(spec: Submission, cancelAfter: Micros | null = null): void {
-    this.specs.set(spec.Uid, spec);
+  submit(spec: JobSpec, cancelAfter: Micros | null = null): void {
+    this.specs.set(spec.id, spec);
     this.rules.submitted(spec, this.clock.time);
     void this.userLife(spec, cancelAfter);
   }
@@ -338,43 +340,43 @@
     const sentAt = this.clock.time;
     const reply = await call(`10.0.0.${node}:80`, method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return 0;
-    const state = (reply.body['Status'] as JobStatus | undefined) ?? null;
+    const state = decodeJobStatus(reply.body);
     this.guarded(() => {
       this.rules.told(id, reply.status, state, this.clock.time, sentAt);
     });
-    if (state && !['done', 'withdrawn'].includes(this.told.get(id) ?? '')) this.told.set(id, state);
+    if (state && !['done', 'cancelled'].includes(this.told.get(id) ?? '')) this.told.set(id, state);
     return reply.status;
   }
 
-  private async userLife(spec: Submission, cancelAfter: Micros | null): Promise<void> {
+  private async userLife(spec: JobSpec, cancelAfter: Micros | null): Promise<void> {
     const began = this.clock.time;
     const pause = (d: Micros): Promise<void> => new Promise((done) => this.clock.at(d, done));
     const ask = (method: 'GET' | 'POST', path: string, body?: unknown): Promise<number> =>
-      this.ask(spec.Uid, Math.floor(this.random() * this.nodes.length), method, path, body);
+      this.ask(spec.id, Math.floor(this.random() * this.nodes.length), method, path, body);
     for (;;) {
-      const status = await ask('POST', '/submissions', spec);
+      const status = await ask('POST', '/submissions', encodeSubmission(spec));
       if (status === 200 || status === 201) break;
       if (status === 400 || status === 422) return;
       await pause(SECOND);
     }
     for (;;) {
       await pause(3 * SECOND);
-      const state = this.told.get(spec.Uid);
-      if (state === 'done' || state === 'withdrawn') {
+      const state = this.told.get(spec.id);
+      if (state === 'done' || state === 'cancelled') {
         // Long after the end a repeat of the submission still gets the same answer.
         await pause(20 * SECOND);
-        await ask('POST', '/submissions', spec);
+        await ask('POST', '/submissions', encodeSubmission(spec));
         return;
       }
       if (cancelAfter !== null && this.clock.time > began + cancelAfter) {
-        this.rules.cancelAsked(spec.Uid);
-        await ask('POST', `/submissions/${spec.Uid}/withdraw`);
-      } else await ask('GET', `/submissions/${spec.Uid}`);
+        this.rules.cancelAsked(spec.id);
+        await ask('POST', `/submissions/${spec.id}/withdraw`);
+      } else await ask('GET', `/submissions/${spec.id}`);
     }
   }
 
   private bootWorker(host: CloudHost): void {
-    const type = this.types.find((t) => t.Sku === host.build) as MachineType;
+    const type = this.types.find((t) => t.name === host.build) as MachineType;
     const worker = new SimWorker(host, {
       clock: this.clock,
       random: this.random,
@@ -383,7 +385,7 @@
       nodes: this.nodes.map((n) => ({ member: `node-${n.index}`, endpoint: `10.0.0.${n.index}:80` })),
       caller: (gate) => this.net.caller(host.host, host.hall, gate),
       limits: this.settingsOf(0),
-      capacity: { cpus: type.Cpus, gpus: type.Gpus, memGb: type.MemGb },
+      capacity: { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb },
       faulty: this.random() < this.faultyShare,
     });
     this.workers.set(host.host, worker);
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEAD, SHARES } from '#cluster';
-import { type Micros, SECOND, type Submission } from '#wire';
+import { encodeSubmission, type Micros, SECOND, type JobSpec } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld, type WorldOptions } from './sim-world.js';
 
@@ -9,8 +9,8 @@
 async function busyWorld(options: WorldOptions): Promise<SimWorld> {
   const world = new SimWorld(options);
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-1', { Crew: 'blue', Pieces: 6, ExpectS: 60 }));
-    world.submit(sampleJob('j-2', { Crew: 'green', Pieces: 6, ExpectS: 60 }));
+    world.submit(sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 }));
+    world.submit(sampleJob('j-2', { team: 'green', taskCount: 6, estimateS: 60 }));
   });
   await world.run(40 * SECOND);
   assert.ok(world.rules.starts >= 8, `only ${world.rules.starts} starts`);
@@ -127,8 +127,8 @@
   const world = new SimWorld({ seed: 46, capacity: 1 });
   let n = 10;
   const small = (crew: string): void => {
-    const change: Partial<Submission> = { Crew: crew, Rank: 'urgent', Pieces: 4, Cpus: 2, ExpectS: 12 };
-    world.submit(sampleJob(`j-${n++}`, { ...change, Lane: 'patch' }));
+    const change: Partial<JobSpec> = { team: crew, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
+    world.submit(sampleJob(`j-${n++}`, { ...change, jobClass: 'patch' }));
   };
   const stream = (): void => {
     if (world.clock.time > 200 * SECOND) return;
@@ -138,9 +138,9 @@
   };
   world.clock.at(2 * SECOND, stream);
   world.clock.at(20 * SECOND, () => {
-    const change: Partial<Submission> = { Rank: 'best_effort', Pieces: 40, Cpus: 2, ExpectS: 10 };
-    world.submit(sampleJob('j-1', { ...change, Lane: 'bulk', Crew: 'green' }));
-    world.submit(sampleJob('j-2', { ...change, Lane: 'bulk', Crew: 'blue' }));
+    const change: Partial<JobSpec> = { rank: 'best_effort', taskCount: 40, cpus: 2, estimateS: 10 };
+    world.submit(sampleJob('j-1', { ...change, jobClass: 'bulk', team: 'green' }));
+    world.submit(sampleJob('j-2', { ...change, jobClass: 'bulk', team: 'blue' }));
   });
   await world.run(700 * SECOND);
   assert.deepEqual(world.rules.neglected(), []);
@@ -168,31 +168,34 @@
 
 test('bad requests in the middle of trouble: known jobs stay known, nothing impossible is accepted', async () => {
   const world = await busyWorld({ seed: 48 });
-  const known = sampleJob('j-1', { Crew: 'blue', Pieces: 6, ExpectS: 60 });
-  const never = { Crew: 'blue', Cpus: 64 };
+  const known = sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 });
+  const never = { team: 'blue', cpus: 64 };
   const post = async (id: string, node: number, body: unknown): Promise<number> => {
     let status = 0;
     void world.ask(id, node, 'POST', '/submissions', body).then((s) => (status = s));
     await world.run(2.5 * SECOND);
     return status;
   };
-  const without = (spec: Submission): object => ({ ...spec, Rank: undefined });
+  const without = (spec: JobSpec): object => ({ ...encodeSubmission(spec), Rank: undefined });
   const round = async (node: number): Promise<void> => {
     // The checker takes 400 and 422 for a job that was accepted as forgotten.
-    assert.equal(await post('j-1', node, known), 200);
-    assert.equal(await post('j-1', node, { ...known, ...never }), 200);
+    assert.equal(await post('j-1', node, encodeSubmission(known)), 200);
+    assert.equal(await post('j-1', node, encodeSubmission({ ...known, ...never })), 200);
     assert.equal(await post('j-1', node, without(known)), 200);
     assert.equal(await post('j-9', node, without(sampleJob('j-9'))), 400);
-    assert.equal(await post('j-9', node, sampleJob('j-9', never)), 422);
-    assert.equal(await post('j-9', node, sampleJob('j-9', { Crew: 'nobody' })), 422);
-    assert.equal(await post('j-9', node, sampleJob('j-9', { Builds: [] })), 422);
-    assert.equal(await post('j-9', node, sampleJob('j-9', { Builds: ['large'], Hall: 'west' })), 422);
+    assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', never))), 422);
+    assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', { team: 'nobody' }))), 422);
+    assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', { machineTypes: [] }))), 422);
+    assert.equal(
+      await post('j-9', node, encodeSubmission(sampleJob('j-9', { machineTypes: ['large'], zone: 'west' }))),
+      422,
+    );
   };
   await round(0);
   // A process that has just started may not know yet: then it says so, at once.
   world.killNode(1);
   world.startNode(1);
-  const early = await post('j-9', 1, sampleJob('j-9', never));
+  const early = await post('j-9', 1, encodeSubmission(sampleJob('j-9', never)));
   assert.ok(early === 503 || early === 422, `${early}`);
   await world.run(3 * SECOND);
   world.cloud.outage = true;
@@ -200,8 +203,8 @@
   await round(1);
   world.net.slow.clear();
   world.store.setOutage(true);
-  assert.equal(await post('j-1', 2, known), 503);
-  assert.equal(await post('j-9', 2, sampleJob('j-9')), 503);
+  assert.equal(await post('j-1', 2, encodeSubmission(known)), 503);
+  assert.equal(await post('j-9', 2, encodeSubmission(sampleJob('j-9'))), 503);
   world.store.setOutage(false);
   world.cloud.outage = false;
   await world.run(2 * SECOND);
@@ -212,8 +215,11 @@
 test('a job that fails on every machine takes little room, and ends with its cancellation', async () => {
   const world = new SimWorld({ seed: 49 });
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-1', { Crew: 'blue', Pieces: 10, ExpectS: 20, Lane: 'broken' }), 140 * SECOND);
-    world.submit(sampleJob('j-2', { Crew: 'blue', Pieces: 30, ExpectS: 20 }));
+    world.submit(
+      sampleJob('j-1', { team: 'blue', taskCount: 10, estimateS: 20, jobClass: 'broken' }),
+      140 * SECOND,
+    );
+    world.submit(sampleJob('j-2', { team: 'blue', taskCount: 30, estimateS: 20 }));
   });
   // By then its first tasks have failed, wherever they ran.
   await world.run(75 * SECOND);
@@ -227,7 +233,7 @@
   assert.equal(most, 1);
   assert.equal(world.told.get('j-2'), 'done');
   await world.run(30 * SECOND);
-  assert.equal(world.told.get('j-1'), 'withdrawn');
+  assert.equal(world.told.get('j-1'), 'cancelled');
 });
 
 // Such a node kept its shares, since its peers and the state service reached it: its workers were sent back to it until
@@ -235,8 +241,8 @@
 test('a node that loses only its workers hands its shares on before their leases run out', async () => {
   const world = new SimWorld({ seed: 121, settings: { stateRps: 200, stateWriteRps: 80 } });
   world.clock.at(2 * SECOND, () => {
-    world.submit(sampleJob('j-0', { Crew: 'blue', Pieces: 8, ExpectS: 300 }));
-    world.submit(sampleJob('j-1', { Crew: 'green', Pieces: 8, ExpectS: 300 }));
+    world.submit(sampleJob('j-0', { team: 'blue', taskCount: 8, estimateS: 300 }));
+    world.submit(sampleJob('j-1', { team: 'green', taskCount: 8, estimateS: 300 }));
   });
   await world.run(40 * SECOND);
   const running = (): string[] =>
--- a/packages/wire/messages.ts
+++ b/packages/wire/messages.ts
@@ -1,114 +1,128 @@
+/**
+ * What the interfaces of the service carry, in plain terms. The codecs beside this module are the only place that
+ * knows the protocol's own names for it.
+ */
 import type { Count } from './codec.js';
 
 export const MAX_BODY_BYTES = 64 * 1024;
-export const MAX_PIECES = 100_000;
+export const MAX_TASKS = 100_000;
 
 export const RANKS = ['best_effort', 'normal', 'urgent', 'prod'] as const;
 export type Rank = (typeof RANKS)[number];
 
-export interface Submission {
-  Uid: string;
-  Lane: string;
-  Crew: string;
-  Shape: 'array';
-  Rank: Rank;
-  Pieces: number;
-  Cpus: number;
-  Gpus: number;
-  MemGb: number;
-  Bundle: string;
-  SizeGb: number;
-  Builds: string[] | null;
-  Hall: string | null;
-  SamePlace: boolean;
-  Scatter: boolean;
-  Loaners: boolean;
-  ExpectS: number;
-  BookmarkS: number;
-  StashS: number;
-  DueS: number | null;
+/** A job as its user submitted it. */
+export interface JobSpec {
+  id: string;
+  jobClass: string;
+  team: string;
+  shape: 'array';
+  rank: Rank;
+  taskCount: number;
+  cpus: number;
+  gpus: number;
+  memGb: number;
+  image: string;
+  imageGb: number;
+  machineTypes: string[] | null;
+  zone: string | null;
+  singleZone: boolean;
+  spreadZones: boolean;
+  allowsSpot: boolean;
+  estimateS: number;
+  checkpointS: number;
+  saveS: number;
+  deadlineS: number | null;
 }
 
-export type JobStatus = 'pending' | 'running' | 'done' | 'withdrawn';
+export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
-export interface JobAnswer {
-  Uid: string;
-  Status: JobStatus;
+/** What a user is told of a job. */
+export interface JobState {
+  id: string;
+  status: JobStatus;
+  /** Tasks that are done, and that run, for display. */
   done?: number;
   running?: number;
 }
 
-export type PieceStatus = 'pulling' | 'running' | 'saving' | 'exited';
-export type Cause = 'done' | 'halted' | 'error' | 'full' | 'in_use' | 'unknown';
-
-export interface PieceReport {
-  Piece: string;
-  Try: Count;
-  Status: PieceStatus;
-  Cause?: Cause | null;
-  Stored?: boolean | null;
+/** `fetching`: waiting for its image. */
+export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
+/** Why a task ended; the last three: its start was refused. */
+export type ExitCause = 'done' | 'stopped' | 'failed' | 'no_room' | 'duplicate' | 'unknown_task';
+
+/** One task on a machine, as its worker reports it. */
+export interface TaskReport {
+  task: string;
+  attempt: Count;
+  state: TaskState;
+  cause?: ExitCause | null;
 }
 
-export interface Report {
-  Host: string;
-  Endpoint: string;
-  Build: string;
-  Hall: string;
-  Loaners: boolean;
-  Shift: Count;
-  Tally: Count;
-  Baton: Count;
-  RecallS?: number | null;
-  Pieces: PieceReport[];
+export interface WorkerReport {
+  host: string;
+  address: string;
+  machineType: string;
+  zone: string;
+  spot: boolean;
+  session: Count;
+  sequence: Count;
+  token: Count;
+  spotNoticeS?: number | null;
+  tasks: TaskReport[];
 }
 
-export type Order =
-  | { Verb: 'launch'; Piece: string; Try: number }
-  | { Verb: 'halt'; Piece: string; Try: Count; WindDownS: number }
-  | { Verb: 'reap'; Piece: string; Try: Count };
+/** What a worker is told to do. `forget`: an exited task is left out of further reports. */
+export type Command =
+  | { kind: 'start'; task: string; attempt: Count }
+  | { kind: 'stop'; task: string; attempt: Count; graceS: number }
+  | { kind: 'forget'; task: string; attempt: Count };
 
+/** The answer that renews a worker's lease. */
 export interface ReportAnswer {
-  Baton: number;
-  Orders: Order[];
+  token: Count;
+  commands: Command[];
 }
 
+/** A machine type that the cloud offers. */
 export interface MachineType {
-  Sku: string;
-  Cpus: number;
-  Gpus: number;
-  MemGb: number;
-  CacheGb: number;
-  FetchGbPerS: number;
-  Price: number;
-  LowPrice: number;
-  BootS: number;
-  Halls: string[];
+  name: string;
+  cpus: number;
+  gpus: number;
+  memGb: number;
+  cacheGb: number;
+  fetchGbPerS: number;
+  price: number;
+  spotPrice: number;
+  bootS: number;
+  zones: string[];
 }
 
-export interface Rental {
-  Hire: string;
-  Build: string;
-  Hall: string;
-  Loaners: boolean;
-  Number: number;
+/** A request for machines; its id is never used twice. */
+export interface RentalRequest {
+  id: string;
+  machineType: string;
+  zone: string;
+  spot: boolean;
+  count: number;
 }
 
-export interface HostRow {
-  Uid: string;
-  Endpoint: string;
-  Build: string;
-  Hall: string;
-  Loaners: boolean;
-  Status: 'starting' | 'running' | 'failed';
-  AgeS: number;
+/** A machine as the cloud lists it. */
+export interface ListedMachine {
+  host: string;
+  address: string;
+  machineType: string;
+  zone: string;
+  spot: boolean;
+  state: 'starting' | 'running' | 'failed';
+  ageS: number;
 }
 
 /** Name of a task on the wire: `<job>/<index>`. */
-export function pieceName(job: string, index: number): string {
+export function taskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
-export function parsePiece(piece: string): { job: string; index: number } | null {
+export function parseTaskName(piece: string): { job: string; index: number } | null {
   const cut = piece.lastIndexOf('/');
   const index = Number(piece.slice(cut + 1));
   return cut > 0 && Number.isInteger(index) && index >= 0 ? { job: piece.slice(0, cut), index } : null;
--- a/packages/wire/submission.ts
+++ b/packages/wire/submission.ts
@@ -1,5 +1,5 @@
-import { isFields } from './codec.js';
-import { isJobId, MAX_PIECES, RANKS, type Rank, type Submission } from './messages.js';
+import { type Fields, isFields } from './codec.js';
+import { isJobId, MAX_TASKS, RANKS, type Rank, type JobSpec } from './messages.js';
 
 const absent = (v: unknown): boolean => v === null || v === undefined;
 const text = (v: unknown): v is string => typeof v === 'string' && v.length > 0 && v.length <= 200;
@@ -11,7 +11,7 @@
  * Checks a submission as it came off the wire. Returns the job with the fields the protocol names and no
  * others, or the name of the first field that is missing or invalid.
  */
-export function parseSubmission(body: unknown): { job: Submission } | { invalid: string } {
+export function parseSubmission(body: unknown): { job: JobSpec } | { invalid: string } {
   if (!isFields(body)) return { invalid: 'body' };
   const b = body;
   const need: [string, boolean][] = [
@@ -40,30 +40,62 @@
   if (bad) return { invalid: bad[0] };
   return {
     job: {
-      Uid: b['Uid'] as string,
-      Lane: b['Lane'] as string,
-      Crew: b['Crew'] as string,
-      Shape: 'array',
-      Rank: b['Rank'] as Rank,
-      Pieces: Number(b['Pieces']),
-      Cpus: Number(b['Cpus']),
-      Gpus: Number(b['Gpus']),
-      MemGb: Number(b['MemGb']),
-      Bundle: b['Bundle'] as string,
-      SizeGb: Number(b['SizeGb']),
-      Builds: (b['Builds'] as string[] | null | undefined) ?? null,
-      Hall: (b['Hall'] as string | null | undefined) ?? null,
-      SamePlace: b['SamePlace'] as boolean,
-      Scatter: b['Scatter'] as boolean,
-      Loaners: b['Loaners'] as boolean,
-      ExpectS: Number(b['ExpectS']),
-      BookmarkS: Number(b['BookmarkS']),
-      StashS: Number(b['StashS']),
-      DueS: absent(b['DueS']) ? null : Number(b['DueS']),
+      id: b['Uid'] as string,
+      jobClass: b['Lane'] as string,
+      team: b['Crew'] as string,
+      shape: 'array',
+      rank: b['Rank'] as Rank,
+      taskCount: Number(b['Pieces']),
+      cpus: Number(b['Cpus']),
+      gpus: Number(b['Gpus']),
+      memGb: Number(b['MemGb']),
+      image: b['Bundle'] as string,
+      imageGb: Number(b['SizeGb']),
+      machineTypes: (b['Builds'] as string[] | null | undefined) ?? null,
+      zone: (b['Hall'] as string | null | undefined) ?? null,
+      singleZone: b['SamePlace'] as boolean,
+      spreadZones: b['Scatter'] as boolean,
+      allowsSpot: b['Loaners'] as boolean,
+      estimateS: Number(b['ExpectS']),
+      checkpointS: Number(b['BookmarkS']),
+      saveS: Number(b['StashS']),
+      deadlineS: absent(b['DueS']) ? null : Number(b['DueS']),
     },
   };
 }
 
+/** A submission as it goes over the wire: what {@link parseSubmission} reads back. */
+export function encodeSubmission(job: JobSpec): Fields {
+  return {
+    Uid: job.id,
+    Lane: job.jobClass,
+    Crew: job.team,
+    Shape: job.shape,
+    Rank: job.rank,
+    Pieces: job.taskCount,
+    Cpus: job.cpus,
+    Gpus: job.gpus,
+    MemGb: job.memGb,
+    Bundle: job.image,
+    SizeGb: job.imageGb,
+    Builds: job.machineTypes,
+    Hall: job.zone,
+    SamePlace: job.singleZone,
+    Scatter: job.spreadZones,
+    Loaners: job.allowsSpot,
+    ExpectS: job.estimateS,
+    BookmarkS: job.checkpointS,
+    StashS: job.saveS,
+    DueS: job.deadlineS,
+  };
+}
+
+/** The id under which something was submitted, whatever else is wrong with it; null if it has none. */
+export function submittedId(body: unknown): string | null {
+  const id = isFields(body) ? body['Uid'] : null;
+  return isJobId(id) ? id : null;
+}
+
 function inRange(pieces: number): boolean {
-  return pieces >= 1 && pieces <= MAX_PIECES;
+  return pieces >= 1 && pieces <= MAX_TASKS;
 }
--- a/packages/wire/wire.test.ts
+++ b/packages/wire/wire.test.ts
@@ -2,8 +2,10 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { decode, encode, isCount, sameCount } from './codec.js';
-import { parseReport } from './report.js';
-import { parseSubmission } from './submission.js';
+import { decodeJobStatus, encodeJobState } from './job-state.js';
+import type { Command, JobSpec } from './messages.js';
+import { encodeRedirect, encodeReportAnswer, parseReport } from './report.js';
+import { encodeSubmission, parseSubmission } from './submission.js';
 
 const JOB = {
   ...{ Uid: 'j-000412', Lane: 'train', Crew: 'vision', Shape: 'array', Rank: 'urgent', Pieces: 16 },
@@ -22,10 +24,73 @@
   );
 });
 
+function parsed(body: unknown): JobSpec {
+  const result = parseSubmission(body);
+  if ('invalid' in result) assert.fail(`${result.invalid} is invalid`);
+  return result.job;
+}
+
+test('each field of a submission says what its name in the protocol says', () => {
+  assert.deepEqual(parsed(JOB), {
+    ...{ id: 'j-000412', jobClass: 'train', team: 'vision', shape: 'array', rank: 'urgent', taskCount: 16 },
+    ...{ cpus: 8, gpus: 1, memGb: 64, image: 'img-07', imageGb: 6.2, machineTypes: ['g8'], zone: null },
+    ...{ singleZone: true, spreadZones: false, allowsSpot: true },
+    ...{ estimateS: 240, checkpointS: 30, saveS: 4, deadlineS: 900 },
+  });
+});
+
+test('a report and its answer keep their meaning on the wire', () => {
+  const body = {
+    ...{ Host: 'n-000231', Endpoint: '10.1.0.232:9000', Build: 'g8', Hall: 'a', Loaners: true },
+    ...{ Shift: 1, Tally: 88, Baton: 41, RecallS: null },
+    Pieces: [
+      { Piece: 'j-000412/3', Try: 2, Status: 'pulling' },
+      { Piece: 'j-000398/0', Try: 1, Status: 'exited', Cause: 'in_use' },
+      { Piece: 'j-000398/1', Try: 1, Status: 'some later state' },
+    ],
+  };
+  assert.deepEqual(parseReport(body), {
+    ...{ host: 'n-000231', address: '10.1.0.232:9000', machineType: 'g8', zone: 'a', spot: true },
+    ...{ session: 1, sequence: 88, token: 41, spotNoticeS: null },
+    tasks: [
+      { task: 'j-000412/3', attempt: 2, state: 'fetching', cause: null },
+      { task: 'j-000398/0', attempt: 1, state: 'exited', cause: 'duplicate' },
+      { task: 'j-000398/1', attempt: 1, state: 'fetching', cause: null },
+    ],
+  });
+  for (const field of ['Host', 'Endpoint', 'Build', 'Hall', 'Loaners', 'Shift', 'Tally', 'Baton', 'Pieces']) {
+    assert.equal(parseReport({ ...body, [field]: undefined }), null, field);
+  }
+  assert.equal(parseReport({ ...body, RecallS: 'soon' }), null);
+  assert.equal(parseReport({ ...body, Pieces: [{ Piece: 'j-1/0', Status: 'running' }] }), null);
+  const commands: Command[] = [
+    { kind: 'start', task: 'j-000412/4', attempt: 2 },
+    { kind: 'stop', task: 'j-000377/1', attempt: 1, graceS: 10 },
+    { kind: 'forget', task: 'j-000398/0', attempt: 1 },
+  ];
+  assert.deepEqual(encodeReportAnswer({ token: 41, commands }), {
+    Baton: 41,
+    Orders: [
+      { Verb: 'launch', Piece: 'j-000412/4', Try: 2 },
+      { Verb: 'halt', Piece: 'j-000377/1', Try: 1, WindDownS: 10 },
+      { Verb: 'reap', Piece: 'j-000398/0', Try: 1 },
+    ],
+  });
+  assert.deepEqual(encodeRedirect('hive-2'), { Foreman: 'hive-2' });
+});
+
+test('the state of a job reads back as what was told', () => {
+  for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
+    assert.equal(decodeJobStatus(encodeJobState({ id: 'j-1', status })), status);
+  }
+  assert.deepEqual(encodeJobState({ id: 'j-1', status: 'cancelled' }), { Uid: 'j-1', Status: 'withdrawn' });
+  assert.equal(decodeJobStatus({ error: 'no such job' }), null);
+});
+
 test('a submission is taken whole, without unknown fields; optional ones may be left out', () => {
   const { Builds, Hall, DueS, ...rest } = JOB;
-  assert.deepEqual(parseSubmission({ ...JOB, Extra: 1 }), { job: JOB });
-  assert.deepEqual(parseSubmission(rest), { job: { ...rest, Builds: null, Hall: null, DueS: null } });
+  assert.deepEqual(encodeSubmission(parsed({ ...JOB, Extra: 1 })), JOB);
+  assert.deepEqual(encodeSubmission(parsed(rest)), { ...rest, Builds: null, Hall: null, DueS: null });
   assert.deepEqual([Builds, Hall, DueS], [['g8'], null, 900]);
 });
 
--- a/packages/workers/roster.test.ts
+++ b/packages/workers/roster.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Ledger, type LiveJob } from '#cluster';
-import { SECOND, type Report } from '#wire';
+import { SECOND, type WorkerReport } from '#wire';
 import { sampleJob } from '#testkit';
 import { attemptKey, renewalBound, Roster, withDrift } from './roster.js';
 
@@ -11,10 +11,10 @@
 /** The attempt that the first record of share 0 makes. */
 const TRY = 1024;
 
-function report(change: Partial<Report> = {}): Report {
+function report(change: Partial<WorkerReport> = {}): WorkerReport {
   return {
-    ...{ Host: 'n-1', Endpoint: '10.1.0.1:9', Build: 'small', Hall: 'east', Loaners: false },
-    ...{ Shift: 1, Tally: 1, Baton: 5, RecallS: null, Pieces: [] },
+    ...{ host: 'n-1', address: '10.1.0.1:9', machineType: 'small', zone: 'east', spot: false },
+    ...{ session: 1, sequence: 1, token: 5, spotNoticeS: null, tasks: [] },
     ...change,
   };
 }
@@ -26,23 +26,23 @@
   ledger.apply(0, {
     Seq: 1,
     At: 0,
-    Starts: [{ Job: 'j-1', Crew: 'blue', Bundle: 'i', Need: [2, 0, 4], On: [[0, 'n-1', 1]] }],
+    Starts: [{ Job: 'j-1', team: 'blue', image: 'i', Need: [2, 0, 4], On: [[0, 'n-1', 1]] }],
   });
   const roster = new Roster(LIMITS);
   roster.own(ledger, OWNERS, 5, NOW);
   return { roster, ledger, jobs: new Map([['j-1', { spec: sampleJob('j-1'), at: 0, stamp: 1 }]]) };
 }
 
-const running = (Try = TRY): Report['Pieces'] => [{ Piece: 'j-1/0', Try, Status: 'running' }];
+const running = (Try = TRY): WorkerReport['tasks'] => [{ task: 'j-1/0', attempt: Try, state: 'running' }];
 
 test('a start whose answer may be on its way is not held undelivered when its job is cancelled', () => {
   const { roster, ledger, jobs } = scene();
   roster.receive(report(), NOW);
-  assert.equal(roster.orders('n-1', ledger, jobs, true)[0]?.Verb, 'launch');
+  assert.equal(roster.orders('n-1', ledger, jobs, true)[0]?.kind, 'start');
   jobs.clear();
   assert.deepEqual(roster.endings(ledger, jobs, NOW + 1), []);
   // The next report shows that the answer never took effect, and from now on it can't.
-  roster.receive(report({ Tally: 2 }), NOW + 2);
+  roster.receive(report({ sequence: 2 }), NOW + 2);
   assert.equal(roster.endings(ledger, jobs, NOW + 3)[0]?.outcome, 'undelivered');
   assert.deepEqual(roster.orders('n-1', ledger, jobs, true), []);
 });
@@ -50,34 +50,36 @@
 test('absence proves nothing while the worker may still obey an earlier owner', () => {
   const { roster, ledger, jobs } = scene();
   jobs.clear();
-  roster.receive(report({ Baton: 4 }), NOW);
+  roster.receive(report({ token: 4 }), NOW);
   assert.deepEqual(roster.endings(ledger, jobs, NOW), []);
 });
 
 test('a newer session ends what was started for an older one, an older report changes nothing', () => {
   const { roster, ledger, jobs } = scene();
-  assert.ok(roster.receive(report({ Shift: 2 }), NOW));
+  assert.ok(roster.receive(report({ session: 2 }), NOW));
   assert.equal(roster.endings(ledger, jobs, NOW)[0]?.outcome, 'lost');
   assert.deepEqual(roster.orders('n-1', ledger, jobs, true), []);
-  assert.ok(!roster.receive(report({ Shift: 1, Tally: 99, Pieces: running() }), NOW + 1));
+  assert.ok(!roster.receive(report({ session: 1, sequence: 99, tasks: running() }), NOW + 1));
 });
 
 test('reap only after the end is in the log, halt what the log does not know', () => {
   const { roster, ledger, jobs } = scene();
-  const exited: Report['Pieces'] = [{ Piece: 'j-1/0', Try: TRY, Status: 'exited', Cause: 'done' }];
-  roster.receive(report({ Pieces: exited }), NOW);
+  const exited: WorkerReport['tasks'] = [{ task: 'j-1/0', attempt: TRY, state: 'exited', cause: 'done' }];
+  roster.receive(report({ tasks: exited }), NOW);
   assert.deepEqual(roster.orders('n-1', ledger, jobs, true), []);
   const ending = roster.endings(ledger, jobs, NOW)[0];
   assert.equal(ending?.outcome, 'done');
   ledger.apply(0, { Seq: 2, At: 0, Ends: [['j-1', 0, TRY, 'done']] });
-  assert.deepEqual(roster.orders('n-1', ledger, jobs, true), [{ Verb: 'reap', Piece: 'j-1/0', Try: TRY }]);
-  roster.receive(report({ Tally: 2, Pieces: running(7) }), NOW);
-  assert.equal(roster.orders('n-1', ledger, jobs, true)[0]?.Verb, 'halt');
+  assert.deepEqual(roster.orders('n-1', ledger, jobs, true), [
+    { kind: 'forget', task: 'j-1/0', attempt: TRY },
+  ]);
+  roster.receive(report({ sequence: 2, tasks: running(7) }), NOW);
+  assert.equal(roster.orders('n-1', ledger, jobs, true)[0]?.kind, 'stop');
 });
 
 test('a lease counts as over only when no one entitled can have renewed it', () => {
   const { roster, ledger, jobs } = scene();
-  roster.receive(report({ Baton: 4, Pieces: running() }), NOW);
+  roster.receive(report({ token: 4, tasks: running() }), NOW);
   roster.answered('n-1', NOW);
   // This worker may not have seen our answer and may follow an earlier owner until that one's bound.
   const byOthers = NOW + withDrift(LIMITS.cancel);
@@ -106,20 +108,20 @@
   roster.own(ledger, new Map([[1, { member: 'b', nonce: 'y', stamp: 4, baton: 5 }]]), 5, NOW);
   jobs.clear();
   // Held back on its way to this node since before the start that the last owner sent with its answer.
-  assert.ok(!roster.receive(report({ Tally: 7 }), NOW));
+  assert.ok(!roster.receive(report({ sequence: 7 }), NOW));
   assert.deepEqual(roster.endings(ledger, jobs, NOW), []);
-  assert.ok(roster.receive(report({ Tally: 9 }), NOW));
+  assert.ok(roster.receive(report({ sequence: 9 }), NOW));
   assert.equal(roster.endings(ledger, jobs, NOW)[0]?.outcome, 'undelivered');
 });
 
 test('how long a task has run is known only to an owner that saw it begin', () => {
   const { roster } = scene();
-  roster.receive(report({ Pieces: running() }), NOW);
-  roster.receive(report({ Tally: 2, Pieces: running() }), NOW + SECOND);
+  roster.receive(report({ tasks: running() }), NOW);
+  roster.receive(report({ sequence: 2, tasks: running() }), NOW + SECOND);
   assert.equal(roster.sessions.get('n-1')?.runningSince.get(attemptKey('j-1/0', TRY)), null);
   const later = scene().roster;
   later.receive(report(), NOW);
-  later.receive(report({ Tally: 2, Pieces: running() }), NOW + SECOND);
+  later.receive(report({ sequence: 2, tasks: running() }), NOW + SECOND);
   assert.equal(later.sessions.get('n-1')?.runningSince.get(attemptKey('j-1/0', TRY)), NOW + SECOND);
 });
 
@@ -128,15 +130,15 @@
   const deaf = (): boolean => roster.sessions.get('n-1')?.deafSince !== null;
   roster.receive(report(), NOW);
   roster.answered('n-1', NOW);
-  roster.receive(report({ Tally: 2 }), NOW + SECOND);
+  roster.receive(report({ sequence: 2 }), NOW + SECOND);
   assert.equal(deaf(), false);
   roster.answered('n-1', NOW + SECOND);
-  roster.receive(report({ Tally: 5 }), NOW + 15 * SECOND);
+  roster.receive(report({ sequence: 5 }), NOW + 15 * SECOND);
   assert.equal(deaf(), true);
   // Silent reports say nothing new; the next number does.
-  roster.receive(report({ Tally: 7 }), NOW + 16 * SECOND);
+  roster.receive(report({ sequence: 7 }), NOW + 16 * SECOND);
   assert.equal(deaf(), true);
   roster.answered('n-1', NOW + 16 * SECOND);
-  roster.receive(report({ Tally: 8 }), NOW + 17 * SECOND);
+  roster.receive(report({ sequence: 8 }), NOW + 17 * SECOND);
   assert.equal(deaf(), false);
 });
--- a/packages/workers/roster.ts
+++ b/packages/workers/roster.ts
@@ -1,14 +1,14 @@
 import type { HostBook, HostStatus, Ledger, LiveJob, Outcome, Placement, ShareOwner } from '#cluster';
 import {
-  type Cause,
+  type ExitCause,
   type Count,
   fromSeconds,
   type Micros,
   MS,
-  type Order,
-  parsePiece,
-  type PieceReport,
-  type Report,
+  type Command,
+  parseTaskName,
+  type TaskReport,
+  type WorkerReport,
   sameCount,
   SECOND,
 } from '#wire';
@@ -18,7 +18,7 @@
 /** What the owner knows of one worker since its machine became the owner's. */
 export interface Session {
   state: SessionState;
-  report: Report;
+  report: WorkerReport;
   heardAt: Micros;
   /** Steady time at which a report was last answered 200, or -Infinity. */
   answeredAt: Micros;
@@ -124,36 +124,36 @@
   }
 
   /** Takes a report in; false if a newer one from this worker is known already, or it isn't ours. */
-  receive(report: Report, now: Micros): boolean {
-    const term = this.terms.get(report.Host);
-    const old = this.sessions.get(report.Host);
+  receive(report: WorkerReport, now: Micros): boolean {
+    const term = this.terms.get(report.host);
+    const old = this.sessions.get(report.host);
     if (!term || (old && !newer(report, old.report))) return false;
-    if (term.mark && !newer(report, { Shift: term.mark[0], Tally: term.mark[1] })) return false;
-    const sameSession = old && sameCount(old.report.Shift, report.Shift);
+    if (term.mark && !newer(report, { session: term.mark[0], sequence: term.mark[1] })) return false;
+    const sameSession = old && sameCount(old.report.session, report.session);
     const session: Session = {
       state: 'reporting',
       report,
       heardAt: now,
       answeredAt: old?.answeredAt ?? -Infinity,
-      acknowledged: report.Baton >= term.baton,
+      acknowledged: report.token >= term.baton,
       recallAt: null,
       runningSince: sameSession ? old.runningSince : new Map<string, Micros | null>(),
       deafSince: old ? deafSince(old, report, now) : null,
       launched: new Set(),
       shunnedUntil: old?.shunnedUntil ?? -Infinity,
     };
-    const recall = report.RecallS ?? null;
+    const recall = report.spotNoticeS ?? null;
     if (recall !== null) session.recallAt = now + fromSeconds(recall);
     // A notice is not taken back, so a report without it after one with it must not undo it.
     else if (old?.recallAt !== null && old?.recallAt !== undefined) session.recallAt = old.recallAt;
     if (session.recallAt !== null) session.state = 'recalled';
-    for (const p of report.Pieces) {
-      if (p.Status === 'running' && !session.runningSince.has(attemptKey(p.Piece, p.Try))) {
+    for (const p of report.tasks) {
+      if (p.state === 'running' && !session.runningSince.has(attemptKey(p.task, p.attempt))) {
         // How long those of the first report have run is not known: taken for new they would seem to end early.
-        session.runningSince.set(attemptKey(p.Piece, p.Try), sameSession ? now : null);
+        session.runningSince.set(attemptKey(p.task, p.attempt), sameSession ? now : null);
       }
     }
-    this.sessions.set(report.Host, session);
+    this.sessions.set(report.host, session);
     return true;
   }
 
@@ -182,7 +182,7 @@
       else if (s.state === 'reporting' && silence > this.silenceLimit()) this.enter(s, 'silent');
     }
     for (const [piece, stop] of this.stops) {
-      const at = parsePiece(piece);
+      const at = parseTaskName(piece);
       if (!at || ledger.placement(at.job, at.index)?.try !== stop.try) this.stops.delete(piece);
     }
   }
@@ -221,7 +221,7 @@
         for (const placement of ledger.placementsOn(host)) endings.push({ placement, outcome: 'lost' });
         continue;
       }
-      const pieces = new Map(session.report.Pieces.map((p) => [p.Piece, p]));
+      const pieces = new Map(session.report.tasks.map((p) => [p.task, p]));
       for (const placement of ledger.placementsOn(host)) {
         const outcome = this.outcome(placement, session, pieces.get(placement.piece), jobs, now);
         if (outcome) endings.push({ placement, outcome });
@@ -231,30 +231,30 @@
   }
 
   /** The commands for a worker that has just reported. `fresh`: new starts may be sent. */
-  orders(host: string, ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, fresh: boolean): Order[] {
+  orders(host: string, ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, fresh: boolean): Command[] {
     const session = this.sessions.get(host);
     if (!session) return [];
-    const orders: Order[] = [];
+    const orders: Command[] = [];
     const seen = new Set<string>();
-    for (const p of session.report.Pieces) {
+    for (const p of session.report.tasks) {
       const placement = placementOf(ledger, host, p);
-      if (placement) seen.add(p.Piece);
-      const { Piece, Try } = p;
-      if (p.Status === 'exited') {
-        // Once reaped the worker doesn't know the attempt any more: only after its end is in the log.
-        if (!placement) orders.push({ Verb: 'reap', Piece, Try });
+      if (placement) seen.add(p.task);
+      const { task, attempt } = p;
+      if (p.state === 'exited') {
+        // Once told to forget it the worker doesn't know the attempt any more: only after its end is in the log.
+        if (!placement) orders.push({ kind: 'forget', task, attempt });
       } else if (!placement || !jobs.has(placement.job)) {
-        orders.push({ Verb: 'halt', Piece, Try, WindDownS: 0 });
-      } else if (this.isStopping(placement) && p.Status !== 'saving') {
-        orders.push({ Verb: 'halt', Piece, Try, WindDownS: this.stops.get(Piece)?.windDownS ?? 0 });
+        orders.push({ kind: 'stop', task, attempt, graceS: 0 });
+      } else if (this.isStopping(placement) && p.state !== 'saving') {
+        orders.push({ kind: 'stop', task, attempt, graceS: this.stops.get(task)?.windDownS ?? 0 });
       }
     }
     if (!fresh) return orders;
     for (const placement of ledger.placementsOn(host)) {
       if (seen.has(placement.piece) || !this.wanted(placement, session, jobs)) continue;
-      if (!sameCount(placement.shift, session.report.Shift)) continue;
+      if (!sameCount(placement.shift, session.report.session)) continue;
       session.launched.add(attemptKey(placement.piece, placement.try));
-      orders.push({ Verb: 'launch', Piece: placement.piece, Try: placement.try });
+      orders.push({ kind: 'start', task: placement.piece, attempt: placement.try });
     }
     return orders;
   }
@@ -267,17 +267,17 @@
   private outcome(
     placement: Placement,
     session: Session,
-    piece: PieceReport | undefined,
+    piece: TaskReport | undefined,
     jobs: ReadonlyMap<string, LiveJob>,
     now: Micros,
   ): Outcome | null {
     const { report } = session;
-    if (!sameCount(placement.shift, report.Shift)) {
+    if (!sameCount(placement.shift, report.session)) {
       // The worker killed and forgot all tasks of its earlier sessions.
-      return placement.shift < report.Shift ? 'lost' : null;
+      return placement.shift < report.session ? 'lost' : null;
     }
-    const present = piece !== undefined && sameCount(piece.Try, placement.try);
-    if (present && piece.Status === 'exited') return outcomeOf(piece.Cause ?? 'error');
+    const present = piece !== undefined && sameCount(piece.attempt, placement.try);
+    if (present && piece.state === 'exited') return outcomeOf(piece.cause ?? 'failed');
     if (this.leaseOver(placement.host, session, now)) return 'lost';
     if (present) return null;
     // Absent from the newest report of a worker that obeys our token only: no answer to an earlier report can
@@ -311,40 +311,40 @@
   return term.share === book.share && term.owner === owner.stamp && term.term === book.term;
 }
 
-type Age = Pick<Report, 'Shift' | 'Tally'>;
+type Age = Pick<WorkerReport, 'session' | 'sequence'>;
 
 function newer(a: Age, b: Age): boolean {
-  if (!sameCount(a.Shift, b.Shift)) return a.Shift > b.Shift;
-  return a.Tally > b.Tally;
+  if (!sameCount(a.session, b.session)) return a.session > b.session;
+  return a.sequence > b.sequence;
 }
 
 /**
  * A worker that got its answer stays and reports here next; one that didn't asks other nodes first, or lives on
  * in a session of its own. Either shows in the numbers of its reports.
  */
-function deafSince(old: Session, report: Report, now: Micros): Micros | null {
+function deafSince(old: Session, report: WorkerReport, now: Micros): Micros | null {
   if (old.answeredAt < old.heardAt) return old.deafSince;
-  const stayed = sameCount(old.report.Shift, report.Shift);
-  if (stayed && BigInt(report.Tally) === BigInt(old.report.Tally) + 1n) return null;
+  const stayed = sameCount(old.report.session, report.session);
+  if (stayed && BigInt(report.sequence) === BigInt(old.report.sequence) + 1n) return null;
   return old.deafSince ?? now;
 }
 
 /** The placement that a piece in a worker's report is, if the log knows that attempt on that machine. */
-export function placementOf(ledger: Ledger, host: string, p: PieceReport): Placement | null {
-  const at = parsePiece(p.Piece);
+export function placementOf(ledger: Ledger, host: string, p: TaskReport): Placement | null {
+  const at = parseTaskName(p.task);
   const placement = at ? ledger.placement(at.job, at.index) : undefined;
-  return placement && placement.host === host && sameCount(placement.try, p.Try) ? placement : null;
+  return placement && placement.host === host && sameCount(placement.try, p.attempt) ? placement : null;
 }
 
-function outcomeOf(cause: Cause): Outcome {
+function outcomeOf(cause: ExitCause): Outcome {
   switch (cause) {
     case 'done':
-    case 'halted':
-    case 'error':
+    case 'stopped':
+    case 'failed':
       return cause;
-    case 'full':
-    case 'in_use':
-    case 'unknown':
+    case 'no_room':
+    case 'duplicate':
+    case 'unknown_task':
       return 'refused';
   }
 }
