--- a/packages/cluster/checkpoint.ts
+++ b/packages/cluster/checkpoint.ts
@@ -51,12 +51,12 @@
   for (const [job, book] of ledger.books) {
     const open = new Map<number, On[]>();
     for (const p of book.placed.values()) {
-      let on = open.get(p.try);
+      let on = open.get(p.attempt);
       if (!on || on.length === ROW_TASKS) {
-        open.set(p.try, (on = []));
-        rows.push(['s', job, numberOf(p.crew), p.at - base, p.try, [p.cpus, p.gpus, p.memGb], on]);
+        open.set(p.attempt, (on = []));
+        rows.push(['s', job, numberOf(p.team), p.at - base, p.attempt, [p.cpus, p.gpus, p.memGb], on]);
       }
-      on.push([p.index, machines.get(p.host) ?? -1, p.shift]);
+      on.push([p.index, machines.get(p.host) ?? -1, p.session]);
     }
     if (!isLive(job)) continue;
     const ranges = book.done.ranges();
@@ -95,9 +95,9 @@
     else if (row[0] === 'p') sink.price(row[1], row[2], [row[3], row[4], row[5]]);
     else if (row[0] === 'd') sink.done(row[1], row[2]);
     else {
-      const [, job, crew, at, attempt, need, on] = row;
-      const On = on.map(([i, m, shift]): [number, string, Count] => [i, machines[m] ?? '', shift]);
-      sink.start({ Job: job, team: name(crew), image: '', Need: need, On }, attempt, base + at);
+      const [, job, team, at, attempt, need, on] = row;
+      const On = on.map(([i, m, session]): [number, string, Count] => [i, machines[m] ?? '', session]);
+      sink.start({ Job: job, team: name(team), image: '', Need: need, On }, attempt, base + at);
     }
   }
 }
@@ -111,15 +111,23 @@
   const isUsual = (cell: unknown, i: number): boolean =>
     Array.isArray(cell) ? i === 1 && cell.length === 0 : cell === usual[i];
   while (tail.length > 0 && isUsual(tail.at(-1), tail.length - 1)) tail.pop();
-  const { build, hall, loaners, since, share } = host;
-  const front = [host.host, numberOf(build), numberOf(hall), loaners ? 1 : 0, since - base, share];
+  const { machineType: machineType, zone: zone, spot: spot, since, share } = host;
+  const front = [host.host, numberOf(machineType), numberOf(zone), spot ? 1 : 0, since - base, share];
   return [...front, ...tail] as HostCells;
 }
 
 function hostOf(cells: HostCells, base: number, name: (number: number) => string): HostBook {
-  const [host, build, hall, loaners, since, share, status, images, term, mark, to, errors, failedAt] = cells;
+  const [host, machineType, zone, spot, since, share, status, images, term, mark, to, errors, failedAt] =
+    cells;
   return {
-    ...{ host, build: name(build), hall: name(hall), loaners: loaners === 1, since: base + since, share },
+    ...{
+      host,
+      machineType: name(machineType),
+      zone: name(zone),
+      spot: spot === 1,
+      since: base + since,
+      share,
+    },
     ...{ status: STATUSES[status ?? 0] ?? 'up', images: (images ?? []).map(name), term: term ?? 0 },
     ...{ mark: mark ?? null, to: to ?? null, errors: errors ?? 0, failedAt: failedAt ?? 0 },
   };
--- a/packages/cluster/keys.ts
+++ b/packages/cluster/keys.ts
@@ -5,7 +5,7 @@
  */
 export const ALL = 'mw/';
 export const NOW = 'mw/now/';
-export const BATON = 'mw/now/baton';
+export const TOKEN_KEY = 'mw/now/baton';
 export const LEAD = 'mw/now/lead';
 export const CHECKPOINT_HEAD = 'mw/now/checkpoint';
 export const CHUNKS = 'mw/now/chunk/';
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -10,7 +10,7 @@
 
 type Step = [log: LogId, record: PlacementRecord];
 
-const ROW = { loaners: true, since: 0 };
+const ROW = { spot: true, since: 0 };
 
 /** A script of random steps, turned into records that the leader and two owners might write. */
 function records(steps: readonly (readonly [number, number, number])[]): Step[] {
@@ -26,7 +26,7 @@
       draft.Starts = [{ Job: job, team: 'blue', image: `i-${a}`, Need: [1, 0, 2], On: [[b, host, 1]] }];
       draft.Prices = { small: [0.1 * a, 0, 0] };
     } else if (kind === 1 && placed) {
-      draft.Ends = [[job, b, placed.try, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
+      draft.Ends = [[job, b, placed.attempt, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
     } else if (kind === 2) draft.Releases = [[host, [1, b]]];
     else if (kind === 3) draft.Takes = [host];
     else if (kind === 4) draft.Status = [[host, 'up']];
@@ -36,7 +36,7 @@
       else if (a === 1) draft.Hires = [[`h-${b}`, 'small', 'east', false, 2, 1]];
       else if (a === 2) draft.Settled = [`h-${b}`];
       else if (a < 5) draft.Moves = [[host, b % 2]];
-      else draft.Hosts = [[host, 'small', 'east', ROW.loaners, ROW.since, b % 2]];
+      else draft.Hosts = [[host, 'small', 'east', ROW.spot, ROW.since, b % 2]];
     }
     const record: PlacementRecord = { ...draft, Seq: ledger.seq(log) + 1, At: 1000 + out.length };
     ledger.apply(log, record);
@@ -141,7 +141,7 @@
   const ledger = new Ledger();
   ledger.apply('lead', { Seq: 1, At: 0, Hosts: [HOST('n-1', 0), HOST('n-2', 0)] });
   ledger.apply(0, { Seq: 1, At: 0, Starts: [{ ...START, On: [[0, 'n-1', 1]] }] });
-  const first = ledger.placement('j-1', 0)?.try ?? -1;
+  const first = ledger.placement('j-1', 0)?.attempt ?? -1;
   ledger.apply(0, {
     Seq: 2,
     At: 0,
@@ -167,7 +167,7 @@
   assert.equal(ledger.placement('j-1', 1), undefined);
   ledger.apply(1, { Seq: 2, At: 0, Takes: ['n-1'] });
   assert.equal(ledger.hosts.get('n-1')?.share, 1);
-  const { try: attempt } = ledger.placement('j-1', 0) ?? { try: -1 };
+  const { attempt: attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
   ledger.apply(0, { Seq: 4, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
   assert.ok(ledger.placement('j-1', 0), 'the old owner has no more say');
   ledger.apply(1, { Seq: 3, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -1,4 +1,4 @@
-import { type Count, taskName } from '#wire';
+import { type Count, formatTaskName } from '#wire';
 import { type CheckpointRow, readRows } from './checkpoint.js';
 import { DoneSet } from './done-set.js';
 import type { LogId } from './keys.js';
@@ -27,12 +27,12 @@
 export interface Placement extends Demand {
   job: string;
   index: number;
-  piece: string;
-  crew: string;
-  try: number;
+  taskName: string;
+  team: string;
+  attempt: number;
   host: string;
   /** The session for which the start was decided; in any other the start has no force. */
-  shift: Count;
+  session: Count;
   /** Time of day of the record, in milliseconds. */
   at: number;
 }
@@ -48,9 +48,9 @@
 
 export interface HostBook {
   host: string;
-  build: string;
-  hall: string;
-  loaners: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
   /** Time of day at which it was rented (or met), in milliseconds. */
   since: number;
   /** The share it belongs to; null while it is between two. */
@@ -71,9 +71,9 @@
 
 export interface HireBook {
   hire: string;
-  build: string;
-  hall: string;
-  loaners: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
   number: number;
   /** The share that its machines will belong to. */
   share: number;
@@ -192,8 +192,8 @@
     return this.onHost.get(host)?.values() ?? [];
   }
 
-  used(crew: string): Demand {
-    return this.usage.get(crew) ?? { cpus: 0, gpus: 0, memGb: 0 };
+  used(team: string): Demand {
+    return this.usage.get(team) ?? { cpus: 0, gpus: 0, memGb: 0 };
   }
 
   /** Applies the record if it is the next of its log; false if there is a gap before it. */
@@ -236,14 +236,24 @@
 
   private applyLead(record: PlacementRecord): void {
     for (const host of record.Gone ?? []) this.forget(host);
-    for (const [host, build, hall, loaners, since, share] of record.Hosts ?? []) {
+    for (const [host, machineType, zone, spot, since, share] of record.Hosts ?? []) {
       if (this.hosts.has(host)) continue;
-      const book: HostBook = { host, build, hall, loaners, since, share, to: null, status: 'new', ...FRESH };
+      const book: HostBook = {
+        host,
+        machineType,
+        zone,
+        spot,
+        since,
+        share,
+        to: null,
+        status: 'new',
+        ...FRESH,
+      };
       this.hosts.set(host, book);
     }
     for (const hire of record.Settled ?? []) this.hires.delete(hire);
-    for (const [hire, build, hall, loaners, number, share] of record.Hires ?? []) {
-      this.hires.set(hire, { hire, build, hall, loaners, number, share, at: record.At });
+    for (const [hire, machineType, zone, spot, number, share] of record.Hires ?? []) {
+      this.hires.set(hire, { hire, machineType, zone, spot, number, share, at: record.At });
     }
     for (const [host, to] of record.Moves ?? []) {
       const book = this.hosts.get(host);
@@ -298,16 +308,16 @@
 
   private put(group: StartGroup, on: StartGroup['On'][number], attempt: number, at: number): void {
     const [cpus, gpus, memGb] = group.Need;
-    const [index, host, shift] = on;
-    const piece = taskName(group.Job, index);
+    const [index, host, session] = on;
+    const taskName = formatTaskName(group.Job, index);
     const placement: Placement = {
-      ...{ job: group.Job, index, piece, crew: group.team, try: attempt, host, shift, at },
+      ...{ job: group.Job, index, taskName, team: group.team, attempt, host, session, at },
       ...{ cpus, gpus, memGb },
     };
     this.book(group.Job).placed.set(index, placement);
     let there = this.onHost.get(host);
     if (!there) this.onHost.set(host, (there = new Map()));
-    there.set(piece, placement);
+    there.set(taskName, placement);
     this.charge(placement, 1);
   }
 
@@ -331,10 +341,10 @@
     const book = this.books.get(job);
     const placement = book?.placed.get(index);
     // A record names the attempt it ends; one that is gone already is no news.
-    if (!book || placement?.try !== attempt) return false;
+    if (!book || placement?.attempt !== attempt) return false;
     book.placed.delete(index);
     const there = this.onHost.get(placement.host);
-    there?.delete(placement.piece);
+    there?.delete(placement.taskName);
     if (there?.size === 0) this.onHost.delete(placement.host);
     this.charge(placement, -1);
     if (outcome === 'done') book.done.add(index);
@@ -342,13 +352,13 @@
   }
 
   private forget(host: string): void {
-    for (const p of [...this.placementsOn(host)]) this.end(p.job, p.index, p.try, 'lost');
+    for (const p of [...this.placementsOn(host)]) this.end(p.job, p.index, p.attempt, 'lost');
     this.hosts.delete(host);
   }
 
   private charge(p: Placement, sign: 1 | -1): void {
-    const now = this.used(p.crew);
-    this.usage.set(p.crew, {
+    const now = this.used(p.team);
+    this.usage.set(p.team, {
       cpus: now.cpus + sign * p.cpus,
       gpus: now.gpus + sign * p.gpus,
       memGb: now.memGb + sign * p.memGb,
--- a/packages/cluster/peers.ts
+++ b/packages/cluster/peers.ts
@@ -7,7 +7,7 @@
 /** What a node tells its peers. */
 export interface PeerWord {
   /** The highest token that it knows. */
-  baton: number;
+  token: number;
   /** The state service serves it. */
   served: boolean;
   /** By owner: how many machines' workers it has sent there of late. */
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -1,7 +1,7 @@
 import type { Logger } from './logger.js';
 import {
   ALL,
-  BATON,
+  TOKEN_KEY,
   CHECKPOINT_HEAD,
   CHUNKS,
   checkpointOfKey,
@@ -53,7 +53,7 @@
 
 /** Who owns a share, and the token that was raised for it. */
 export interface ShareOwner extends Lead {
-  baton: number;
+  token: number;
 }
 
 export interface Member extends MemberContacts {
@@ -104,7 +104,7 @@
   lead: Lead | null = null;
   readonly members = new Map<string, Member>();
   readonly owners = new Map<number, ShareOwner>();
-  baton = { value: 0, stamp: 0 };
+  token = { value: 0, stamp: 0 };
   private checkpoint: { id: string; positions: Positions; chunks: number; stamp: number } = NO_CHECKPOINT;
   applied = 0;
   /** Epoch of the last page read: before it is applied, the copy may lack what other pages missed. */
@@ -298,7 +298,7 @@
     this.lead = null;
     this.members.clear();
     this.owners.clear();
-    this.baton = { value: 0, stamp: 0 };
+    this.token = { value: 0, stamp: 0 };
     this.checkpoint = NO_CHECKPOINT;
     const records = rows.filter((row) => row.path.startsWith(LOGS));
     for (const row of rows) if (!row.path.startsWith(LOGS)) this.take(row);
@@ -360,11 +360,11 @@
     const { path, value, stamp } = change;
     if (path === LEAD) {
       this.lead = value ? leadOf(value, stamp) : null;
-    } else if (path === BATON) {
-      this.baton = { value: Number(value?.['Baton'] ?? 0), stamp };
+    } else if (path === TOKEN_KEY) {
+      this.token = { value: Number(value?.['Token'] ?? 0), stamp };
     } else if (path.startsWith(SHARES)) {
       const share = Number(path.slice(SHARES.length));
-      if (value) this.owners.set(share, { ...leadOf(value, stamp), baton: Number(value['Baton']) });
+      if (value) this.owners.set(share, { ...leadOf(value, stamp), token: Number(value['Token']) });
       else this.owners.delete(share);
     } else if (path.startsWith(MEMBERS)) {
       const member = path.slice(MEMBERS.length);
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -251,8 +251,8 @@
   for (const [shape, row] of Object.entries(draft.Prices ?? {})) {
     (room(jsonBytes(row) + jsonBytes(shape) + 14).Prices ??= {})[shape] = row;
   }
-  for (const [crew, cpus] of Object.entries(draft.Unmet ?? {})) {
-    (room(jsonBytes(crew) + 34).Unmet ??= {})[crew] = cpus;
+  for (const [team, cpus] of Object.entries(draft.Unmet ?? {})) {
+    (room(jsonBytes(team) + 34).Unmet ??= {})[team] = cpus;
   }
   for (const group of draft.Starts ?? []) {
     const head = jsonBytes({ ...group, On: [] }) + 14;
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -91,7 +91,7 @@
   private round: RoundState = 'resting';
   private dirty = false;
   /** The highest token that a peer told of, and when. */
-  private heard = { baton: 0, since: -Infinity };
+  private heard = { token: 0, since: -Infinity };
   /** When a peer last told that the state service serves it, and when any last told anything. */
   private peerServedAt: Micros = -Infinity;
   private peerHeardAt: Micros = -Infinity;
@@ -174,7 +174,7 @@
   /** What this node tells its peers. */
   word(): PeerWord {
     const referred = this.contact.referrals(this.clock.now());
-    return { baton: this.replica.baton.value, served: this.isServed(), referred };
+    return { token: this.replica.token.value, served: this.isServed(), referred };
   }
 
   /**
@@ -208,7 +208,7 @@
     const now = this.clock.now();
     const orders = this.roster.orders(report.host, this.replica.ledger, this.replica.jobs, this.isServed());
     this.roster.answered(report.host, now);
-    return { status: 200, body: encodeReportAnswer({ token: this.replica.baton.value, commands: orders }) };
+    return { status: 200, body: encodeReportAnswer({ token: this.replica.token.value, commands: orders }) };
   }
 
   /** A round of this node lets the machine go at present, or is to take it. */
@@ -227,7 +227,7 @@
 
   /** The answer for a worker if this node may not act for the controllers towards it now. */
   private notEntitled(report: WorkerReport): Answer | null {
-    const { ledger, owners, baton, state } = this.replica;
+    const { ledger, owners, token: token, state } = this.replica;
     const book = ledger.hosts.get(report.host);
     if (!book || state !== 'following') return unavailable('machine not known');
     const at = shareOf(book);
@@ -240,7 +240,7 @@
     }
     if (book.share === null || this.isLettingGo(report.host)) return unavailable('machine on the move');
     // A higher token than the highest known here: somebody else may own this by now.
-    if (report.token > baton.value || this.isOutdated()) return unavailable('superseded');
+    if (report.token > token.value || this.isOutdated()) return unavailable('superseded');
     return this.stateAge() > renewalBound(this.parts.settings) ? unavailable('state not reachable') : null;
   }
 
@@ -249,8 +249,8 @@
    * what it owned is theirs by now. Falling silent at once sends the workers there, long before its own bound.
    */
   private isOutdated(): boolean {
-    const { baton, since } = this.heard;
-    return baton > this.replica.baton.value && this.clock.now() - since > WORD_PATIENCE;
+    const { token: token, since } = this.heard;
+    return token > this.replica.token.value && this.clock.now() - since > WORD_PATIENCE;
   }
 
   /** The state is known to be recent enough for new starts. */
@@ -277,11 +277,11 @@
     return now - this.peerServedAt <= PEER_NEWS && this.peerServedAt - this.replica.freshAt > unserved;
   }
 
-  private hear({ baton, served, referred }: PeerWord): void {
+  private hear({ token: token, served, referred }: PeerWord): void {
     this.contact.expect(referred[this.parts.settings.member] ?? 0);
     this.peerHeardAt = this.clock.now();
     if (served) this.peerServedAt = this.peerHeardAt;
-    if (baton > this.heard.baton) this.heard = { baton, since: this.clock.now() };
+    if (token > this.heard.token) this.heard = { token, since: this.clock.now() };
   }
 
   /**
@@ -303,7 +303,7 @@
   }
 
   private followOwnership(): void {
-    this.roster.own(this.replica.ledger, this.ownShares(), this.replica.baton.value, this.clock.now());
+    this.roster.own(this.replica.ledger, this.ownShares(), this.replica.token.value, this.clock.now());
   }
 
   private isLettingGo(host: string): boolean {
@@ -390,9 +390,9 @@
       const draft = drafts.get(share) ?? {};
       drafts.set(share, { ...draft, Starts: starts, Prices: plan.prices, Unmet: plan.unmet });
     }
-    for (const { placement, windDownS } of plan.stops) {
-      this.log.info({ piece: placement.piece, host: placement.host }, 'stopped to make room');
-      roster.stop(placement, windDownS);
+    for (const { placement, graceS: graceS } of plan.stops) {
+      this.log.info({ taskName: placement.taskName, host: placement.host }, 'stopped to make room');
+      roster.stop(placement, graceS);
     }
     if (drafts.size > 0) {
       this.enterRound('committing');
@@ -422,7 +422,7 @@
     };
     for (const { placement: p, outcome } of endings) {
       const share = ledger.hosts.get(p.host)?.share ?? null;
-      if (share !== null) (draft(share).Ends ??= []).push([p.job, p.index, p.try, outcome]);
+      if (share !== null) (draft(share).Ends ??= []).push([p.job, p.index, p.attempt, outcome]);
     }
     for (const book of ledger.hosts.values()) {
       const { host, share, to } = book;
@@ -454,8 +454,11 @@
   private noteEnding(ending: Ending): void {
     this.scheduler.learn(ending);
     if (ending.outcome === 'done') return;
-    const { piece, host } = ending.placement;
-    this.log.info({ piece, host, try: ending.placement.try, outcome: ending.outcome }, 'task ended');
+    const { taskName: taskName, host } = ending.placement;
+    this.log.info(
+      { taskName, host, attempt: ending.placement.attempt, outcome: ending.outcome },
+      'task ended',
+    );
   }
 
   /** Tells the leader when the workers of this node reach every node but this one. */
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -1,5 +1,5 @@
 import {
-  BATON,
+  TOKEN_KEY,
   cutZones,
   eligible,
   LEAD,
@@ -81,8 +81,8 @@
         types: parts.replica.types,
         lease: parts.settings.lease,
         listLag: parts.settings.listLag,
-        shareFor: (hall) => this.shareFor(hall),
-        isCut: (hall) => [...this.cuts()].some((pair) => pair.split('|').includes(hall)),
+        shareFor: (zone) => this.shareFor(zone),
+        isCut: (zone) => [...this.cuts()].some((pair) => pair.split('|').includes(zone)),
       }),
       log,
       wake,
@@ -137,9 +137,9 @@
     return cutZones([...this.parts.replica.members.values()]);
   }
 
-  private reaches(member: string, hall: string, cuts: ReadonlySet<string>): boolean {
-    const zone = this.parts.replica.members.get(member)?.zone;
-    return zone === undefined || zone === hall || !cuts.has(zonePair(zone, hall));
+  private reaches(member: string, zone: string, cuts: ReadonlySet<string>): boolean {
+    const memberZone = this.parts.replica.members.get(member)?.zone;
+    return memberZone === undefined || memberZone === zone || !cuts.has(zonePair(memberZone, zone));
   }
 
   /** Gives shares without a living owner a new one, and evens out what members own. */
@@ -156,24 +156,24 @@
     if (plan.length === 0 || (!orphaned && clock.now() - this.lastShares < REBALANCE)) return;
     this.assigning = true;
     this.lastShares = clock.now();
-    const baton = replica.baton.value + 1;
+    const token = replica.token.value + 1;
     const some = plan.slice(0, settings.txnOps - 1);
     const guards = [
       { path: LEAD, stamp: lead.stamp },
-      { path: BATON, stamp: replica.baton.stamp },
+      { path: TOKEN_KEY, stamp: replica.token.stamp },
       ...some.map(({ share }) => ({ path: shareKey(share), stamp: replica.owners.get(share)?.stamp ?? 0 })),
     ];
-    const writes: Write[] = [{ set: BATON, value: { Baton: baton } }];
+    const writes: Write[] = [{ set: TOKEN_KEY, value: { Token: token } }];
     for (const { share, member } of some) {
       const card = replica.members.get(member);
       if (!card) continue;
-      const value = { Member: member, Nonce: card.nonce, Baton: baton };
+      const value = { Member: member, Nonce: card.nonce, Token: token };
       writes.push({ set: shareKey(share), value, permit: card.permit });
     }
     const result = await store.commit(guards, writes);
     if (result.kind === 'applied') {
       await replica.reach(result.epoch, SECOND);
-      log.info({ baton, shares: Object.fromEntries(some.map((a) => [a.share, a.member])) }, 'shares dealt');
+      log.info({ token, shares: Object.fromEntries(some.map((a) => [a.share, a.member])) }, 'shares dealt');
     }
     this.assigning = false;
   }
@@ -186,8 +186,8 @@
     const weights = new Map<string, number>();
     if (cuts.size === 0) return weights;
     for (const host of replica.ledger.hosts.values()) {
-      const cpus = replica.types.get(host.build)?.cpus ?? 1;
-      const near = members.filter((m) => this.reaches(m, host.hall, cuts));
+      const cpus = replica.types.get(host.machineType)?.cpus ?? 1;
+      const near = members.filter((m) => this.reaches(m, host.zone, cuts));
       for (const m of near) weights.set(m, (weights.get(m) ?? 0) + cpus / near.length);
     }
     return weights;
@@ -200,20 +200,20 @@
     if (cuts.size === 0) return;
     for (const host of replica.ledger.hosts.values()) {
       const owner = replica.owners.get(typeof host.to === 'number' ? host.to : (host.share ?? -1));
-      if (!owner || host.to === 'return' || this.reaches(owner.member, host.hall, cuts)) continue;
-      const share = this.shareFor(host.hall);
+      if (!owner || host.to === 'return' || this.reaches(owner.member, host.zone, cuts)) continue;
+      const share = this.shareFor(host.zone);
       if (share !== host.share) this.fleet.move(host.host, share, 'cut');
     }
   }
 
   /** The share with the fewest machines among those whose owners reach the zone. */
-  private shareFor(hall: string): number {
+  private shareFor(zone: string): number {
     const { replica, settings } = this.parts;
     const cuts = this.cuts();
     const counts = new Map<number, number>();
     for (let share = 0; share < settings.initialSize; share++) {
       const owner = replica.owners.get(share);
-      if (!owner || this.reaches(owner.member, hall, cuts)) counts.set(share, 0);
+      if (!owner || this.reaches(owner.member, zone, cuts)) counts.set(share, 0);
     }
     for (const { share, to } of replica.ledger.hosts.values()) {
       const at = typeof to === 'number' ? to : share;
@@ -231,18 +231,28 @@
     for (const { member, left, kept } of outlooks) {
       for (const [host, room] of left) {
         const book = replica.ledger.hosts.get(host);
-        const type = book && replica.types.get(book.build);
+        const type = book && replica.types.get(book.machineType);
         if (!type) continue;
         // One that is kept for a task is as good as taken.
         const settling = kept.has(host) || now - (this.movedAt.get(host) ?? -Infinity) < SETTLE;
-        const { build, hall, loaners } = book;
+        const { machineType: machineType, zone: memberZone, spot: spot } = book;
         const busyFor = (): Micros => scheduler.busyFor(host);
         const total = amountsOf(type);
-        machines.push({ host, build, hall, loaners, owner: member, room, total, settling, busyFor });
+        machines.push({
+          host,
+          machineType,
+          zone: memberZone,
+          spot,
+          owner: member,
+          room,
+          total,
+          settling,
+          busyFor,
+        });
       }
     }
     const owners = outlooks.map((o) => ({ ...o, owner: o.member }));
-    const reaches = (owner: string, hall: string): boolean => this.reaches(owner, hall, cuts);
+    const reaches = (owner: string, zone: string): boolean => this.reaches(owner, zone, cuts);
     const { moves, left } = planMoves({
       owners,
       machines,
@@ -261,7 +271,7 @@
       share: o.shares[0] ?? 0,
       needs: (left.get(o.member) ?? []).map((need) => scheduler.worthRenting(need)),
       soon: o.soon,
-      reaches: (hall) => this.reaches(o.member, hall, cuts),
+      reaches: (zone) => this.reaches(o.member, zone, cuts),
     }));
   }
 
@@ -272,14 +282,14 @@
     const machines: Drainable[] = [];
     for (const [host, left] of outlooks.flatMap((o) => [...o.left])) {
       const book = replica.ledger.hosts.get(host);
-      const type = book && replica.types.get(book.build);
+      const type = book && replica.types.get(book.machineType);
       if (!type) continue;
       const total = amountsOf(type);
       if (usedPart({ total, left }) > DRAIN.poor) this.poorSince.delete(host);
       else if (!this.poorSince.has(host)) this.poorSince.set(host, now);
       const poorFor = now - (this.poorSince.get(host) ?? now);
-      const { loaners } = book;
-      machines.push({ host, loaners, price: loaners ? type.spotPrice : type.price, total, left, poorFor });
+      const { spot: spot } = book;
+      machines.push({ host, spot, price: spot ? type.spotPrice : type.price, total, left, poorFor });
     }
     for (const host of this.poorSince.keys())
       if (!replica.ledger.hosts.has(host)) this.poorSince.delete(host);
@@ -293,7 +303,7 @@
     this.lastTold = clock.now();
     const shapes: Record<string, { machines: number; booting: number; cpus: number; placed: number }> = {};
     for (const host of replica.ledger.hosts.values()) {
-      const row = (shapes[shapeOf(host.build, host.loaners)] ??= {
+      const row = (shapes[shapeOf(host.machineType, host.spot)] ??= {
         machines: 0,
         booting: 0,
         cpus: 0,
@@ -302,7 +312,7 @@
       if (host.status === 'new') row.booting++;
       else {
         row.machines++;
-        row.cpus += replica.types.get(host.build)?.cpus ?? 0;
+        row.cpus += replica.types.get(host.machineType)?.cpus ?? 0;
         for (const p of replica.ledger.placementsOn(host.host)) row.placed += p.cpus;
       }
     }
--- a/packages/daemon/links.ts
+++ b/packages/daemon/links.ts
@@ -131,8 +131,8 @@
     socket.on('close', lost);
     readMessages(socket, (message) => {
       if (message.number === this.waiting?.number) {
-        const { baton, served, referred } = message;
-        this.waiting.done('ok', { baton, served, referred });
+        const { token: token, served, referred } = message;
+        this.waiting.done('ok', { token, served, referred });
       }
     });
     socket.connect(splitAddress(this.endpoint));
--- a/packages/daemon/scheduler.ts
+++ b/packages/daemon/scheduler.ts
@@ -32,7 +32,7 @@
   prices: Record<string, [number, number, number]>;
   unmet: Record<string, number>;
   /** Running tasks that are to make room. */
-  stops: { placement: Placement; windDownS: number }[];
+  stops: { placement: Placement; graceS: number }[];
 }
 
 /** What the leader foresees of one owner's next round. */
@@ -102,14 +102,14 @@
     this.shares = new Map(settings.teams.map((t, i) => [t.name, i % settings.initialSize]));
     this.guests = new Set(settings.teams.filter((t) => t.cpus === 0 && t.gpus === 0).map((t) => t.name));
     for (const o of settings.objectives) {
-      if (o.lane === null || o.within === null) continue;
-      this.objectives.set(o.lane, [...(this.objectives.get(o.lane) ?? []), o]);
+      if (o.jobClass === null || o.within === null) continue;
+      this.objectives.set(o.jobClass, [...(this.objectives.get(o.jobClass) ?? []), o]);
     }
   }
 
   /** The share that a team belongs to: teams are dealt out in the order of the settings. */
-  shareOf(crew: string): number {
-    return this.shares.get(crew) ?? -1;
+  shareOf(team: string): number {
+    return this.shares.get(team) ?? -1;
   }
 
   /** The newest report of this worker shows the end of a task that the log doesn't know of yet. */
@@ -124,8 +124,8 @@
     const now = this.clock.now();
     const session = this.roster.sessions.get(placement.host);
     const job = this.replica.jobs.get(placement.job);
-    const began = session?.runningSince.get(attemptKey(placement.piece, placement.try)) ?? null;
-    session?.runningSince.delete(attemptKey(placement.piece, placement.try));
+    const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
+    session?.runningSince.delete(attemptKey(placement.taskName, placement.attempt));
     if (outcome === 'refused' && session) {
       session.shunnedUntil = Math.max(session.shunnedUntil, now + 5 * SECOND);
     } else if (outcome === 'done' && job && began !== null && job.spec.estimateS > 0) {
@@ -135,7 +135,10 @@
       const old = this.ratios.get(job.spec.jobClass) ?? 1;
       this.ratios.set(job.spec.jobClass, old + 0.1 * (Math.min(5, ratio) - old));
       const beganMs = Math.round((this.clock.wall() - now + began) / MS - placement.at);
-      this.log.debug({ piece: placement.piece, beganMs, ranMs: Math.round((now - began) / MS) }, 'task done');
+      this.log.debug(
+        { taskName: placement.taskName, beganMs, ranMs: Math.round((now - began) / MS) },
+        'task done',
+      );
     }
   }
 
@@ -146,7 +149,7 @@
     const result = this.play(shares, machines, ending);
     const unmet: Record<string, number> = {};
     for (const { job, count } of result.needs)
-      unmet[job.crew] = (unmet[job.crew] ?? 0) + count * job.need.cpus;
+      unmet[job.team] = (unmet[job.team] ?? 0) + count * job.need.cpus;
     const prices: RoundPlan['prices'] = {};
     for (const [shape, p] of result.prices) prices[shape] = [digits(p.cpu), digits(p.gpu), digits(p.mem)];
     if (result.starts.length > 0 || result.needs.length > 0) {
@@ -176,7 +179,7 @@
     const { ledger, types } = this.replica;
     const waiting = new Map<string, number>();
     for (const { job, count } of needs) {
-      waiting.set(job.crew, (waiting.get(job.crew) ?? 0) + count * job.need.cpus);
+      waiting.set(job.team, (waiting.get(job.team) ?? 0) + count * job.need.cpus);
     }
     let owed = 0;
     let borrowed = 0;
@@ -188,8 +191,8 @@
     }
     if (owed === 0) return { owed, borrowed };
     for (const { room } of soon) owed -= room.cpus;
-    for (const { to, share, build } of ledger.hosts.values()) {
-      if (typeof to === 'number' && to !== share && shares.has(to)) owed -= types.get(build)?.cpus ?? 0;
+    for (const { to, share, machineType: machineType } of ledger.hosts.values()) {
+      if (typeof to === 'number' && to !== share && shares.has(to)) owed -= types.get(machineType)?.cpus ?? 0;
     }
     return { owed: Math.max(0, owed), borrowed };
   }
@@ -204,7 +207,7 @@
     const job = this.replica.jobs.get(placement.job);
     if (!job) return 0;
     const session = this.roster.sessions.get(placement.host);
-    const began = session?.runningSince.get(attemptKey(placement.piece, placement.try)) ?? null;
+    const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
     const whole = this.expected(job.spec);
     // On another owner's machine only the time of the start is known.
     if (began === null) return Math.max(0, placement.at * MS + whole - this.clock.wall());
@@ -235,14 +238,14 @@
   /** CPUs by which a round's starts and ends change what teams use. */
   private changes(starts: readonly { job: string }[], ending: ReadonlySet<Placement>): Map<string, number> {
     const changes = new Map<string, number>();
-    const add = (crew: string, cpus: number): void => {
-      changes.set(crew, (changes.get(crew) ?? 0) + cpus);
+    const add = (team: string, cpus: number): void => {
+      changes.set(team, (changes.get(team) ?? 0) + cpus);
     };
     for (const { job } of starts) {
       const spec = this.replica.jobs.get(job)?.spec;
       if (spec) add(spec.team, spec.cpus);
     }
-    for (const p of ending) add(p.crew, -p.cpus);
+    for (const p of ending) add(p.team, -p.cpus);
     return changes;
   }
 
@@ -262,14 +265,14 @@
     // otherwise what was stopped for them claims that part again, and further tasks are stopped for it.
     const promised = new Map(changes);
     for (const { job, count: wanted } of needs) {
-      const { crew, need } = job;
-      const used = ledger.used(crew).cpus + (promised.get(crew) ?? 0);
-      promised.set(crew, (promised.get(crew) ?? 0) + wanted * need.cpus);
+      const { team: team, need } = job;
+      const used = ledger.used(team).cpus + (promised.get(team) ?? 0);
+      promised.set(team, (promised.get(team) ?? 0) + wanted * need.cpus);
       const spec = jobs.get(job.id)?.spec;
       if (!spec || wall - (jobs.get(job.id)?.at ?? 0) * MS < CLAIM_AFTER) continue;
       // What was stopped before is still saving: more must not be stopped for the same claim meanwhile.
       const count = wanted - serve(freeing, job, wanted);
-      const within = slots({ ...need, gpus: 0, memGb: 0 }, amounts((guarantee.get(crew) ?? 0) - used));
+      const within = slots({ ...need, gpus: 0, memGb: 0 }, amounts((guarantee.get(team) ?? 0) - used));
       const safe = Math.min(count, within);
       const rank = RANKS.indexOf(spec.rank);
       if (safe > 0) claims.push({ job, count: safe, rank, guaranteed: true });
@@ -278,18 +281,18 @@
       }
     }
     if (claims.length === 0) return [];
-    const victims = new Map<string, Victim & { placement: Placement; windDownS: number }>();
+    const victims = new Map<string, Victim & { placement: Placement; graceS: number }>();
     for (const { host } of machines) {
       for (const p of ledger.placementsOn(host)) {
         const spec = jobs.get(p.job)?.spec;
         // A start that is stopped too soon was no start to its user.
         if (!spec || spec.checkpointS <= 0 || wall - p.at * MS < SETTLED) continue;
         if (this.remaining(p) < ALMOST_DONE) continue;
-        const { cpus, gpus, memGb, piece } = p;
-        const beyond = ledger.used(p.crew).cpus > (guarantee.get(p.crew) ?? 0);
-        const row = { cpus, gpus, memGb, piece, host, rank: RANKS.indexOf(spec.rank), beyond };
-        const windDownS = Math.ceil(spec.saveS) + 1;
-        victims.set(piece, { ...row, saves: true, placement: p, windDownS });
+        const { cpus, gpus, memGb, taskName: taskName } = p;
+        const beyond = ledger.used(p.team).cpus > (guarantee.get(p.team) ?? 0);
+        const row = { cpus, gpus, memGb, taskName, host, rank: RANKS.indexOf(spec.rank), beyond };
+        const graceS = Math.ceil(spec.saveS) + 1;
+        victims.set(taskName, { ...row, saves: true, placement: p, graceS });
       }
     }
     const rows = machines.map((m) => ({
@@ -298,7 +301,7 @@
       allowed: (job: WaitingJob) => suits(job, m) && fits(job.need, m.total),
     }));
     const chosen = planStops({ claims, machines: rows, victims: [...victims.values()], most: MOST_STOPS });
-    return chosen.flatMap((v) => victims.get(v.piece) ?? []);
+    return chosen.flatMap((v) => victims.get(v.taskName) ?? []);
   }
 
   /** Machines of this node on which tasks are being stopped, with the room that this will leave. */
@@ -307,11 +310,11 @@
     const out: Coming[] = [];
     for (const host of this.roster.sessions.keys()) {
       const book = ledger.hosts.get(host);
-      const type = book && this.replica.types.get(book.build);
+      const type = book && this.replica.types.get(book.machineType);
       if (!type || !this.isMakingRoom(host)) continue;
       const room = amountsOf(type);
       for (const p of ledger.placementsOn(host)) if (!this.roster.isStopping(p)) take(room, p, 1);
-      out.push({ build: book.build, hall: book.hall, loaners: book.loaners, room });
+      out.push({ machineType: book.machineType, zone: book.zone, spot: book.spot, room });
     }
     return out;
   }
@@ -328,7 +331,7 @@
     const jobs = this.waiting(new Set(teams.map((t) => t.name)), ending);
     const used = new Map(teams.map((t) => [t.name, { ...ledger.used(t.name) }]));
     for (const p of ending) {
-      const u = used.get(p.crew);
+      const u = used.get(p.team);
       if (u) take(u, p, 1);
     }
     const first = Math.min(...shares);
@@ -382,15 +385,15 @@
   private roomy(host: string, ending: ReadonlySet<Placement>): RoomyMachine | null {
     const { ledger, types } = this.replica;
     const book = ledger.hosts.get(host);
-    const type = book && types.get(book.build);
+    const type = book && types.get(book.machineType);
     if (!type || book.to !== null || this.isShunned(book)) return null;
     const room = amountsOf(type);
     for (const p of ledger.placementsOn(host)) if (!ending.has(p)) take(room, p, 1);
-    const { build, hall, loaners } = book;
-    const upkeep = (loaners ? type.spotPrice : type.price) / Math.max(type.cpus, 1);
+    const { machineType: machineType, zone: zone, spot: spot } = book;
+    const upkeep = (spot ? type.spotPrice : type.price) / Math.max(type.cpus, 1);
     const busyFor = (): Micros => this.busyFor(host);
     return {
-      ...{ host, build, hall, loaners, total: amountsOf(type), room, busyFor, upkeep },
+      ...{ host, machineType, zone, spot, total: amountsOf(type), room, busyFor, upkeep },
       warm: book.images,
     };
   }
@@ -435,11 +438,11 @@
       const book = ledger.books.get(id);
       const count = this.wanted(spec, book);
       if (count <= 0) continue;
-      const placedByHall = new Map<string, number>();
+      const placedByZone = new Map<string, number>();
       for (const p of book?.placed.values() ?? []) {
         if (ending.has(p)) continue;
-        const hall = this.hallOf(p.host);
-        placedByHall.set(hall, (placedByHall.get(hall) ?? 0) + 1);
+        const zone = this.hallOf(p.host);
+        placedByZone.set(zone, (placedByZone.get(zone) ?? 0) + 1);
       }
       const waited = Math.max(0, wall - job.at * MS) / this.tuning.waitDoubles;
       // Spare room is what guests are for: what has begun of their work is not raised above that of others.
@@ -447,26 +450,26 @@
       const raised = this.guests.has(spec.team) && begun ? 1 : raise(waited);
       out.push({
         id,
-        crew: spec.team,
+        team: spec.team,
         need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
         priority: RANK_PRIORITY[spec.rank] * raised,
         order: job.stamp,
         waiting: count,
-        pieces: spec.taskCount,
-        builds: spec.machineTypes,
-        hall: spec.zone,
-        samePlace: spec.singleZone,
-        scatter: spec.spreadZones,
-        loaners: spec.allowsSpot,
-        bundle: spec.image,
-        placedByHall,
+        taskCount: spec.taskCount,
+        machineTypes: spec.machineTypes,
+        zone: spec.zone,
+        singleZone: spec.singleZone,
+        spreadZones: spec.spreadZones,
+        spot: spec.allowsSpot,
+        image: spec.image,
+        placedByZone,
       });
     }
     return out;
   }
 
   private hallOf(host: string): string {
-    return this.replica.ledger.hosts.get(host)?.hall ?? this.roster.sessions.get(host)?.report.zone ?? '?';
+    return this.replica.ledger.hosts.get(host)?.zone ?? this.roster.sessions.get(host)?.report.zone ?? '?';
   }
 
   /** Gives each start its task and sorts them by the share of their machine. */
@@ -504,11 +507,18 @@
   private soon(shares: ReadonlySet<number>): Coming[] {
     const { ledger } = this.replica;
     const out: Coming[] = [];
-    for (const { host, build, hall, loaners, share, status } of ledger.hosts.values()) {
+    for (const {
+      host,
+      machineType: machineType,
+      zone: zone,
+      spot: spot,
+      share,
+      status,
+    } of ledger.hosts.values()) {
       if (share === null || !shares.has(share) || status !== 'up') continue;
       const room: Amounts = { cpus: 0, gpus: 0, memGb: 0 };
       for (const p of ledger.placementsOn(host)) if (this.remaining(p) < SOON) take(room, p, -1);
-      if (room.memGb > 0 || room.cpus > 0) out.push({ build, hall, loaners, room });
+      if (room.memGb > 0 || room.cpus > 0) out.push({ machineType, zone, spot, room });
     }
     return out;
   }
--- a/packages/fleet/keeper.ts
+++ b/packages/fleet/keeper.ts
@@ -25,9 +25,9 @@
   lease: Micros;
   listLag: Micros;
   /** The share that a machine found in this zone should belong to. */
-  shareFor: (hall: string) => number;
+  shareFor: (zone: string) => number;
   /** Workers in this zone may be up and unheard. */
-  isCut: (hall: string) => boolean;
+  isCut: (zone: string) => boolean;
 }
 
 /** What the leader knows to be wanted by the owner of a share. */
@@ -36,7 +36,7 @@
   needs: readonly NeedRow[];
   /** Room that its running tasks are about to leave. */
   soon: readonly Coming[];
-  reaches: (hall: string) => boolean;
+  reaches: (zone: string) => boolean;
 }
 
 const LIST_EVERY: Micros = 4 * SECOND;
@@ -131,7 +131,7 @@
   }
 
   private isBooting(host: HostBook): boolean {
-    const boot = fromSeconds(this.facts().types.get(host.build)?.bootS ?? 60);
+    const boot = fromSeconds(this.facts().types.get(host.machineType)?.bootS ?? 60);
     return host.status === 'new' && this.age(host) <= boot * 2.2 + 5 * SECOND;
   }
 
@@ -139,37 +139,37 @@
     const { ledger, types } = this.facts();
     if (needs.length === 0) return;
     const coming: Coming[] = [...soon];
-    const perHall = new Map<string, number>();
+    const machinesPerZone = new Map<string, number>();
     for (const host of ledger.hosts.values()) {
-      perHall.set(host.hall, (perHall.get(host.hall) ?? 0) + 1);
-      const type = types.get(host.build);
+      machinesPerZone.set(host.zone, (machinesPerZone.get(host.zone) ?? 0) + 1);
+      const type = types.get(host.machineType);
       if (type && host.share === share && this.isBooting(host))
         coming.push({ ...host, room: amountsOf(type) });
     }
     const asked = [...ledger.hires.values()].map((h) => ({ ...h }));
-    for (const [, build, hall, loaners, number, to] of this.pending.Hires) {
-      asked.push({ hire: '', build, hall, loaners, number, share: to, at: 0 });
+    for (const [, machineType, zone, spot, number, to] of this.pending.Hires) {
+      asked.push({ hire: '', machineType, zone, spot, number, share: to, at: 0 });
     }
-    for (const { build, hall, loaners, number, share: to } of asked) {
-      const type = types.get(build);
+    for (const { machineType: machineType, zone: zone, spot: spot, number, share: to } of asked) {
+      const type = types.get(machineType);
       for (let i = 0; type && to === share && i < number; i++) {
-        coming.push({ build, hall, loaners, room: amountsOf(type) });
+        coming.push({ machineType, zone, spot, room: amountsOf(type) });
       }
     }
     const plans = planRentals({
       types: [...types.values()],
       needs,
       coming,
-      perHall,
-      refused: (offer) => this.isRefused(offer) || !reaches(offer.hall),
+      machinesPerZone,
+      refused: (offer) => this.isRefused(offer) || !reaches(offer.zone),
     });
-    for (const { build, hall, loaners, number: wanted } of plans) {
+    for (const { machineType: machineType, zone: zone, spot: spot, number: wanted } of plans) {
       // A request takes only so many; going on with a dearer kind instead would cost money every hour.
       for (let left = wanted; left > 0; left -= MAX_RENT) {
         const number = Math.min(left, MAX_RENT);
         const hire = `h-${this.clock.wall()}-${ledger.size}-${++this.hires}`;
-        this.pending.Hires.push([hire, build, hall, loaners, number, share]);
-        this.log.info({ hire, build, hall, loaners, number, share }, 'renting');
+        this.pending.Hires.push([hire, machineType, zone, spot, number, share]);
+        this.log.info({ hire, machineType, zone, spot, number, share }, 'renting');
       }
     }
   }
@@ -190,12 +190,12 @@
     const now = this.clock.now();
     if (!hire || (this.asking.get(name) ?? -Infinity) > now || this.pending.Settled.includes(name)) return;
     this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
-    const { build, hall, loaners, number } = hire;
+    const { machineType: machineType, zone: zone, spot: spot, number } = hire;
     const result = await this.cloud.rent({
       id: name,
-      machineType: build,
-      zone: hall,
-      spot: loaners,
+      machineType,
+      zone,
+      spot,
       count: number,
     });
     if (this.facts().ledger.hires.get(name) === undefined) return;
@@ -216,10 +216,15 @@
     this.wake();
   }
 
-  private adopt(host: string, { build, hall, loaners }: Offer, share: number, ageS: number): void {
+  private adopt(
+    host: string,
+    { machineType: machineType, zone: zone, spot: spot }: Offer,
+    share: number,
+    ageS: number,
+  ): void {
     if (!this.isUnknown(host)) return;
     const since = Math.floor(this.clock.wall() / MS - ageS * 1000);
-    this.pending.Hosts.push([host, build, hall, loaners, since, share]);
+    this.pending.Hosts.push([host, machineType, zone, spot, since, share]);
   }
 
   private isUnknown(host: string): boolean {
@@ -238,7 +243,7 @@
     this.listed = new Map(rows.map((r) => [r.host, r]));
     const { ledger, shareFor } = this.facts();
     for (const r of rows) {
-      const offer = { build: r.machineType, hall: r.zone, loaners: r.spot };
+      const offer = { machineType: r.machineType, zone: r.zone, spot: r.spot };
       if (r.state === 'failed' && !ledger.hosts.has(r.host)) this.wrecks.add(r.host);
       else if (this.isUnknown(r.host)) this.adopt(r.host, offer, shareFor(r.zone), r.ageS);
     }
@@ -258,8 +263,7 @@
       if (host.status !== 'up') continue;
       const since = this.idleSince.get(host.host) ?? now;
       this.idleSince.set(host.host, since);
-      if (!short)
-        idle.push({ host: host.host, idle: now - since, age: this.age(host), loaners: host.loaners });
+      if (!short) idle.push({ host: host.host, idle: now - since, age: this.age(host), spot: host.spot });
     }
     const keep = { ordinary: 15 * SECOND, spot: 40 * SECOND, least: 55 * SECOND };
     for (const host of planReturns(idle, keep)) this.move(host, 'return', 'idle');
@@ -276,7 +280,7 @@
     // The list lags by up to twice its nominal time; a machine that it should show by now is gone.
     if (this.listed && !row && this.age(host) > listLag * 2 + 8 * SECOND) return 'not listed';
     // A worker may have come up while its owner could not be reached: a new leader gives it time.
-    const patient = this.clock.now() - this.since < lease || isCut(host.hall);
+    const patient = this.clock.now() - this.since < lease || isCut(host.zone);
     return host.status === 'new' && !this.isBooting(host) && !patient ? 'late' : null;
   }
 
--- a/packages/fleet/moves.ts
+++ b/packages/fleet/moves.ts
@@ -29,7 +29,7 @@
   owners: readonly OwnerNeeds[];
   machines: readonly MovableMachine[];
   /** The owner's node can reach workers in this zone. */
-  reaches: (owner: string, hall: string) => boolean;
+  reaches: (owner: string, zone: string) => boolean;
   /** How much dearer the needy must be than the owner that gives a machine without unused room. */
   priceGap: number;
   /** Machines at the most that leave one owner in a round for what another is owed. */
@@ -59,7 +59,7 @@
   const free = input.machines.filter((m) => m.room.cpus > 0 && m.room.memGb > 0);
   const moved = new Set<string>();
   const open = (m: MovableMachine, owner: string): boolean =>
-    m.owner !== owner && !m.settling && !moved.has(m.host) && input.reaches(owner, m.hall);
+    m.owner !== owner && !m.settling && !moved.has(m.host) && input.reaches(owner, m.zone);
   const serves = (m: MovableMachine, owner: string, { job }: NeedRow): boolean =>
     open(m, owner) && suits(job, m) && fits(job.need, m.total);
   for (const { owner, needs } of input.owners) {
--- a/packages/fleet/planner.ts
+++ b/packages/fleet/planner.ts
@@ -3,9 +3,9 @@
 
 /** A choice the cloud offers: a type in a zone, ordinary or spot. */
 export interface Offer {
-  build: string;
-  hall: string;
-  loaners: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
 }
 
 export interface Coming extends Offer {
@@ -24,7 +24,7 @@
   /** Machines that were rented and are not up yet, and room that is about to be free. */
   coming: Coming[];
   /** Machines per zone at present, so that new ones go where fewer are. */
-  perHall: ReadonlyMap<string, number>;
+  machinesPerZone: ReadonlyMap<string, number>;
   refused: (offer: Offer) => boolean;
 }
 
@@ -33,7 +33,7 @@
 }
 
 export function offerKey(offer: Offer): string {
-  return `${offer.build}/${offer.hall}/${offer.loaners ? 'spot' : 'ordinary'}`;
+  return `${offer.machineType}/${offer.zone}/${offer.spot ? 'spot' : 'ordinary'}`;
 }
 
 export function amountsOf(type: MachineType): Amounts {
@@ -46,19 +46,19 @@
  */
 export function planRentals(input: PlanInput): RentPlan[] {
   const plans = new Map<string, RentPlan>();
-  const perHall = new Map(input.perHall);
+  const machinesPerZone = new Map(input.machinesPerZone);
   const coming = input.coming.map((c) => ({ ...c, room: { ...c.room } }));
   for (const { job, count } of input.needs) {
     let left = count - serve(coming, job, count);
     while (left > 0) {
-      const offer = cheapest(input, job, left, perHall);
+      const offer = cheapest(input, job, left, machinesPerZone);
       if (!offer) break;
       const key = offerKey(offer);
       const plan = plans.get(key) ?? { ...offer, number: 0 };
       plans.set(key, plan);
       plan.number++;
-      perHall.set(offer.hall, (perHall.get(offer.hall) ?? 0) + 1);
-      const type = input.types.find((t) => t.name === offer.build) as MachineType;
+      machinesPerZone.set(offer.zone, (machinesPerZone.get(offer.zone) ?? 0) + 1);
+      const type = input.types.find((t) => t.name === offer.machineType) as MachineType;
       const room = amountsOf(type);
       const n = Math.min(left, slots(job.need, room));
       take(room, job.need, n);
@@ -84,9 +84,9 @@
 
 export function suits(job: WaitingJob, offer: Offer): boolean {
   return (
-    (job.loaners || !offer.loaners) &&
-    (job.builds?.includes(offer.build) ?? true) &&
-    (job.hall === null || job.hall === offer.hall)
+    (job.spot || !offer.spot) &&
+    (job.machineTypes?.includes(offer.machineType) ?? true) &&
+    (job.zone === null || job.zone === offer.zone)
   );
 }
 
@@ -95,19 +95,19 @@
   input: PlanInput,
   job: WaitingJob,
   count: number,
-  perHall: ReadonlyMap<string, number>,
+  machinesPerZone: ReadonlyMap<string, number>,
 ): Offer | null {
   let best: Offer | null = null;
   let bestScore: [number, number] = [Infinity, Infinity];
   for (const type of input.types) {
     const room = amountsOf(type);
     if (!fits(job.need, room)) continue;
-    for (const hall of type.zones) {
-      for (const loaners of [true, false]) {
-        const offer = { build: type.name, hall, loaners };
+    for (const zone of type.zones) {
+      for (const spot of [true, false]) {
+        const offer = { machineType: type.name, zone, spot };
         if (!suits(job, offer) || input.refused(offer)) continue;
-        const price = (loaners ? type.spotPrice : type.price) / Math.min(count, slots(job.need, room));
-        const score: [number, number] = [price, perHall.get(hall) ?? 0];
+        const price = (spot ? type.spotPrice : type.price) / Math.min(count, slots(job.need, room));
+        const score: [number, number] = [price, machinesPerZone.get(zone) ?? 0];
         if (score[0] < bestScore[0] - 1e-9 || (score[0] < bestScore[0] + 1e-9 && score[1] < bestScore[1])) {
           best = offer;
           bestScore = score;
@@ -122,7 +122,7 @@
   host: string;
   idle: Micros;
   age: Micros;
-  loaners: boolean;
+  spot: boolean;
 }
 
 export interface KeepOptions {
@@ -136,13 +136,13 @@
 /** Which idle machines to give back. */
 export function planReturns(idle: readonly Idle[], keep: KeepOptions): string[] {
   return idle
-    .filter((m) => m.idle > (m.loaners ? keep.spot : keep.ordinary) && m.age > keep.least)
+    .filter((m) => m.idle > (m.spot ? keep.spot : keep.ordinary) && m.age > keep.least)
     .map((m) => m.host);
 }
 
 export interface Drainable {
   host: string;
-  loaners: boolean;
+  spot: boolean;
   /** Price per hour. */
   price: number;
   total: Amounts;
@@ -174,7 +174,7 @@
   let free = machines.reduce((sum, m) => sum + Math.max(0, m.left.cpus), 0);
   const waste = (m: Drainable): number => m.price * (1 - usedPart(m));
   const poor = machines
-    .filter((m) => !m.loaners && usedPart(m) <= options.poor && m.poorFor >= options.patience)
+    .filter((m) => !m.spot && usedPart(m) <= options.poor && m.poorFor >= options.patience)
     .sort((a, b) => waste(b) - waste(a));
   for (const m of poor) {
     const used = m.total.cpus - m.left.cpus;
--- a/packages/fleet/plans.test.ts
+++ b/packages/fleet/plans.test.ts
@@ -13,15 +13,15 @@
   return {
     ...{
       id: 'j-1',
-      crew: 'blue',
+      team: 'blue',
       need: { cpus: 4, gpus: 0, memGb: 8 },
       priority: 2,
       order: 1,
       waiting: 9,
-      pieces: 9,
+      taskCount: 9,
     },
-    ...{ builds: null, hall: null, samePlace: false, scatter: false, loaners: true, bundle: 'i' },
-    placedByHall: new Map(),
+    ...{ machineTypes: null, zone: null, singleZone: false, spreadZones: false, spot: true, image: 'i' },
+    placedByZone: new Map(),
     ...change,
   };
 }
@@ -29,17 +29,17 @@
 const base = {
   types: [SMALL, LARGE],
   coming: [],
-  perHall: new Map(),
+  machinesPerZone: new Map(),
   refused: () => false,
 };
 
 test('rentals: the cheapest offer per task, spread over zones, none for what is on its way', () => {
   const plans = planRentals({ ...base, needs: [{ job: job(), count: 4 }] });
-  assert.deepEqual(plans.map((p) => `${p.build}/${p.hall}/${p.loaners}/${p.number}`).sort(), [
+  assert.deepEqual(plans.map((p) => `${p.machineType}/${p.zone}/${p.spot}/${p.number}`).sort(), [
     'small/east/true/2',
     'small/west/true/2',
   ]);
-  const coming = [{ build: 'small', hall: 'west', loaners: true, room: { cpus: 8, gpus: 0, memGb: 16 } }];
+  const coming = [{ machineType: 'small', zone: 'west', spot: true, room: { cpus: 8, gpus: 0, memGb: 16 } }];
   const fewer = planRentals({ ...base, coming, needs: [{ job: job(), count: 3 }] });
   assert.equal(
     fewer.reduce((n, p) => n + p.number, 0),
@@ -50,7 +50,7 @@
 test('rentals: as many of the cheapest kind as are wanted, however few one request may ask for', () => {
   const plans = planRentals({ ...base, needs: [{ job: job(), count: 400 }] });
   assert.deepEqual(
-    plans.map((p) => [p.build, p.loaners, p.number]),
+    plans.map((p) => [p.machineType, p.spot, p.number]),
     [
       ['small', true, 200],
       ['small', true, 200],
@@ -59,23 +59,23 @@
 });
 
 test('rentals: refused offers and kinds that the job does not allow are gone round', () => {
-  const refused = (o: { build: string; loaners: boolean }): boolean => o.build === 'small' && o.loaners;
+  const refused = (o: { machineType: string; spot: boolean }): boolean => o.machineType === 'small' && o.spot;
   const [plan] = planRentals({ ...base, refused, needs: [{ job: job(), count: 4 }] });
-  assert.deepEqual([plan?.build, plan?.loaners, plan?.number], ['large', true, 1]);
+  assert.deepEqual([plan?.machineType, plan?.spot, plan?.number], ['large', true, 1]);
   const ordinary = planRentals({
     ...base,
-    needs: [{ job: job({ loaners: false, hall: 'west' }), count: 1 }],
+    needs: [{ job: job({ spot: false, zone: 'west' }), count: 1 }],
   });
-  assert.deepEqual(ordinary, [{ build: 'small', hall: 'west', loaners: false, number: 1 }]);
+  assert.deepEqual(ordinary, [{ machineType: 'small', zone: 'west', spot: false, number: 1 }]);
 });
 
 test('returns: only what has idled long enough and has used up the least it costs', () => {
-  const idle = { idle: 50 * SECOND, age: 90 * SECOND, loaners: true };
+  const idle = { idle: 50 * SECOND, age: 90 * SECOND, spot: true };
   const keep = { ordinary: 15 * SECOND, spot: 40 * SECOND, least: 55 * SECOND };
   const machines = [
     { ...idle, host: 'n-1' },
     { ...idle, host: 'n-2', idle: 20 * SECOND },
-    { ...idle, host: 'n-3', idle: 20 * SECOND, loaners: false },
+    { ...idle, host: 'n-3', idle: 20 * SECOND, spot: false },
     { ...idle, host: 'n-4', age: 30 * SECOND },
   ];
   assert.deepEqual(planReturns(machines, keep), ['n-1', 'n-3']);
@@ -84,14 +84,14 @@
 test('drains: the ordinary machine that wastes most, and only while the rest has room to spare', () => {
   const total = { cpus: 16, gpus: 0, memGb: 64 };
   const poor = (host: string, change: Partial<Drainable> = {}): Drainable => ({
-    ...{ host, loaners: false, price: 11, total, left: { ...total, cpus: 12 }, poorFor: 9 * SECOND },
+    ...{ host, spot: false, price: 11, total, left: { ...total, cpus: 12 }, poorFor: 9 * SECOND },
     ...change,
   });
   const options = { poor: 0.5, patience: 6 * SECOND, spare: 2 };
   const cheap = poor('n-2', { price: 3 });
   assert.deepEqual(planDrains([cheap, poor('n-1')], options), ['n-1']);
   assert.deepEqual(planDrains([poor('n-1')], options), []);
-  assert.deepEqual(planDrains([poor('n-1', { loaners: true }), poor('n-2', { poorFor: 0 })], options), []);
+  assert.deepEqual(planDrains([poor('n-1', { spot: true }), poor('n-2', { poorFor: 0 })], options), []);
 });
 
 test('moves: unused room first, never back at once or across a cut, then from the lowest price to the highest', () => {
@@ -99,9 +99,9 @@
   const machine = (host: string, change: Partial<MovableMachine> = {}): MovableMachine => ({
     ...{
       host,
-      build: 'small',
-      hall: 'east',
-      loaners: false,
+      machineType: 'small',
+      zone: 'east',
+      spot: false,
       owner: 'b',
       total,
       room: { ...total },
--- a/packages/pricing/preempt.test.ts
+++ b/packages/pricing/preempt.test.ts
@@ -5,13 +5,22 @@
 
 const NEED = { cpus: 4, gpus: 0, memGb: 8 };
 const JOB: WaitingJob = {
-  ...{ id: 'j-1', crew: 'blue', need: NEED, priority: 4, order: 1, waiting: 1, pieces: 1, builds: null },
-  ...{ hall: null, samePlace: false, scatter: false, loaners: true, bundle: 'i', placedByHall: new Map() },
+  ...{
+    id: 'j-1',
+    team: 'blue',
+    need: NEED,
+    priority: 4,
+    order: 1,
+    waiting: 1,
+    taskCount: 1,
+    machineTypes: null,
+  },
+  ...{ zone: null, singleZone: false, spreadZones: false, spot: true, image: 'i', placedByZone: new Map() },
 };
 
-function victim(piece: string, change: Partial<Victim> = {}): Victim {
+function victim(taskName: string, change: Partial<Victim> = {}): Victim {
   return {
-    ...{ piece, host: 'n-1', rank: 0, beyond: false, saves: true, cpus: 2, gpus: 0, memGb: 4 },
+    ...{ taskName, host: 'n-1', rank: 0, beyond: false, saves: true, cpus: 2, gpus: 0, memGb: 4 },
     ...change,
   };
 }
@@ -20,7 +29,7 @@
   const left = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, left, allowed: () => true }));
   const claims = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...claim }];
-  return planStops({ claims, machines, victims, most: 5 }).map((v) => v.piece);
+  return planStops({ claims, machines, victims, most: 5 }).map((v) => v.taskName);
 }
 
 test('work of lower rank makes room, on the machine where the fewest tasks have to', () => {
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -3,7 +3,7 @@
 
 /** A running task as one that may have to make room. */
 export interface Victim extends Amounts {
-  piece: string;
+  taskName: string;
   host: string;
   rank: number;
   /** Its team runs more than its guarantee. */
--- a/packages/pricing/round.test.ts
+++ b/packages/pricing/round.test.ts
@@ -27,15 +27,15 @@
   return {
     ...{
       id,
-      crew: 'blue',
+      team: 'blue',
       need: { cpus: 2, gpus: 0, memGb: 4 },
       priority: 2,
       order: 1,
       waiting: 1,
-      pieces: 1,
+      taskCount: 1,
     },
-    ...{ builds: null, hall: null, samePlace: false, scatter: false, loaners: true, bundle: 'img-1' },
-    placedByHall: new Map(),
+    ...{ machineTypes: null, zone: null, singleZone: false, spreadZones: false, spot: true, image: 'img-1' },
+    placedByZone: new Map(),
     ...change,
   };
 }
@@ -45,9 +45,9 @@
   return {
     ...{
       host,
-      build: 'small',
-      hall: 'east',
-      loaners: false,
+      machineType: 'small',
+      zone: 'east',
+      spot: false,
       total,
       room: { ...total },
       warm: [],
@@ -70,22 +70,22 @@
 }
 
 const anyJob = fc.record({
-  crew: fc.constantFrom('blue', 'green'),
+  team: fc.constantFrom('blue', 'green'),
   cpus: fc.constantFrom(0.5, 1, 2, 4),
   memGb: fc.constantFrom(1, 4, 15),
   gpus: fc.constantFrom(0, 0, 1),
   priority: fc.integer({ min: 1, max: 20 }),
   waiting: fc.integer({ min: 1, max: 9 }),
-  hall: fc.constantFrom(null, 'east', 'west'),
-  builds: fc.constantFrom(null, ['small'], ['large']),
-  samePlace: fc.boolean(),
-  scatter: fc.boolean(),
-  loaners: fc.boolean(),
+  zone: fc.constantFrom(null, 'east', 'west'),
+  machineTypes: fc.constantFrom(null, ['small'], ['large']),
+  singleZone: fc.boolean(),
+  spreadZones: fc.boolean(),
+  spot: fc.boolean(),
 });
 const anyMachine = fc.record({
-  hall: fc.constantFrom('east', 'west'),
+  zone: fc.constantFrom('east', 'west'),
   large: fc.boolean(),
-  loaners: fc.boolean(),
+  spot: fc.boolean(),
   used: fc.constantFrom(0, 1, 3),
 });
 
@@ -94,18 +94,18 @@
     fc.property(fc.array(anyJob, { maxLength: 12 }), fc.array(anyMachine, { maxLength: 12 }), (js, ms) => {
       const jobs = js.map((j, i) =>
         job(`j-${i}`, {
-          ...{ ...j, need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb }, order: i, pieces: j.waiting },
+          ...{ ...j, need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb }, order: i, taskCount: j.waiting },
         }),
       );
       const machines = ms.map((m, i) => {
         const total = m.large ? { cpus: 8, gpus: 1, memGb: 64 } : { cpus: 4, gpus: 0, memGb: 16 };
         const room = { ...total, cpus: total.cpus - m.used };
-        return machine(`n-${i}`, { ...m, build: m.large ? 'large' : 'small', total, room });
+        return machine(`n-${i}`, { ...m, machineType: m.large ? 'large' : 'small', total, room });
       });
       const result = playRound(input(jobs, machines));
       const room = new Map(machines.map((m) => [m.host, { ...m.room }]));
       const used = new Map<string, { cpus: number; gpus: number; memGb: number }>();
-      const halls = new Map<string, string[]>();
+      const zones = new Map<string, string[]>();
       const count = new Map<string, number>();
       for (const { job: id, host } of result.starts) {
         const j = jobs.find((x) => x.id === id) as WaitingJob;
@@ -113,22 +113,22 @@
         const left = room.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
         assert.ok(fits(j.need, left), 'room');
         take(left, j.need, 1);
-        assert.ok(j.builds?.includes(m.build) ?? true, 'type');
-        assert.ok(j.hall === null || j.hall === m.hall, 'zone');
-        assert.ok(j.loaners || !m.loaners, 'kind');
-        const u = used.get(j.crew) ?? { cpus: 0, gpus: 0, memGb: 0 };
+        assert.ok(j.machineTypes?.includes(m.machineType) ?? true, 'type');
+        assert.ok(j.zone === null || j.zone === m.zone, 'zone');
+        assert.ok(j.spot || !m.spot, 'kind');
+        const u = used.get(j.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
         take(u, j.need, -1);
-        used.set(j.crew, u);
-        halls.set(id, [...(halls.get(id) ?? []), m.hall]);
+        used.set(j.team, u);
+        zones.set(id, [...(zones.get(id) ?? []), m.zone]);
         count.set(id, (count.get(id) ?? 0) + 1);
       }
       for (const u of used.values()) assert.ok(u.cpus <= 12 + 1e-6 && u.gpus <= 1 + 1e-6, 'limit');
       for (const j of jobs) {
-        const where = halls.get(j.id) ?? [];
-        if (j.samePlace) assert.ok(new Set(where).size <= 1, 'one zone');
-        if (j.scatter) {
+        const where = zones.get(j.id) ?? [];
+        if (j.singleZone) assert.ok(new Set(where).size <= 1, 'one zone');
+        if (j.spreadZones) {
           for (const h of ['east', 'west']) {
-            assert.ok(where.filter((x) => x === h).length <= Math.ceil(j.pieces / 2), 'scattered');
+            assert.ok(where.filter((x) => x === h).length <= Math.ceil(j.taskCount / 2), 'scattered');
           }
         }
         assert.ok((count.get(j.id) ?? 0) + (result.unmet.get(j.id) ?? 0) <= j.waiting, 'count');
@@ -140,7 +140,7 @@
 });
 
 test('prices start from the last round, rise where more is asked than there is, and fall back to zero', () => {
-  const crowd = [job('j-1', { waiting: 6, pieces: 6, priority: 5 })];
+  const crowd = [job('j-1', { waiting: 6, taskCount: 6, priority: 5 })];
   const first = playRound(input(crowd, [machine('n-1')])).prices.get('small');
   assert.ok(first && first.cpu > 0);
   const prices = new Map([['small', first]]);
@@ -154,7 +154,7 @@
 test('a shape that is dear is left for the next best, and even negative utility is placed', () => {
   const dear = new Map([[shapeOf('small', false), { cpu: 50, gpu: 0, mem: 0 }]]);
   const options = { ...OPTIONS, passes: 0 };
-  const large = machine('n-2', { build: 'large' });
+  const large = machine('n-2', { machineType: 'large' });
   const both = playRound(input([job('j-1')], [machine('n-1'), large], { prices: dear, options }));
   assert.deepEqual(both.starts, [{ job: 'j-1', host: 'n-2' }]);
   const only = playRound(input([job('j-1')], [machine('n-1')], { prices: dear, options }));
@@ -167,14 +167,14 @@
     ...t,
     used: { ...t.used, cpus: t.name === 'blue' ? 4 : 0 },
   }));
-  const jobs = [job('j-1', { order: 1 }), job('j-2', { crew: 'green', order: 2 })];
+  const jobs = [job('j-1', { order: 1 }), job('j-2', { team: 'green', order: 2 })];
   assert.equal(playRound(input(jobs, one, { teams })).starts[0]?.job, 'j-2');
   const ranks = [job('j-1', { order: 1 }), job('j-2', { order: 2, priority: 4 })];
   assert.equal(playRound(input(ranks, one)).starts[0]?.job, 'j-2');
 });
 
 test('of shapes of equal utility the cheaper to keep is taken', () => {
-  const machines = [machine('n-1', { upkeep: 3 }), machine('n-2', { loaners: true, upkeep: 1 })];
+  const machines = [machine('n-1', { upkeep: 3 }), machine('n-2', { spot: true, upkeep: 1 })];
   for (const order of [machines, [...machines].reverse()]) {
     assert.equal(playRound(input([job('j-1')], order)).starts[0]?.host, 'n-2');
   }
@@ -226,8 +226,8 @@
 // Once prices stood at 171 while nobody would pay more than 12, and urgent tasks waited longest for minutes.
 test('prices stay near what tasks would pay while a fleet boots, so that rank decides and not size', () => {
   const whole = { cpus: 4, gpus: 0, memGb: 14 };
-  const urgent = job('j-2', { need: whole, priority: 8, waiting: 40, pieces: 40, order: 2 });
-  const normal = job('j-1', { waiting: 400, pieces: 400, order: 1 });
+  const urgent = job('j-2', { need: whole, priority: 8, waiting: 40, taskCount: 40, order: 2 });
+  const normal = job('j-1', { waiting: 400, taskCount: 400, order: 1 });
   const { prices, play } = afterBoot([normal, urgent]);
   const cpu = prices.get('small')?.cpu ?? 0;
   assert.ok(cpu < 3, `${cpu} a CPU, where 2 is the most that anyone pays`);
--- a/packages/pricing/round.ts
+++ b/packages/pricing/round.ts
@@ -16,8 +16,8 @@
 const KEPT_FOR: Micros = 30 * SECOND;
 
 /** A shape: machines of one type and kind, priced together. Spot ones are a shape apart. */
-export function shapeOf(build: string, loaners: boolean): string {
-  return loaners ? `${build}+` : build;
+export function shapeOf(machineType: string, spot: boolean): string {
+  return spot ? `${machineType}+` : machineType;
 }
 
 export function fits(need: Amounts, room: Amounts): boolean {
@@ -41,8 +41,8 @@
 
 interface Pool {
   shape: string;
-  build: string;
-  loaners: boolean;
+  machineType: string;
+  spot: boolean;
   machines: RoomyMachine[];
   room: Amounts;
   total: Amounts;
@@ -69,12 +69,12 @@
 function poolByShape(machines: readonly RoomyMachine[], prices: ReadonlyMap<string, Price>): Pool[] {
   const pools = new Map<string, Pool>();
   for (const machine of machines) {
-    const shape = shapeOf(machine.build, machine.loaners);
+    const shape = shapeOf(machine.machineType, machine.spot);
     let pool = pools.get(shape);
     if (!pool) {
       const price = { ...(prices.get(shape) ?? { cpu: 0, gpu: 0, mem: 0 }) };
-      const { build, loaners, upkeep } = machine;
-      pool = { shape, build, loaners, upkeep, machines: [], room: nothing(), total: nothing(), price };
+      const { machineType: machineType, spot: spot, upkeep } = machine;
+      pool = { shape, machineType, spot, upkeep, machines: [], room: nothing(), total: nothing(), price };
       pools.set(shape, pool);
     }
     pool.machines.push({ ...machine, room: { ...machine.room } });
@@ -105,7 +105,7 @@
       gpus: team.guaranteed.gpus - team.used.gpus,
       memGb: Infinity,
     };
-    const queue = input.jobs.filter((j) => j.crew === team.name);
+    const queue = input.jobs.filter((j) => j.team === team.name);
     queue.sort((a, b) => rank(b) - rank(a) || a.order - b.order);
     for (const job of queue) {
       const count = Math.min(job.waiting, slots(job.need, left));
@@ -122,8 +122,8 @@
 }
 
 function allowed(job: WaitingJob, pool: Pool): boolean {
-  if (pool.loaners && !job.loaners) return false;
-  if (job.builds && !job.builds.includes(pool.build)) return false;
+  if (pool.spot && !job.spot) return false;
+  if (job.machineTypes && !job.machineTypes.includes(pool.machineType)) return false;
   return fits(job.need, pool.machines[0]?.total ?? nothing());
 }
 
@@ -189,21 +189,21 @@
     let left = segment.count;
     for (const { pool } of open) {
       if (left === 0 || starts.length >= options.mostStarts) break;
-      const roomy = pool.machines.filter((m) => rule.open(m.hall) && fits(job.need, m.room));
+      const roomy = pool.machines.filter((m) => rule.open(m.zone) && fits(job.need, m.room));
       // A machine that has the image starts the task at once: the random choice is among those first.
-      const warm = roomy.filter((m) => m.warm.includes(job.bundle));
-      const cold = roomy.filter((m) => !m.warm.includes(job.bundle));
+      const warm = roomy.filter((m) => m.warm.includes(job.image));
+      const cold = roomy.filter((m) => !m.warm.includes(job.image));
       for (const group of [warm, cold]) {
         while (left > 0 && group.length > 0 && starts.length < options.mostStarts) {
           const at = tightest(group, random, options.choices);
           const machine = group[at] as RoomyMachine;
-          if (!rule.open(machine.hall) || !fits(job.need, machine.room)) {
+          if (!rule.open(machine.zone) || !fits(job.need, machine.room)) {
             group[at] = group[group.length - 1] as RoomyMachine;
             group.pop();
             continue;
           }
           take(machine.room, job.need, 1);
-          rule.placed(machine.hall);
+          rule.placed(machine.zone);
           starts.push({ job: job.id, host: machine.host });
           left--;
         }
@@ -235,7 +235,7 @@
 ): string[] {
   if (count <= 0) return [];
   const partly = machines.filter(
-    (m) => m.room.cpus > EPS && !fits(job.need, m.room) && fits(job.need, m.total) && rule.open(m.hall),
+    (m) => m.room.cpus > EPS && !fits(job.need, m.room) && fits(job.need, m.total) && rule.open(m.zone),
   );
   const soonest = partly
     .map((machine) => ({ machine, busyFor: machine.busyFor() }))
@@ -273,22 +273,22 @@
     private readonly job: WaitingJob,
     machines: readonly RoomyMachine[],
   ) {
-    this.counts = new Map(job.placedByHall);
-    this.half = Math.ceil(job.pieces / 2);
-    this.only = job.samePlace && this.counts.size === 0 ? roomiest(job, machines) : null;
+    this.counts = new Map(job.placedByZone);
+    this.half = Math.ceil(job.taskCount / 2);
+    this.only = job.singleZone && this.counts.size === 0 ? roomiest(job, machines) : null;
   }
 
-  open(hall: string): boolean {
+  open(zone: string): boolean {
     const { job, counts } = this;
-    if (job.hall !== null && hall !== job.hall) return false;
-    if (job.samePlace) {
-      if (this.only !== null ? hall !== this.only : !counts.has(hall)) return false;
+    if (job.zone !== null && zone !== job.zone) return false;
+    if (job.singleZone) {
+      if (this.only !== null ? zone !== this.only : !counts.has(zone)) return false;
     }
-    return !job.scatter || (counts.get(hall) ?? 0) < this.half;
+    return !job.spreadZones || (counts.get(zone) ?? 0) < this.half;
   }
 
-  placed(hall: string): void {
-    this.counts.set(hall, (this.counts.get(hall) ?? 0) + 1);
+  placed(zone: string): void {
+    this.counts.set(zone, (this.counts.get(zone) ?? 0) + 1);
   }
 }
 
@@ -296,9 +296,9 @@
 function roomiest(job: WaitingJob, machines: readonly RoomyMachine[]): string | null {
   const room = new Map<string, number>();
   for (const m of machines) {
-    const usable = (job.loaners || !m.loaners) && (job.builds?.includes(m.build) ?? true);
-    if (!usable || (job.hall !== null && job.hall !== m.hall)) continue;
-    room.set(m.hall, (room.get(m.hall) ?? 0) + slots(job.need, m.room));
+    const usable = (job.spot || !m.spot) && (job.machineTypes?.includes(m.machineType) ?? true);
+    if (!usable || (job.zone !== null && job.zone !== m.zone)) continue;
+    room.set(m.zone, (room.get(m.zone) ?? 0) + slots(job.need, m.room));
   }
   return [...room].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
 }
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -15,29 +15,29 @@
 /** What of a job waits for machines. */
 export interface WaitingJob {
   id: string;
-  crew: string;
+  team: string;
   need: Amounts;
   /** Rank and waiting time as one number; the higher, the sooner. */
   priority: number;
   /** Order of acceptance, for ties. */
   order: number;
   waiting: number;
-  pieces: number;
-  builds: readonly string[] | null;
-  hall: string | null;
-  samePlace: boolean;
-  scatter: boolean;
-  loaners: boolean;
-  bundle: string;
+  taskCount: number;
+  machineTypes: readonly string[] | null;
+  zone: string | null;
+  singleZone: boolean;
+  spreadZones: boolean;
+  spot: boolean;
+  image: string;
   /** Tasks of the job that are on machines now, by zone. */
-  placedByHall: ReadonlyMap<string, number>;
+  placedByZone: ReadonlyMap<string, number>;
 }
 
 export interface RoomyMachine {
   host: string;
-  build: string;
-  hall: string;
-  loaners: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
   total: Amounts;
   /** Room as last reported, less starts sent since. */
   room: Amounts;
--- a/packages/settings/index.ts
+++ b/packages/settings/index.ts
@@ -63,7 +63,7 @@
 /** What the users expect of a class of jobs. */
 export interface Objective {
   kind: string;
-  lane: string | null;
+  jobClass: string | null;
   within: Micros | null;
 }
 
@@ -131,7 +131,7 @@
     })),
     objectives: facts.objectives.map((o) => ({
       kind: o.kind,
-      lane: o.class ?? null,
+      jobClass: o.class ?? null,
       within: o.within_s === undefined ? null : fromSeconds(o.within_s),
     })),
     report: fromSeconds(facts.workers.report_s),
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -46,7 +46,7 @@
     [h.host, h.share, h.to, h.term, h.status, JSON.stringify(h.mark)].join(' '),
   );
   const placements = [...ledger.onHost.values()].flatMap((there) =>
-    [...there.values()].map((p) => `${p.piece} on ${p.host} attempt ${p.try} session ${p.shift}`),
+    [...there.values()].map((p) => `${p.taskName} on ${p.host} attempt ${p.attempt} session ${p.session}`),
   );
   return [...hosts.sort(), ...placements.sort()];
 }
--- a/packages/testkit/meetings.test.ts
+++ b/packages/testkit/meetings.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BATON, LEAD } from '#cluster';
+import { TOKEN_KEY, LEAD } from '#cluster';
 import { encodeSubmission, type Fields, isFields, type Micros, SECOND, type JobSpec } from '#wire';
 import { BrokenRule, sampleJob } from './rules.js';
 import { SAMPLE_TYPES, SimWorld, type WorldOptions } from './sim-world.js';
@@ -325,7 +325,7 @@
       const leader = world.store.rows.has(LEAD) ? holderOf(world, LEAD) : i % 3;
       await killFor(world, [leader], (i % 2 === 0 ? 0.2 : 3.5) * SECOND);
       await world.run(8 * SECOND);
-      tokens.push(Number(world.store.rows.get(BATON)?.value['Baton']));
+      tokens.push(Number(world.store.rows.get(TOKEN_KEY)?.value['Token']));
     }
     assert.ok(changes >= (outage ? 7 : 10), `the lead changed ${changes} times`);
     assert.deepEqual(
--- a/packages/testkit/rules.test.ts
+++ b/packages/testkit/rules.test.ts
@@ -3,8 +3,8 @@
 import { SECOND } from '#wire';
 import { BrokenRule, type MachineFacts, RuleChecker, sampleJob } from './rules.js';
 
-const east: MachineFacts = { host: 'n-1', build: 'small', hall: 'east', loaners: false };
-const west: MachineFacts = { host: 'n-2', build: 'small', hall: 'west', loaners: false };
+const east: MachineFacts = { host: 'n-1', machineType: 'small', zone: 'east', spot: false };
+const west: MachineFacts = { host: 'n-2', machineType: 'small', zone: 'west', spot: false };
 const LIMITS = new Map([['blue', { cpus: 6, gpus: 0 }]]);
 
 function checker(change: Parameters<typeof sampleJob>[1] = {}): RuleChecker {
@@ -44,7 +44,7 @@
   ],
   ['wrong_place', () => checker({ machineTypes: ['large'] }).began('j-1/0', east, 1)],
   ['wrong_place', () => checker({ zone: 'west' }).began('j-1/0', east, 1)],
-  ['wrong_place', () => checker({ allowsSpot: false }).began('j-1/0', { ...east, loaners: true }, 1)],
+  ['wrong_place', () => checker({ allowsSpot: false }).began('j-1/0', { ...east, spot: true }, 1)],
   [
     'wrong_place',
     () => {
--- a/packages/testkit/rules.ts
+++ b/packages/testkit/rules.ts
@@ -19,9 +19,9 @@
 
 export interface MachineFacts {
   host: string;
-  build: string;
-  hall: string;
-  loaners: boolean;
+  machineType: string;
+  zone: string;
+  spot: boolean;
 }
 
 /** A machine that works, with the room that it really has. */
@@ -33,7 +33,7 @@
 }
 
 interface Running {
-  piece: string;
+  taskName: string;
   job: string;
   machine: MachineFacts;
 }
@@ -120,18 +120,18 @@
   }
 
   /** A task is on its machine: it has its image. */
-  began(piece: string, machine: MachineFacts, now: Micros): void {
-    const cut = piece.lastIndexOf('/');
-    const id = piece.slice(0, cut);
+  began(taskName: string, machine: MachineFacts, now: Micros): void {
+    const cut = taskName.lastIndexOf('/');
+    const id = taskName.slice(0, cut);
     const job = this.jobs.get(id);
-    if (!job) throw new BrokenRule('invented', `${piece} starts but nobody submitted it`);
-    const other = this.running.get(piece);
-    if (other) throw new BrokenRule('ran_twice', `${piece} on ${other.machine.host} and ${machine.host}`);
+    if (!job) throw new BrokenRule('invented', `${taskName} starts but nobody submitted it`);
+    const other = this.running.get(taskName);
+    if (other) throw new BrokenRule('ran_twice', `${taskName} on ${other.machine.host} and ${machine.host}`);
     if (job.cancelledAt !== null && now > job.cancelledAt + this.cancel) {
-      throw new BrokenRule('ran_cancelled', `${piece} starts`);
+      throw new BrokenRule('ran_cancelled', `${taskName} starts`);
     }
-    this.checkPlace(job.spec, piece, machine);
-    this.running.set(piece, { piece, job: id, machine });
+    this.checkPlace(job.spec, taskName, machine);
+    this.running.set(taskName, { taskName, job: id, machine });
     this.charge(job.spec, 1);
     job.beganAt ??= now;
     job.idleSince = null;
@@ -139,23 +139,23 @@
     if (job.cancelledAt !== null) this.startsAfterConfirmation++;
   }
 
-  ended(piece: string, done: boolean): void {
-    const was = this.running.get(piece);
-    const cut = piece.lastIndexOf('/');
-    const job = this.jobs.get(piece.slice(0, cut));
+  ended(taskName: string, done: boolean): void {
+    const was = this.running.get(taskName);
+    const cut = taskName.lastIndexOf('/');
+    const job = this.jobs.get(taskName.slice(0, cut));
     if (was && job) {
-      this.running.delete(piece);
+      this.running.delete(taskName);
       this.charge(job.spec, -1);
     }
     if (!done || !job) return;
-    job.done.add(Number(piece.slice(cut + 1)));
+    job.done.add(Number(taskName.slice(cut + 1)));
     if (job.done.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
   /** Tasks of the job that are on machines: piece and machine of each. */
-  on(id: string): { piece: string; host: string }[] {
+  on(id: string): { taskName: string; host: string }[] {
     const ours = [...this.running.values()].filter((r) => r.job === id);
-    return ours.map((r) => ({ piece: r.piece, host: r.machine.host }));
+    return ours.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
   }
 
   /**
@@ -197,9 +197,9 @@
     return job !== undefined && job.done.size >= job.spec.taskCount;
   }
 
-  isDone(piece: string): boolean {
-    const cut = piece.lastIndexOf('/');
-    return this.jobs.get(piece.slice(0, cut))?.done.has(Number(piece.slice(cut + 1))) ?? false;
+  isDone(taskName: string): boolean {
+    const cut = taskName.lastIndexOf('/');
+    return this.jobs.get(taskName.slice(0, cut))?.done.has(Number(taskName.slice(cut + 1))) ?? false;
   }
 
   /** From now on nothing is in the way any more. */
@@ -221,7 +221,7 @@
       if (now <= at + this.cancel) continue;
       for (const task of this.running.values()) {
         if (task.job !== id) continue;
-        throw new BrokenRule('ran_cancelled', `${task.piece} is still on ${task.machine.host}`);
+        throw new BrokenRule('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
       // Every later start of it is caught as it begins.
       this.cancelled.delete(id);
@@ -282,26 +282,26 @@
     }
   }
 
-  private checkPlace(spec: JobSpec, piece: string, machine: MachineFacts): void {
+  private checkPlace(spec: JobSpec, taskName: string, machine: MachineFacts): void {
     const why = this.misplaced(spec, machine);
-    if (why !== null) throw new BrokenRule('wrong_place', `${piece} on ${machine.host}: ${why}`);
+    if (why !== null) throw new BrokenRule('wrong_place', `${taskName} on ${machine.host}: ${why}`);
   }
 
   /** Why one more task of the job must not be on that machine now, or null. */
   private misplaced(spec: JobSpec, machine: MachineFacts): string | null {
-    if (spec.machineTypes && !spec.machineTypes.includes(machine.build)) return 'type';
-    if (spec.zone !== null && spec.zone !== machine.hall) return 'zone';
-    if (!spec.allowsSpot && machine.loaners) return 'spot';
-    const others = [...this.running.values()].filter((r) => r.job === spec.id).map((r) => r.machine.hall);
-    if (spec.singleZone && others.some((hall) => hall !== machine.hall))
+    if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
+    if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
+    if (!spec.allowsSpot && machine.spot) return 'spot';
+    const others = [...this.running.values()].filter((r) => r.job === spec.id).map((r) => r.machine.zone);
+    if (spec.singleZone && others.some((zone) => zone !== machine.zone))
       return 'not the zone of its other tasks';
-    const here = others.filter((hall) => hall === machine.hall).length + 1;
+    const here = others.filter((zone) => zone === machine.zone).length + 1;
     return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
   }
 
-  private pieces(crew: string): string {
-    const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === crew);
-    return ours.map((r) => `${r.piece} on ${r.machine.host}`).join(', ');
+  private pieces(team: string): string {
+    const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === team);
+    return ours.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
 
   private charge(spec: JobSpec, sign: 1 | -1): void {
@@ -327,7 +327,7 @@
 export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
   const rank: Rank = 'normal';
   return {
-    ...{ id: id, jobClass: 'batch', team: 'blue', shape: 'array', rank: rank, taskCount: 3 },
+    ...{ id, jobClass: 'batch', team: 'blue', shape: 'array', rank, taskCount: 3 },
     ...{ cpus: 2, gpus: 0, memGb: 4, image: 'img-1', imageGb: 1, machineTypes: null, zone: null },
     ...{
       singleZone: false,
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -25,7 +25,7 @@
   const world = new SimWorld({
     seed: 78,
     capacity: 80,
-    types: [{ ...type, price: 0.24, spotPrice: 0.09, bootS: 10, zones: zones }],
+    types: [{ ...type, price: 0.24, spotPrice: 0.09, bootS: 10, zones }],
     settings: {
       teams: ['blue', 'green', 'red'].map((name) => ({ name, cpus: 500, cpusMax: 900, gpus: 0, gpusMax: 0 })),
       ...{ stateRps: 60, stateWriteRps: 20, valueBytes: 4096, txnOps: 8 },
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -81,12 +81,12 @@
     const known = this.answers.get(name);
     if (known) return { status: 200, body: { Hosts: known } };
     const facts = {
-      build: String(body['Build']),
-      hall: String(body['Hall']),
-      loaners: body['Loaners'] === true,
+      machineType: String(body['Build']),
+      zone: String(body['Hall']),
+      spot: body['Loaners'] === true,
     };
     const taken = [...this.hosts.values()].filter(
-      (h) => h.build === facts.build && h.hall === facts.hall && h.loaners === facts.loaners,
+      (h) => h.machineType === facts.machineType && h.zone === facts.zone && h.spot === facts.spot,
     ).length;
     const number = Math.min(Number(body['Number']), this.capacity - taken);
     if (number <= 0) return { status: 503, body: { error: 'no capacity' } };
@@ -97,7 +97,7 @@
       this.hosts.set(name, host);
       Hosts.push(name);
       const never = this.random() < 0.05;
-      const boot = (this.types.find((t) => t.name === facts.build)?.bootS ?? 10) * SECOND;
+      const boot = (this.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
       if (never) continue;
       this.clock.at(boot * (0.6 + this.random() * 0.9), () => {
         if (this.hosts.get(name) !== host) return;
@@ -132,9 +132,9 @@
     const rows = [...this.hosts.values()].map((h) => ({
       Uid: h.host,
       Endpoint: '',
-      Build: h.build,
-      Hall: h.hall,
-      Loaners: h.loaners,
+      Build: h.machineType,
+      Hall: h.zone,
+      Loaners: h.spot,
       Status: h.state === 'died' ? 'running' : h.state,
       AgeS: (this.clock.time - h.rentedAt) / SECOND,
     }));
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -131,10 +131,10 @@
       ...{
         Host: this.machine.host,
         Endpoint: '10.1.0.1:9000',
-        Build: this.machine.build,
-        Hall: this.machine.hall,
+        Build: this.machine.machineType,
+        Hall: this.machine.zone,
       },
-      ...{ Loaners: this.machine.loaners, Shift: shift, Tally: ++this.tally, Baton: this.baton },
+      ...{ Loaners: this.machine.spot, Shift: shift, Tally: ++this.tally, Baton: this.baton },
       RecallS: this.recallS,
       Pieces: [...this.tasks.values()].map((t) => ({
         ...{ Piece: t.piece, Try: t.try, Status: t.status },
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -56,7 +56,7 @@
       { name: 'blue', cpus: 8, cpusMax: 20, gpus: 0, gpusMax: 0 },
       { name: 'green', cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 2 },
     ],
-    objectives: [{ kind: 'finished', lane: 'batch', within: 60 * SECOND }],
+    objectives: [{ kind: 'finished', jobClass: 'batch', within: 60 * SECOND }],
     report: 2 * SECOND,
     lease: 9 * SECOND,
     cancel: 25 * SECOND,
@@ -237,8 +237,8 @@
     const awake = (): Promise<void> => new Promise(gate);
     this.net.serve(settings.clusterListen, settings.domain, async () => {
       await awake();
-      const { baton, served, referred } = controller.word();
-      return { status: 200, body: { Baton: baton, Served: served, Referred: referred } };
+      const { token: token, served, referred } = controller.word();
+      return { status: 200, body: { Token: token, Served: served, Referred: referred } };
     });
     this.net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
       await awake();
@@ -376,14 +376,14 @@
   }
 
   private bootWorker(host: CloudHost): void {
-    const type = this.types.find((t) => t.name === host.build) as MachineType;
+    const type = this.types.find((t) => t.name === host.machineType) as MachineType;
     const worker = new SimWorker(host, {
       clock: this.clock,
       random: this.random,
       rules: this.rules,
       job: (id) => this.specs.get(id),
       nodes: this.nodes.map((n) => ({ member: `node-${n.index}`, endpoint: `10.0.0.${n.index}:80` })),
-      caller: (gate) => this.net.caller(host.host, host.hall, gate),
+      caller: (gate) => this.net.caller(host.host, host.zone, gate),
       limits: this.settingsOf(0),
       capacity: { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb },
       faulty: this.random() < this.faultyShare,
@@ -398,7 +398,7 @@
         (reply) => ({
           result: 'ok',
           word: {
-            baton: Number(reply.body['Baton']),
+            token: Number(reply.body['Token']),
             served: reply.body['Served'] === true,
             referred: (reply.body['Referred'] ?? {}) as Record<string, number>,
           },
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -126,8 +126,8 @@
 test('at a full fleet nothing waits for ever: a large job of low rank beside a stream of urgent ones', async () => {
   const world = new SimWorld({ seed: 46, capacity: 1 });
   let n = 10;
-  const small = (crew: string): void => {
-    const change: Partial<JobSpec> = { team: crew, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
+  const small = (team: string): void => {
+    const change: Partial<JobSpec> = { team, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
     world.submit(sampleJob(`j-${n++}`, { ...change, jobClass: 'patch' }));
   };
   const stream = (): void => {
@@ -246,7 +246,9 @@
   });
   await world.run(40 * SECOND);
   const running = (): string[] =>
-    ['j-0', 'j-1'].flatMap((id) => world.rules.on(id).map(({ piece, host }) => `${piece} on ${host}`));
+    ['j-0', 'j-1'].flatMap((id) =>
+      world.rules.on(id).map(({ taskName: taskName, host }) => `${taskName} on ${host}`),
+    );
   const before = running();
   const reportsTo = new Map<number, number>();
   for (const w of world.workers.values()) reportsTo.set(w.reportsTo, (reportsTo.get(w.reportsTo) ?? 0) + 1);
--- a/packages/wire/messages.ts
+++ b/packages/wire/messages.ts
@@ -118,7 +118,7 @@
 }
 
 /** Name of a task on the wire: `<job>/<index>`. */
-export function taskName(job: string, index: number): string {
+export function formatTaskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
--- a/packages/workers/roster.test.ts
+++ b/packages/workers/roster.test.ts
@@ -7,7 +7,7 @@
 
 const LIMITS = { report: 2 * SECOND, lease: 10 * SECOND, cancel: 30 * SECOND };
 const NOW = 100 * SECOND;
-const OWNERS = new Map([[0, { member: 'a', nonce: 'x', stamp: 9, baton: 5 }]]);
+const OWNERS = new Map([[0, { member: 'a', nonce: 'x', stamp: 9, token: 5 }]]);
 /** The attempt that the first record of share 0 makes. */
 const TRY = 1024;
 
@@ -105,7 +105,7 @@
   ledger.apply(0, { Seq: 2, At: 0, Releases: [['n-1', [1, 8]]] });
   ledger.apply(1, { Seq: 1, At: 0, Takes: ['n-1'] });
   const roster = new Roster(LIMITS);
-  roster.own(ledger, new Map([[1, { member: 'b', nonce: 'y', stamp: 4, baton: 5 }]]), 5, NOW);
+  roster.own(ledger, new Map([[1, { member: 'b', nonce: 'y', stamp: 4, token: 5 }]]), 5, NOW);
   jobs.clear();
   // Held back on its way to this node since before the start that the last owner sent with its answer.
   assert.ok(!roster.receive(report({ sequence: 7 }), NOW));
--- a/packages/workers/roster.ts
+++ b/packages/workers/roster.ts
@@ -47,7 +47,7 @@
   /** When this node learnt that the machine is its own. */
   since: Micros;
   /** A worker that has seen this token obeys no earlier owner. */
-  baton: number;
+  token: number;
   /** Reports up to this one were for its last owner; held back on their way they may still come. */
   mark: [shift: Count, tally: Count] | null;
 }
@@ -87,7 +87,7 @@
   readonly sessions = new Map<string, Session>();
   private readonly terms = new Map<string, Term>();
   /** Attempts that are to be stopped, by piece: the attempt and the time granted for saving. */
-  private readonly stops = new Map<string, { try: number; windDownS: number }>();
+  private readonly stops = new Map<string, { attempt: number; graceS: number }>();
 
   /** What ownership was last followed to: nothing is looked at again until it differs. */
   private followed: { ledger: Ledger; hands: number; owners: string } | null = null;
@@ -98,7 +98,7 @@
    * Follows what this node owns. A machine that comes (again) into its hands starts afresh, since nothing is
    * known of what its worker was told in between.
    */
-  own(ledger: Ledger, owners: ReadonlyMap<number, ShareOwner>, baton: number, now: Micros): void {
+  own(ledger: Ledger, owners: ReadonlyMap<number, ShareOwner>, token: number, now: Micros): void {
     const stamps = [...owners].map(([share, owner]) => `${share}/${owner.stamp}`).join();
     const at = this.followed;
     // Asked for at every report: a look at each machine every time would cost machines times reports.
@@ -118,7 +118,7 @@
       const unheard = book.term > 0 && book.mark === null;
       this.terms.set(host, {
         ...{ share: book.share, owner: owner.stamp, term: book.term, mark: book.mark },
-        ...{ since: now, baton: unheard ? baton + 1 : baton },
+        ...{ since: now, token: unheard ? token + 1 : token },
       });
     }
   }
@@ -135,7 +135,7 @@
       report,
       heardAt: now,
       answeredAt: old?.answeredAt ?? -Infinity,
-      acknowledged: report.token >= term.baton,
+      acknowledged: report.token >= term.token,
       recallAt: null,
       runningSince: sameSession ? old.runningSince : new Map<string, Micros | null>(),
       deafSince: old ? deafSince(old, report, now) : null,
@@ -162,8 +162,8 @@
     if (session) session.answeredAt = now;
   }
 
-  stop(placement: Placement, windDownS: number): void {
-    this.stops.set(placement.piece, { try: placement.try, windDownS });
+  stop(placement: Placement, graceS: number): void {
+    this.stops.set(placement.taskName, { attempt: placement.attempt, graceS });
   }
 
   get stopsAny(): boolean {
@@ -171,7 +171,7 @@
   }
 
   isStopping(placement: Placement): boolean {
-    return this.stops.get(placement.piece)?.try === placement.try;
+    return this.stops.get(placement.taskName)?.attempt === placement.attempt;
   }
 
   /** Moves every session to the state that its silence calls for. */
@@ -181,9 +181,9 @@
       if (this.leaseOver(host, s, now)) this.enter(s, 'expired');
       else if (s.state === 'reporting' && silence > this.silenceLimit()) this.enter(s, 'silent');
     }
-    for (const [piece, stop] of this.stops) {
-      const at = parseTaskName(piece);
-      if (!at || ledger.placement(at.job, at.index)?.try !== stop.try) this.stops.delete(piece);
+    for (const [taskName, stop] of this.stops) {
+      const at = parseTaskName(taskName);
+      if (!at || ledger.placement(at.job, at.index)?.attempt !== stop.attempt) this.stops.delete(taskName);
     }
   }
 
@@ -223,7 +223,7 @@
       }
       const pieces = new Map(session.report.tasks.map((p) => [p.task, p]));
       for (const placement of ledger.placementsOn(host)) {
-        const outcome = this.outcome(placement, session, pieces.get(placement.piece), jobs, now);
+        const outcome = this.outcome(placement, session, pieces.get(placement.taskName), jobs, now);
         if (outcome) endings.push({ placement, outcome });
       }
     }
@@ -246,15 +246,15 @@
       } else if (!placement || !jobs.has(placement.job)) {
         orders.push({ kind: 'stop', task, attempt, graceS: 0 });
       } else if (this.isStopping(placement) && p.state !== 'saving') {
-        orders.push({ kind: 'stop', task, attempt, graceS: this.stops.get(task)?.windDownS ?? 0 });
+        orders.push({ kind: 'stop', task, attempt, graceS: this.stops.get(task)?.graceS ?? 0 });
       }
     }
     if (!fresh) return orders;
     for (const placement of ledger.placementsOn(host)) {
-      if (seen.has(placement.piece) || !this.wanted(placement, session, jobs)) continue;
-      if (!sameCount(placement.shift, session.report.session)) continue;
-      session.launched.add(attemptKey(placement.piece, placement.try));
-      orders.push({ kind: 'start', task: placement.piece, attempt: placement.try });
+      if (seen.has(placement.taskName) || !this.wanted(placement, session, jobs)) continue;
+      if (!sameCount(placement.session, session.report.session)) continue;
+      session.launched.add(attemptKey(placement.taskName, placement.attempt));
+      orders.push({ kind: 'start', task: placement.taskName, attempt: placement.attempt });
     }
     return orders;
   }
@@ -267,23 +267,23 @@
   private outcome(
     placement: Placement,
     session: Session,
-    piece: TaskReport | undefined,
+    taskName: TaskReport | undefined,
     jobs: ReadonlyMap<string, LiveJob>,
     now: Micros,
   ): Outcome | null {
     const { report } = session;
-    if (!sameCount(placement.shift, report.session)) {
+    if (!sameCount(placement.session, report.session)) {
       // The worker killed and forgot all tasks of its earlier sessions.
-      return placement.shift < report.session ? 'lost' : null;
+      return placement.session < report.session ? 'lost' : null;
     }
-    const present = piece !== undefined && sameCount(piece.attempt, placement.try);
-    if (present && piece.state === 'exited') return outcomeOf(piece.cause ?? 'failed');
+    const present = taskName !== undefined && sameCount(taskName.attempt, placement.attempt);
+    if (present && taskName.state === 'exited') return outcomeOf(taskName.cause ?? 'failed');
     if (this.leaseOver(placement.host, session, now)) return 'lost';
     if (present) return null;
     // Absent from the newest report of a worker that obeys our token only: no answer to an earlier report can
     // still take effect, and the answer to this one carried no start of it. If it isn't wanted any more, it is
     // off for good.
-    const launched = session.launched.has(attemptKey(placement.piece, placement.try));
+    const launched = session.launched.has(attemptKey(placement.taskName, placement.attempt));
     if (session.acknowledged && !launched && !this.wanted(placement, session, jobs)) return 'undelivered';
     return null;
   }
@@ -333,7 +333,7 @@
 export function placementOf(ledger: Ledger, host: string, p: TaskReport): Placement | null {
   const at = parseTaskName(p.task);
   const placement = at ? ledger.placement(at.job, at.index) : undefined;
-  return placement && placement.host === host && sameCount(placement.try, p.attempt) ? placement : null;
+  return placement && placement.host === host && sameCount(placement.attempt, p.attempt) ? placement : null;
 }
 
 function outcomeOf(cause: ExitCause): Outcome {
@@ -349,6 +349,6 @@
   }
 }
 
-export function attemptKey(piece: string, attempt: Count): string {
-  return `${piece}#${attempt}`;
+export function attemptKey(taskName: string, attempt: Count): string {
+  return `${taskName}#${attempt}`;
 }
