--- a/packages/cluster/checkpoint.ts
+++ b/packages/cluster/checkpoint.ts
@@ -1,4 +1,4 @@
-import type { Destination, HireBook, HostBook, HostStatus, Ledger, StartGroup } from './ledger.js';
+import type { Destination, RentalEntry, MachineEntry, MachineStatus, Ledger, StartGroup } from './ledger.js';
 import type { Count } from '#wire';
 
 /**
@@ -10,20 +10,20 @@
   | [k: 't', base: number]
   | [k: 'n', ...names: string[]]
   | [k: 'h', ...cells: HostCells]
-  | [k: 'q', row: HireBook]
+  | [k: 'q', row: RentalEntry]
   | [k: 'p', share: number, shape: string, cpu: number, gpu: number, mem: number]
-  | [k: 's', job: string, crew: number, at: number, attempt: number, need: StartGroup['Need'], on: On[]]
+  | [k: 's', job: string, team: number, at: number, attempt: number, need: StartGroup['Need'], on: On[]]
   | [k: 'd', job: string, ranges: string];
 
 type On = [index: number, machine: number, shift: Count];
 
 type HostCells = [
-  ...[host: string, build: number, hall: number, loaners: 0 | 1, since: number, share: number | null],
-  ...[status?: number, images?: number[], term?: number, mark?: HostBook['mark']],
+  ...[host: string, machineType: number, zone: number, spot: 0 | 1, since: number, share: number | null],
+  ...[status?: number, images?: number[], ownershipCount?: number, lastReport?: MachineEntry['lastReport']],
   ...[to?: Destination | null, errors?: number, failedAt?: number],
 ];
 
-const STATUSES: readonly HostStatus[] = ['up', 'new', 'silent', 'recalled', 'faulty', 'lost'];
+const STATUSES: readonly MachineStatus[] = ['up', 'new', 'silent', 'recalled', 'faulty', 'lost'];
 /** Tasks in one row, so that a row fits into any value. */
 const ROW_TASKS = 40;
 const ROW_RANGES = 60;
@@ -44,13 +44,13 @@
     machines.set(host.host, machines.size);
     rows.push(['h', ...hostCells(host, base, numberOf)]);
   }
-  for (const hire of ledger.hires.values()) rows.push(['q', { ...hire }]);
+  for (const rental of ledger.rentals.values()) rows.push(['q', { ...rental }]);
   for (const [share, shapes] of ledger.prices) {
     for (const [shape, p] of shapes) rows.push(['p', share, shape, p.cpu, p.gpu, p.mem]);
   }
-  for (const [job, book] of ledger.books) {
+  for (const [job, entry] of ledger.jobEntries) {
     const open = new Map<number, On[]>();
-    for (const p of book.placed.values()) {
+    for (const p of entry.placed.values()) {
       let on = open.get(p.attempt);
       if (!on || on.length === ROW_TASKS) {
         open.set(p.attempt, (on = []));
@@ -59,7 +59,7 @@
       on.push([p.index, machines.get(p.host) ?? -1, p.session]);
     }
     if (!isLive(job)) continue;
-    const ranges = book.done.ranges();
+    const ranges = entry.done.ranges();
     for (let i = 0; i < ranges.length; i += ROW_RANGES) {
       rows.push(['d', job, ranges.slice(i, i + ROW_RANGES).join(',')]);
     }
@@ -72,8 +72,8 @@
 
 /** What a checkpoint is read back into. */
 export interface CheckpointSink {
-  host(book: HostBook): void;
-  hire(book: HireBook): void;
+  host(entry: MachineEntry): void;
+  id(entry: RentalEntry): void;
   price(share: number, shape: string, row: [number, number, number]): void;
   done(job: string, ranges: string): void;
   start(group: StartGroup, attempt: number, at: number): void;
@@ -91,7 +91,7 @@
       const [, ...cells] = row;
       machines.push(cells[0]);
       sink.host(hostOf(cells, base, name));
-    } else if (row[0] === 'q') sink.hire({ ...row[1] });
+    } else if (row[0] === 'q') sink.id({ ...row[1] });
     else if (row[0] === 'p') sink.price(row[1], row[2], [row[3], row[4], row[5]]);
     else if (row[0] === 'd') sink.done(row[1], row[2]);
     else {
@@ -102,10 +102,16 @@
   }
 }
 
-function hostCells(host: HostBook, base: number, numberOf: (name: string) => number): HostCells {
+function hostCells(host: MachineEntry, base: number, numberOf: (name: string) => number): HostCells {
   const usual = [0, [], 0, null, null, 0, 0];
   const tail: unknown[] = [
-    ...[STATUSES.indexOf(host.status), host.images.map(numberOf), host.term, host.mark, host.to],
+    ...[
+      STATUSES.indexOf(host.status),
+      host.images.map(numberOf),
+      host.ownershipCount,
+      host.lastReport,
+      host.destination,
+    ],
     ...[host.errors, host.failedAt],
   ];
   const isUsual = (cell: unknown, i: number): boolean =>
@@ -116,9 +122,22 @@
   return [...front, ...tail] as HostCells;
 }
 
-function hostOf(cells: HostCells, base: number, name: (number: number) => string): HostBook {
-  const [host, machineType, zone, spot, since, share, status, images, term, mark, to, errors, failedAt] =
-    cells;
+function hostOf(cells: HostCells, base: number, name: (number: number) => string): MachineEntry {
+  const [
+    host,
+    machineType,
+    zone,
+    spot,
+    since,
+    share,
+    status,
+    images,
+    term,
+    lastReport,
+    to,
+    errors,
+    failedAt,
+  ] = cells;
   return {
     ...{
       host,
@@ -128,7 +147,12 @@
       since: base + since,
       share,
     },
-    ...{ status: STATUSES[status ?? 0] ?? 'up', images: (images ?? []).map(name), term: term ?? 0 },
-    ...{ mark: mark ?? null, to: to ?? null, errors: errors ?? 0, failedAt: failedAt ?? 0 },
+    ...{ status: STATUSES[status ?? 0] ?? 'up', images: (images ?? []).map(name), ownershipCount: term ?? 0 },
+    ...{
+      lastReport: lastReport ?? null,
+      destination: to ?? null,
+      errors: errors ?? 0,
+      failedAt: failedAt ?? 0,
+    },
   };
 }
--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -7,5 +7,5 @@
 export * from './replica.js';
 export * from './writer.js';
 export * from './peers.js';
-export * from './steward.js';
+export * from './share-assignment.js';
 export * from './worker-contact.js';
--- a/packages/cluster/keys.ts
+++ b/packages/cluster/keys.ts
@@ -5,7 +5,7 @@
  */
 export const ALL = 'mw/';
 export const NOW = 'mw/now/';
-export const TOKEN_KEY = 'mw/now/baton';
+export const TOKEN_KEY = 'mw/now/token';
 export const LEAD = 'mw/now/lead';
 export const CHECKPOINT_HEAD = 'mw/now/checkpoint';
 export const CHUNKS = 'mw/now/chunk/';
@@ -61,8 +61,8 @@
  * A checkpoint's name: the sum of the log positions it covers, its writer's lead and attempt. Never used twice,
  * and in the order in which checkpoints are begun.
  */
-export function checkpointId(size: number, leadStamp: number, attempt: number): string {
-  return [size, leadStamp, attempt].map((n) => String(n).padStart(12, '0')).join('-');
+export function checkpointId(size: number, leadRevision: number, attempt: number): string {
+  return [size, leadRevision, attempt].map((n) => String(n).padStart(12, '0')).join('-');
 }
 
 export function checkpointOfKey(path: string): string {
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -51,15 +51,15 @@
 function picture(ledger: Ledger): unknown {
   const sorted = (rows: Iterable<object>): string[] =>
     [...rows].map((row) => JSON.stringify(Object.entries(row).sort())).sort();
-  const books = [...ledger.books].filter(([, b]) => b.placed.size > 0 || b.done.count > 0);
+  const entries = [...ledger.jobEntries].filter(([, b]) => b.placed.size > 0 || b.done.count > 0);
   return {
     positions: ledger.allPositions(),
     // A job's failures in a row are left out of a checkpoint, so who is to blame for one more may differ.
     hosts: sorted([...ledger.hosts.values()].map((host) => ({ ...host, errors: 0, failedAt: 0 }))),
-    hires: sorted(ledger.hires.values()),
+    rentals: sorted(ledger.rentals.values()),
     prices: sorted([...ledger.prices].map(([share, shapes]) => [share, ...shapes])),
     placed: sorted([...ledger.onHost.values()].flatMap((there) => [...there.values()])),
-    done: sorted(books.map(([job, book]) => [job, book.done.ranges(), [...book.placed.keys()].sort()])),
+    done: sorted(entries.map(([job, entry]) => [job, entry.done.ranges(), [...entry.placed.keys()].sort()])),
   };
 }
 
@@ -114,7 +114,7 @@
       for (const [log, r] of records(script)) {
         ledger.apply(log, r);
         let count = 0;
-        for (const book of ledger.books.values()) count += book.placed.size;
+        for (const entry of ledger.jobEntries.values()) count += entry.placed.size;
         assert.equal(ledger.used('blue').cpus, count);
         assert.equal(
           [...ledger.onHost.values()].reduce((n, m) => n + m.size, 0),
@@ -150,7 +150,7 @@
   });
   ledger.apply(0, { Seq: 3, At: 0, Ends: [['j-1', 0, first, 'done']] });
   assert.equal(ledger.placement('j-1', 0)?.host, 'n-2');
-  assert.equal(ledger.books.get('j-1')?.done.count, 0);
+  assert.equal(ledger.jobEntries.get('j-1')?.done.count, 0);
 });
 
 test('a machine has one owner: only from a release to the next take may it change hands, and steps of any other share are void', () => {
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -41,12 +41,12 @@
  * What its owner last said of a machine: not up yet, up, silent for a while, called back by the cloud, failing
  * its tasks, or silent beyond its lease.
  */
-export type HostStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
+export type MachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
 
 /** Where a machine is to go: a share, or back to the cloud. */
 export type Destination = number | 'return';
 
-export interface HostBook {
+export interface MachineEntry {
   host: string;
   machineType: string;
   zone: string;
@@ -56,12 +56,12 @@
   /** The share it belongs to; null while it is between two. */
   share: number | null;
   /** Named by the leader; the owner releases it, the new one takes it. */
-  to: Destination | null;
-  status: HostStatus;
+  destination: Destination | null;
+  status: MachineStatus;
   /** Tells one time of belonging to a share from another. */
-  term: number;
+  ownershipCount: number;
   /** Newest report its last owner had taken in when it let go: an older one tells a later owner nothing. */
-  mark: [shift: Count, tally: Count] | null;
+  lastReport: [shift: Count, tally: Count] | null;
   /** Images fetched for tasks on it, the most recent last. */
   images: string[];
   /** Tasks that failed here since the last that did not, and the time of day of the last one. */
@@ -69,8 +69,8 @@
   failedAt: number;
 }
 
-export interface HireBook {
-  hire: string;
+export interface RentalEntry {
+  id: string;
   machineType: string;
   zone: string;
   spot: boolean;
@@ -94,18 +94,18 @@
 
 export type HostRow = [
   host: string,
-  build: string,
-  hall: string,
-  loaners: boolean,
+  machineType: string,
+  zone: string,
+  spot: boolean,
   since: number,
   share: number,
 ];
 
 export type HireRow = [
-  hire: string,
-  build: string,
-  hall: string,
-  loaners: boolean,
+  id: string,
+  machineType: string,
+  zone: string,
+  spot: boolean,
   number: number,
   share: number,
 ];
@@ -124,15 +124,15 @@
   Moves?: [host: string, to: Destination][];
 
   Ends?: [job: string, index: number, attempt: number, outcome: Outcome][];
-  Status?: [host: string, status: HostStatus][];
-  Releases?: [host: string, mark: [shift: Count, tally: Count] | null][];
+  Status?: [host: string, status: MachineStatus][];
+  Releases?: [host: string, lastReport: [session: Count, sequence: Count] | null][];
   Takes?: string[];
   Starts?: StartGroup[];
   Prices?: Record<string, [number, number, number]>;
   Unmet?: Record<string, number>;
 }
 
-export class JobBook {
+export class JobEntry {
   readonly done = new DoneSet();
   /** Tasks that failed since the last that was done, and the time of day of the last one. */
   errors = 0;
@@ -140,7 +140,7 @@
   readonly placed = new Map<number, Placement>();
 }
 
-const FRESH = { term: 0, mark: null, images: [], errors: 0, failedAt: 0 };
+const FRESH = { ownershipCount: 0, lastReport: null, images: [], errors: 0, failedAt: 0 };
 
 /** A position in every log. */
 export type Positions = Record<string, number>;
@@ -153,13 +153,13 @@
 export class Ledger {
   /** Numbers of the last records applied. */
   private readonly positions = new Map<LogId, number>();
-  readonly books = new Map<string, JobBook>();
+  readonly jobEntries = new Map<string, JobEntry>();
   readonly onHost = new Map<string, Map<string, Placement>>();
   readonly usage = new Map<string, Demand>();
-  readonly hosts = new Map<string, HostBook>();
-  readonly hires = new Map<string, HireBook>();
+  readonly hosts = new Map<string, MachineEntry>();
+  readonly rentals = new Map<string, RentalEntry>();
   /** Raised whenever a machine comes, goes or changes hands: whoever follows ownership looks only then. */
-  hands = 0;
+  ownershipChanges = 0;
   /** By share: the prices of its owner's last round. */
   readonly prices = new Map<number, Map<string, ShapePrice>>();
 
@@ -178,14 +178,14 @@
     return Object.fromEntries([...this.positions].map(([log, seq]) => [String(log), seq]));
   }
 
-  book(job: string): JobBook {
-    let book = this.books.get(job);
-    if (!book) this.books.set(job, (book = new JobBook()));
-    return book;
+  jobEntry(job: string): JobEntry {
+    let entry = this.jobEntries.get(job);
+    if (!entry) this.jobEntries.set(job, (entry = new JobEntry()));
+    return entry;
   }
 
   placement(job: string, index: number): Placement | undefined {
-    return this.books.get(job)?.placed.get(index);
+    return this.jobEntries.get(job)?.placed.get(index);
   }
 
   placementsOn(host: string): Iterable<Placement> {
@@ -202,7 +202,7 @@
     if (record.Seq <= last) return true;
     if (record.Seq !== last + 1) return false;
     this.positions.set(log, record.Seq);
-    if (record.Gone ?? record.Hosts ?? record.Takes ?? record.Releases) this.hands++;
+    if (record.Gone ?? record.Hosts ?? record.Takes ?? record.Releases) this.ownershipChanges++;
     if (log === 'lead') this.applyLead(record);
     else this.applyShare(log, record);
     return true;
@@ -210,23 +210,23 @@
 
   /** The job left the set of live jobs: what is done of it is of no more use. */
   drop(job: string): void {
-    const book = this.books.get(job);
-    if (book && book.placed.size === 0) this.books.delete(job);
+    const entry = this.jobEntries.get(job);
+    if (entry && entry.placed.size === 0) this.jobEntries.delete(job);
   }
 
   restore(positions: Positions, rows: readonly CheckpointRow[]): void {
-    this.hands++;
+    this.ownershipChanges++;
     for (const [log, seq] of Object.entries(positions)) {
       this.positions.set(log === 'lead' ? 'lead' : Number(log), seq);
     }
     readRows(rows, {
-      host: (book) => this.hosts.set(book.host, book),
-      hire: (book) => this.hires.set(book.hire, book),
+      host: (entry) => this.hosts.set(entry.host, entry),
+      id: (entry) => this.rentals.set(entry.id, entry),
       price: (share, shape, row) => {
         this.price(share, shape, row);
       },
       done: (job, ranges) => {
-        this.book(job).done.addRanges(ranges);
+        this.jobEntry(job).done.addRanges(ranges);
       },
       start: (group, attempt, at) => {
         for (const on of group.On) this.put(group, on, attempt, at);
@@ -238,64 +238,64 @@
     for (const host of record.Gone ?? []) this.forget(host);
     for (const [host, machineType, zone, spot, since, share] of record.Hosts ?? []) {
       if (this.hosts.has(host)) continue;
-      const book: HostBook = {
+      const entry: MachineEntry = {
         host,
         machineType,
         zone,
         spot,
         since,
         share,
-        to: null,
+        destination: null,
         status: 'new',
         ...FRESH,
       };
-      this.hosts.set(host, book);
+      this.hosts.set(host, entry);
     }
-    for (const hire of record.Settled ?? []) this.hires.delete(hire);
-    for (const [hire, machineType, zone, spot, number, share] of record.Hires ?? []) {
-      this.hires.set(hire, { hire, machineType, zone, spot, number, share, at: record.At });
+    for (const rental of record.Settled ?? []) this.rentals.delete(rental);
+    for (const [rental, machineType, zone, spot, number, share] of record.Hires ?? []) {
+      this.rentals.set(rental, { id: rental, machineType, zone, spot, number, share, at: record.At });
     }
     for (const [host, to] of record.Moves ?? []) {
-      const book = this.hosts.get(host);
-      if (book && book.to !== 'return') book.to = book.share === to ? null : to;
+      const entry = this.hosts.get(host);
+      if (entry && entry.destination !== 'return') entry.destination = entry.share === to ? null : to;
     }
   }
 
   private applyShare(share: number, record: PlacementRecord): void {
-    const ours = (host: string): HostBook | null => {
-      const book = this.hosts.get(host);
-      return book?.share === share ? book : null;
+    const ours = (host: string): MachineEntry | null => {
+      const entry = this.hosts.get(host);
+      return entry?.share === share ? entry : null;
     };
     for (const [job, index, attempt, outcome] of record.Ends ?? []) {
       const host = this.placement(job, index)?.host;
-      const book = host === undefined ? null : ours(host);
-      if (book && this.end(job, index, attempt, outcome)) this.judge(job, book, outcome, record.At);
+      const entry = host === undefined ? null : ours(host);
+      if (entry && this.end(job, index, attempt, outcome)) this.judge(job, entry, outcome, record.At);
     }
     for (const [host, status] of record.Status ?? []) {
-      const book = ours(host);
-      if (book) book.status = status;
+      const entry = ours(host);
+      if (entry) entry.status = status;
     }
     for (const host of record.Takes ?? []) {
-      const book = this.hosts.get(host);
-      if (!book || book.share !== null || book.to !== share) continue;
-      book.share = share;
-      book.to = null;
-      book.term++;
+      const entry = this.hosts.get(host);
+      if (!entry || entry.share !== null || entry.destination !== share) continue;
+      entry.share = share;
+      entry.destination = null;
+      entry.ownershipCount++;
     }
     for (const group of record.Starts ?? []) {
       for (const on of group.On) {
-        const taken = this.placement(group.Job, on[0]) ?? this.books.get(group.Job)?.done.has(on[0]);
-        const book = ours(on[1]);
-        if (!book || taken) continue;
-        book.images = [...book.images.filter((i) => i !== group.image), group.image].slice(-IMAGES_KEPT);
+        const taken = this.placement(group.Job, on[0]) ?? this.jobEntries.get(group.Job)?.done.has(on[0]);
+        const entry = ours(on[1]);
+        if (!entry || taken) continue;
+        entry.images = [...entry.images.filter((i) => i !== group.image), group.image].slice(-IMAGES_KEPT);
         this.put(group, on, record.Seq * ATTEMPT_STRIDE + share, record.At);
       }
     }
-    for (const [host, mark] of record.Releases ?? []) {
-      const book = ours(host);
-      if (!book || book.to === null) continue;
-      book.share = null;
-      book.mark = mark;
+    for (const [host, lastReport] of record.Releases ?? []) {
+      const entry = ours(host);
+      if (!entry || entry.destination === null) continue;
+      entry.share = null;
+      entry.lastReport = lastReport;
     }
     for (const [shape, row] of Object.entries(record.Prices ?? {})) this.price(share, shape, row);
   }
@@ -314,7 +314,7 @@
       ...{ job: group.Job, index, taskName, team: group.team, attempt, host, session, at },
       ...{ cpus, gpus, memGb },
     };
-    this.book(group.Job).placed.set(index, placement);
+    this.jobEntry(group.Job).placed.set(index, placement);
     let there = this.onHost.get(host);
     if (!there) this.onHost.set(host, (there = new Map()));
     there.set(taskName, placement);
@@ -322,32 +322,32 @@
   }
 
   /** Who is to blame for a failed task: its machine, or a job that fails wherever it runs. */
-  private judge(job: string, host: HostBook, outcome: Outcome, at: number): void {
-    const book = this.books.get(job);
-    if (!book) return;
+  private judge(job: string, host: MachineEntry, outcome: Outcome, at: number): void {
+    const entry = this.jobEntries.get(job);
+    if (!entry) return;
     if (outcome === 'done') {
-      book.errors = 0;
+      entry.errors = 0;
       host.errors = 0;
     } else if (outcome === 'failed') {
-      book.errors++;
-      book.failedAt = at;
-      if (book.errors >= JOB_AT_FAULT) return;
+      entry.errors++;
+      entry.failedAt = at;
+      if (entry.errors >= JOB_AT_FAULT) return;
       host.errors++;
       host.failedAt = at;
     }
   }
 
   private end(job: string, index: number, attempt: number, outcome: Outcome): boolean {
-    const book = this.books.get(job);
-    const placement = book?.placed.get(index);
+    const entry = this.jobEntries.get(job);
+    const placement = entry?.placed.get(index);
     // A record names the attempt it ends; one that is gone already is no news.
-    if (!book || placement?.attempt !== attempt) return false;
-    book.placed.delete(index);
+    if (!entry || placement?.attempt !== attempt) return false;
+    entry.placed.delete(index);
     const there = this.onHost.get(placement.host);
     there?.delete(placement.taskName);
     if (there?.size === 0) this.onHost.delete(placement.host);
     this.charge(placement, -1);
-    if (outcome === 'done') book.done.add(index);
+    if (outcome === 'done') entry.done.add(index);
     return true;
   }
 
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -9,7 +9,7 @@
 /** Whom a node can't reach. */
 export interface MemberContacts {
   /** Members, by its peer links. */
-  deaf: string[];
+  unreachable: string[];
   /** Its workers ask the other nodes, and none of them arrives here. */
   workersUnreachable: boolean;
 }
@@ -27,10 +27,10 @@
  */
 export class Membership {
   state: MembershipState = 'outside';
-  private standing: { nonce: string; permit: Count; at: Micros } | null = null;
+  private standing: { nonce: string; leaseId: Count; at: Micros } | null = null;
   private count = 0;
   private campaigning = false;
-  private contacts: MemberContacts = { deaf: [], workersUnreachable: false };
+  private contacts: MemberContacts = { unreachable: [], workersUnreachable: false };
   private telling = false;
 
   constructor(
@@ -60,20 +60,24 @@
     return new Map([...this.replica.owners].filter(([, owner]) => this.isOurs(owner.nonce)));
   }
 
-  /** Tells the others whom this node can't reach, if its card doesn't say so yet. */
+  /** Tells the others whom this node can't reach, if its record doesn't say so yet. */
   async tellContacts(change: Partial<MemberContacts>): Promise<void> {
     this.contacts = { ...this.contacts, ...change };
-    const card = this.replica.members.get(this.member);
-    // Compared with the card as it stands: a commit that failed is made good the next time.
-    if (this.telling || !this.standing || !card || !this.isOurs(card.nonce)) return;
-    const { deaf, workersUnreachable } = this.contacts;
-    if (card.deaf.join() === deaf.join() && card.workersUnreachable === workersUnreachable) return;
+    const memberRecord = this.replica.members.get(this.member);
+    // Compared with the record as it stands: a commit that failed is made good the next time.
+    if (this.telling || !this.standing || !memberRecord || !this.isOurs(memberRecord.nonce)) return;
+    const { unreachable: unreachable, workersUnreachable } = this.contacts;
+    if (
+      memberRecord.unreachable.join() === unreachable.join() &&
+      memberRecord.workersUnreachable === workersUnreachable
+    )
+      return;
     this.telling = true;
     this.log.info(this.contacts, 'out of reach');
-    const { permit } = this.standing;
+    const { leaseId: leaseId } = this.standing;
     const result = await this.store.commit(
-      [{ path: memberKey(this.member), stamp: card.stamp }],
-      [{ set: memberKey(this.member), value: this.card(this.standing), permit }],
+      [{ path: memberKey(this.member), revision: memberRecord.revision }],
+      [{ set: memberKey(this.member), value: this.memberRecord(this.standing), leaseId }],
     );
     if (result.kind === 'applied') await this.replica.reach(result.epoch, SECOND);
     this.telling = false;
@@ -104,29 +108,29 @@
     return this.state === 'member' && nonce === this.standing?.nonce;
   }
 
-  private card(standing: { nonce: string; permit: Count }): Record<string, unknown> {
-    const { deaf, workersUnreachable } = this.contacts;
+  private memberRecord(standing: { nonce: string; leaseId: Count }): Record<string, unknown> {
+    const { unreachable: unreachable, workersUnreachable } = this.contacts;
     return {
-      ...{ Nonce: standing.nonce, Zone: this.zone, Permit: standing.permit },
-      ...{ Deaf: deaf, WorkersUnreachable: workersUnreachable },
+      ...{ Nonce: standing.nonce, Zone: this.zone, Permit: standing.leaseId },
+      ...{ Unreachable: unreachable, WorkersUnreachable: workersUnreachable },
     };
   }
 
   private async join(): Promise<void> {
-    const permit = await this.store.grant(LIFE);
-    this.standing = { nonce: `${this.incarnation}.${++this.count}`, permit, at: this.clock.now() };
+    const leaseId = await this.store.createLease(LIFE);
+    this.standing = { nonce: `${this.incarnation}.${++this.count}`, leaseId, at: this.clock.now() };
     this.enter('joining');
-    // Only one process of a member runs at a time: an earlier one's card can be replaced, never disturbed.
+    // Only one process of a member runs at a time: an earlier one's record can be replaced, never disturbed.
     const old = this.replica.members.get(this.member);
     const result = await this.store.commit(
-      [{ path: memberKey(this.member), stamp: old?.stamp ?? 0 }],
-      [{ set: memberKey(this.member), value: this.card(this.standing), permit }],
+      [{ path: memberKey(this.member), revision: old?.revision ?? 0 }],
+      [{ set: memberKey(this.member), value: this.memberRecord(this.standing), leaseId }],
     );
     if (result.kind !== 'applied' && result.kind !== 'unknown') await this.leave();
   }
 
-  private async keep(standing: { nonce: string; permit: Count; at: Micros }): Promise<void> {
-    if (!(await this.store.renew(standing.permit))) {
+  private async keep(standing: { nonce: string; leaseId: Count; at: Micros }): Promise<void> {
+    if (!(await this.store.renew(standing.leaseId))) {
       this.standing = null;
       this.enter('outside');
     } else if (this.state === 'joining' && this.clock.now() > standing.at + PATIENCE) {
@@ -136,15 +140,15 @@
   }
 
   private async leave(): Promise<void> {
-    const permit = this.standing?.permit;
+    const leaseId = this.standing?.leaseId;
     this.standing = null;
     this.enter('outside');
-    if (permit !== undefined) await this.store.revoke(permit).catch(() => undefined);
+    if (leaseId !== undefined) await this.store.revoke(leaseId).catch(() => undefined);
   }
 
   private observe(): void {
-    const card = this.replica.members.get(this.member);
-    const ours = card !== undefined && card.nonce === this.standing?.nonce;
+    const memberRecord = this.replica.members.get(this.member);
+    const ours = memberRecord !== undefined && memberRecord.nonce === this.standing?.nonce;
     if (this.state === 'joining' && ours) {
       this.enter('member');
     } else if (this.state === 'member' && !ours && this.replica.state === 'following') {
@@ -172,8 +176,8 @@
     const { standing } = this;
     if (!standing || this.state !== 'member' || !this.vacant()) return;
     const result = await this.store.commit(
-      [{ path: LEAD, stamp: this.replica.lead?.stamp ?? 0 }],
-      [{ set: LEAD, value: { Member: this.member, Nonce: standing.nonce }, permit: standing.permit }],
+      [{ path: LEAD, revision: this.replica.lead?.revision ?? 0 }],
+      [{ set: LEAD, value: { Member: this.member, Nonce: standing.nonce }, leaseId: standing.leaseId }],
     );
     if (result.kind === 'applied') this.log.info({ nonce: standing.nonce }, 'leading');
     else await sleep(this.clock, RETRY);
--- a/packages/cluster/peers.ts
+++ b/packages/cluster/peers.ts
@@ -23,9 +23,9 @@
 
 const EVERY: Micros = 500 * MS;
 const TIMEOUT: Micros = 1200 * MS;
-const DEAF_SILENT: Micros = 1700 * MS;
+const UNREACHABLE_SILENT: Micros = 1700 * MS;
 /** A process that died is refused too; by then its member key is gone, and it counts as dead, not cut off. */
-const DEAF_REFUSED: Micros = 4500 * MS;
+const UNREACHABLE_REFUSED: Micros = 4500 * MS;
 
 /**
  * Watches which peers can be reached. Only a hint that hastens the leader's moves when zones are cut from
@@ -40,7 +40,7 @@
     private readonly ping: Ping,
     private readonly clock: Clock,
     private readonly log: Logger,
-    private readonly changed: (deaf: string[]) => void,
+    private readonly changed: (unreachable: string[]) => void,
     private readonly told: (word: PeerWord) => void,
   ) {
     this.states = peers.map((p) => ({ ...p, okAt: clock.now(), last: 'ok' }));
@@ -55,10 +55,10 @@
   }
 
   /** Members out of reach for long enough to act on it. */
-  deaf(): string[] {
+  unreachable(): string[] {
     const now = this.clock.now();
     return this.states
-      .filter((s) => now - s.okAt > (s.last === 'refused' ? DEAF_REFUSED : DEAF_SILENT))
+      .filter((s) => now - s.okAt > (s.last === 'refused' ? UNREACHABLE_REFUSED : UNREACHABLE_SILENT))
       .map((s) => s.member)
       .sort();
   }
@@ -75,7 +75,7 @@
       if (result !== state.last) this.log.debug({ peer: state.member, result }, 'peer link');
       state.last = result;
       if (result === 'ok') state.okAt = this.clock.now();
-      this.changed(this.deaf());
+      this.changed(this.unreachable());
       await sleep(this.clock, EVERY);
     }
   }
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -52,7 +52,7 @@
 
   commit({ log, record }: Commit): void {
     const path = logKey(log, record.Seq);
-    const row = { path, value: record as unknown as Fields, stamp: ++this.epoch };
+    const row = { path, value: record as unknown as Fields, revision: ++this.epoch };
     this.rows.set(path, row);
     this.history.push(row);
     this.wake();
@@ -67,7 +67,7 @@
 
   async follow(_prefix: string, after: number): Promise<{ epoch: number; news: Change[] }> {
     if (this.epoch <= after) await new Promise<void>((resolve) => (this.wake = resolve));
-    return { epoch: this.epoch, news: this.history.filter((change) => change.stamp > after) };
+    return { epoch: this.epoch, news: this.history.filter((change) => change.revision > after) };
   }
 }
 
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -41,14 +41,14 @@
   /** Time of day of its acceptance, in milliseconds. */
   at: number;
   /** Order of acceptance. */
-  stamp: number;
+  revision: number;
 }
 
 /** Who holds the lead. */
 export interface Lead {
   member: string;
   nonce: string;
-  stamp: number;
+  revision: number;
 }
 
 /** Who owns a share, and the token that was raised for it. */
@@ -60,8 +60,8 @@
   member: string;
   nonce: string;
   zone: string;
-  permit: Count;
-  stamp: number;
+  leaseId: Count;
+  revision: number;
 }
 
 /**
@@ -88,7 +88,7 @@
 const FOLLOW_PART = 0.3;
 const BARRIER_PART = 0.25;
 const RECENT_FINALS = 2000;
-const NO_CHECKPOINT = { id: '', positions: {}, chunks: 0, stamp: 0 };
+const NO_CHECKPOINT = { id: '', positions: {}, chunks: 0, revision: 0 };
 
 /**
  * A node's copy of all live state, kept by one watch. It changes only by what the state service says, in the
@@ -98,14 +98,14 @@
   ledger = new Ledger();
   readonly jobs = new Map<string, LiveJob>();
   /** Jobs that are over and still lie among the live ones. */
-  readonly ended = new Map<string, { status: Final; stamp: number }>();
+  readonly ended = new Map<string, { status: Final; revision: number }>();
   /** Machine types as last read from the cloud by a leader: known even while the cloud is down. */
   readonly types = new Map<string, MachineType>();
   lead: Lead | null = null;
   readonly members = new Map<string, Member>();
   readonly owners = new Map<number, ShareOwner>();
-  token = { value: 0, stamp: 0 };
-  private checkpoint: { id: string; positions: Positions; chunks: number; stamp: number } = NO_CHECKPOINT;
+  token = { value: 0, revision: 0 };
+  private checkpoint: { id: string; positions: Positions; chunks: number; revision: number } = NO_CHECKPOINT;
   applied = 0;
   /** Epoch of the last page read: before it is applied, the copy may lack what other pages missed. */
   private catchUpTo = 0;
@@ -114,7 +114,7 @@
   state: ReplicaState = 'loading';
 
   private finals = new Map<string, Final>();
-  private logRows = new Map<string, { seq: number; stamp: number }>();
+  private logRows = new Map<string, { seq: number; revision: number }>();
   private chunkRows = new Set<string>();
   private listeners: (() => void)[] = [];
   private waiting: { epoch: number; done: (ok: boolean) => void }[] = [];
@@ -178,14 +178,14 @@
    * Stamp of the place that a record is to take (0: nothing there yet), or null while the record that lies
    * there is not covered by a checkpoint.
    */
-  placeStamp(log: LogId, seq: number): number | null {
+  placeRevision(log: LogId, seq: number): number | null {
     const row = this.logRows.get(logKey(log, seq));
     if (!row) return 0;
-    return row.seq <= (this.checkpoint.positions[String(log)] ?? 0) ? row.stamp : null;
+    return row.seq <= (this.checkpoint.positions[String(log)] ?? 0) ? row.revision : null;
   }
 
-  get checkpointStamp(): number {
-    return this.checkpoint.stamp;
+  get checkpointRevision(): number {
+    return this.checkpoint.revision;
   }
 
   get checkpointChunks(): number {
@@ -298,7 +298,7 @@
     this.lead = null;
     this.members.clear();
     this.owners.clear();
-    this.token = { value: 0, stamp: 0 };
+    this.token = { value: 0, revision: 0 };
     this.checkpoint = NO_CHECKPOINT;
     const records = rows.filter((row) => row.path.startsWith(LOGS));
     for (const row of rows) if (!row.path.startsWith(LOGS)) this.take(row);
@@ -318,7 +318,7 @@
       // A place may have been taken anew since the checkpoint was read.
       if (!this.takeRecord(row)) throw new Error('log and checkpoint were read at different times');
     }
-    for (const job of [...this.ledger.books.keys()]) if (!this.jobs.has(job)) this.ledger.drop(job);
+    for (const job of [...this.ledger.jobEntries.keys()]) if (!this.jobs.has(job)) this.ledger.drop(job);
     this.applied = from;
     this.catchUpTo = to;
     this.log.info({ jobs: this.jobs.size, records: this.ledger.size, epoch: from, to }, 'state loaded');
@@ -357,18 +357,18 @@
   }
 
   private take(change: Change): void {
-    const { path, value, stamp } = change;
+    const { path, value, revision: revision } = change;
     if (path === LEAD) {
-      this.lead = value ? leadOf(value, stamp) : null;
+      this.lead = value ? leadOf(value, revision) : null;
     } else if (path === TOKEN_KEY) {
-      this.token = { value: Number(value?.['Token'] ?? 0), stamp };
+      this.token = { value: Number(value?.['Token'] ?? 0), revision };
     } else if (path.startsWith(SHARES)) {
       const share = Number(path.slice(SHARES.length));
-      if (value) this.owners.set(share, { ...leadOf(value, stamp), token: Number(value['Token']) });
+      if (value) this.owners.set(share, { ...leadOf(value, revision), token: Number(value['Token']) });
       else this.owners.delete(share);
     } else if (path.startsWith(MEMBERS)) {
       const member = path.slice(MEMBERS.length);
-      if (value) this.members.set(member, memberOf(member, value, stamp));
+      if (value) this.members.set(member, memberOf(member, value, revision));
       else this.members.delete(member);
     } else if (path.startsWith(JOBS)) {
       this.takeJob(path.slice(JOBS.length), change);
@@ -383,7 +383,7 @@
     } else if (path === CHECKPOINT_HEAD) {
       if (!value) return;
       const positions = value['Positions'] as Positions;
-      this.checkpoint = { id: String(value['Id']), positions, chunks: Number(value['Chunks']), stamp };
+      this.checkpoint = { id: String(value['Id']), positions, chunks: Number(value['Chunks']), revision };
     } else if (path.startsWith(CHUNKS)) {
       if (value) this.chunkRows.add(path);
       else this.chunkRows.delete(path);
@@ -391,27 +391,27 @@
   }
 
   /** False: there is a gap before this record. */
-  private takeRecord({ path, value, stamp }: Change): boolean {
+  private takeRecord({ path, value, revision: revision }: Change): boolean {
     if (!value) {
       this.logRows.delete(path);
       return true;
     }
     const record = value as unknown as PlacementRecord;
-    this.logRows.set(path, { seq: record.Seq, stamp });
+    this.logRows.set(path, { seq: record.Seq, revision });
     if (!this.ledger.apply(logOfKey(path), record)) return false;
     for (const [job] of record.Ends ?? []) if (!this.jobs.has(job)) this.ledger.drop(job);
     return true;
   }
 
-  private takeJob(id: string, { value, stamp }: Change): void {
+  private takeJob(id: string, { value, revision: revision }: Change): void {
     this.ended.delete(id);
     if (value && value['Status'] === undefined) {
-      this.jobs.set(id, { spec: value['Job'] as JobSpec, at: Number(value['At']), stamp });
+      this.jobs.set(id, { spec: value['Job'] as JobSpec, at: Number(value['At']), revision });
       return;
     }
     this.jobs.delete(id);
     this.ledger.drop(id);
-    if (value) this.ended.set(id, { status: finalOf(value), stamp });
+    if (value) this.ended.set(id, { status: finalOf(value), revision });
   }
 
   private keepFinal(id: string, value: Fields): void {
@@ -424,31 +424,31 @@
 }
 
 function committedBy(epoch: number): (row: Row) => boolean {
-  return (row) => row.stamp <= epoch;
+  return (row) => row.revision <= epoch;
 }
 
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
 function inOrder(x: Change, y: Change): number {
-  return x.stamp - y.stamp || Number(x.value?.['Nth'] ?? 0) - Number(y.value?.['Nth'] ?? 0);
+  return x.revision - y.revision || Number(x.value?.['Nth'] ?? 0) - Number(y.value?.['Nth'] ?? 0);
 }
 
 function finalOf(value: Fields): Final {
   return value['Status'] === 'done' ? 'done' : 'cancelled';
 }
 
-function leadOf(value: Fields, stamp: number): Lead {
-  return { member: String(value['Member']), nonce: String(value['Nonce']), stamp };
+function leadOf(value: Fields, revision: number): Lead {
+  return { member: String(value['Member']), nonce: String(value['Nonce']), revision };
 }
 
-function memberOf(member: string, value: Fields, stamp: number): Member {
-  const deaf = value['Deaf'];
+function memberOf(member: string, value: Fields, revision: number): Member {
+  const unreachable = value['Unreachable'];
   return {
     member,
     nonce: String(value['Nonce']),
     zone: String(value['Zone']),
-    permit: value['Permit'] as Count,
-    deaf: Array.isArray(deaf) ? deaf.map(String) : [],
+    leaseId: value['Permit'] as Count,
+    unreachable: Array.isArray(unreachable) ? unreachable.map(String) : [],
     workersUnreachable: value['WorkersUnreachable'] === true,
-    stamp,
+    revision,
   };
 }
--- a/packages/cluster/steward.test.ts
+++ b/packages/cluster/share-assignment.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { cutZones, planShares, type ShareHolder } from './steward.js';
+import { cutZones, planShares, type ShareHolder } from './share-assignment.js';
 
 const member = (name: string, zone = 'east') => ({
   member: name,
   nonce: `${name}.1`,
   zone,
-  deaf: [] as string[],
+  unreachable: [] as string[],
 });
 
 test('dealing shares again and again ends with every share owned by a living member, evenly', () => {
@@ -45,6 +45,6 @@
 });
 
 test('a cut counts once either side tells of it, and only between zones', () => {
-  const a = { ...member('a', 'east'), deaf: ['b', 'c', 'unknown'] };
+  const a = { ...member('a', 'east'), unreachable: ['b', 'c', 'unknown'] };
   assert.deepEqual([...cutZones([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
 });
--- a/packages/cluster/steward.ts
+++ b/packages/cluster/share-assignment.ts
@@ -5,7 +5,7 @@
   nonce: string;
 }
 
-export interface StewardMember {
+export interface AssignableMember {
   member: string;
   nonce: string;
   zone: string;
@@ -21,7 +21,7 @@
  * by name so that every leader comes to the same answer.
  */
 export function targets(
-  members: readonly StewardMember[],
+  members: readonly AssignableMember[],
   weights: ReadonlyMap<string, number>,
   shares: number,
 ) {
@@ -49,7 +49,7 @@
 export function planShares(
   count: number,
   owners: ReadonlyMap<number, ShareHolder>,
-  members: readonly StewardMember[],
+  members: readonly AssignableMember[],
   weights: ReadonlyMap<string, number>,
 ): Assignment[] {
   if (members.length === 0) return [];
@@ -80,10 +80,12 @@
 }
 
 /** Pairs of zones that can't reach each other, as the members tell: `a|b` with a < b. */
-export function cutZones(members: readonly (StewardMember & { deaf: readonly string[] })[]): Set<string> {
+export function cutZones(
+  members: readonly (AssignableMember & { unreachable: readonly string[] })[],
+): Set<string> {
   const cuts = new Set<string>();
   for (const m of members) {
-    for (const name of m.deaf) {
+    for (const name of m.unreachable) {
       const other = members.find((o) => o.member === name);
       if (other && other.zone !== m.zone) cuts.add(zonePair(m.zone, other.zone));
     }
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/writer.test.ts
@@ -27,7 +27,7 @@
     const host = (i: number): HostRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
     replica.ledger.apply('lead', { Seq: seq, At: 0, Hosts: [...Array(20).keys()].map(host) });
   }
-  const membership = { lead: () => ({ stamp: 1 }), shares: () => new Map() } as unknown as Membership;
+  const membership = { lead: () => ({ revision: 1 }), shares: () => new Map() } as unknown as Membership;
   const [rounds, upkeep] = [8, 4].map((rate) => new Pace(view, () => rate)) as [Pace, Pace];
   const limits = { valueBytes: 2048, txnOps: 6 };
   const writer = new LogWriter(store, replica, membership, view, limits, rounds, upkeep, SILENT);
@@ -61,8 +61,8 @@
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
   const replica = new Replica(store, view, SILENT, 70);
-  const owned = new Map([[0, { stamp: 7 }]]);
-  const membership = { lead: () => ({ stamp: 1 }), shares: () => owned } as unknown as Membership;
+  const owned = new Map([[0, { revision: 7 }]]);
+  const membership = { lead: () => ({ revision: 1 }), shares: () => owned } as unknown as Membership;
   const pace = new Pace(view, () => 10);
   const limits = { valueBytes: 2048, txnOps: 6 };
   return {
@@ -75,21 +75,21 @@
 // Of a withdrawal and the last end of a job only one may win: whoever comes second must find the key changed.
 test('the end of a job relies on the revision of its key, and on the ownership of its share', () => {
   const { writer, sent } = notingWriter();
-  void writer.finish([['j-1', { spec: sampleJob('j-1'), at: 0, stamp: 31 }]], [0]);
+  void writer.finish([['j-1', { spec: sampleJob('j-1'), at: 0, revision: 31 }]], [0]);
   assert.deepEqual(sent[0]?.guards, [
-    { path: ownershipKey(0), stamp: 7 },
-    { path: jobKey('j-1'), stamp: 31 },
+    { path: ownershipKey(0), revision: 7 },
+    { path: jobKey('j-1'), revision: 31 },
   ]);
   assert.deepEqual(sent[0].writes, [{ set: jobKey('j-1'), value: { Status: 'done' } }]);
 });
 
 test('an ended job is put away only as it lies there', async () => {
   const { writer, replica, sent } = notingWriter();
-  replica.ended.set('j-1', { status: 'cancelled', stamp: 32 });
+  replica.ended.set('j-1', { status: 'cancelled', revision: 32 });
   await writer.tidy();
   assert.deepEqual(sent[0]?.guards, [
-    { path: LEAD, stamp: 1 },
-    { path: jobKey('j-1'), stamp: 32 },
+    { path: LEAD, revision: 1 },
+    { path: jobKey('j-1'), revision: 32 },
   ]);
   const value = { Status: 'cancelled' };
   assert.deepEqual(sent[0].writes, [{ remove: jobKey('j-1') }, { set: overKey('j-1'), value }]);
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -81,12 +81,12 @@
         next.set(log, seq);
         const record: PlacementRecord = { ...part, Seq: seq, At: Math.floor(this.clock.wall() / MS) };
         if (writes.length > 0) record.Nth = writes.length;
-        const stamp = this.replica.placeStamp(log, seq);
-        if (stamp === null) {
+        const revision = this.replica.placeRevision(log, seq);
+        if (revision === null) {
           this.log.info({ log, seq }, 'log waits for a checkpoint');
           return false;
         }
-        guards.push({ path: logKey(log, seq), stamp });
+        guards.push({ path: logKey(log, seq), revision });
         writes.push({ set: logKey(log, seq), value: record as unknown as Fields });
       }
       if (!(await this.settle(guards, writes))) return false;
@@ -102,7 +102,7 @@
       if (!guards) return;
       const some = jobs.slice(i, i + perTxn);
       // A cancellation that came first has changed the key: then the job stays cancelled.
-      for (const [id, job] of some) guards.push({ path: jobKey(id), stamp: job.stamp });
+      for (const [id, job] of some) guards.push({ path: jobKey(id), revision: job.revision });
       const writes = some.map(([id]) => endWrite(id, 'done'));
       if (!(await this.settle(guards, writes))) return;
     }
@@ -136,10 +136,10 @@
     const lead = this.membership.lead();
     const ended = [...this.replica.ended].slice(0, Math.max(1, Math.floor(this.limits.txnOps / 2)));
     if (!lead || ended.length === 0 || this.upkeep.wait() > 0) return;
-    const guards: Guard[] = [{ path: LEAD, stamp: lead.stamp }];
+    const guards: Guard[] = [{ path: LEAD, revision: lead.revision }];
     const writes: Write[] = [];
-    for (const [id, { status, stamp }] of ended) {
-      guards.push({ path: jobKey(id), stamp });
+    for (const [id, { status, revision: revision }] of ended) {
+      guards.push({ path: jobKey(id), revision });
       writes.push({ remove: jobKey(id) }, { set: overKey(id), value: { Status: status } });
     }
     this.upkeep.take(writes.length);
@@ -152,21 +152,21 @@
     const positions = ledger.allPositions();
     const lead = this.membership.lead();
     if (!lead) return;
-    const id = checkpointId(ledger.size, lead.stamp, ++this.attempts);
-    const before = this.replica.checkpointStamp;
+    const id = checkpointId(ledger.size, lead.revision, ++this.attempts);
+    const before = this.replica.checkpointRevision;
     const rows = checkpointRows(ledger, (job) => jobs.has(job));
     const chunks = packRows(rows, this.limits.valueBytes - FRAME_BYTES);
     const writes: Write[] = chunks.map((part, i) => ({ set: chunkKey(id, i), value: { Rows: part } }));
     const perTxn = this.valuesPerCommit();
     for (let i = 0; i < writes.length; i += perTxn) {
-      const guards: Guard[] = [{ path: LEAD, stamp: lead.stamp }];
+      const guards: Guard[] = [{ path: LEAD, revision: lead.revision }];
       if (!(await this.insist(guards, writes.slice(i, i + perTxn)))) return;
     }
     // Once a newer checkpoint is the present one, its predecessors' chunks go: a late commit of this one must
     // not bring it back then.
     const guards: Guard[] = [
-      { path: LEAD, stamp: lead.stamp },
-      { path: CHECKPOINT_HEAD, stamp: before },
+      { path: LEAD, revision: lead.revision },
+      { path: CHECKPOINT_HEAD, revision: before },
     ];
     const head = { Id: id, Positions: positions, Chunks: chunks.length };
     if (!(await this.insist(guards, [{ set: CHECKPOINT_HEAD, value: head }]))) return;
@@ -200,7 +200,7 @@
     for (const log of logs) {
       const held = log === 'lead' ? this.membership.lead() : shares.get(log);
       if (!held) return null;
-      guards.push({ path: ownershipKey(log), stamp: held.stamp });
+      guards.push({ path: ownershipKey(log), revision: held.revision });
     }
     return guards;
   }
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -2,7 +2,7 @@
 import { CloudClient } from '#cloud';
 import {
   CONTACT_STEP,
-  type HostBook,
+  type MachineEntry,
   type LogId,
   type Logger,
   LogWriter,
@@ -30,10 +30,10 @@
   sleep,
   type WorkerReport,
 } from '#wire';
-import { type Ending, renewalBound, Roster } from '#workers';
+import { type Ending, renewalBound, WorkerRegistry } from '#workers';
 import { Leader } from './leader.js';
 import { Scheduler } from './scheduler.js';
-import { unavailable, UserDesk } from './users.js';
+import { unavailable, JobService } from './job-service.js';
 
 export interface ControllerParts {
   settings: Settings;
@@ -77,11 +77,11 @@
 
 /** One node of the service, whole but for its sockets. */
 export class Controller {
-  readonly users: UserDesk;
+  readonly users: JobService;
   private readonly replica: Replica;
   private readonly membership: Membership;
   private readonly writer: LogWriter;
-  private readonly roster: Roster;
+  private readonly workers: WorkerRegistry;
   private readonly scheduler: Scheduler;
   private readonly leader: Leader;
   private readonly peers: PeerWatch;
@@ -114,7 +114,7 @@
     const cloud = new CloudClient(settings.cloud, call);
     const replica = new Replica(store, clock, log, settings.stateRps);
     this.replica = replica;
-    this.roster = new Roster(settings);
+    this.workers = new WorkerRegistry(settings);
     this.contact = new WorkerContact(settings);
     const { member, domain } = settings;
     const { incarnation, random } = parts;
@@ -123,8 +123,8 @@
     const pace = new Pace(clock, (used) => this.logRate(used));
     const upkeep = new Pace(clock, () => settings.stateWriteRps * CHECKPOINT_PART);
     this.writer = new LogWriter(store, replica, membership, clock, settings, pace, upkeep, log);
-    this.users = new UserDesk(settings, store, replica, clock);
-    this.scheduler = new Scheduler(settings, parts.tuning, clock, random, replica, this.roster, log);
+    this.users = new JobService(settings, store, replica, clock);
+    this.scheduler = new Scheduler(settings, parts.tuning, clock, random, replica, this.workers, log);
     const { writer, scheduler } = this;
     const wake = (): void => {
       this.wake();
@@ -137,9 +137,11 @@
       parts.ping,
       clock,
       log,
-      (deaf) => {
+      (unreachable) => {
         // A peer without a member key is dead, not out of reach.
-        void membership.tellContacts({ deaf: deaf.filter((name) => replica.members.has(name)) });
+        void membership.tellContacts({
+          unreachable: unreachable.filter((name) => replica.members.has(name)),
+        });
       },
       (word) => {
         this.hear(word);
@@ -196,27 +198,32 @@
     const refusal = this.notEntitled(report);
     if (refusal) return refusal;
     this.followOwnership();
-    const first = !this.roster.sessions.has(report.host);
+    const first = !this.workers.sessions.has(report.host);
     // An older report than the newest known: its worker has given this exchange up.
-    if (!this.roster.receive(report, this.clock.now())) return unavailable('stale report');
+    if (!this.workers.receive(report, this.clock.now())) return unavailable('stale report');
     if (first || this.scheduler.hasNews(report.host)) await this.takenIn(NEWS_WAIT);
     const again = this.notEntitled(report);
     if (again) return again;
     this.followOwnership();
     // While the answer waited, the machine may have left and come back: then nothing is known of its worker.
-    if (this.roster.sessions.get(report.host)?.report !== report) return unavailable('stale report');
+    if (this.workers.sessions.get(report.host)?.report !== report) return unavailable('stale report');
     const now = this.clock.now();
-    const orders = this.roster.orders(report.host, this.replica.ledger, this.replica.jobs, this.isServed());
-    this.roster.answered(report.host, now);
-    return { status: 200, body: encodeReportAnswer({ token: this.replica.token.value, commands: orders }) };
+    const commands = this.workers.commands(
+      report.host,
+      this.replica.ledger,
+      this.replica.jobs,
+      this.isServed(),
+    );
+    this.workers.answered(report.host, now);
+    return { status: 200, body: encodeReportAnswer({ token: this.replica.token.value, commands }) };
   }
 
   /** A round of this node lets the machine go at present, or is to take it. */
   private isMoving(host: string): boolean {
-    const book = this.replica.ledger.hosts.get(host);
-    if (!book || this.replica.state !== 'following') return false;
-    if (book.share !== null && !this.isLettingGo(host)) return false;
-    return this.ownShares().has(shareOf(book) ?? -1);
+    const entry = this.replica.ledger.hosts.get(host);
+    if (!entry || this.replica.state !== 'following') return false;
+    if (entry.share !== null && !this.isLettingGo(host)) return false;
+    return this.ownShares().has(shareOf(entry) ?? -1);
   }
 
   /** Waits for the next round, which takes in what is known by now. */
@@ -228,9 +235,9 @@
   /** The answer for a worker if this node may not act for the controllers towards it now. */
   private notEntitled(report: WorkerReport): Answer | null {
     const { ledger, owners, token: token, state } = this.replica;
-    const book = ledger.hosts.get(report.host);
-    if (!book || state !== 'following') return unavailable('machine not known');
-    const at = shareOf(book);
+    const entry = ledger.hosts.get(report.host);
+    if (!entry || state !== 'following') return unavailable('machine not known');
+    const at = shareOf(entry);
     const owner = at === null ? undefined : owners.get(at);
     if (!owner) return unavailable('no owner known');
     if (!this.ownShares().has(at ?? -1)) {
@@ -238,7 +245,7 @@
       this.contact.sentTo(owner.member, report.host, this.clock.now());
       return { status: 421, body: encodeRedirect(owner.member) };
     }
-    if (book.share === null || this.isLettingGo(report.host)) return unavailable('machine on the move');
+    if (entry.share === null || this.isLettingGo(report.host)) return unavailable('machine on the move');
     // A higher token than the highest known here: somebody else may own this by now.
     if (report.token > token.value || this.isOutdated()) return unavailable('superseded');
     return this.stateAge() > renewalBound(this.parts.settings) ? unavailable('state not reachable') : null;
@@ -303,7 +310,7 @@
   }
 
   private followOwnership(): void {
-    this.roster.own(this.replica.ledger, this.ownShares(), this.replica.token.value, this.clock.now());
+    this.workers.own(this.replica.ledger, this.ownShares(), this.replica.token.value, this.clock.now());
   }
 
   private isLettingGo(host: string): boolean {
@@ -379,10 +386,10 @@
     this.followOwnership();
     if (shares.size === 0 || !fresh) return;
     this.enterRound('planning');
-    const { replica, roster } = this;
+    const { replica, workers } = this;
     const now = this.clock.now();
-    roster.advance(now, replica.ledger);
-    const endings = roster.endings(replica.ledger, replica.jobs, now);
+    workers.advance(now, replica.ledger);
+    const endings = workers.endings(replica.ledger, replica.jobs, now);
     const drafts = this.ownDrafts(shares, endings);
     const plan = this.scheduler.plan(endings, shares);
     this.planned = this.clock.now() - now;
@@ -392,7 +399,7 @@
     }
     for (const { placement, graceS: graceS } of plan.stops) {
       this.log.info({ taskName: placement.taskName, host: placement.host }, 'stopped to make room');
-      roster.stop(placement, graceS);
+      workers.stop(placement, graceS);
     }
     if (drafts.size > 0) {
       this.enterRound('committing');
@@ -404,7 +411,7 @@
     }
     this.enterRound('finishing');
     const complete = [...replica.jobs].filter(([id, job]) => {
-      const done = replica.ledger.books.get(id)?.done.count ?? 0;
+      const done = replica.ledger.jobEntries.get(id)?.done.count ?? 0;
       return done >= job.spec.taskCount && shares.has(this.scheduler.shareOf(job.spec.team));
     });
     if (complete.length > 0) await this.writer.finish(complete, [...shares]);
@@ -424,18 +431,19 @@
       const share = ledger.hosts.get(p.host)?.share ?? null;
       if (share !== null) (draft(share).Ends ??= []).push([p.job, p.index, p.attempt, outcome]);
     }
-    for (const book of ledger.hosts.values()) {
-      const { host, share, to } = book;
+    for (const entry of ledger.hosts.values()) {
+      const { host, share, destination: destination } = entry;
       if (share === null) {
-        if (typeof to === 'number' && shares.has(to)) (draft(to).Takes ??= []).push(host);
+        if (typeof destination === 'number' && shares.has(destination))
+          (draft(destination).Takes ??= []).push(host);
         continue;
       }
       if (!shares.has(share)) continue;
-      const status = this.roster.status(book, now);
-      if (status !== book.status) (draft(share).Status ??= []).push([host, status]);
+      const status = this.workers.status(entry, now);
+      if (status !== entry.status) (draft(share).Status ??= []).push([host, status]);
       // One that goes back to the cloud is let go only when nothing can be on it any more.
-      if (to === null || (to === 'return' && ledger.onHost.has(host))) continue;
-      const report = this.roster.sessions.get(host)?.report;
+      if (destination === null || (destination === 'return' && ledger.onHost.has(host))) continue;
+      const report = this.workers.sessions.get(host)?.report;
       (draft(share).Releases ??= []).push([host, report ? [report.session, report.sequence] : null]);
       this.lettingGo.set(host, { log: share, seq: Infinity });
     }
@@ -480,6 +488,6 @@
 }
 
 /** The share that a machine belongs to or, between two, is on its way to. */
-function shareOf({ share, to }: HostBook): number | null {
-  return share ?? (typeof to === 'number' ? to : null);
+function shareOf({ share, destination: destination }: MachineEntry): number | null {
+  return share ?? (typeof destination === 'number' ? destination : null);
 }
--- a/packages/daemon/index.ts
+++ b/packages/daemon/index.ts
@@ -1,3 +1,3 @@
 export * from './controller.js';
 export * from './scheduler.js';
-export * from './users.js';
+export * from './job-service.js';
--- a/packages/daemon/users.ts
+++ b/packages/daemon/job-service.ts
@@ -24,7 +24,7 @@
 }
 
 /** What users ask for. Any node answers, and none before it has caught up with what any other may have said. */
-export class UserDesk {
+export class JobService {
   constructor(
     private readonly settings: Settings,
     private readonly store: StoreClient,
@@ -50,8 +50,8 @@
       // Both keys must be absent: a repeat that comes after the job's end must not start it again.
       const result = await this.store.commit(
         [
-          { path: jobKey(job.id), stamp: 0 },
-          { path: overKey(job.id), stamp: 0 },
+          { path: jobKey(job.id), revision: 0 },
+          { path: overKey(job.id), revision: 0 },
         ],
         [{ set: jobKey(job.id), value }],
       );
@@ -78,8 +78,8 @@
       if (!live) return this.known(id, missing);
       const result = await this.store.commit(
         [
-          { path: jobKey(id), stamp: live.stamp },
-          { path: overKey(id), stamp: 0 },
+          { path: jobKey(id), revision: live.revision },
+          { path: overKey(id), revision: 0 },
         ],
         [endWrite(id, 'cancelled')],
       );
@@ -105,10 +105,10 @@
   }
 
   private describe(id: string): JobState {
-    const book = this.replica.ledger.books.get(id);
-    const running = book?.placed.size ?? 0;
+    const entry = this.replica.ledger.jobEntries.get(id);
+    const running = entry?.placed.size ?? 0;
     const status = running > 0 ? 'running' : 'pending';
-    return { id, status, done: book?.done.count ?? 0, running };
+    return { id, status, done: entry?.done.count ?? 0, running };
   }
 
   private neverRuns(job: JobSpec): string | null {
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -20,7 +20,7 @@
   amountsOf,
   type Drainable,
   type DrainOptions,
-  FleetKeeper,
+  FleetManager,
   type MovableMachine,
   planDrains,
   planMoves,
@@ -30,7 +30,7 @@
 import type { Settings } from '#settings';
 import type { StoreClient, Write } from '#store';
 import { type Clock, type Fields, type MachineType, type Micros, SECOND } from '#wire';
-import type { Outlook, Scheduler } from './scheduler.js';
+import type { OwnerForecast, Scheduler } from './scheduler.js';
 
 const TYPES_EVERY: Micros = 20 * SECOND;
 /** Least time between two changes of shares that nobody is waiting for. */
@@ -43,7 +43,7 @@
 const FORESIGHT_REST = 6;
 const DRAIN: DrainOptions = { poor: 0.6, patience: 6 * SECOND, spare: 2 };
 /** How often the log says how the fleet stands. */
-const TELL_EVERY: Micros = 10 * SECOND;
+const LOG_EVERY: Micros = 10 * SECOND;
 
 export interface LeaderParts {
   settings: Settings;
@@ -60,20 +60,20 @@
 
 /** What the node that leads does besides owning shares: deals out shares, moves, rents and returns machines. */
 export class Leader {
-  private readonly fleet: FleetKeeper;
-  private stamp = 0;
+  private readonly fleet: FleetManager;
+  private revision = 0;
   private lastTypes: Micros = -Infinity;
   private lastShares: Micros = -Infinity;
   private recording = false;
   private nextStep: Micros = -Infinity;
-  private lastTold: Micros = -Infinity;
+  private lastLogged: Micros = -Infinity;
   private assigning = false;
   private readonly poorSince = new Map<string, Micros>();
   private readonly movedAt = new Map<string, Micros>();
 
   constructor(private readonly parts: LeaderParts) {
     const { cloud, clock, log, wake } = parts;
-    this.fleet = new FleetKeeper(
+    this.fleet = new FleetManager(
       cloud,
       clock,
       () => ({
@@ -94,23 +94,23 @@
     const { membership, replica, clock, scheduler, writer } = this.parts;
     const lead = membership.lead();
     if (!lead) return;
-    if (lead.stamp !== this.stamp) this.begin(lead.stamp);
+    if (lead.revision !== this.revision) this.begin(lead.revision);
     if (replica.types.size === 0 || clock.now() - this.lastTypes > TYPES_EVERY) void this.readTypes();
     void this.dealShares();
     if (!fresh || this.recording || clock.now() < this.nextStep) return;
     const began = clock.now();
     this.leaveCutZones();
-    const outlooks = scheduler.survey(replica.owners);
-    const needs = this.move(outlooks);
-    if (needs.every((n) => n.needs.length === 0)) this.drain(outlooks);
+    const forecasts = scheduler.forecast(replica.owners);
+    const needs = this.move(forecasts);
+    if (needs.every((n) => n.needs.length === 0)) this.drain(forecasts);
     this.fleet.step(needs);
-    this.tell();
+    this.logFleet();
     this.nextStep = clock.now() + (clock.now() - began) * FORESIGHT_REST;
     void this.record();
     void writer.tidy();
   }
 
-  /** Writes what the fleet's keeper wants recorded. The node's own rounds go on meanwhile: their logs are others. */
+  /** Writes what the fleet manager wants recorded. The node's own rounds go on meanwhile: their logs are others. */
   private async record(): Promise<void> {
     const draft = this.fleet.draft();
     if (!isWorthARecord(draft)) return;
@@ -123,8 +123,8 @@
     }
   }
 
-  private begin(stamp: number): void {
-    this.stamp = stamp;
+  private begin(revision: number): void {
+    this.revision = revision;
     this.lastTypes = -Infinity;
     this.lastShares = -Infinity;
     this.nextStep = -Infinity;
@@ -159,16 +159,19 @@
     const token = replica.token.value + 1;
     const some = plan.slice(0, settings.txnOps - 1);
     const guards = [
-      { path: LEAD, stamp: lead.stamp },
-      { path: TOKEN_KEY, stamp: replica.token.stamp },
-      ...some.map(({ share }) => ({ path: shareKey(share), stamp: replica.owners.get(share)?.stamp ?? 0 })),
+      { path: LEAD, revision: lead.revision },
+      { path: TOKEN_KEY, revision: replica.token.revision },
+      ...some.map(({ share }) => ({
+        path: shareKey(share),
+        revision: replica.owners.get(share)?.revision ?? 0,
+      })),
     ];
     const writes: Write[] = [{ set: TOKEN_KEY, value: { Token: token } }];
     for (const { share, member } of some) {
-      const card = replica.members.get(member);
-      if (!card) continue;
-      const value = { Member: member, Nonce: card.nonce, Token: token };
-      writes.push({ set: shareKey(share), value, permit: card.permit });
+      const memberRecord = replica.members.get(member);
+      if (!memberRecord) continue;
+      const value = { Member: member, Nonce: memberRecord.nonce, Token: token };
+      writes.push({ set: shareKey(share), value, leaseId: memberRecord.leaseId });
     }
     const result = await store.commit(guards, writes);
     if (result.kind === 'applied') {
@@ -199,8 +202,10 @@
     const cuts = this.cuts();
     if (cuts.size === 0) return;
     for (const host of replica.ledger.hosts.values()) {
-      const owner = replica.owners.get(typeof host.to === 'number' ? host.to : (host.share ?? -1));
-      if (!owner || host.to === 'return' || this.reaches(owner.member, host.zone, cuts)) continue;
+      const owner = replica.owners.get(
+        typeof host.destination === 'number' ? host.destination : (host.share ?? -1),
+      );
+      if (!owner || host.destination === 'return' || this.reaches(owner.member, host.zone, cuts)) continue;
       const share = this.shareFor(host.zone);
       if (share !== host.share) this.fleet.move(host.host, share, 'cut');
     }
@@ -215,27 +220,27 @@
       const owner = replica.owners.get(share);
       if (!owner || this.reaches(owner.member, zone, cuts)) counts.set(share, 0);
     }
-    for (const { share, to } of replica.ledger.hosts.values()) {
-      const at = typeof to === 'number' ? to : share;
+    for (const { share, destination: destination } of replica.ledger.hosts.values()) {
+      const at = typeof destination === 'number' ? destination : share;
       if (at !== null && counts.has(at)) counts.set(at, (counts.get(at) ?? 0) + 1);
     }
     return [...counts].sort((a, b) => a[1] - b[1])[0]?.[0] ?? 0;
   }
 
   /** Names this round's moves and returns what they leave to be rented for. */
-  private move(outlooks: readonly Outlook[]): ShareNeeds[] {
+  private move(forecasts: readonly OwnerForecast[]): ShareNeeds[] {
     const { replica, clock, log, scheduler } = this.parts;
     const now = clock.now();
     const cuts = this.cuts();
     const machines: MovableMachine[] = [];
-    for (const { member, left, kept } of outlooks) {
+    for (const { member, left, kept } of forecasts) {
       for (const [host, room] of left) {
-        const book = replica.ledger.hosts.get(host);
-        const type = book && replica.types.get(book.machineType);
+        const entry = replica.ledger.hosts.get(host);
+        const type = entry && replica.types.get(entry.machineType);
         if (!type) continue;
         // One that is kept for a task is as good as taken.
         const settling = kept.has(host) || now - (this.movedAt.get(host) ?? -Infinity) < SETTLE;
-        const { machineType: machineType, zone: memberZone, spot: spot } = book;
+        const { machineType: machineType, zone: memberZone, spot: spot } = entry;
         const busyFor = (): Micros => scheduler.busyFor(host);
         const total = amountsOf(type);
         machines.push({
@@ -251,7 +256,7 @@
         });
       }
     }
-    const owners = outlooks.map((o) => ({ ...o, owner: o.member }));
+    const owners = forecasts.map((o) => ({ ...o, owner: o.member }));
     const reaches = (owner: string, zone: string): boolean => this.reaches(owner, zone, cuts);
     const { moves, left } = planMoves({
       owners,
@@ -260,14 +265,14 @@
       priceGap: PRICE_GAP,
       mostOwed: MOST_OWED,
     });
-    for (const { host, to } of moves) {
-      const share = outlooks.find((o) => o.member === to)?.shares[0];
+    for (const { host, to: destination } of moves) {
+      const share = forecasts.find((o) => o.member === destination)?.shares[0];
       if (share === undefined) continue;
       this.movedAt.set(host, now);
       this.fleet.move(host, share, 'needed');
     }
     if (moves.length > 0) log.debug({ moves }, 'moves');
-    return outlooks.map((o) => ({
+    return forecasts.map((o) => ({
       share: o.shares[0] ?? 0,
       needs: (left.get(o.member) ?? []).map((need) => scheduler.worthRenting(need)),
       soon: o.soon,
@@ -276,19 +281,19 @@
   }
 
   /** Poorly used ordinary machines get no new tasks and go home once empty, while the rest has room to spare. */
-  private drain(outlooks: readonly Outlook[]): void {
+  private drain(forecasts: readonly OwnerForecast[]): void {
     const { replica, clock } = this.parts;
     const now = clock.now();
     const machines: Drainable[] = [];
-    for (const [host, left] of outlooks.flatMap((o) => [...o.left])) {
-      const book = replica.ledger.hosts.get(host);
-      const type = book && replica.types.get(book.machineType);
+    for (const [host, left] of forecasts.flatMap((o) => [...o.left])) {
+      const entry = replica.ledger.hosts.get(host);
+      const type = entry && replica.types.get(entry.machineType);
       if (!type) continue;
       const total = amountsOf(type);
       if (usedPart({ total, left }) > DRAIN.poor) this.poorSince.delete(host);
       else if (!this.poorSince.has(host)) this.poorSince.set(host, now);
       const poorFor = now - (this.poorSince.get(host) ?? now);
-      const { spot: spot } = book;
+      const { spot: spot } = entry;
       machines.push({ host, spot, price: spot ? type.spotPrice : type.price, total, left, poorFor });
     }
     for (const host of this.poorSince.keys())
@@ -297,10 +302,10 @@
   }
 
   /** How the fleet stands: CPUs up and placed, by shape. */
-  private tell(): void {
+  private logFleet(): void {
     const { replica, clock, log } = this.parts;
-    if (clock.now() - this.lastTold < TELL_EVERY) return;
-    this.lastTold = clock.now();
+    if (clock.now() - this.lastLogged < LOG_EVERY) return;
+    this.lastLogged = clock.now();
     const shapes: Record<string, { machines: number; booting: number; cpus: number; placed: number }> = {};
     for (const host of replica.ledger.hosts.values()) {
       const row = (shapes[shapeOf(host.machineType, host.spot)] ??= {
@@ -332,7 +337,7 @@
         set: TYPES + t.name,
         value: { Type: t } as unknown as Fields,
       }));
-      await store.commit([{ path: LEAD, stamp: lead.stamp }], writes);
+      await store.commit([{ path: LEAD, revision: lead.revision }], writes);
     }
   }
 }
--- a/packages/daemon/links.ts
+++ b/packages/daemon/links.ts
@@ -11,7 +11,7 @@
   fields: [
     { name: 'member', type: 'string' },
     { name: 'number', type: 'long' },
-    { name: 'baton', type: 'long' },
+    { name: 'token', type: 'long' },
     { name: 'served', type: 'boolean' },
     { name: 'referred', type: { type: 'map', values: 'int' } },
   ],
@@ -131,7 +131,7 @@
     socket.on('close', lost);
     readMessages(socket, (message) => {
       if (message.number === this.waiting?.number) {
-        const { token: token, served, referred } = message;
+        const { token, served, referred } = message;
         this.waiting.done('ok', { token, served, referred });
       }
     });
--- a/packages/daemon/scheduler.ts
+++ b/packages/daemon/scheduler.ts
@@ -1,7 +1,7 @@
 import {
-  type HostBook,
+  type MachineEntry,
   JOB_AT_FAULT,
-  type JobBook,
+  type JobEntry,
   type Logger,
   type Placement,
   type Replica,
@@ -11,7 +11,7 @@
 import { amountsOf, type Coming, type NeedRow, serve, suits } from '#fleet';
 import {
   type Amounts,
-  type Claim,
+  type PreemptionRequest,
   fits,
   planStops,
   playRound,
@@ -24,7 +24,7 @@
 } from '#pricing';
 import type { Objective, Settings, Tuning } from '#settings';
 import { type Clock, fromSeconds, type Micros, MS, type Rank, RANKS, SECOND, type JobSpec } from '#wire';
-import { attemptKey, type Ending, placementOf, type Roster, type Session } from '#workers';
+import { attemptKey, type Ending, placementOf, type WorkerRegistry, type Session } from '#workers';
 
 export interface RoundPlan {
   /** By share of the machine. */
@@ -36,7 +36,7 @@
 }
 
 /** What the leader foresees of one owner's next round. */
-export interface Outlook {
+export interface OwnerForecast {
   member: string;
   shares: number[];
   /** What will find no room, most urgent first. */
@@ -61,9 +61,9 @@
 export const RANK_PRIORITY: Record<Rank, number> = { best_effort: 1, normal: 2, urgent: 8, prod: 24 };
 /** A machine whose room comes free within this time counts as on its way. */
 const SOON: Micros = 10 * SECOND;
-const SHUN: Micros = 20 * SECOND;
+const AVOID_FOR: Micros = 20 * SECOND;
 /** A task that waits this long may have others stopped. */
-const CLAIM_AFTER: Micros = 4 * SECOND;
+const PREEMPT_AFTER: Micros = 4 * SECOND;
 /** A task is stopped only after it has been on its machine for so long, and not when it is almost done. */
 const SETTLED: Micros = 45 * SECOND;
 const ALMOST_DONE: Micros = 12 * SECOND;
@@ -95,7 +95,7 @@
     private readonly clock: Clock,
     private readonly random: () => number,
     private readonly replica: Replica,
-    private readonly roster: Roster,
+    private readonly workers: WorkerRegistry,
     private readonly log: Logger,
   ) {
     this.options = { ...tuning, mostStarts: MOST_STARTS };
@@ -114,7 +114,7 @@
 
   /** The newest report of this worker shows the end of a task that the log doesn't know of yet. */
   hasNews(host: string): boolean {
-    const session = this.roster.sessions.get(host);
+    const session = this.workers.sessions.get(host);
     if (!session) return false;
     const { ledger } = this.replica;
     return session.report.tasks.some((p) => p.state === 'exited' && placementOf(ledger, host, p) !== null);
@@ -122,12 +122,12 @@
 
   learn({ placement, outcome }: Ending): void {
     const now = this.clock.now();
-    const session = this.roster.sessions.get(placement.host);
+    const session = this.workers.sessions.get(placement.host);
     const job = this.replica.jobs.get(placement.job);
     const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
     session?.runningSince.delete(attemptKey(placement.taskName, placement.attempt));
     if (outcome === 'refused' && session) {
-      session.shunnedUntil = Math.max(session.shunnedUntil, now + 5 * SECOND);
+      session.avoidedUntil = Math.max(session.avoidedUntil, now + 5 * SECOND);
     } else if (outcome === 'done' && job && began !== null && job.spec.estimateS > 0) {
       const ratio = (now - began) / fromSeconds(job.spec.estimateS);
       // A task whose result was kept from an earlier attempt ends at once and tells nothing of its class.
@@ -161,7 +161,7 @@
   }
 
   /** The leader's view of every owner's next round, from the log alone. */
-  survey(owners: ReadonlyMap<number, { member: string }>): Outlook[] {
+  forecast(owners: ReadonlyMap<number, { member: string }>): OwnerForecast[] {
     const members = [...new Set([...owners.values()].map((o) => o.member))].sort();
     return members.map((member) => {
       const shares = [...owners].filter(([, o]) => o.member === member).map(([share]) => share);
@@ -191,8 +191,9 @@
     }
     if (owed === 0) return { owed, borrowed };
     for (const { room } of soon) owed -= room.cpus;
-    for (const { to, share, machineType: machineType } of ledger.hosts.values()) {
-      if (typeof to === 'number' && to !== share && shares.has(to)) owed -= types.get(machineType)?.cpus ?? 0;
+    for (const { destination: destination, share, machineType: machineType } of ledger.hosts.values()) {
+      if (typeof destination === 'number' && destination !== share && shares.has(destination))
+        owed -= types.get(machineType)?.cpus ?? 0;
     }
     return { owed: Math.max(0, owed), borrowed };
   }
@@ -206,7 +207,7 @@
   remaining(placement: Placement): Micros {
     const job = this.replica.jobs.get(placement.job);
     if (!job) return 0;
-    const session = this.roster.sessions.get(placement.host);
+    const session = this.workers.sessions.get(placement.host);
     const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
     const whole = this.expected(job.spec);
     // On another owner's machine only the time of the start is known.
@@ -259,7 +260,7 @@
     const { ledger, jobs } = this.replica;
     const wall = this.clock.wall();
     const guarantee = new Map(this.settings.teams.map((t) => [t.name, t.cpus]));
-    const claims: Claim[] = [];
+    const requests: PreemptionRequest[] = [];
     const freeing = this.freeing();
     // What this round's starts, and the team's more urgent needs once their room is free, take of its guarantee:
     // otherwise what was stopped for them claims that part again, and further tasks are stopped for it.
@@ -269,18 +270,18 @@
       const used = ledger.used(team).cpus + (promised.get(team) ?? 0);
       promised.set(team, (promised.get(team) ?? 0) + wanted * need.cpus);
       const spec = jobs.get(job.id)?.spec;
-      if (!spec || wall - (jobs.get(job.id)?.at ?? 0) * MS < CLAIM_AFTER) continue;
+      if (!spec || wall - (jobs.get(job.id)?.at ?? 0) * MS < PREEMPT_AFTER) continue;
       // What was stopped before is still saving: more must not be stopped for the same claim meanwhile.
       const count = wanted - serve(freeing, job, wanted);
       const within = slots({ ...need, gpus: 0, memGb: 0 }, amounts((guarantee.get(team) ?? 0) - used));
       const safe = Math.min(count, within);
       const rank = RANKS.indexOf(spec.rank);
-      if (safe > 0) claims.push({ job, count: safe, rank, guaranteed: true });
+      if (safe > 0) requests.push({ job, count: safe, rank, guaranteed: true });
       if (count > safe && rank > RANKS.indexOf('normal')) {
-        claims.push({ job, count: count - safe, rank, guaranteed: false });
+        requests.push({ job, count: count - safe, rank, guaranteed: false });
       }
     }
-    if (claims.length === 0) return [];
+    if (requests.length === 0) return [];
     const victims = new Map<string, Victim & { placement: Placement; graceS: number }>();
     for (const { host } of machines) {
       for (const p of ledger.placementsOn(host)) {
@@ -300,7 +301,7 @@
       left: left.get(m.host) ?? m.room,
       allowed: (job: WaitingJob) => suits(job, m) && fits(job.need, m.total),
     }));
-    const chosen = planStops({ claims, machines: rows, victims: [...victims.values()], most: MOST_STOPS });
+    const chosen = planStops({ requests, machines: rows, victims: [...victims.values()], most: MOST_STOPS });
     return chosen.flatMap((v) => victims.get(v.taskName) ?? []);
   }
 
@@ -308,20 +309,20 @@
   private freeing(): Coming[] {
     const { ledger } = this.replica;
     const out: Coming[] = [];
-    for (const host of this.roster.sessions.keys()) {
-      const book = ledger.hosts.get(host);
-      const type = book && this.replica.types.get(book.machineType);
+    for (const host of this.workers.sessions.keys()) {
+      const entry = ledger.hosts.get(host);
+      const type = entry && this.replica.types.get(entry.machineType);
       if (!type || !this.isMakingRoom(host)) continue;
       const room = amountsOf(type);
-      for (const p of ledger.placementsOn(host)) if (!this.roster.isStopping(p)) take(room, p, 1);
-      out.push({ machineType: book.machineType, zone: book.zone, spot: book.spot, room });
+      for (const p of ledger.placementsOn(host)) if (!this.workers.isStopping(p)) take(room, p, 1);
+      out.push({ machineType: entry.machineType, zone: entry.zone, spot: entry.spot, room });
     }
     return out;
   }
 
   private isMakingRoom(host: string): boolean {
-    if (!this.roster.stopsAny) return false;
-    for (const p of this.replica.ledger.placementsOn(host)) if (this.roster.isStopping(p)) return true;
+    if (!this.workers.stopsAny) return false;
+    for (const p of this.replica.ledger.placementsOn(host)) if (this.workers.isStopping(p)) return true;
     return false;
   }
 
@@ -359,13 +360,13 @@
   private machines(ending: ReadonlySet<Placement>): RoomyMachine[] {
     const now = this.clock.now();
     const machines: RoomyMachine[] = [];
-    for (const [host, session] of this.roster.sessions) {
-      if (session.state !== 'reporting' || session.shunnedUntil > now) continue;
-      if (session.deafSince !== null) continue;
+    for (const [host, session] of this.workers.sessions) {
+      if (session.state !== 'reporting' || session.avoidedUntil > now) continue;
+      if (session.unreachableSince !== null) continue;
       // What a stop frees is for the task it was stopped for: the most urgent one, once all of it is free.
       if (this.isMakingRoom(host)) continue;
       const machine = this.roomy(host, ending);
-      // Something on it that the books don't have is being stopped; until it is gone the room is unknown.
+      // Something on it that the log doesn't have is being stopped; until it is gone the room is unknown.
       if (machine && !this.hasStranger(host, session)) machines.push(machine);
     }
     return machines;
@@ -374,9 +375,9 @@
   /** The machines of some shares with room as the log has it. */
   private booked(shares: ReadonlySet<number>): RoomyMachine[] {
     const machines: RoomyMachine[] = [];
-    for (const book of this.replica.ledger.hosts.values()) {
-      if (book.share === null || !shares.has(book.share) || book.status !== 'up') continue;
-      const machine = this.roomy(book.host, new Set());
+    for (const entry of this.replica.ledger.hosts.values()) {
+      if (entry.share === null || !shares.has(entry.share) || entry.status !== 'up') continue;
+      const machine = this.roomy(entry.host, new Set());
       if (machine) machines.push(machine);
     }
     return machines;
@@ -384,17 +385,17 @@
 
   private roomy(host: string, ending: ReadonlySet<Placement>): RoomyMachine | null {
     const { ledger, types } = this.replica;
-    const book = ledger.hosts.get(host);
-    const type = book && types.get(book.machineType);
-    if (!type || book.to !== null || this.isShunned(book)) return null;
+    const entry = ledger.hosts.get(host);
+    const type = entry && types.get(entry.machineType);
+    if (!type || entry.destination !== null || this.isAvoided(entry)) return null;
     const room = amountsOf(type);
     for (const p of ledger.placementsOn(host)) if (!ending.has(p)) take(room, p, 1);
-    const { machineType: machineType, zone: zone, spot: spot } = book;
+    const { machineType: machineType, zone: zone, spot: spot } = entry;
     const upkeep = (spot ? type.spotPrice : type.price) / Math.max(type.cpus, 1);
     const busyFor = (): Micros => this.busyFor(host);
     return {
       ...{ host, machineType, zone, spot, total: amountsOf(type), room, busyFor, upkeep },
-      warm: book.images,
+      warm: entry.images,
     };
   }
 
@@ -406,21 +407,21 @@
   }
 
   /** It failed tasks: each failure in a row doubles the time for which it gets none. */
-  private isShunned(book: HostBook): boolean {
-    if (book.errors === 0) return false;
-    return this.clock.wall() < book.failedAt * MS + SHUN * 2 ** Math.min(4, book.errors - 1);
+  private isAvoided(entry: MachineEntry): boolean {
+    if (entry.errors === 0) return false;
+    return this.clock.wall() < entry.failedAt * MS + AVOID_FOR * 2 ** Math.min(4, entry.errors - 1);
   }
 
   /**
    * How many tasks of a job are to be placed. One that fails on machine after machine tries with a single task, ever
    * more rarely: it takes next to no room, and a first success sets it free.
    */
-  private wanted(spec: JobSpec, book: JobBook | undefined): number {
-    const count = spec.taskCount - (book?.done.count ?? 0) - (book?.placed.size ?? 0);
-    if (!book || book.errors < JOB_AT_FAULT) return count;
-    const rest = Math.min(LONGEST_REST, 2 ** book.errors * SECOND);
-    const resting = this.clock.wall() < book.failedAt * MS + rest;
-    return resting || book.placed.size > 0 ? 0 : Math.min(count, 1);
+  private wanted(spec: JobSpec, entry: JobEntry | undefined): number {
+    const count = spec.taskCount - (entry?.done.count ?? 0) - (entry?.placed.size ?? 0);
+    if (!entry || entry.errors < JOB_AT_FAULT) return count;
+    const rest = Math.min(LONGEST_REST, 2 ** entry.errors * SECOND);
+    const resting = this.clock.wall() < entry.failedAt * MS + rest;
+    return resting || entry.placed.size > 0 ? 0 : Math.min(count, 1);
   }
 
   private hasStranger(host: string, session: Session): boolean {
@@ -428,32 +429,32 @@
     return session.report.tasks.some((p) => p.state !== 'exited' && placementOf(ledger, host, p) === null);
   }
 
-  private waiting(crews: ReadonlySet<string>, ending: ReadonlySet<Placement>): WaitingJob[] {
+  private waiting(teams: ReadonlySet<string>, ending: ReadonlySet<Placement>): WaitingJob[] {
     const { ledger, jobs } = this.replica;
     const wall = this.clock.wall();
     const out: WaitingJob[] = [];
     for (const [id, job] of jobs) {
       const { spec } = job;
-      if (!crews.has(spec.team)) continue;
-      const book = ledger.books.get(id);
-      const count = this.wanted(spec, book);
+      if (!teams.has(spec.team)) continue;
+      const entry = ledger.jobEntries.get(id);
+      const count = this.wanted(spec, entry);
       if (count <= 0) continue;
       const placedByZone = new Map<string, number>();
-      for (const p of book?.placed.values() ?? []) {
+      for (const p of entry?.placed.values() ?? []) {
         if (ending.has(p)) continue;
         const zone = this.hallOf(p.host);
         placedByZone.set(zone, (placedByZone.get(zone) ?? 0) + 1);
       }
       const waited = Math.max(0, wall - job.at * MS) / this.tuning.waitDoubles;
       // Spare room is what guests are for: what has begun of their work is not raised above that of others.
-      const begun = book !== undefined && (book.placed.size > 0 || book.done.count > 0);
+      const begun = entry !== undefined && (entry.placed.size > 0 || entry.done.count > 0);
       const raised = this.guests.has(spec.team) && begun ? 1 : raise(waited);
       out.push({
         id,
         team: spec.team,
         need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
         priority: RANK_PRIORITY[spec.rank] * raised,
-        order: job.stamp,
+        order: job.revision,
         waiting: count,
         taskCount: spec.taskCount,
         machineTypes: spec.machineTypes,
@@ -469,7 +470,7 @@
   }
 
   private hallOf(host: string): string {
-    return this.replica.ledger.hosts.get(host)?.zone ?? this.roster.sessions.get(host)?.report.zone ?? '?';
+    return this.replica.ledger.hosts.get(host)?.zone ?? this.workers.sessions.get(host)?.report.zone ?? '?';
   }
 
   /** Gives each start its task and sorts them by the share of their machine. */
@@ -478,7 +479,7 @@
     const open = new Map<string, Iterator<number>>();
     for (const { job, host } of starts) {
       const spec = this.replica.jobs.get(job)?.spec;
-      const session = this.roster.sessions.get(host);
+      const session = this.workers.sessions.get(host);
       const share = this.replica.ledger.hosts.get(host)?.share ?? null;
       if (!spec || !session || share === null) continue;
       let indices = open.get(job);
@@ -497,10 +498,10 @@
     return byShare;
   }
 
-  private *openIndices(job: string, pieces: number): Generator<number> {
-    const book = this.replica.ledger.books.get(job);
-    for (let i = book?.done.firstOpen ?? 0; i < pieces; i++) {
-      if (!book?.done.has(i) && !book?.placed.has(i)) yield i;
+  private *openIndices(job: string, taskCount: number): Generator<number> {
+    const entry = this.replica.ledger.jobEntries.get(job);
+    for (let i = entry?.done.firstOpen ?? 0; i < taskCount; i++) {
+      if (!entry?.done.has(i) && !entry?.placed.has(i)) yield i;
     }
   }
 
--- a/packages/fleet/keeper.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -1,4 +1,4 @@
-import type { Destination, HostBook, Ledger, Logger, RecordDraft } from '#cluster';
+import type { Destination, MachineEntry, Ledger, Logger, RecordDraft } from '#cluster';
 import { type CloudClient, MAX_DELETE, MAX_RENT } from '#cloud';
 import {
   type Clock,
@@ -53,19 +53,19 @@
  * `pending`; what it asks of the cloud it takes from the ledger, so a request is always recorded before it is
  * made, and a machine that may be in use is only deleted once its owner has let it go.
  */
-export class FleetKeeper {
+export class FleetManager {
   private pending: Pending = empty();
   private readonly asking = new Map<string, Micros>();
   private readonly refusals = new Map<string, { until: Micros; pause: Micros }>();
   private readonly gone = new Map<string, Micros>();
   private readonly idleSince = new Map<string, Micros>();
   private listed: Map<string, ListedMachine> | null = null;
-  /** Listed machines that stopped and are in nobody's books. */
+  /** Listed machines that stopped and are in no record. */
   private readonly wrecks = new Set<string>();
   private lastList: Micros = -Infinity;
   private listing = false;
   private deleting = false;
-  private hires = 0;
+  private rentals = 0;
   private since: Micros = 0;
 
   constructor(
@@ -108,29 +108,29 @@
   }
 
   move(host: string, to: Destination, why: string): void {
-    const book = this.facts().ledger.hosts.get(host);
-    if (!book || book.to === to || book.to === 'return') return;
+    const entry = this.facts().ledger.hosts.get(host);
+    if (!entry || entry.destination === to || entry.destination === 'return') return;
     if (this.pending.Moves.some(([other]) => other === host)) return;
     this.pending.Moves.push([host, to]);
-    this.log.debug({ host, from: book.share, to, why }, 'move');
+    this.log.debug({ host, from: entry.share, to, why }, 'move');
   }
 
   /** One step: rents for the given needs, returns what idles, and talks to the cloud. */
   step(shares: readonly ShareNeeds[]): void {
     const { ledger } = this.facts();
     for (const share of shares) this.rent(share);
-    for (const hire of ledger.hires.keys()) void this.ask(hire);
+    for (const rental of ledger.rentals.keys()) void this.ask(rental);
     void this.list();
     this.sendBack(shares.some((s) => s.needs.length > 0));
-    void this.deleteDoomed();
+    void this.deleteUnwanted();
     if (isFilled(this.pending)) this.wake();
   }
 
-  private age(host: HostBook): Micros {
+  private age(host: MachineEntry): Micros {
     return Math.max(0, this.clock.wall() - host.since * MS);
   }
 
-  private isBooting(host: HostBook): boolean {
+  private isBooting(host: MachineEntry): boolean {
     const boot = fromSeconds(this.facts().types.get(host.machineType)?.bootS ?? 60);
     return host.status === 'new' && this.age(host) <= boot * 2.2 + 5 * SECOND;
   }
@@ -146,9 +146,9 @@
       if (type && host.share === share && this.isBooting(host))
         coming.push({ ...host, room: amountsOf(type) });
     }
-    const asked = [...ledger.hires.values()].map((h) => ({ ...h }));
+    const asked = [...ledger.rentals.values()].map((h) => ({ ...h }));
     for (const [, machineType, zone, spot, number, to] of this.pending.Hires) {
-      asked.push({ hire: '', machineType, zone, spot, number, share: to, at: 0 });
+      asked.push({ id: '', machineType, zone, spot, number, share: to, at: 0 });
     }
     for (const { machineType: machineType, zone: zone, spot: spot, number, share: to } of asked) {
       const type = types.get(machineType);
@@ -167,9 +167,9 @@
       // A request takes only so many; going on with a dearer kind instead would cost money every hour.
       for (let left = wanted; left > 0; left -= MAX_RENT) {
         const number = Math.min(left, MAX_RENT);
-        const hire = `h-${this.clock.wall()}-${ledger.size}-${++this.hires}`;
-        this.pending.Hires.push([hire, machineType, zone, spot, number, share]);
-        this.log.info({ hire, machineType, zone, spot, number, share }, 'renting');
+        const rental = `h-${this.clock.wall()}-${ledger.size}-${++this.rentals}`;
+        this.pending.Hires.push([rental, machineType, zone, spot, number, share]);
+        this.log.info({ hire: rental, machineType, zone, spot, number, share }, 'renting');
       }
     }
   }
@@ -186,11 +186,11 @@
   }
 
   private async ask(name: string): Promise<void> {
-    const hire = this.facts().ledger.hires.get(name);
+    const rental = this.facts().ledger.rentals.get(name);
     const now = this.clock.now();
-    if (!hire || (this.asking.get(name) ?? -Infinity) > now || this.pending.Settled.includes(name)) return;
+    if (!rental || (this.asking.get(name) ?? -Infinity) > now || this.pending.Settled.includes(name)) return;
     this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
-    const { machineType: machineType, zone: zone, spot: spot, number } = hire;
+    const { machineType: machineType, zone: zone, spot: spot, number } = rental;
     const result = await this.cloud.rent({
       id: name,
       machineType,
@@ -198,15 +198,15 @@
       spot,
       count: number,
     });
-    if (this.facts().ledger.hires.get(name) === undefined) return;
+    if (this.facts().ledger.rentals.get(name) === undefined) return;
     this.asking.set(name, this.clock.now() + HIRE_RETRY);
     if (result.kind === 'rented') {
-      for (const host of result.hosts) this.adopt(host, hire, hire.share, 0);
-      if (result.hosts.length < number) this.refuse(hire);
-      else this.refusals.delete(offerKey(hire));
+      for (const host of result.hosts) this.adopt(host, rental, rental.share, 0);
+      if (result.hosts.length < number) this.refuse(rental);
+      else this.refusals.delete(offerKey(rental));
     } else if (result.kind === 'no_capacity') {
-      this.refuse(hire);
-    } else if (this.clock.wall() - hire.at * MS < HIRE_PATIENCE) {
+      this.refuse(rental);
+    } else if (this.clock.wall() - rental.at * MS < HIRE_PATIENCE) {
       return;
     }
     // An answer that never came may still have rented machines: the list shows them, and they are adopted.
@@ -270,9 +270,9 @@
   }
 
   /** Why the machine may be deleted now, or null. */
-  private doom(host: HostBook): string | null {
+  private deletionReason(host: MachineEntry): string | null {
     const { listLag, lease, isCut } = this.facts();
-    if (host.share === null && host.to === 'return') return 'returned';
+    if (host.share === null && host.destination === 'return') return 'returned';
     if (host.status === 'lost') return 'lost';
     const row = this.listed?.get(host.host);
     if (row?.state === 'failed') return 'failed';
@@ -284,21 +284,21 @@
     return host.status === 'new' && !this.isBooting(host) && !patient ? 'late' : null;
   }
 
-  private async deleteDoomed(): Promise<void> {
+  private async deleteUnwanted(): Promise<void> {
     if (this.deleting) return;
-    const doomed = new Map<string, string>();
+    const unwanted = new Map<string, string>();
     for (const host of this.facts().ledger.hosts.values()) {
-      const why = this.pending.Gone.includes(host.host) ? null : this.doom(host);
-      if (why !== null) doomed.set(host.host, why);
+      const why = this.pending.Gone.includes(host.host) ? null : this.deletionReason(host);
+      if (why !== null) unwanted.set(host.host, why);
     }
-    for (const host of this.wrecks) doomed.set(host, 'failed');
-    const hosts = [...doomed.keys()].slice(0, MAX_DELETE);
+    for (const host of this.wrecks) unwanted.set(host, 'failed');
+    const hosts = [...unwanted.keys()].slice(0, MAX_DELETE);
     if (hosts.length === 0) return;
     this.deleting = true;
     const ok = await this.cloud.delete(hosts);
     this.deleting = false;
     if (!ok) return;
-    this.log.info({ hosts: Object.fromEntries(doomed) }, 'machines returned');
+    this.log.info({ hosts: Object.fromEntries(unwanted) }, 'machines returned');
     for (const host of hosts) {
       this.gone.set(host, this.clock.now() + GONE_KEPT);
       this.wrecks.delete(host);
--- a/packages/fleet/index.ts
+++ b/packages/fleet/index.ts
@@ -1,3 +1,3 @@
 export * from './planner.js';
-export * from './keeper.js';
+export * from './fleet-manager.js';
 export * from './moves.js';
--- a/packages/pricing/preempt.test.ts
+++ b/packages/pricing/preempt.test.ts
@@ -28,8 +28,8 @@
 function stopped(victims: Victim[], claim: { rank?: number; guaranteed?: boolean } = {}): string[] {
   const left = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, left, allowed: () => true }));
-  const claims = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...claim }];
-  return planStops({ claims, machines, victims, most: 5 }).map((v) => v.taskName);
+  const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...claim }];
+  return planStops({ requests, machines, victims, most: 5 }).map((v) => v.taskName);
 }
 
 test('work of lower rank makes room, on the machine where the fewest tasks have to', () => {
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -12,7 +12,7 @@
   saves: boolean;
 }
 
-export interface Claim {
+export interface PreemptionRequest {
   job: WaitingJob;
   count: number;
   rank: number;
@@ -22,7 +22,7 @@
 
 export interface PreemptInput {
   /** Tasks that found no room and have waited long enough to stop others for, most urgent first. */
-  claims: readonly Claim[];
+  requests: readonly PreemptionRequest[];
   machines: readonly { host: string; left: Amounts; allowed: (job: WaitingJob) => boolean }[];
   /** Tasks that may be stopped at all. */
   victims: readonly Victim[];
@@ -33,7 +33,7 @@
  * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
-export function planStops({ claims, machines, victims, most }: PreemptInput): Victim[] {
+export function planStops({ requests: requests, machines, victims, most }: PreemptInput): Victim[] {
   const stops: Victim[] = [];
   const used = new Set<string>();
   // Found by machine once: machines times tasks would be looked at for every claim otherwise.
@@ -49,7 +49,7 @@
     const open = onHost.get(m.host);
     return open ? [{ ...m, open }] : [];
   });
-  for (const { job, count, rank, guaranteed } of claims) {
+  for (const { job, count, rank, guaranteed } of requests) {
     for (let i = 0; i < count; i++) {
       let best: { host: string; chosen: Victim[] } | null = null;
       for (const machine of candidates) {
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -6,18 +6,18 @@
 export interface Row {
   path: string;
   value: Fields;
-  stamp: number;
+  revision: number;
 }
 
-export type Change = { path: string; stamp: number; value: Fields | null };
+export type Change = { path: string; revision: number; value: Fields | null };
 
 export interface Guard {
   path: string;
   /** 0: the key must not exist. */
-  stamp: number;
+  revision: number;
 }
 
-export type Write = { set: string; value: Fields; permit?: Count } | { remove: string };
+export type Write = { set: string; value: Fields; leaseId?: Count } | { remove: string };
 
 /**
  * What became of a commit. `unknown`: no answer, so it may have been applied or may yet be; whoever sent it
@@ -50,8 +50,8 @@
     const { status, body } = await this.send('GET', `/store/${path}`);
     if (status === 404) return { row: null, epoch: Number(body['Epoch']) };
     if (status !== 200) throw new StoreError(status);
-    const row = { path, value: fieldsOf(body['V']), stamp: Number(body['Stamp']) };
-    return { row, epoch: row.stamp };
+    const row = { path, value: fieldsOf(body['V']), revision: Number(body['Stamp']) };
+    return { row, epoch: row.revision };
   }
 
   async list(prefix: string, after: string): Promise<{ rows: Row[]; more: boolean; epoch: number }> {
@@ -61,18 +61,18 @@
     const rows = (Array.isArray(body['Rows']) ? body['Rows'] : []).filter(isFields).map((r) => ({
       path: String(r['Path']),
       value: fieldsOf(r['V']),
-      stamp: Number(r['Stamp']),
+      revision: Number(r['Stamp']),
     }));
     return { rows, more: body['More'] === true, epoch: Number(body['Epoch']) };
   }
 
   async commit(guards: Guard[], writes: Write[]): Promise<CommitResult> {
     const body = {
-      Guards: guards.map((g) => ({ Path: g.path, Stamp: g.stamp })),
+      Guards: guards.map((g) => ({ Path: g.path, Stamp: g.revision })),
       Writes: writes.map((w) =>
         'remove' in w
           ? { Remove: w.remove }
-          : { Set: w.set, V: w.value, ...(w.permit === undefined ? {} : { Permit: w.permit }) },
+          : { Set: w.set, V: w.value, ...(w.leaseId === undefined ? {} : { Permit: w.leaseId }) },
       ),
     };
     let reply;
@@ -92,22 +92,22 @@
     return { kind: 'unknown' };
   }
 
-  async grant(life: Micros): Promise<Count> {
+  async createLease(life: Micros): Promise<Count> {
     const { status, body } = await this.send('POST', '/grants', { LifeMs: Math.round(life / MS) });
     if (status !== 200) throw new StoreError(status);
     return body['Permit'] as Count;
   }
 
   /** False: the grant has ended. */
-  async renew(permit: Count): Promise<boolean> {
-    const { status } = await this.send('POST', `/grants/${permit}/renew`);
+  async renew(leaseId: Count): Promise<boolean> {
+    const { status } = await this.send('POST', `/grants/${leaseId}/renew`);
     if (status === 404) return false;
     if (status !== 200) throw new StoreError(status);
     return true;
   }
 
-  async revoke(permit: Count): Promise<void> {
-    await this.send('DELETE', `/grants/${permit}`);
+  async revoke(leaseId: Count): Promise<void> {
+    await this.send('DELETE', `/grants/${leaseId}`);
   }
 
   /** Blocks; null when `after` is too old and the keys have to be read again. */
@@ -124,8 +124,8 @@
       .filter(isFields)
       .map((n) =>
         n['Set'] === undefined || n['Set'] === null
-          ? { path: String(n['Remove']), stamp: Number(n['Stamp']), value: null }
-          : { path: String(n['Set']), stamp: Number(n['Stamp']), value: fieldsOf(n['V']) },
+          ? { path: String(n['Remove']), revision: Number(n['Stamp']), value: null }
+          : { path: String(n['Set']), revision: Number(n['Stamp']), value: fieldsOf(n['V']) },
       );
     return { epoch: Number(body['Epoch']), news };
   }
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -43,7 +43,7 @@
 /** Machines with their shares, and placements, in an order that does not depend on how the ledger came about. */
 function describe(ledger: Ledger): string[] {
   const hosts = [...ledger.hosts.values()].map((h) =>
-    [h.host, h.share, h.to, h.term, h.status, JSON.stringify(h.mark)].join(' '),
+    [h.host, h.share, h.destination, h.ownershipCount, h.status, JSON.stringify(h.lastReport)].join(' '),
   );
   const placements = [...ledger.onHost.values()].flatMap((there) =>
     [...there.values()].map((p) => `${p.taskName} on ${p.host} attempt ${p.attempt} session ${p.session}`),
--- a/packages/testkit/chaos.test.ts
+++ b/packages/testkit/chaos.test.ts
@@ -81,8 +81,8 @@
       const name = `node-${node}`;
       during(
         3 + random() * 25,
-        () => store.shunned.add(name),
-        () => store.shunned.delete(name),
+        () => store.refusedNodes.add(name),
+        () => store.refusedNodes.delete(name),
       );
     },
     () => {
@@ -124,8 +124,8 @@
       refuse(links, seconds);
       during(
         seconds,
-        () => store.shunned.add(name),
-        () => store.shunned.delete(name),
+        () => store.refusedNodes.add(name),
+        () => store.refusedNodes.delete(name),
       );
     },
     () => {
@@ -185,8 +185,8 @@
       const name = `node-${node}`;
       during(
         5 + random() * 20,
-        () => store.shunned.add(name),
-        () => store.shunned.delete(name),
+        () => store.refusedNodes.add(name),
+        () => store.refusedNodes.delete(name),
       );
       clock.at(random() * 3 * SECOND, () => {
         during(
@@ -269,12 +269,12 @@
 const EVENTS: WorldEvent[] = ['confirmed', 'last end', 'lead', 'release'];
 /** How often one is met: changes of leader and withdrawals are few, releases many. */
 const CHANCE: Record<WorldEvent, number> = { confirmed: 0.4, 'last end': 0.1, lead: 0.4, release: 0.05 };
-const MOST_MEETINGS = 6;
+const MOST_FOLLOW_UPS = 6;
 
 /** Lets troubles meet events: `met` counts how many did. */
-function drawMeetings(world: SimWorld, until: number, met: Map<WorldEvent, number>): void {
+function drawFollowUps(world: SimWorld, until: number, met: Map<WorldEvent, number>): void {
   const { random, clock } = world;
-  let left = MOST_MEETINGS;
+  let left = MOST_FOLLOW_UPS;
   world.onEvent = (event) => {
     if (clock.time < 20 * SECOND || clock.time > until || left === 0) return;
     if (random() > CHANCE[event]) return;
@@ -311,7 +311,7 @@
   };
   clock.at(SECOND, arrive);
   clock.at(20 * SECOND, harm);
-  drawMeetings(world, 160 * SECOND, met);
+  drawFollowUps(world, 160 * SECOND, met);
   await world.run(245 * SECOND);
   world.rules.troublesOver(clock.time);
   await world.run(155 * SECOND);
--- a/packages/testkit/meetings.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -5,7 +5,7 @@
 import { BrokenRule, sampleJob } from './rules.js';
 import { SAMPLE_TYPES, SimWorld, type WorldOptions } from './sim-world.js';
 
-/** The meetings of `docs/meetings.md`: each test brings one about, and asserts that it did occur. */
+/** The combined failures of `docs/combined-failures.md`: each test brings one about, and asserts that it did occur. */
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
 
@@ -56,7 +56,7 @@
 async function gap(seed: number, alone: number, options: Partial<WorldOptions> = {}): Promise<void> {
   const world = await busyWorld({ seed, ...options });
   const { leader, job } = leading(world);
-  world.store.shunned.add(`node-${leader}`);
+  world.store.refusedNodes.add(`node-${leader}`);
   await world.run(alone * SECOND);
   await confirmWithdrawal(world, job, otherThan(world, leader));
   world.store.setOutage(true);
@@ -72,7 +72,7 @@
   assert.equal(world.workerReports(leader), last, 'it still answers workers');
   world.store.setOutage(false);
   await world.run(3 * SECOND);
-  world.store.shunned.clear();
+  world.store.refusedNodes.clear();
   await world.run(60 * SECOND);
   assert.equal(world.rules.startsAfterConfirmation, 0);
 }
@@ -88,7 +88,7 @@
   }
 });
 
-test('with a wider bound of renewal the same meeting breaks the rule', async () => {
+test('with a wider bound of renewal the same combination breaks the rule', async () => {
   // The controllers are told of ten seconds more than users are promised: what they add to the bound.
   const widened = { settings: { cancel: 35 * SECOND }, promisedCancel: 25 * SECOND };
   await assert.rejects(
@@ -146,7 +146,7 @@
 }
 
 test('a leader ends while its machines are out of reach, or do not hear the new answers', async () => {
-  for (const [seed, deaf] of [
+  for (const [seed, unreachable] of [
     [81, false],
     [82, true],
   ] as const) {
@@ -155,7 +155,7 @@
     const leader = holderOf(world, LEAD);
     const hosts = machinesOf(world, jobs);
     for (const host of hosts.slice(0, 2)) {
-      if (deaf) world.net.mute.add(host);
+      if (unreachable) world.net.mute.add(host);
       else refuseAll(world, host, true);
     }
     world.killNode(leader);
@@ -350,7 +350,7 @@
   world.net.slow.clear();
   // What was sent while it was slow is answered late.
   await world.run(15 * SECOND);
-  world.store.shunned.add(`node-${leader}`);
+  world.store.refusedNodes.add(`node-${leader}`);
   await world.run(SECOND);
   await confirmWithdrawal(world, 'j-11', otherThan(world, leader));
   world.store.setOutage(true);
@@ -365,7 +365,7 @@
     assert.equal(statuses.length, 3, `no answer at ${from}`);
   }
   world.store.setOutage(false);
-  world.store.shunned.clear();
+  world.store.refusedNodes.clear();
   await untilOver(world, jobs);
   assert.equal(world.told.get('j-11'), 'cancelled');
 });
@@ -374,7 +374,7 @@
   for (const seed of [71, 73, 75]) {
     const world = await busyWorld({ seed });
     const { leader, job } = leading(world);
-    world.store.shunned.add(`node-${leader}`);
+    world.store.refusedNodes.add(`node-${leader}`);
     world.refusePeers(leader, true);
     const next = await untilLed(world, leader);
     const before = world.workerReports(leader);
@@ -385,7 +385,7 @@
     await world.run(26 * SECOND);
     assert.deepEqual(world.rules.on(job), []);
     world.refusePeers(leader, false);
-    world.store.shunned.clear();
+    world.store.refusedNodes.clear();
     await world.run(30 * SECOND);
     assert.equal(world.rules.startsAfterConfirmation, 0);
   }
--- a/packages/testkit/rules.ts
+++ b/packages/testkit/rules.ts
@@ -152,7 +152,7 @@
     if (job.done.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
-  /** Tasks of the job that are on machines: piece and machine of each. */
+  /** Tasks of the job that are on machines: name and machine of each. */
   on(id: string): { taskName: string; host: string }[] {
     const ours = [...this.running.values()].filter((r) => r.job === id);
     return ours.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
@@ -299,7 +299,7 @@
     return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
   }
 
-  private pieces(team: string): string {
+  private tasksOf(team: string): string {
     const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === team);
     return ours.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
@@ -313,7 +313,7 @@
     if (limit && (used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6)) {
       throw new BrokenRule(
         'quota',
-        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.pieces(spec.team)}`,
+        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
       );
     }
   }
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -4,8 +4,8 @@
 
 interface Row {
   value: Fields;
-  stamp: number;
-  permit: number | null;
+  revision: number;
+  leaseId: number | null;
 }
 
 interface StoreLimits {
@@ -38,7 +38,7 @@
   asked = 0;
   refused = 0;
   /** Nodes that alone get 503. */
-  readonly shunned = new Set<string>();
+  readonly refusedNodes = new Set<string>();
   /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
   lateWrites = 0;
   /** Whether this very transaction gets no answer and is carried out late, too. */
@@ -51,7 +51,7 @@
   afterApply: (writes: Fields[]) => void = () => undefined;
   private readonly grants = new Map<number, { life: Micros; until: Micros }>();
   private nextGrant = 1;
-  private history: { path: string; value: Fields | null; stamp: number }[] = [];
+  private history: { path: string; value: Fields | null; revision: number }[] = [];
   private forgotten = 0;
   private watches: Watch[] = [];
   private requests = { tokens: 0, at: 0 };
@@ -77,7 +77,7 @@
   readonly handler: Handler = (from, method, path, body) => {
     this.asked++;
     if (!this.admit(this.requests, this.limits.rps, 1)) return { status: 429, body: {} };
-    if (this.outage || this.shunned.has(from)) return { status: 503, body: {} };
+    if (this.outage || this.refusedNodes.has(from)) return { status: 503, body: {} };
     if (path === '/commit' && isFields(body)) {
       const writes = (body['Writes'] as Fields[] | undefined) ?? [];
       const isUnlucky = this.lateWrites > 0 && this.random() < this.lateWrites;
@@ -115,7 +115,7 @@
   private get(key: string): Served {
     const row = this.rows.get(key);
     if (!row) return { status: 404, body: { Epoch: this.epoch } };
-    return { status: 200, body: { Path: key, V: row.value, Stamp: row.stamp, Permit: row.permit } };
+    return { status: 200, body: { Path: key, V: row.value, Stamp: row.revision, Permit: row.leaseId } };
   }
 
   private list(query: URLSearchParams): Served {
@@ -129,7 +129,7 @@
       const row = this.rows.get(key) as Row;
       bytes += key.length + Buffer.byteLength(JSON.stringify(row.value));
       if (Rows.length > 0 && bytes > PAGE_BYTES) break;
-      Rows.push({ Path: key, V: row.value, Stamp: row.stamp });
+      Rows.push({ Path: key, V: row.value, Stamp: row.revision });
     }
     return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.epoch } };
   }
@@ -145,13 +145,13 @@
       if (Buffer.byteLength(JSON.stringify(w['V'])) > this.limits.valueBytes) {
         throw new Error(`value of ${String(w['Set'])} is over the limit`);
       }
-      const permit = w['Permit'];
-      if (permit !== undefined && permit !== null && !this.grants.has(Number(permit))) {
+      const leaseId = w['Permit'];
+      if (leaseId !== undefined && leaseId !== null && !this.grants.has(Number(leaseId))) {
         return { status: 400, body: { error: 'no such lease' } };
       }
     }
     const failed = guards
-      .filter((g) => (this.rows.get(String(g['Path']))?.stamp ?? 0) !== Number(g['Stamp']))
+      .filter((g) => (this.rows.get(String(g['Path']))?.revision ?? 0) !== Number(g['Stamp']))
       .map((g) => g['Path']);
     if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.epoch } };
     this.beforeApply(guards, writes);
@@ -159,11 +159,11 @@
       this.epoch++;
       for (const w of writes) {
         if (w['Set'] !== undefined) {
-          const permit = w['Permit'];
+          const leaseId = w['Permit'];
           this.put(
             String(w['Set']),
             w['V'] as Fields,
-            permit === undefined || permit === null ? null : Number(permit),
+            leaseId === undefined || leaseId === null ? null : Number(leaseId),
           );
         } else this.drop(String(w['Remove']));
       }
@@ -183,18 +183,18 @@
     return new Promise(() => undefined);
   }
 
-  private put(path: string, value: Fields, permit: number | null): void {
-    this.rows.set(path, { value, stamp: this.epoch, permit });
-    this.remember({ path, value, stamp: this.epoch });
+  private put(path: string, value: Fields, leaseId: number | null): void {
+    this.rows.set(path, { value, revision: this.epoch, leaseId });
+    this.remember({ path, value, revision: this.epoch });
   }
 
   private drop(path: string): void {
-    if (this.rows.delete(path)) this.remember({ path, value: null, stamp: this.epoch });
+    if (this.rows.delete(path)) this.remember({ path, value: null, revision: this.epoch });
   }
 
-  private remember(change: { path: string; value: Fields | null; stamp: number }): void {
+  private remember(change: { path: string; value: Fields | null; revision: number }): void {
     this.history.push(change);
-    if (this.history.length > 10_000) this.forgotten = this.history.shift()?.stamp ?? this.forgotten;
+    if (this.history.length > 10_000) this.forgotten = this.history.shift()?.revision ?? this.forgotten;
   }
 
   private follow(from: string, query: URLSearchParams): Promise<Served> | Served {
@@ -212,25 +212,25 @@
     if (this.outage) return;
     for (const w of [...this.watches]) {
       // A node that alone is refused waits as all do in an outage, also beyond the time it asked for.
-      if (this.shunned.has(w.from)) continue;
+      if (this.refusedNodes.has(w.from)) continue;
       if (this.clock.time >= w.until) this.reply(w);
-      else if (this.history.some((c) => c.stamp > w.after && c.path.startsWith(w.prefix))) this.reply(w);
+      else if (this.history.some((c) => c.revision > w.after && c.path.startsWith(w.prefix))) this.reply(w);
     }
   }
 
   private reply(watch: Watch): void {
     this.watches = this.watches.filter((w) => w !== watch);
     const News = this.history
-      .filter((c) => c.stamp > watch.after && c.path.startsWith(watch.prefix))
+      .filter((c) => c.revision > watch.after && c.path.startsWith(watch.prefix))
       .map((c) =>
-        c.value ? { Set: c.path, V: c.value, Stamp: c.stamp } : { Remove: c.path, Stamp: c.stamp },
+        c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
       );
     watch.answer({ status: 200, body: { Epoch: this.epoch, News } });
   }
 
   private expire(id: number): void {
     this.grants.delete(id);
-    const keys = [...this.rows].filter(([, r]) => r.permit === id).map(([k]) => k);
+    const keys = [...this.rows].filter(([, r]) => r.leaseId === id).map(([k]) => k);
     if (keys.length === 0) return;
     this.epoch++;
     for (const key of keys) this.drop(key);
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -417,7 +417,7 @@
       if (!path.startsWith(LOGS)) continue;
       const key = ownershipKey(logOfKey(path));
       const owner = this.store.rows.get(key);
-      if (!owner || !guards.some((g) => g['Path'] === key && Number(g['Stamp']) === owner.stamp)) {
+      if (!owner || !guards.some((g) => g['Path'] === key && Number(g['Stamp']) === owner.revision)) {
         throw new BrokenRule('ownership', `${path} landed without ${key}`);
       }
     }
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -65,14 +65,14 @@
 test('a node that alone lost the state service lets its workers go as soon as a peer tells of a new token', async () => {
   const world = await busyWorld({ seed: 43 });
   const cut = [...ownersOf(world)].find((i) => i !== leaderOf(world)) ?? 0;
-  world.store.shunned.add(`node-${cut}`);
+  world.store.refusedNodes.add(`node-${cut}`);
   await world.run(9 * SECOND);
   const late = world.workerReports(cut);
   await world.run(6 * SECOND);
   assert.equal(world.workerReports(cut), late, 'it still answers workers');
   assert.equal(ownersOf(world).has(cut), false);
   assert.equal(world.health(cut), 503, 'users are still sent to it');
-  world.store.shunned.clear();
+  world.store.refusedNodes.clear();
   await world.run(4 * SECOND);
   assert.equal(world.health(cut), 200);
 });
@@ -92,7 +92,7 @@
 test('one that lost the peers, too, falls silent within its bound, and returns without harm', async () => {
   const world = await busyWorld({ seed: 44 });
   const cut = [...ownersOf(world)].find((i) => i !== leaderOf(world)) ?? 0;
-  world.store.shunned.add(`node-${cut}`);
+  world.store.refusedNodes.add(`node-${cut}`);
   world.refusePeers(cut, true);
   await world.run(7 * SECOND);
   assert.equal(world.health(cut), 503, 'users are still sent to it');
@@ -101,7 +101,7 @@
   const late = world.workerReports(cut);
   await world.run(10 * SECOND);
   assert.equal(world.workerReports(cut), late, 'it still answers workers');
-  world.store.shunned.delete(`node-${cut}`);
+  world.store.refusedNodes.delete(`node-${cut}`);
   world.refusePeers(cut, false);
   await untilDone(world, ['j-1', 'j-2'], 150 * SECOND);
   await world.run(10 * SECOND);
--- a/packages/workers/index.ts
+++ b/packages/workers/index.ts
@@ -1,1 +1,1 @@
-export * from './roster.js';
+export * from './worker-registry.js';
--- /dev/null
+++ b/packages/workers/worker-registry.test.ts
@@ -0,0 +1,148 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { Ledger, type LiveJob } from '#cluster';
+import { SECOND, type WorkerReport } from '#wire';
+import { sampleJob } from '#testkit';
+import { attemptKey, renewalBound, WorkerRegistry, withDrift } from './worker-registry.js';
+
+const LIMITS = { report: 2 * SECOND, lease: 10 * SECOND, cancel: 30 * SECOND };
+const NOW = 100 * SECOND;
+const OWNERS = new Map([[0, { member: 'a', nonce: 'x', revision: 9, token: 5 }]]);
+/** The attempt that the first record of share 0 makes. */
+const TRY = 1024;
+
+function report(change: Partial<WorkerReport> = {}): WorkerReport {
+  return {
+    ...{ host: 'n-1', address: '10.1.0.1:9', machineType: 'small', zone: 'east', spot: false },
+    ...{ session: 1, sequence: 1, token: 5, spotNoticeS: null, tasks: [] },
+    ...change,
+  };
+}
+
+/** One task, j-1/0 attempt 1, recorded for session 1 of n-1. */
+function scene(): { workers: WorkerRegistry; ledger: Ledger; jobs: Map<string, LiveJob> } {
+  const ledger = new Ledger();
+  ledger.apply('lead', { Seq: 1, At: 0, Hosts: [['n-1', 'small', 'east', false, 0, 0]] });
+  ledger.apply(0, {
+    Seq: 1,
+    At: 0,
+    Starts: [{ Job: 'j-1', team: 'blue', image: 'i', Need: [2, 0, 4], On: [[0, 'n-1', 1]] }],
+  });
+  const workers = new WorkerRegistry(LIMITS);
+  workers.own(ledger, OWNERS, 5, NOW);
+  return {
+    workers,
+    ledger,
+    jobs: new Map([['j-1', { spec: sampleJob('j-1'), at: 0, revision: 1 }]]),
+  };
+}
+
+const running = (Try = TRY): WorkerReport['tasks'] => [{ task: 'j-1/0', attempt: Try, state: 'running' }];
+
+test('a start whose answer may be on its way is not held undelivered when its job is cancelled', () => {
+  const { workers, ledger, jobs } = scene();
+  workers.receive(report(), NOW);
+  assert.equal(workers.commands('n-1', ledger, jobs, true)[0]?.kind, 'start');
+  jobs.clear();
+  assert.deepEqual(workers.endings(ledger, jobs, NOW + 1), []);
+  // The next report shows that the answer never took effect, and from now on it can't.
+  workers.receive(report({ sequence: 2 }), NOW + 2);
+  assert.equal(workers.endings(ledger, jobs, NOW + 3)[0]?.outcome, 'undelivered');
+  assert.deepEqual(workers.commands('n-1', ledger, jobs, true), []);
+});
+
+test('absence proves nothing while the worker may still obey an earlier owner', () => {
+  const { workers, ledger, jobs } = scene();
+  jobs.clear();
+  workers.receive(report({ token: 4 }), NOW);
+  assert.deepEqual(workers.endings(ledger, jobs, NOW), []);
+});
+
+test('a newer session ends what was started for an older one, an older report changes nothing', () => {
+  const { workers, ledger, jobs } = scene();
+  assert.ok(workers.receive(report({ session: 2 }), NOW));
+  assert.equal(workers.endings(ledger, jobs, NOW)[0]?.outcome, 'lost');
+  assert.deepEqual(workers.commands('n-1', ledger, jobs, true), []);
+  assert.ok(!workers.receive(report({ session: 1, sequence: 99, tasks: running() }), NOW + 1));
+});
+
+test('reap only after the end is in the log, halt what the log does not know', () => {
+  const { workers, ledger, jobs } = scene();
+  const exited: WorkerReport['tasks'] = [{ task: 'j-1/0', attempt: TRY, state: 'exited', cause: 'done' }];
+  workers.receive(report({ tasks: exited }), NOW);
+  assert.deepEqual(workers.commands('n-1', ledger, jobs, true), []);
+  const ending = workers.endings(ledger, jobs, NOW)[0];
+  assert.equal(ending?.outcome, 'done');
+  ledger.apply(0, { Seq: 2, At: 0, Ends: [['j-1', 0, TRY, 'done']] });
+  assert.deepEqual(workers.commands('n-1', ledger, jobs, true), [
+    { kind: 'forget', task: 'j-1/0', attempt: TRY },
+  ]);
+  workers.receive(report({ sequence: 2, tasks: running(7) }), NOW);
+  assert.equal(workers.commands('n-1', ledger, jobs, true)[0]?.kind, 'stop');
+});
+
+test('a lease counts as over only when no one entitled can have renewed it', () => {
+  const { workers, ledger, jobs } = scene();
+  workers.receive(report({ token: 4, tasks: running() }), NOW);
+  workers.answered('n-1', NOW);
+  // This worker may not have seen our answer and may follow an earlier owner until that one's bound.
+  const byOthers = NOW + withDrift(LIMITS.cancel);
+  assert.deepEqual(workers.endings(ledger, jobs, byOthers - 1), []);
+  assert.equal(workers.endings(ledger, jobs, byOthers + SECOND)[0]?.outcome, 'lost');
+});
+
+test('a machine not heard of since a change of owner keeps its tasks until the old owner must be silent', () => {
+  const { workers, ledger, jobs } = scene();
+  assert.deepEqual(workers.endings(ledger, jobs, NOW + LIMITS.cancel), []);
+  assert.equal(workers.endings(ledger, jobs, NOW + withDrift(LIMITS.cancel) + 1)[0]?.outcome, 'lost');
+});
+
+test('leases are renewed without the state service only as long as a cancellation elsewhere still holds', () => {
+  const bound = renewalBound(LIMITS);
+  assert.ok(bound > 0);
+  assert.ok(bound * 1.001 + LIMITS.lease * 1.001 < LIMITS.cancel);
+});
+
+test('after a move, reports that the last owner had are no news, however late they come', () => {
+  const { ledger, jobs } = scene();
+  ledger.apply('lead', { Seq: 2, At: 0, Moves: [['n-1', 1]] });
+  ledger.apply(0, { Seq: 2, At: 0, Releases: [['n-1', [1, 8]]] });
+  ledger.apply(1, { Seq: 1, At: 0, Takes: ['n-1'] });
+  const workers = new WorkerRegistry(LIMITS);
+  workers.own(ledger, new Map([[1, { member: 'b', nonce: 'y', revision: 4, token: 5 }]]), 5, NOW);
+  jobs.clear();
+  // Held back on its way to this node since before the start that the last owner sent with its answer.
+  assert.ok(!workers.receive(report({ sequence: 7 }), NOW));
+  assert.deepEqual(workers.endings(ledger, jobs, NOW), []);
+  assert.ok(workers.receive(report({ sequence: 9 }), NOW));
+  assert.equal(workers.endings(ledger, jobs, NOW)[0]?.outcome, 'undelivered');
+});
+
+test('how long a task has run is known only to an owner that saw it begin', () => {
+  const { workers } = scene();
+  workers.receive(report({ tasks: running() }), NOW);
+  workers.receive(report({ sequence: 2, tasks: running() }), NOW + SECOND);
+  assert.equal(workers.sessions.get('n-1')?.runningSince.get(attemptKey('j-1/0', TRY)), null);
+  const later = scene().workers;
+  later.receive(report(), NOW);
+  later.receive(report({ sequence: 2, tasks: running() }), NOW + SECOND);
+  assert.equal(later.sessions.get('n-1')?.runningSince.get(attemptKey('j-1/0', TRY)), NOW + SECOND);
+});
+
+test('a worker whose next report is not the next of its numbers did not get its answer', () => {
+  const { workers } = scene();
+  const unreachable = (): boolean => workers.sessions.get('n-1')?.unreachableSince !== null;
+  workers.receive(report(), NOW);
+  workers.answered('n-1', NOW);
+  workers.receive(report({ sequence: 2 }), NOW + SECOND);
+  assert.equal(unreachable(), false);
+  workers.answered('n-1', NOW + SECOND);
+  workers.receive(report({ sequence: 5 }), NOW + 15 * SECOND);
+  assert.equal(unreachable(), true);
+  // Silent reports say nothing new; the next number does.
+  workers.receive(report({ sequence: 7 }), NOW + 16 * SECOND);
+  assert.equal(unreachable(), true);
+  workers.answered('n-1', NOW + 16 * SECOND);
+  workers.receive(report({ sequence: 8 }), NOW + 17 * SECOND);
+  assert.equal(unreachable(), false);
+});
--- a/packages/workers/roster.ts
+++ b/packages/workers/worker-registry.ts
@@ -1,4 +1,4 @@
-import type { HostBook, HostStatus, Ledger, LiveJob, Outcome, Placement, ShareOwner } from '#cluster';
+import type { MachineEntry, MachineStatus, Ledger, LiveJob, Outcome, Placement, ShareOwner } from '#cluster';
 import {
   type ExitCause,
   type Count,
@@ -33,23 +33,23 @@
    * Since when answers seem not to reach it, or null. Its reports may arrive all the while, so silence doesn't
    * tell; and whatever is placed on it is neither started nor proven off before its lease is over.
    */
-  deafSince: Micros | null;
+  unreachableSince: Micros | null;
   /** Until when it gets no new tasks because it refused some. */
-  shunnedUntil: Micros;
+  avoidedUntil: Micros;
 }
 
 /** One time of owning a machine. */
-interface Term {
+interface Ownership {
   /** Its share, the stamp of the ownership, and the machine's own count: together they name this time. */
   share: number;
   owner: number;
-  term: number;
+  ownershipCount: number;
   /** When this node learnt that the machine is its own. */
   since: Micros;
   /** A worker that has seen this token obeys no earlier owner. */
   token: number;
   /** Reports up to this one were for its last owner; held back on their way they may still come. */
-  mark: [shift: Count, tally: Count] | null;
+  lastReport: [shift: Count, tally: Count] | null;
 }
 
 export interface Ending {
@@ -57,7 +57,7 @@
   outcome: Outcome;
 }
 
-export interface RosterLimits {
+export interface RegistryLimits {
   report: Micros;
   lease: Micros;
   cancel: Micros;
@@ -70,10 +70,10 @@
 
 /**
  * How long after the last moment at which its state was known to be complete an owner may still renew
- * leases. A withdrawal confirmed elsewhere after that moment then still takes hold in time: the last answer
- * given runs out `lease` later, within `cancel` of the withdrawal.
+ * leases. A cancellation confirmed elsewhere after that moment then still takes hold in time: the last answer
+ * given runs out `lease` later, within `cancel` of the cancellation.
  */
-export function renewalBound(limits: RosterLimits): Micros {
+export function renewalBound(limits: RegistryLimits): Micros {
   return Math.max(0, Math.floor((limits.cancel - limits.lease) * 0.996) - SECOND);
 }
 
@@ -83,41 +83,47 @@
 const GIVE_UP: Micros = 15 * SECOND;
 
 /** The workers of the machines that a node owns: what they reported, and what they are to be told. */
-export class Roster {
+export class WorkerRegistry {
   readonly sessions = new Map<string, Session>();
-  private readonly terms = new Map<string, Term>();
-  /** Attempts that are to be stopped, by piece: the attempt and the time granted for saving. */
+  private readonly ownerships = new Map<string, Ownership>();
+  /** Attempts that are to be stopped, by task: the attempt and the time granted for saving. */
   private readonly stops = new Map<string, { attempt: number; graceS: number }>();
 
   /** What ownership was last followed to: nothing is looked at again until it differs. */
-  private followed: { ledger: Ledger; hands: number; owners: string } | null = null;
+  private followed: { ledger: Ledger; ownershipChanges: number; owners: string } | null = null;
 
-  constructor(private readonly limits: RosterLimits) {}
+  constructor(private readonly limits: RegistryLimits) {}
 
   /**
    * Follows what this node owns. A machine that comes (again) into its hands starts afresh, since nothing is
    * known of what its worker was told in between.
    */
   own(ledger: Ledger, owners: ReadonlyMap<number, ShareOwner>, token: number, now: Micros): void {
-    const stamps = [...owners].map(([share, owner]) => `${share}/${owner.stamp}`).join();
+    const revisions = [...owners].map(([share, owner]) => `${share}/${owner.revision}`).join();
     const at = this.followed;
     // Asked for at every report: a look at each machine every time would cost machines times reports.
-    if (at?.ledger === ledger && at.hands === ledger.hands && at.owners === stamps) return;
-    this.followed = { ledger, hands: ledger.hands, owners: stamps };
-    for (const [host, term] of this.terms) {
-      const book = ledger.hosts.get(host);
-      const owner = book && book.share !== null ? owners.get(book.share) : undefined;
-      if (book && owner && isSame(term, book, owner)) continue;
-      this.terms.delete(host);
+    if (at?.ledger === ledger && at.ownershipChanges === ledger.ownershipChanges && at.owners === revisions)
+      return;
+    this.followed = { ledger, ownershipChanges: ledger.ownershipChanges, owners: revisions };
+    for (const [host, ownership] of this.ownerships) {
+      const entry = ledger.hosts.get(host);
+      const owner = entry && entry.share !== null ? owners.get(entry.share) : undefined;
+      if (entry && owner && isSame(ownership, entry, owner)) continue;
+      this.ownerships.delete(host);
       this.sessions.delete(host);
     }
-    for (const [host, book] of ledger.hosts) {
-      const owner = book.share === null ? undefined : owners.get(book.share);
-      if (book.share === null || !owner || this.terms.has(host)) continue;
+    for (const [host, entry] of ledger.hosts) {
+      const owner = entry.share === null ? undefined : owners.get(entry.share);
+      if (entry.share === null || !owner || this.ownerships.has(host)) continue;
       // Let go by an owner that had not heard of it: then only a token yet to come tells old from new.
-      const unheard = book.term > 0 && book.mark === null;
-      this.terms.set(host, {
-        ...{ share: book.share, owner: owner.stamp, term: book.term, mark: book.mark },
+      const unheard = entry.ownershipCount > 0 && entry.lastReport === null;
+      this.ownerships.set(host, {
+        ...{
+          share: entry.share,
+          owner: owner.revision,
+          ownershipCount: entry.ownershipCount,
+          lastReport: entry.lastReport,
+        },
         ...{ since: now, token: unheard ? token + 1 : token },
       });
     }
@@ -125,22 +131,26 @@
 
   /** Takes a report in; false if a newer one from this worker is known already, or it isn't ours. */
   receive(report: WorkerReport, now: Micros): boolean {
-    const term = this.terms.get(report.host);
+    const ownership = this.ownerships.get(report.host);
     const old = this.sessions.get(report.host);
-    if (!term || (old && !newer(report, old.report))) return false;
-    if (term.mark && !newer(report, { session: term.mark[0], sequence: term.mark[1] })) return false;
+    if (!ownership || (old && !newer(report, old.report))) return false;
+    if (
+      ownership.lastReport &&
+      !newer(report, { session: ownership.lastReport[0], sequence: ownership.lastReport[1] })
+    )
+      return false;
     const sameSession = old && sameCount(old.report.session, report.session);
     const session: Session = {
       state: 'reporting',
       report,
       heardAt: now,
       answeredAt: old?.answeredAt ?? -Infinity,
-      acknowledged: report.token >= term.token,
+      acknowledged: report.token >= ownership.token,
       recallAt: null,
       runningSince: sameSession ? old.runningSince : new Map<string, Micros | null>(),
-      deafSince: old ? deafSince(old, report, now) : null,
+      unreachableSince: old ? unreachableSince(old, report, now) : null,
       launched: new Set(),
-      shunnedUntil: old?.shunnedUntil ?? -Infinity,
+      avoidedUntil: old?.avoidedUntil ?? -Infinity,
     };
     const recall = report.spotNoticeS ?? null;
     if (recall !== null) session.recallAt = now + fromSeconds(recall);
@@ -188,42 +198,42 @@
   }
 
   /** What the log should say of a machine that this node owns. */
-  status(book: HostBook, now: Micros): HostStatus {
-    const session = this.sessions.get(book.host);
+  status(entry: MachineEntry, now: Micros): MachineStatus {
+    const session = this.sessions.get(entry.host);
     if (session) {
-      const deafFor = session.deafSince === null ? 0 : now - session.deafSince;
-      if (deafFor > withDrift(this.limits.lease) + GIVE_UP) return 'lost';
+      const unreachableFor = session.unreachableSince === null ? 0 : now - session.unreachableSince;
+      if (unreachableFor > withDrift(this.limits.lease) + GIVE_UP) return 'lost';
       if (session.state === 'reporting') {
-        if (deafFor > this.silenceLimit()) return 'silent';
-        return book.errors >= FAULTY_AFTER ? 'faulty' : 'up';
+        if (unreachableFor > this.silenceLimit()) return 'silent';
+        return entry.errors >= FAULTY_AFTER ? 'faulty' : 'up';
       }
       if (session.state === 'recalled') return 'recalled';
       const expired = session.state === 'expired';
       return expired && now > session.heardAt + withDrift(this.limits.lease) + GIVE_UP ? 'lost' : 'silent';
     }
-    const term = this.terms.get(book.host);
-    if (!term || book.status === 'new' || book.status === 'lost') return book.status;
+    const ownership = this.ownerships.get(entry.host);
+    if (!ownership || entry.status === 'new' || entry.status === 'lost') return entry.status;
     // It was up under an earlier owner and has yet to find this one.
-    if (now > term.since + withDrift(this.limits.cancel)) return 'lost';
-    return now > term.since + this.silenceLimit() + 2 * SECOND ? 'silent' : book.status;
+    if (now > ownership.since + withDrift(this.limits.cancel)) return 'lost';
+    return now > ownership.since + this.silenceLimit() + 2 * SECOND ? 'silent' : entry.status;
   }
 
   /** Every placement that is proven off its machine, with how it ended. */
   endings(ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, now: Micros): Ending[] {
     const endings: Ending[] = [];
-    for (const [host, term] of this.terms) {
+    for (const [host, ownership] of this.ownerships) {
       if (!ledger.onHost.has(host)) continue;
       const session = this.sessions.get(host);
       if (!session) {
         // Not heard of since it became ours: whoever was entitled before must have fallen silent by now, and
         // the lease on top of that is over.
-        if (now <= term.since + withDrift(this.limits.cancel)) continue;
+        if (now <= ownership.since + withDrift(this.limits.cancel)) continue;
         for (const placement of ledger.placementsOn(host)) endings.push({ placement, outcome: 'lost' });
         continue;
       }
-      const pieces = new Map(session.report.tasks.map((p) => [p.task, p]));
+      const reported = new Map(session.report.tasks.map((p) => [p.task, p]));
       for (const placement of ledger.placementsOn(host)) {
-        const outcome = this.outcome(placement, session, pieces.get(placement.taskName), jobs, now);
+        const outcome = this.outcome(placement, session, reported.get(placement.taskName), jobs, now);
         if (outcome) endings.push({ placement, outcome });
       }
     }
@@ -231,10 +241,10 @@
   }
 
   /** The commands for a worker that has just reported. `fresh`: new starts may be sent. */
-  orders(host: string, ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, fresh: boolean): Command[] {
+  commands(host: string, ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, fresh: boolean): Command[] {
     const session = this.sessions.get(host);
     if (!session) return [];
-    const orders: Command[] = [];
+    const commands: Command[] = [];
     const seen = new Set<string>();
     for (const p of session.report.tasks) {
       const placement = placementOf(ledger, host, p);
@@ -242,21 +252,21 @@
       const { task, attempt } = p;
       if (p.state === 'exited') {
         // Once told to forget it the worker doesn't know the attempt any more: only after its end is in the log.
-        if (!placement) orders.push({ kind: 'forget', task, attempt });
+        if (!placement) commands.push({ kind: 'forget', task, attempt });
       } else if (!placement || !jobs.has(placement.job)) {
-        orders.push({ kind: 'stop', task, attempt, graceS: 0 });
+        commands.push({ kind: 'stop', task, attempt, graceS: 0 });
       } else if (this.isStopping(placement) && p.state !== 'saving') {
-        orders.push({ kind: 'stop', task, attempt, graceS: this.stops.get(task)?.graceS ?? 0 });
+        commands.push({ kind: 'stop', task, attempt, graceS: this.stops.get(task)?.graceS ?? 0 });
       }
     }
-    if (!fresh) return orders;
+    if (!fresh) return commands;
     for (const placement of ledger.placementsOn(host)) {
       if (seen.has(placement.taskName) || !this.wanted(placement, session, jobs)) continue;
       if (!sameCount(placement.session, session.report.session)) continue;
       session.launched.add(attemptKey(placement.taskName, placement.attempt));
-      orders.push({ kind: 'start', task: placement.taskName, attempt: placement.attempt });
+      commands.push({ kind: 'start', task: placement.taskName, attempt: placement.attempt });
     }
-    return orders;
+    return commands;
   }
 
   /** A start is wanted until its job is over, its machine is to go, or it was told to stop; never again after. */
@@ -290,7 +300,7 @@
 
   /** The worker's lease has run out for certain, whoever may have answered it last. */
   private leaseOver(host: string, session: Session, now: Micros): boolean {
-    const since = this.terms.get(host)?.since ?? now;
+    const since = this.ownerships.get(host)?.since ?? now;
     const lease = withDrift(this.limits.lease);
     // An earlier owner that is superseded without knowing it may answer a worker that has not seen our token
     // until its own bound; one that gave the machine up itself has stopped before.
@@ -307,8 +317,12 @@
   }
 }
 
-function isSame(term: Term, book: HostBook, owner: ShareOwner): boolean {
-  return term.share === book.share && term.owner === owner.stamp && term.term === book.term;
+function isSame(ownership: Ownership, entry: MachineEntry, owner: ShareOwner): boolean {
+  return (
+    ownership.share === entry.share &&
+    ownership.owner === owner.revision &&
+    ownership.ownershipCount === entry.ownershipCount
+  );
 }
 
 type Age = Pick<WorkerReport, 'session' | 'sequence'>;
@@ -322,14 +336,14 @@
  * A worker that got its answer stays and reports here next; one that didn't asks other nodes first, or lives on
  * in a session of its own. Either shows in the numbers of its reports.
  */
-function deafSince(old: Session, report: WorkerReport, now: Micros): Micros | null {
-  if (old.answeredAt < old.heardAt) return old.deafSince;
+function unreachableSince(old: Session, report: WorkerReport, now: Micros): Micros | null {
+  if (old.answeredAt < old.heardAt) return old.unreachableSince;
   const stayed = sameCount(old.report.session, report.session);
   if (stayed && BigInt(report.sequence) === BigInt(old.report.sequence) + 1n) return null;
-  return old.deafSince ?? now;
+  return old.unreachableSince ?? now;
 }
 
-/** The placement that a piece in a worker's report is, if the log knows that attempt on that machine. */
+/** The placement that a task in a worker's report is, if the log knows that attempt on that machine. */
 export function placementOf(ledger: Ledger, host: string, p: TaskReport): Placement | null {
   const at = parseTaskName(p.task);
   const placement = at ? ledger.placement(at.job, at.index) : undefined;
