--- a/packages/cluster/checkpoint.ts
+++ b/packages/cluster/checkpoint.ts
@@ -117,7 +117,7 @@
   const isUsual = (cell: unknown, i: number): boolean =>
     Array.isArray(cell) ? i === 1 && cell.length === 0 : cell === usual[i];
   while (tail.length > 0 && isUsual(tail.at(-1), tail.length - 1)) tail.pop();
-  const { machineType: machineType, zone: zone, spot: spot, since, share } = host;
+  const { machineType, zone, spot, since, share } = host;
   const front = [host.host, numberOf(machineType), numberOf(zone), spot ? 1 : 0, since - base, share];
   return [...front, ...tail] as HostCells;
 }
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -167,7 +167,7 @@
   assert.equal(ledger.placement('j-1', 1), undefined);
   ledger.apply(1, { Seq: 2, At: 0, Takes: ['n-1'] });
   assert.equal(ledger.hosts.get('n-1')?.share, 1);
-  const { attempt: attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
+  const { attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
   ledger.apply(0, { Seq: 4, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
   assert.ok(ledger.placement('j-1', 0), 'the old owner has no more say');
   ledger.apply(1, { Seq: 3, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -66,7 +66,7 @@
     const memberRecord = this.replica.members.get(this.member);
     // Compared with the record as it stands: a commit that failed is made good the next time.
     if (this.telling || !this.standing || !memberRecord || !this.isOurs(memberRecord.nonce)) return;
-    const { unreachable: unreachable, workersUnreachable } = this.contacts;
+    const { unreachable, workersUnreachable } = this.contacts;
     if (
       memberRecord.unreachable.join() === unreachable.join() &&
       memberRecord.workersUnreachable === workersUnreachable
@@ -74,7 +74,7 @@
       return;
     this.telling = true;
     this.log.info(this.contacts, 'out of reach');
-    const { leaseId: leaseId } = this.standing;
+    const { leaseId } = this.standing;
     const result = await this.store.commit(
       [{ path: memberKey(this.member), revision: memberRecord.revision }],
       [{ set: memberKey(this.member), value: this.memberRecord(this.standing), leaseId }],
@@ -109,7 +109,7 @@
   }
 
   private memberRecord(standing: { nonce: string; leaseId: Count }): Record<string, unknown> {
-    const { unreachable: unreachable, workersUnreachable } = this.contacts;
+    const { unreachable, workersUnreachable } = this.contacts;
     return {
       ...{ Nonce: standing.nonce, Zone: this.zone, Permit: standing.leaseId },
       ...{ Unreachable: unreachable, WorkersUnreachable: workersUnreachable },
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -357,7 +357,7 @@
   }
 
   private take(change: Change): void {
-    const { path, value, revision: revision } = change;
+    const { path, value, revision } = change;
     if (path === LEAD) {
       this.lead = value ? leadOf(value, revision) : null;
     } else if (path === TOKEN_KEY) {
@@ -391,7 +391,7 @@
   }
 
   /** False: there is a gap before this record. */
-  private takeRecord({ path, value, revision: revision }: Change): boolean {
+  private takeRecord({ path, value, revision }: Change): boolean {
     if (!value) {
       this.logRows.delete(path);
       return true;
@@ -403,7 +403,7 @@
     return true;
   }
 
-  private takeJob(id: string, { value, revision: revision }: Change): void {
+  private takeJob(id: string, { value, revision }: Change): void {
     this.ended.delete(id);
     if (value && value['Status'] === undefined) {
       this.jobs.set(id, { spec: value['Job'] as JobSpec, at: Number(value['At']), revision });
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -138,7 +138,7 @@
     if (!lead || ended.length === 0 || this.upkeep.wait() > 0) return;
     const guards: Guard[] = [{ path: LEAD, revision: lead.revision }];
     const writes: Write[] = [];
-    for (const [id, { status, revision: revision }] of ended) {
+    for (const [id, { status, revision }] of ended) {
       guards.push({ path: jobKey(id), revision });
       writes.push({ remove: jobKey(id) }, { set: overKey(id), value: { Status: status } });
     }
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -32,6 +32,10 @@
 } from '#wire';
 import { type Ending, renewalBound, WorkerRegistry } from '#workers';
 import { Leader } from './leader.js';
+import { Forecaster } from './forecast.js';
+import { Preemption } from './preemption.js';
+import { RoundInput } from './round-input.js';
+import { RunTimes } from './run-times.js';
 import { Scheduler } from './scheduler.js';
 import { unavailable, JobService } from './job-service.js';
 
@@ -83,6 +87,7 @@
   private readonly writer: LogWriter;
   private readonly workers: WorkerRegistry;
   private readonly scheduler: Scheduler;
+  private readonly runTimes: RunTimes;
   private readonly leader: Leader;
   private readonly peers: PeerWatch;
   private readonly contact: WorkerContact;
@@ -119,18 +124,26 @@
     const { member, domain } = settings;
     const { incarnation, random } = parts;
     this.membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
-    const { membership } = this;
+    const { membership, workers } = this;
     const pace = new Pace(clock, (used) => this.logRate(used));
     const upkeep = new Pace(clock, () => settings.stateWriteRps * CHECKPOINT_PART);
     this.writer = new LogWriter(store, replica, membership, clock, settings, pace, upkeep, log);
     this.users = new JobService(settings, store, replica, clock);
-    this.scheduler = new Scheduler(settings, parts.tuning, clock, random, replica, this.workers, log);
-    const { writer, scheduler } = this;
+    const runTimes = new RunTimes(clock, replica, workers, log);
+    this.runTimes = runTimes;
+    const input = new RoundInput(settings, parts.tuning, clock, replica, workers, runTimes);
+    const preemption = new Preemption(settings, clock, replica, workers, runTimes);
+    const { tuning } = parts;
+    this.scheduler = new Scheduler({
+      ...{ settings, tuning, random, replica, workers, input, preemption, log },
+    });
+    const forecaster = new Forecaster(settings, replica, input, runTimes, this.scheduler);
+    const { writer } = this;
     const wake = (): void => {
       this.wake();
     };
     this.leader = new Leader({
-      ...{ settings, clock, store, cloud, replica, membership, writer, scheduler, log, wake },
+      ...{ settings, clock, store, cloud, replica, membership, writer, forecaster, runTimes, log, wake },
     });
     this.peers = new PeerWatch(
       settings.peers,
@@ -234,7 +247,7 @@
 
   /** The answer for a worker if this node may not act for the controllers towards it now. */
   private notEntitled(report: WorkerReport): Answer | null {
-    const { ledger, owners, token: token, state } = this.replica;
+    const { ledger, owners, token, state } = this.replica;
     const entry = ledger.hosts.get(report.host);
     if (!entry || state !== 'following') return unavailable('machine not known');
     const at = shareOf(entry);
@@ -256,7 +269,7 @@
    * what it owned is theirs by now. Falling silent at once sends the workers there, long before its own bound.
    */
   private isOutdated(): boolean {
-    const { token: token, since } = this.heard;
+    const { token, since } = this.heard;
     return token > this.replica.token.value && this.clock.now() - since > WORD_PATIENCE;
   }
 
@@ -284,7 +297,7 @@
     return now - this.peerServedAt <= PEER_NEWS && this.peerServedAt - this.replica.freshAt > unserved;
   }
 
-  private hear({ token: token, served, referred }: PeerWord): void {
+  private hear({ token, served, referred }: PeerWord): void {
     this.contact.expect(referred[this.parts.settings.member] ?? 0);
     this.peerHeardAt = this.clock.now();
     if (served) this.peerServedAt = this.peerHeardAt;
@@ -397,7 +410,7 @@
       const draft = drafts.get(share) ?? {};
       drafts.set(share, { ...draft, Starts: starts, Prices: plan.prices, Unmet: plan.unmet });
     }
-    for (const { placement, graceS: graceS } of plan.stops) {
+    for (const { placement, graceS } of plan.stops) {
       this.log.info({ taskName: placement.taskName, host: placement.host }, 'stopped to make room');
       workers.stop(placement, graceS);
     }
@@ -432,7 +445,7 @@
       if (share !== null) (draft(share).Ends ??= []).push([p.job, p.index, p.attempt, outcome]);
     }
     for (const entry of ledger.hosts.values()) {
-      const { host, share, destination: destination } = entry;
+      const { host, share, destination } = entry;
       if (share === null) {
         if (typeof destination === 'number' && shares.has(destination))
           (draft(destination).Takes ??= []).push(host);
@@ -460,9 +473,9 @@
   }
 
   private noteEnding(ending: Ending): void {
-    this.scheduler.learn(ending);
+    this.runTimes.learn(ending);
     if (ending.outcome === 'done') return;
-    const { taskName: taskName, host } = ending.placement;
+    const { taskName, host } = ending.placement;
     this.log.info(
       { taskName, host, attempt: ending.placement.attempt, outcome: ending.outcome },
       'task ended',
@@ -488,6 +501,6 @@
 }
 
 /** The share that a machine belongs to or, between two, is on its way to. */
-function shareOf({ share, destination: destination }: MachineEntry): number | null {
+function shareOf({ share, destination }: MachineEntry): number | null {
   return share ?? (typeof destination === 'number' ? destination : null);
 }
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -30,7 +30,8 @@
 import type { Settings } from '#settings';
 import type { StoreClient, Write } from '#store';
 import { type Clock, type Fields, type MachineType, type Micros, SECOND } from '#wire';
-import type { OwnerForecast, Scheduler } from './scheduler.js';
+import type { Forecaster, OwnerForecast } from './forecast.js';
+import type { RunTimes } from './run-times.js';
 
 const TYPES_EVERY: Micros = 20 * SECOND;
 /** Least time between two changes of shares that nobody is waiting for. */
@@ -53,7 +54,8 @@
   replica: Replica;
   membership: Membership;
   writer: LogWriter;
-  scheduler: Scheduler;
+  forecaster: Forecaster;
+  runTimes: RunTimes;
   log: Logger;
   wake: () => void;
 }
@@ -91,7 +93,7 @@
 
   /** One step, taken after each of the node's rounds while it leads. `fresh`: the state is recent enough. */
   step(fresh: boolean): void {
-    const { membership, replica, clock, scheduler, writer } = this.parts;
+    const { membership, replica, clock, forecaster, writer } = this.parts;
     const lead = membership.lead();
     if (!lead) return;
     if (lead.revision !== this.revision) this.begin(lead.revision);
@@ -100,7 +102,7 @@
     if (!fresh || this.recording || clock.now() < this.nextStep) return;
     const began = clock.now();
     this.leaveCutZones();
-    const forecasts = scheduler.forecast(replica.owners);
+    const forecasts = forecaster.forecast(replica.owners);
     const needs = this.move(forecasts);
     if (needs.every((n) => n.needs.length === 0)) this.drain(forecasts);
     this.fleet.step(needs);
@@ -220,7 +222,7 @@
       const owner = replica.owners.get(share);
       if (!owner || this.reaches(owner.member, zone, cuts)) counts.set(share, 0);
     }
-    for (const { share, destination: destination } of replica.ledger.hosts.values()) {
+    for (const { share, destination } of replica.ledger.hosts.values()) {
       const at = typeof destination === 'number' ? destination : share;
       if (at !== null && counts.has(at)) counts.set(at, (counts.get(at) ?? 0) + 1);
     }
@@ -229,7 +231,7 @@
 
   /** Names this round's moves and returns what they leave to be rented for. */
   private move(forecasts: readonly OwnerForecast[]): ShareNeeds[] {
-    const { replica, clock, log, scheduler } = this.parts;
+    const { replica, clock, log, forecaster, runTimes } = this.parts;
     const now = clock.now();
     const cuts = this.cuts();
     const machines: MovableMachine[] = [];
@@ -240,8 +242,8 @@
         if (!type) continue;
         // One that is kept for a task is as good as taken.
         const settling = kept.has(host) || now - (this.movedAt.get(host) ?? -Infinity) < SETTLE;
-        const { machineType: machineType, zone: memberZone, spot: spot } = entry;
-        const busyFor = (): Micros => scheduler.busyFor(host);
+        const { machineType, zone: memberZone, spot } = entry;
+        const busyFor = (): Micros => runTimes.busyFor(host);
         const total = amountsOf(type);
         machines.push({
           host,
@@ -274,7 +276,7 @@
     if (moves.length > 0) log.debug({ moves }, 'moves');
     return forecasts.map((o) => ({
       share: o.shares[0] ?? 0,
-      needs: (left.get(o.member) ?? []).map((need) => scheduler.worthRenting(need)),
+      needs: (left.get(o.member) ?? []).map((need) => forecaster.worthRenting(need)),
       soon: o.soon,
       reaches: (zone) => this.reaches(o.member, zone, cuts),
     }));
@@ -293,7 +295,7 @@
       if (usedPart({ total, left }) > DRAIN.poor) this.poorSince.delete(host);
       else if (!this.poorSince.has(host)) this.poorSince.set(host, now);
       const poorFor = now - (this.poorSince.get(host) ?? now);
-      const { spot: spot } = entry;
+      const { spot } = entry;
       machines.push({ host, spot, price: spot ? type.spotPrice : type.price, total, left, poorFor });
     }
     for (const host of this.poorSince.keys())
--- a/packages/daemon/main.ts
+++ b/packages/daemon/main.ts
@@ -22,8 +22,8 @@
   return {
     now: () => Math.floor(Number(hrtime.bigint() / 1000n)),
     wall: () => Date.now() * 1000,
-    after: (delay, run) => {
-      const timer = setTimeout(run, Math.max(0, delay / 1000));
+    after: (delay, action) => {
+      const timer = setTimeout(action, Math.max(0, delay / 1000));
       return {
         cancel: () => {
           clearTimeout(timer);
--- a/packages/daemon/scheduler.test.ts
+++ b/packages/daemon/round-input.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { raise, RANK_PRIORITY } from './scheduler.js';
+import { raise, RANK_PRIORITY } from './round-input.js';
 
 // At 1.5 times the size best-effort work once began after six minutes, behind a stream of normal work.
 test('rank decides at first; best-effort work that waits for minutes comes before normal work of the last one', () => {
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -150,7 +150,7 @@
     for (const [, machineType, zone, spot, number, to] of this.pending.Hires) {
       asked.push({ id: '', machineType, zone, spot, number, share: to, at: 0 });
     }
-    for (const { machineType: machineType, zone: zone, spot: spot, number, share: to } of asked) {
+    for (const { machineType, zone, spot, number, share: to } of asked) {
       const type = types.get(machineType);
       for (let i = 0; type && to === share && i < number; i++) {
         coming.push({ machineType, zone, spot, room: amountsOf(type) });
@@ -163,7 +163,7 @@
       machinesPerZone,
       refused: (offer) => this.isRefused(offer) || !reaches(offer.zone),
     });
-    for (const { machineType: machineType, zone: zone, spot: spot, number: wanted } of plans) {
+    for (const { machineType, zone, spot, number: wanted } of plans) {
       // A request takes only so many; going on with a dearer kind instead would cost money every hour.
       for (let left = wanted; left > 0; left -= MAX_RENT) {
         const number = Math.min(left, MAX_RENT);
@@ -190,7 +190,7 @@
     const now = this.clock.now();
     if (!rental || (this.asking.get(name) ?? -Infinity) > now || this.pending.Settled.includes(name)) return;
     this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
-    const { machineType: machineType, zone: zone, spot: spot, number } = rental;
+    const { machineType, zone, spot, number } = rental;
     const result = await this.cloud.rent({
       id: name,
       machineType,
@@ -216,12 +216,7 @@
     this.wake();
   }
 
-  private adopt(
-    host: string,
-    { machineType: machineType, zone: zone, spot: spot }: Offer,
-    share: number,
-    ageS: number,
-  ): void {
+  private adopt(host: string, { machineType, zone, spot }: Offer, share: number, ageS: number): void {
     if (!this.isUnknown(host)) return;
     const since = Math.floor(this.clock.wall() / MS - ageS * 1000);
     this.pending.Hosts.push([host, machineType, zone, spot, since, share]);
@@ -256,9 +251,9 @@
     const now = this.clock.now();
     const idle = [];
     for (const host of ledger.hosts.values()) {
-      const empty = !ledger.onHost.has(host.host);
-      if (!empty || host.status !== 'up') this.idleSince.delete(host.host);
-      if (!empty) continue;
+      const isEmpty = !ledger.onHost.has(host.host);
+      if (!isEmpty || host.status !== 'up') this.idleSince.delete(host.host);
+      if (!isEmpty) continue;
       if (host.status === 'recalled' || host.status === 'faulty') this.move(host.host, 'return', host.status);
       if (host.status !== 'up') continue;
       const since = this.idleSince.get(host.host) ?? now;
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -33,7 +33,7 @@
  * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
-export function planStops({ requests: requests, machines, victims, most }: PreemptInput): Victim[] {
+export function planStops({ requests, machines, victims, most }: PreemptInput): Victim[] {
   const stops: Victim[] = [];
   const used = new Set<string>();
   // Found by machine once: machines times tasks would be looked at for every claim otherwise.
--- a/packages/pricing/round.ts
+++ b/packages/pricing/round.ts
@@ -73,7 +73,7 @@
     let pool = pools.get(shape);
     if (!pool) {
       const price = { ...(prices.get(shape) ?? { cpu: 0, gpu: 0, mem: 0 }) };
-      const { machineType: machineType, spot: spot, upkeep } = machine;
+      const { machineType, spot, upkeep } = machine;
       pool = { shape, machineType, spot, upkeep, machines: [], room: nothing(), total: nothing(), price };
       pools.set(shape, pool);
     }
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -477,7 +477,9 @@
   const asked = new Set<string>();
   world.onEvent = (event) => {
     if (event !== 'last end') return;
-    for (const id of [...world.specs.keys()].filter((id) => !asked.has(id) && world.rules.isComplete(id))) {
+    for (const id of [...world.specs.keys()].filter(
+      (job) => !asked.has(job) && world.rules.isComplete(job),
+    )) {
       asked.add(id);
       const answers: number[] = [];
       ends.set(id, answers);
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -119,7 +119,7 @@
   const lags = new Map<string, number>();
   while (lags.size < ids.length && world.clock.time < 120 * SECOND) {
     await world.run(SECOND / 4);
-    for (const id of ids.filter((id) => !lags.has(id) && world.rules.isComplete(id))) {
+    for (const id of ids.filter((job) => !lags.has(job) && world.rules.isComplete(job))) {
       if (!endedAt.has(id)) endedAt.set(id, world.clock.time);
       if (isOver(id)) lags.set(id, world.clock.time - (endedAt.get(id) ?? 0));
     }
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -77,8 +77,8 @@
   }
 
   private rent(body: Fields): Served {
-    const name = String(body['Hire']);
-    const known = this.answers.get(name);
+    const request = String(body['Hire']);
+    const known = this.answers.get(request);
     if (known) return { status: 200, body: { Hosts: known } };
     const facts = {
       machineType: String(body['Build']),
@@ -105,7 +105,7 @@
         this.boot(host);
       });
     }
-    this.answers.set(name, Hosts);
+    this.answers.set(request, Hosts);
     return { status: 200, body: { Hosts } };
   }
 
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -237,7 +237,7 @@
     const awake = (): Promise<void> => new Promise(gate);
     this.net.serve(settings.clusterListen, settings.domain, async () => {
       await awake();
-      const { token: token, served, referred } = controller.word();
+      const { token, served, referred } = controller.word();
       return { status: 200, body: { Token: token, Served: served, Referred: referred } };
     });
     this.net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -246,9 +246,7 @@
   });
   await world.run(40 * SECOND);
   const running = (): string[] =>
-    ['j-0', 'j-1'].flatMap((id) =>
-      world.rules.on(id).map(({ taskName: taskName, host }) => `${taskName} on ${host}`),
-    );
+    ['j-0', 'j-1'].flatMap((id) => world.rules.on(id).map(({ taskName, host }) => `${taskName} on ${host}`));
   const before = running();
   const reportsTo = new Map<number, number>();
   for (const w of world.workers.values()) reportsTo.set(w.reportsTo, (reportsTo.get(w.reportsTo) ?? 0) + 1);
--- a/packages/workers/index.ts
+++ b/packages/workers/index.ts
@@ -1,1 +1,3 @@
+export * from './lease-bounds.js';
+export * from './session.js';
 export * from './worker-registry.js';
--- a/packages/workers/worker-registry.test.ts
+++ b/packages/workers/worker-registry.test.ts
@@ -3,7 +3,9 @@
 import { Ledger, type LiveJob } from '#cluster';
 import { SECOND, type WorkerReport } from '#wire';
 import { sampleJob } from '#testkit';
-import { attemptKey, renewalBound, WorkerRegistry, withDrift } from './worker-registry.js';
+import { renewalBound, withDrift } from './lease-bounds.js';
+import { attemptKey } from './session.js';
+import { WorkerRegistry } from './worker-registry.js';
 
 const LIMITS = { report: 2 * SECOND, lease: 10 * SECOND, cancel: 30 * SECOND };
 const NOW = 100 * SECOND;
--- a/packages/workers/worker-registry.ts
+++ b/packages/workers/worker-registry.ts
@@ -2,7 +2,6 @@
 import {
   type ExitCause,
   type Count,
-  fromSeconds,
   type Micros,
   MS,
   type Command,
@@ -12,35 +11,12 @@
   sameCount,
   SECOND,
 } from '#wire';
-
-export type SessionState = 'reporting' | 'recalled' | 'silent' | 'expired';
-
-/** What the owner knows of one worker since its machine became the owner's. */
-export interface Session {
-  state: SessionState;
-  report: WorkerReport;
-  heardAt: Micros;
-  /** Steady time at which a report was last answered 200, or -Infinity. */
-  answeredAt: Micros;
-  /** The worker has seen our token: it drops whatever an earlier owner still answers. */
-  acknowledged: boolean;
-  recallAt: Micros | null;
-  /** Our attempts that were seen running, since when; null for those that ran before this owner looked. */
-  runningSince: Map<string, Micros | null>;
-  /** Attempts launched by the answer to the newest report: their absence from it proves nothing. */
-  launched: Set<string>;
-  /**
-   * Since when answers seem not to reach it, or null. Its reports may arrive all the while, so silence doesn't
-   * tell; and whatever is placed on it is neither started nor proven off before its lease is over.
-   */
-  unreachableSince: Micros | null;
-  /** Until when it gets no new tasks because it refused some. */
-  avoidedUntil: Micros;
-}
+import { type RegistryLimits, withDrift } from './lease-bounds.js';
+import { attemptKey, newer, openSession, type Session, type SessionState } from './session.js';
 
 /** One time of owning a machine. */
 interface Ownership {
-  /** Its share, the stamp of the ownership, and the machine's own count: together they name this time. */
+  /** Its share, the revision of the ownership, and the machine's own count: together they name this time. */
   share: number;
   owner: number;
   ownershipCount: number;
@@ -49,7 +25,7 @@
   /** A worker that has seen this token obeys no earlier owner. */
   token: number;
   /** Reports up to this one were for its last owner; held back on their way they may still come. */
-  lastReport: [shift: Count, tally: Count] | null;
+  lastReport: [session: Count, sequence: Count] | null;
 }
 
 export interface Ending {
@@ -57,26 +33,6 @@
   outcome: Outcome;
 }
 
-export interface RegistryLimits {
-  report: Micros;
-  lease: Micros;
-  cancel: Micros;
-}
-
-/** Steady clocks drift apart by at most 0.05%; a margin of 0.2% and a little more is always on the safe side. */
-export function withDrift(duration: Micros): Micros {
-  return Math.ceil(duration * 1.002) + 100 * MS;
-}
-
-/**
- * How long after the last moment at which its state was known to be complete an owner may still renew
- * leases. A cancellation confirmed elsewhere after that moment then still takes hold in time: the last answer
- * given runs out `lease` later, within `cancel` of the cancellation.
- */
-export function renewalBound(limits: RegistryLimits): Micros {
-  return Math.max(0, Math.floor((limits.cancel - limits.lease) * 0.996) - SECOND);
-}
-
 /** So many failed tasks in a row make a machine faulty. */
 const FAULTY_AFTER = 3;
 /** How long a machine is silent beyond its lease before it is given up. */
@@ -139,30 +95,7 @@
       !newer(report, { session: ownership.lastReport[0], sequence: ownership.lastReport[1] })
     )
       return false;
-    const sameSession = old && sameCount(old.report.session, report.session);
-    const session: Session = {
-      state: 'reporting',
-      report,
-      heardAt: now,
-      answeredAt: old?.answeredAt ?? -Infinity,
-      acknowledged: report.token >= ownership.token,
-      recallAt: null,
-      runningSince: sameSession ? old.runningSince : new Map<string, Micros | null>(),
-      unreachableSince: old ? unreachableSince(old, report, now) : null,
-      launched: new Set(),
-      avoidedUntil: old?.avoidedUntil ?? -Infinity,
-    };
-    const recall = report.spotNoticeS ?? null;
-    if (recall !== null) session.recallAt = now + fromSeconds(recall);
-    // A notice is not taken back, so a report without it after one with it must not undo it.
-    else if (old?.recallAt !== null && old?.recallAt !== undefined) session.recallAt = old.recallAt;
-    if (session.recallAt !== null) session.state = 'recalled';
-    for (const p of report.tasks) {
-      if (p.state === 'running' && !session.runningSince.has(attemptKey(p.task, p.attempt))) {
-        // How long those of the first report have run is not known: taken for new they would seem to end early.
-        session.runningSince.set(attemptKey(p.task, p.attempt), sameSession ? now : null);
-      }
-    }
+    const session = openSession(report, old ?? null, report.token >= ownership.token, now);
     this.sessions.set(report.host, session);
     return true;
   }
@@ -176,8 +109,11 @@
     this.stops.set(placement.taskName, { attempt: placement.attempt, graceS });
   }
 
-  get stopsAny(): boolean {
-    return this.stops.size > 0;
+  /** Tasks on this machine are being stopped. */
+  isMakingRoom(host: string, ledger: Ledger): boolean {
+    if (this.stops.size === 0) return false;
+    for (const p of ledger.placementsOn(host)) if (this.isStopping(p)) return true;
+    return false;
   }
 
   isStopping(placement: Placement): boolean {
@@ -325,24 +261,6 @@
   );
 }
 
-type Age = Pick<WorkerReport, 'session' | 'sequence'>;
-
-function newer(a: Age, b: Age): boolean {
-  if (!sameCount(a.session, b.session)) return a.session > b.session;
-  return a.sequence > b.sequence;
-}
-
-/**
- * A worker that got its answer stays and reports here next; one that didn't asks other nodes first, or lives on
- * in a session of its own. Either shows in the numbers of its reports.
- */
-function unreachableSince(old: Session, report: WorkerReport, now: Micros): Micros | null {
-  if (old.answeredAt < old.heardAt) return old.unreachableSince;
-  const stayed = sameCount(old.report.session, report.session);
-  if (stayed && BigInt(report.sequence) === BigInt(old.report.sequence) + 1n) return null;
-  return old.unreachableSince ?? now;
-}
-
 /** The placement that a task in a worker's report is, if the log knows that attempt on that machine. */
 export function placementOf(ledger: Ledger, host: string, p: TaskReport): Placement | null {
   const at = parseTaskName(p.task);
@@ -362,7 +280,3 @@
       return 'refused';
   }
 }
-
-export function attemptKey(taskName: string, attempt: Count): string {
-  return `${taskName}#${attempt}`;
-}
