--- a/packages/cluster/checkpoint.ts
+++ b/packages/cluster/checkpoint.ts
@@ -12,10 +12,18 @@
   | [k: 'h', ...cells: HostCells]
   | [k: 'q', row: RentalEntry]
   | [k: 'p', share: number, shape: string, cpu: number, gpu: number, mem: number]
-  | [k: 's', job: string, team: number, at: number, attempt: number, need: StartGroup['Need'], on: On[]]
+  | [
+      k: 's',
+      job: string,
+      team: number,
+      at: number,
+      attempt: number,
+      need: StartGroup['need'],
+      on: PlacedTask[],
+    ]
   | [k: 'd', job: string, ranges: string];
 
-type On = [index: number, machine: number, shift: Count];
+type PlacedTask = [index: number, machine: number, session: Count];
 
 type HostCells = [
   ...[host: string, machineType: number, zone: number, spot: 0 | 1, since: number, share: number | null],
@@ -49,7 +57,7 @@
     for (const [shape, p] of shapes) rows.push(['p', share, shape, p.cpu, p.gpu, p.mem]);
   }
   for (const [job, entry] of ledger.jobEntries) {
-    const open = new Map<number, On[]>();
+    const open = new Map<number, PlacedTask[]>();
     for (const p of entry.placed.values()) {
       let on = open.get(p.attempt);
       if (!on || on.length === ROW_TASKS) {
@@ -96,8 +104,8 @@
     else if (row[0] === 'd') sink.done(row[1], row[2]);
     else {
       const [, job, team, at, attempt, need, on] = row;
-      const On = on.map(([i, m, session]): [number, string, Count] => [i, machines[m] ?? '', session]);
-      sink.start({ Job: job, team: name(team), image: '', Need: need, On }, attempt, base + at);
+      const tasks = on.map(([i, m, session]): [number, string, Count] => [i, machines[m] ?? '', session]);
+      sink.start({ job, team: name(team), image: '', need, tasks }, attempt, base + at);
     }
   }
 }
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -23,22 +23,22 @@
     const draft: Partial<PlacementRecord> = {};
     let log: LogId = a % 2;
     if (kind === 0) {
-      draft.Starts = [{ Job: job, team: 'blue', image: `i-${a}`, Need: [1, 0, 2], On: [[b, host, 1]] }];
-      draft.Prices = { small: [0.1 * a, 0, 0] };
+      draft.starts = [{ job, team: 'blue', image: `i-${a}`, need: [1, 0, 2], tasks: [[b, host, 1]] }];
+      draft.prices = { small: [0.1 * a, 0, 0] };
     } else if (kind === 1 && placed) {
-      draft.Ends = [[job, b, placed.attempt, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
-    } else if (kind === 2) draft.Releases = [[host, [1, b]]];
-    else if (kind === 3) draft.Takes = [host];
-    else if (kind === 4) draft.Status = [[host, 'up']];
+      draft.ends = [[job, b, placed.attempt, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
+    } else if (kind === 2) draft.releases = [[host, [1, b]]];
+    else if (kind === 3) draft.takes = [host];
+    else if (kind === 4) draft.statuses = [[host, 'up']];
     else {
       log = 'lead';
-      if (a === 0) draft.Gone = [host];
-      else if (a === 1) draft.Hires = [[`h-${b}`, 'small', 'east', false, 2, 1]];
-      else if (a === 2) draft.Settled = [`h-${b}`];
-      else if (a < 5) draft.Moves = [[host, b % 2]];
-      else draft.Hosts = [[host, 'small', 'east', ROW.spot, ROW.since, b % 2]];
+      if (a === 0) draft.removed = [host];
+      else if (a === 1) draft.rentals = [[`h-${b}`, 'small', 'east', false, 2, 1]];
+      else if (a === 2) draft.settledRentals = [`h-${b}`];
+      else if (a < 5) draft.moves = [[host, b % 2]];
+      else draft.machines = [[host, 'small', 'east', ROW.spot, ROW.since, b % 2]];
     }
-    const record: PlacementRecord = { ...draft, Seq: ledger.seq(log) + 1, At: 1000 + out.length };
+    const record: PlacementRecord = { ...draft, sequence: ledger.seq(log) + 1, at: 1000 + out.length };
     ledger.apply(log, record);
     out.push([log, record]);
   }
@@ -88,18 +88,18 @@
   const ledger = new Ledger();
   const hosts = [...Array(1000).keys()].map((i) => `n-${String(i).padStart(6, '0')}`);
   const Hosts = hosts.map((host, i): HostRow => [host, 'small', 'east', i % 2 === 0, 1.7e12 + i, i % 3]);
-  ledger.apply('lead', { Seq: 1, At: 1.7e12, Hosts });
+  ledger.apply('lead', { sequence: 1, at: 1.7e12, machines: Hosts });
   for (let share = 0; share < 3; share++) {
-    const On = hosts.flatMap((host, i): StartGroup['On'] => [
+    const tasks = hosts.flatMap((host, i): StartGroup['tasks'] => [
       [2 * i, host, 1],
       [2 * i + 1, host, 1],
     ]);
-    const Starts: StartGroup[] = [];
-    for (let i = 0; i < On.length; i += 25) {
-      const part = On.slice(i, i + 25);
-      Starts.push({ Job: `j-${i}`, team: 'blue', image: `img-${i % 7}`, Need: [2, 0, 7.1], On: part });
+    const starts: StartGroup[] = [];
+    for (let i = 0; i < tasks.length; i += 25) {
+      const part = tasks.slice(i, i + 25);
+      starts.push({ job: `j-${i}`, team: 'blue', image: `img-${i % 7}`, need: [2, 0, 7.1], tasks: part });
     }
-    ledger.apply(share, { Seq: 1, At: 1.7e12 + 500, Starts });
+    ledger.apply(share, { sequence: 1, at: 1.7e12 + 500, starts });
   }
   const rows = checkpointRows(ledger, () => true);
   const chunks = packRows(rows, 4096 - 200);
@@ -127,50 +127,55 @@
 });
 
 const HOST = (host: string, share: number): HostRow => [host, 'small', 'east', false, 0, share];
-const START = { Job: 'j-1', team: 'blue', image: 'i', Need: [1, 0, 1] as [number, number, number] };
+const START = { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 1] as [number, number, number] };
 
 test('a record that is not the next of its log is refused, one already applied changes nothing', () => {
   const ledger = new Ledger();
-  assert.equal(ledger.apply('lead', { Seq: 2, At: 0 }), false);
-  assert.equal(ledger.apply('lead', { Seq: 1, At: 0, Hosts: [HOST('n-1', 0)] }), true);
-  assert.equal(ledger.apply('lead', { Seq: 1, At: 0, Gone: ['n-1'] }), true);
+  assert.equal(ledger.apply('lead', { sequence: 2, at: 0 }), false);
+  assert.equal(ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0)] }), true);
+  assert.equal(ledger.apply('lead', { sequence: 1, at: 0, removed: ['n-1'] }), true);
   assert.equal(ledger.hosts.size, 1);
 });
 
 test('an end names its attempt: the end of an earlier one leaves the present one alone', () => {
   const ledger = new Ledger();
-  ledger.apply('lead', { Seq: 1, At: 0, Hosts: [HOST('n-1', 0), HOST('n-2', 0)] });
-  ledger.apply(0, { Seq: 1, At: 0, Starts: [{ ...START, On: [[0, 'n-1', 1]] }] });
+  ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0), HOST('n-2', 0)] });
+  ledger.apply(0, { sequence: 1, at: 0, starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
   const first = ledger.placement('j-1', 0)?.attempt ?? -1;
   ledger.apply(0, {
-    Seq: 2,
-    At: 0,
-    Ends: [['j-1', 0, first, 'lost']],
-    Starts: [{ ...START, On: [[0, 'n-2', 1]] }],
+    sequence: 2,
+    at: 0,
+    ends: [['j-1', 0, first, 'lost']],
+    starts: [{ ...START, tasks: [[0, 'n-2', 1]] }],
   });
-  ledger.apply(0, { Seq: 3, At: 0, Ends: [['j-1', 0, first, 'done']] });
+  ledger.apply(0, { sequence: 3, at: 0, ends: [['j-1', 0, first, 'done']] });
   assert.equal(ledger.placement('j-1', 0)?.host, 'n-2');
   assert.equal(ledger.jobEntries.get('j-1')?.done.count, 0);
 });
 
 test('a machine has one owner: only from a release to the next take may it change hands, and steps of any other share are void', () => {
   const ledger = new Ledger();
-  ledger.apply('lead', { Seq: 1, At: 0, Hosts: [HOST('n-1', 0)] });
-  ledger.apply(1, { Seq: 1, At: 0, Takes: ['n-1'], Starts: [{ ...START, On: [[0, 'n-1', 1]] }] });
+  ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0)] });
+  ledger.apply(1, { sequence: 1, at: 0, takes: ['n-1'], starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
   assert.equal(ledger.placement('j-1', 0), undefined);
-  ledger.apply(0, { Seq: 1, At: 0, Starts: [{ ...START, On: [[0, 'n-1', 1]] }], Releases: [['n-1', null]] });
+  ledger.apply(0, {
+    sequence: 1,
+    at: 0,
+    starts: [{ ...START, tasks: [[0, 'n-1', 1]] }],
+    releases: [['n-1', null]],
+  });
   assert.equal(ledger.hosts.get('n-1')?.share, 0, 'nobody named a move');
-  ledger.apply('lead', { Seq: 2, At: 0, Moves: [['n-1', 1]] });
-  ledger.apply(0, { Seq: 2, At: 0, Releases: [['n-1', [1, 7]]] });
+  ledger.apply('lead', { sequence: 2, at: 0, moves: [['n-1', 1]] });
+  ledger.apply(0, { sequence: 2, at: 0, releases: [['n-1', [1, 7]]] });
   assert.equal(ledger.hosts.get('n-1')?.share, null);
-  ledger.apply(0, { Seq: 3, At: 0, Starts: [{ ...START, On: [[1, 'n-1', 1]] }] });
+  ledger.apply(0, { sequence: 3, at: 0, starts: [{ ...START, tasks: [[1, 'n-1', 1]] }] });
   assert.equal(ledger.placement('j-1', 1), undefined);
-  ledger.apply(1, { Seq: 2, At: 0, Takes: ['n-1'] });
+  ledger.apply(1, { sequence: 2, at: 0, takes: ['n-1'] });
   assert.equal(ledger.hosts.get('n-1')?.share, 1);
   const { attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
-  ledger.apply(0, { Seq: 4, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
+  ledger.apply(0, { sequence: 4, at: 0, ends: [['j-1', 0, attempt, 'done']] });
   assert.ok(ledger.placement('j-1', 0), 'the old owner has no more say');
-  ledger.apply(1, { Seq: 3, At: 0, Ends: [['j-1', 0, attempt, 'done']] });
+  ledger.apply(1, { sequence: 3, at: 0, ends: [['j-1', 0, attempt, 'done']] });
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
@@ -195,28 +200,28 @@
   fc.assert(
     fc.property(fc.nat(400), fc.nat(400), fc.integer({ min: 600, max: 4000 }), (ends, starts, limit) => {
       const draft: RecordDraft = {
-        Ends: Array.from({ length: ends }, (_, i) => [`j-${i}`, i, 7, 'done']),
-        Starts: [
-          { Job: 'j-1', team: 'blue', image: 'i', Need: [1, 0, 2], On: [] },
-          { Job: 'j-2', team: 'green', image: 'i', Need: [2.5, 0, 2], On: [] },
+        ends: Array.from({ length: ends }, (_, i) => [`j-${i}`, i, 7, 'done']),
+        starts: [
+          { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 2], tasks: [] },
+          { job: 'j-2', team: 'green', image: 'i', need: [2.5, 0, 2], tasks: [] },
         ],
       };
-      for (let i = 0; i < starts; i++) draft.Starts?.[i % 2]?.On.push([i, `n-${i}`, 1]);
+      for (let i = 0; i < starts; i++) draft.starts?.[i % 2]?.tasks.push([i, `n-${i}`, 1]);
       const parts = splitDraft(draft, limit);
       let started = false;
       for (const part of parts) {
         assert.ok(jsonBytes(part) <= limit, `${jsonBytes(part)} bytes`);
-        if (part.Ends) assert.ok(!started);
-        if (part.Starts) started = true;
+        if (part.ends) assert.ok(!started);
+        if (part.starts) started = true;
       }
       assert.deepEqual(
-        parts.flatMap((p) => p.Ends ?? []),
-        draft.Ends,
+        parts.flatMap((p) => p.ends ?? []),
+        draft.ends,
       );
       const on = (job: string): unknown[] =>
-        parts.flatMap((p) => (p.Starts ?? []).filter((g) => g.Job === job).flatMap((g) => g.On));
-      assert.deepEqual(on('j-1'), draft.Starts?.[0]?.On);
-      assert.deepEqual(on('j-2'), draft.Starts?.[1]?.On);
+        parts.flatMap((p) => (p.starts ?? []).filter((g) => g.job === job).flatMap((g) => g.tasks));
+      assert.deepEqual(on('j-1'), draft.starts?.[0]?.tasks);
+      assert.deepEqual(on('j-2'), draft.starts?.[1]?.tasks);
     }),
     { seed: 6, numRuns: 100 },
   );
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -84,12 +84,12 @@
 
 /** Starts of one job: `On` holds index, host and session for each. The record's number makes the attempt. */
 export interface StartGroup {
-  Job: string;
+  job: string;
   team: string;
   /** Name of its image, which the machines will have from then on. */
   image: string;
-  Need: [number, number, number];
-  On: [number, string, Count][];
+  need: [number, number, number];
+  tasks: [number, string, Count][];
 }
 
 export type HostRow = [
@@ -112,24 +112,24 @@
 
 /** One entry of a log. The first group of fields is the leader's, the second that of a share's owner. */
 export interface PlacementRecord {
-  Seq: number;
-  At: number;
+  sequence: number;
+  at: number;
   /** Place within its commit: a later record may start what an earlier one of another log has ended. */
-  Nth?: number;
-
-  Hosts?: HostRow[];
-  Gone?: string[];
-  Hires?: HireRow[];
-  Settled?: string[];
-  Moves?: [host: string, to: Destination][];
-
-  Ends?: [job: string, index: number, attempt: number, outcome: Outcome][];
-  Status?: [host: string, status: MachineStatus][];
-  Releases?: [host: string, lastReport: [session: Count, sequence: Count] | null][];
-  Takes?: string[];
-  Starts?: StartGroup[];
-  Prices?: Record<string, [number, number, number]>;
-  Unmet?: Record<string, number>;
+  order?: number;
+
+  machines?: HostRow[];
+  removed?: string[];
+  rentals?: HireRow[];
+  settledRentals?: string[];
+  moves?: [host: string, to: Destination][];
+
+  ends?: [job: string, index: number, attempt: number, outcome: Outcome][];
+  statuses?: [host: string, status: MachineStatus][];
+  releases?: [host: string, lastReport: [session: Count, sequence: Count] | null][];
+  takes?: string[];
+  starts?: StartGroup[];
+  prices?: Record<string, [number, number, number]>;
+  unmet?: Record<string, number>;
 }
 
 export class JobEntry {
@@ -199,10 +199,10 @@
   /** Applies the record if it is the next of its log; false if there is a gap before it. */
   apply(log: LogId, record: PlacementRecord): boolean {
     const last = this.seq(log);
-    if (record.Seq <= last) return true;
-    if (record.Seq !== last + 1) return false;
-    this.positions.set(log, record.Seq);
-    if (record.Gone ?? record.Hosts ?? record.Takes ?? record.Releases) this.ownershipChanges++;
+    if (record.sequence <= last) return true;
+    if (record.sequence !== last + 1) return false;
+    this.positions.set(log, record.sequence);
+    if (record.removed ?? record.machines ?? record.takes ?? record.releases) this.ownershipChanges++;
     if (log === 'lead') this.applyLead(record);
     else this.applyShare(log, record);
     return true;
@@ -229,14 +229,14 @@
         this.jobEntry(job).done.addRanges(ranges);
       },
       start: (group, attempt, at) => {
-        for (const on of group.On) this.put(group, on, attempt, at);
+        for (const on of group.tasks) this.put(group, on, attempt, at);
       },
     });
   }
 
   private applyLead(record: PlacementRecord): void {
-    for (const host of record.Gone ?? []) this.forget(host);
-    for (const [host, machineType, zone, spot, since, share] of record.Hosts ?? []) {
+    for (const host of record.removed ?? []) this.forget(host);
+    for (const [host, machineType, zone, spot, since, share] of record.machines ?? []) {
       if (this.hosts.has(host)) continue;
       const entry: MachineEntry = {
         host,
@@ -251,11 +251,11 @@
       };
       this.hosts.set(host, entry);
     }
-    for (const rental of record.Settled ?? []) this.rentals.delete(rental);
-    for (const [rental, machineType, zone, spot, number, share] of record.Hires ?? []) {
-      this.rentals.set(rental, { id: rental, machineType, zone, spot, number, share, at: record.At });
+    for (const rental of record.settledRentals ?? []) this.rentals.delete(rental);
+    for (const [rental, machineType, zone, spot, number, share] of record.rentals ?? []) {
+      this.rentals.set(rental, { id: rental, machineType, zone, spot, number, share, at: record.at });
     }
-    for (const [host, to] of record.Moves ?? []) {
+    for (const [host, to] of record.moves ?? []) {
       const entry = this.hosts.get(host);
       if (entry && entry.destination !== 'return') entry.destination = entry.share === to ? null : to;
     }
@@ -266,38 +266,38 @@
       const entry = this.hosts.get(host);
       return entry?.share === share ? entry : null;
     };
-    for (const [job, index, attempt, outcome] of record.Ends ?? []) {
+    for (const [job, index, attempt, outcome] of record.ends ?? []) {
       const host = this.placement(job, index)?.host;
       const entry = host === undefined ? null : ours(host);
-      if (entry && this.end(job, index, attempt, outcome)) this.judge(job, entry, outcome, record.At);
+      if (entry && this.end(job, index, attempt, outcome)) this.judge(job, entry, outcome, record.at);
     }
-    for (const [host, status] of record.Status ?? []) {
+    for (const [host, status] of record.statuses ?? []) {
       const entry = ours(host);
       if (entry) entry.status = status;
     }
-    for (const host of record.Takes ?? []) {
+    for (const host of record.takes ?? []) {
       const entry = this.hosts.get(host);
       if (!entry || entry.share !== null || entry.destination !== share) continue;
       entry.share = share;
       entry.destination = null;
       entry.ownershipCount++;
     }
-    for (const group of record.Starts ?? []) {
-      for (const on of group.On) {
-        const taken = this.placement(group.Job, on[0]) ?? this.jobEntries.get(group.Job)?.done.has(on[0]);
+    for (const group of record.starts ?? []) {
+      for (const on of group.tasks) {
+        const taken = this.placement(group.job, on[0]) ?? this.jobEntries.get(group.job)?.done.has(on[0]);
         const entry = ours(on[1]);
         if (!entry || taken) continue;
         entry.images = [...entry.images.filter((i) => i !== group.image), group.image].slice(-IMAGES_KEPT);
-        this.put(group, on, record.Seq * ATTEMPT_STRIDE + share, record.At);
+        this.put(group, on, record.sequence * ATTEMPT_STRIDE + share, record.at);
       }
     }
-    for (const [host, lastReport] of record.Releases ?? []) {
+    for (const [host, lastReport] of record.releases ?? []) {
       const entry = ours(host);
       if (!entry || entry.destination === null) continue;
       entry.share = null;
       entry.lastReport = lastReport;
     }
-    for (const [shape, row] of Object.entries(record.Prices ?? {})) this.price(share, shape, row);
+    for (const [shape, row] of Object.entries(record.prices ?? {})) this.price(share, shape, row);
   }
 
   private price(share: number, shape: string, [cpu, gpu, mem]: [number, number, number]): void {
@@ -306,15 +306,15 @@
     shapes.set(shape, { cpu, gpu, mem });
   }
 
-  private put(group: StartGroup, on: StartGroup['On'][number], attempt: number, at: number): void {
-    const [cpus, gpus, memGb] = group.Need;
+  private put(group: StartGroup, on: StartGroup['tasks'][number], attempt: number, at: number): void {
+    const [cpus, gpus, memGb] = group.need;
     const [index, host, session] = on;
-    const taskName = formatTaskName(group.Job, index);
+    const taskName = formatTaskName(group.job, index);
     const placement: Placement = {
-      ...{ job: group.Job, index, taskName, team: group.team, attempt, host, session, at },
+      ...{ job: group.job, index, taskName, team: group.team, attempt, host, session, at },
       ...{ cpus, gpus, memGb },
     };
-    this.jobEntry(group.Job).placed.set(index, placement);
+    this.jobEntry(group.job).placed.set(index, placement);
     let there = this.onHost.get(host);
     if (!there) this.onHost.set(host, (there = new Map()));
     there.set(taskName, placement);
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -15,7 +15,7 @@
 }
 
 function start(machine: string): StartGroup[] {
-  return [{ Job: 'j-1', team: 'blue', image: 'img', Need: [1, 0, 1], On: [[0, machine, 1]] }];
+  return [{ job: 'j-1', team: 'blue', image: 'img', need: [1, 0, 1], tasks: [[0, machine, 1]] }];
 }
 
 /**
@@ -26,19 +26,19 @@
   {
     log: 'lead',
     record: {
-      ...{ Seq: 1, At: 0 },
-      Hosts: [
+      ...{ sequence: 1, at: 0 },
+      machines: [
         ['n-1', 'small', 'east', false, 0, 0],
         ['n-2', 'small', 'east', false, 0, 1],
         ['n-3', 'small', 'east', false, 0, 0],
       ],
-      Moves: [['n-3', 1]],
+      moves: [['n-3', 1]],
     },
   },
-  { log: 0, record: { Seq: 1, At: 1, Starts: start('n-1') } },
-  { log: 1, record: { Seq: 1, At: 1, Status: [['n-2', 'up']] } },
-  { log: 0, record: { Seq: 2, At: 2, Ends: [['j-1', 0, 1024, 'stopped']], Releases: [['n-3', null]] } },
-  { log: 1, record: { Seq: 2, At: 3, Takes: ['n-3'], Starts: start('n-2') } },
+  { log: 0, record: { sequence: 1, at: 1, starts: start('n-1') } },
+  { log: 1, record: { sequence: 1, at: 1, statuses: [['n-2', 'up']] } },
+  { log: 0, record: { sequence: 2, at: 2, ends: [['j-1', 0, 1024, 'stopped']], releases: [['n-3', null]] } },
+  { log: 1, record: { sequence: 2, at: 3, takes: ['n-3'], starts: start('n-2') } },
 ];
 
 /** A state service with one row a page; `betweenPages` may commit before each page but the first. */
@@ -51,7 +51,7 @@
   constructor(private readonly betweenPages: () => void) {}
 
   commit({ log, record }: Commit): void {
-    const path = logKey(log, record.Seq);
+    const path = logKey(log, record.sequence);
     const row = { path, value: record as unknown as Fields, revision: ++this.epoch };
     this.rows.set(path, row);
     this.history.push(row);
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -397,9 +397,9 @@
       return true;
     }
     const record = value as unknown as PlacementRecord;
-    this.logRows.set(path, { seq: record.Seq, revision });
+    this.logRows.set(path, { seq: record.sequence, revision });
     if (!this.ledger.apply(logOfKey(path), record)) return false;
-    for (const [job] of record.Ends ?? []) if (!this.jobs.has(job)) this.ledger.drop(job);
+    for (const [job] of record.ends ?? []) if (!this.jobs.has(job)) this.ledger.drop(job);
     return true;
   }
 
@@ -429,7 +429,7 @@
 
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
 function inOrder(x: Change, y: Change): number {
-  return x.revision - y.revision || Number(x.value?.['Nth'] ?? 0) - Number(y.value?.['Nth'] ?? 0);
+  return x.revision - y.revision || Number(x.value?.['order'] ?? 0) - Number(y.value?.['order'] ?? 0);
 }
 
 function finalOf(value: Fields): Final {
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/writer.test.ts
@@ -25,7 +25,7 @@
   const replica = new Replica(store, view, SILENT, 70);
   for (let seq = 1; seq <= 100; seq++) {
     const host = (i: number): HostRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
-    replica.ledger.apply('lead', { Seq: seq, At: 0, Hosts: [...Array(20).keys()].map(host) });
+    replica.ledger.apply('lead', { sequence: seq, at: 0, machines: [...Array(20).keys()].map(host) });
   }
   const membership = { lead: () => ({ revision: 1 }), shares: () => new Map() } as unknown as Membership;
   const [rounds, upkeep] = [8, 4].map((rate) => new Pace(view, () => rate)) as [Pace, Pace];
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -17,7 +17,7 @@
 import type { Guard, Pace, StoreClient, Write } from '#store';
 import { type Clock, type Fields, jsonBytes, type Micros, MS, SECOND, sleep } from '#wire';
 
-export type RecordDraft = Omit<PlacementRecord, 'Seq' | 'At' | 'Nth'>;
+export type RecordDraft = Omit<PlacementRecord, 'sequence' | 'at' | 'order'>;
 
 /** Records between two checkpoints, at least and for each value that the last one took. */
 const CHECKPOINT_EVERY = 90;
@@ -68,7 +68,7 @@
       for (const part of splitDraft(draft, this.limits.valueBytes - FRAME_BYTES)) parts.push({ log, part });
     }
     // Ends of every log come before starts of any: a limit may rely on them.
-    parts.sort((a, b) => Number(a.part.Starts !== undefined) - Number(b.part.Starts !== undefined));
+    parts.sort((a, b) => Number(a.part.starts !== undefined) - Number(b.part.starts !== undefined));
     const perTxn = this.valuesPerCommit();
     for (let i = 0; i < parts.length; i += perTxn) {
       const some = parts.slice(i, i + perTxn);
@@ -79,8 +79,8 @@
       for (const { log, part } of some) {
         const seq = (next.get(log) ?? this.replica.ledger.seq(log)) + 1;
         next.set(log, seq);
-        const record: PlacementRecord = { ...part, Seq: seq, At: Math.floor(this.clock.wall() / MS) };
-        if (writes.length > 0) record.Nth = writes.length;
+        const record: PlacementRecord = { ...part, sequence: seq, at: Math.floor(this.clock.wall() / MS) };
+        if (writes.length > 0) record.order = writes.length;
         const revision = this.replica.placeRevision(log, seq);
         if (revision === null) {
           this.log.info({ log, seq }, 'log waits for a checkpoint');
@@ -225,7 +225,10 @@
 }
 
 /** Fields of a draft that are plain lists, in the order in which a cut draft carries them. */
-const LISTS = ['Gone', 'Hosts', 'Settled', 'Hires', 'Moves', 'Ends', 'Status', 'Takes', 'Releases'] as const;
+const LISTS = [
+  ...(['removed', 'machines', 'settledRentals', 'rentals', 'moves'] as const),
+  ...(['ends', 'statuses', 'takes', 'releases'] as const),
+] as const;
 
 /**
  * Cuts a draft into parts that each fit into one value, ends before starts, so that no prefix of the parts
@@ -248,25 +251,25 @@
       (part[key] ??= []).push(row);
     }
   }
-  for (const [shape, row] of Object.entries(draft.Prices ?? {})) {
-    (room(jsonBytes(row) + jsonBytes(shape) + 14).Prices ??= {})[shape] = row;
+  for (const [shape, row] of Object.entries(draft.prices ?? {})) {
+    (room(jsonBytes(row) + jsonBytes(shape) + 14).prices ??= {})[shape] = row;
   }
-  for (const [team, cpus] of Object.entries(draft.Unmet ?? {})) {
-    (room(jsonBytes(team) + 34).Unmet ??= {})[team] = cpus;
+  for (const [team, cpus] of Object.entries(draft.unmet ?? {})) {
+    (room(jsonBytes(team) + 34).unmet ??= {})[team] = cpus;
   }
-  for (const group of draft.Starts ?? []) {
-    const head = jsonBytes({ ...group, On: [] }) + 14;
+  for (const group of draft.starts ?? []) {
+    const head = jsonBytes({ ...group, tasks: [] }) + 14;
     let open: StartGroup | null = null;
     let holder: RecordDraft | null = null;
-    for (const on of group.On) {
+    for (const on of group.tasks) {
       const part = room(jsonBytes(on) + 1 + (open ? 0 : head));
       if (!open || part !== holder) {
         if (open) size += head;
-        open = { ...group, On: [] };
+        open = { ...group, tasks: [] };
         holder = part;
-        (part.Starts ??= []).push(open);
+        (part.starts ??= []).push(open);
       }
-      open.On.push(on);
+      open.tasks.push(on);
     }
   }
   return parts;
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -33,6 +33,7 @@
 import { type Ending, renewalBound, WorkerRegistry } from '#workers';
 import { Leader } from './leader.js';
 import { Forecaster } from './forecast.js';
+import { StateFreshness } from './freshness.js';
 import { Preemption } from './preemption.js';
 import { RoundInput } from './round-input.js';
 import { RunTimes } from './run-times.js';
@@ -54,8 +55,6 @@
 
 type RoundState = 'resting' | 'planning' | 'committing' | 'finishing' | 'leading' | 'stopped';
 
-/** New starts are sent only while the state is known to be no older than this. */
-const START_FRESH: Micros = 3 * SECOND;
 /**
  * How long the answer to a report with news, or to the first one of a machine, waits for the round that takes it
  * in, as a part of the time between reports and at the most. One that misses its round carries neither the next
@@ -65,10 +64,6 @@
 const NEWS_WAIT = { part: 0.45, most: 1500 * MS };
 /** How long a report waits for the round that lets its machine go, or takes it. */
 const MOVE_WAIT = { part: 0.2, most: 700 * MS };
-/** How long the watch may take to bring a token that a peer has told of. */
-const WORD_PATIENCE: Micros = SECOND;
-/** For how long what a peer told of itself holds. */
-const PEER_NEWS: Micros = 2 * SECOND;
 /** What the logs may take of the changes that the state service allows; users' jobs need the rest. */
 const LOG_PART = 0.5;
 /** A node takes what others leave up to so many times its even part, and while so much of all is not in use. */
@@ -91,15 +86,11 @@
   private readonly leader: Leader;
   private readonly peers: PeerWatch;
   private readonly contact: WorkerContact;
+  private readonly freshness: StateFreshness;
   private readonly clock: Clock;
   private readonly log: Logger;
   private round: RoundState = 'resting';
   private dirty = false;
-  /** The highest token that a peer told of, and when. */
-  private heard = { token: 0, since: -Infinity };
-  /** When a peer last told that the state service serves it, and when any last told anything. */
-  private peerServedAt: Micros = -Infinity;
-  private peerHeardAt: Micros = -Infinity;
   private wakeRound: (() => void) | null = null;
   private roundWaiters: (() => void)[] = [];
   private lastRound: Micros = -Infinity;
@@ -121,6 +112,7 @@
     this.replica = replica;
     this.workers = new WorkerRegistry(settings);
     this.contact = new WorkerContact(settings);
+    this.freshness = new StateFreshness(replica, clock, settings.peers.length > 0);
     const { member, domain } = settings;
     const { incarnation, random } = parts;
     this.membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
@@ -189,7 +181,7 @@
   /** What this node tells its peers. */
   word(): PeerWord {
     const referred = this.contact.referrals(this.clock.now());
-    return { token: this.replica.token.value, served: this.isServed(), referred };
+    return { token: this.replica.token.value, served: this.freshness.isServed(), referred };
   }
 
   /**
@@ -197,7 +189,7 @@
    * a peer is served and this node alone is not, users are better off elsewhere.
    */
   health(): Answer {
-    if (this.isAlone()) return unavailable('cut off from the state service');
+    if (this.freshness.isAlone()) return unavailable('cut off from the state service');
     const ready = this.replica.applied > 0 && this.replica.types.size > 0;
     return ready ? { status: 200, body: { Status: 'ok' } } : unavailable('not ready yet');
   }
@@ -225,7 +217,7 @@
       report.host,
       this.replica.ledger,
       this.replica.jobs,
-      this.isServed(),
+      this.freshness.isServed(),
     );
     this.workers.answered(report.host, now);
     return { status: 200, body: encodeReportAnswer({ token: this.replica.token.value, commands }) };
@@ -260,48 +252,15 @@
     }
     if (entry.share === null || this.isLettingGo(report.host)) return unavailable('machine on the move');
     // A higher token than the highest known here: somebody else may own this by now.
-    if (report.token > token.value || this.isOutdated()) return unavailable('superseded');
-    return this.stateAge() > renewalBound(this.parts.settings) ? unavailable('state not reachable') : null;
+    if (report.token > token.value || this.freshness.isOutdated()) return unavailable('superseded');
+    return this.freshness.age() > renewalBound(this.parts.settings)
+      ? unavailable('state not reachable')
+      : null;
   }
 
-  /**
-   * A peer tells of a higher token: the state service serves the others while this node is cut off from it, and
-   * what it owned is theirs by now. Falling silent at once sends the workers there, long before its own bound.
-   */
-  private isOutdated(): boolean {
-    const { token, since } = this.heard;
-    return token > this.replica.token.value && this.clock.now() - since > WORD_PATIENCE;
-  }
-
-  /** The state is known to be recent enough for new starts. */
-  private isServed(): boolean {
-    return this.replica.state === 'following' && this.stateAge() < START_FRESH;
-  }
-
-  private stateAge(): Micros {
-    return this.clock.now() - this.replica.freshAt;
-  }
-
-  /**
-   * A peer was served well after this node was: in an outage for all they lose the service about together. One that
-   * has lost its peers as well as the state service is taken for cut off, too: each of its refusals would free the
-   * connection that makes the load balancer choose it next.
-   */
-  private isAlone(): boolean {
-    const now = this.clock.now();
-    const unserved = START_FRESH + PEER_NEWS;
-    if (this.isServed()) return false;
-    if (this.parts.settings.peers.length > 0 && now - this.peerHeardAt > unserved) {
-      return this.stateAge() > unserved;
-    }
-    return now - this.peerServedAt <= PEER_NEWS && this.peerServedAt - this.replica.freshAt > unserved;
-  }
-
-  private hear({ token, served, referred }: PeerWord): void {
-    this.contact.expect(referred[this.parts.settings.member] ?? 0);
-    this.peerHeardAt = this.clock.now();
-    if (served) this.peerServedAt = this.peerHeardAt;
-    if (token > this.heard.token) this.heard = { token, since: this.clock.now() };
+  private hear(word: PeerWord): void {
+    this.contact.expect(word.referred[this.parts.settings.member] ?? 0);
+    this.freshness.hear(word);
   }
 
   /**
@@ -313,7 +272,7 @@
     const { replica } = this;
     const { stateWriteRps } = this.parts.settings;
     const even = replica.partOf(stateWriteRps * LOG_PART);
-    if (!this.isServed()) return even;
+    if (!this.freshness.isServed()) return even;
     const others = Math.max(0, replica.changeRate - own);
     return Math.max(even, Math.min(MOST_LOG_PARTS * even, stateWriteRps * BUSY_PART - others));
   }
@@ -369,7 +328,7 @@
       const waiters = this.roundWaiters;
       this.roundWaiters = [];
       try {
-        const fresh = this.isServed();
+        const fresh = this.freshness.isServed();
         await this.playRound(fresh);
         for (const done of waiters) done();
         this.enterRound('leading');
@@ -408,7 +367,7 @@
     this.planned = this.clock.now() - now;
     for (const [share, starts] of plan.starts) {
       const draft = drafts.get(share) ?? {};
-      drafts.set(share, { ...draft, Starts: starts, Prices: plan.prices, Unmet: plan.unmet });
+      drafts.set(share, { ...draft, starts, prices: plan.prices, unmet: plan.unmet });
     }
     for (const { placement, graceS } of plan.stops) {
       this.log.info({ taskName: placement.taskName, host: placement.host }, 'stopped to make room');
@@ -442,22 +401,22 @@
     };
     for (const { placement: p, outcome } of endings) {
       const share = ledger.hosts.get(p.host)?.share ?? null;
-      if (share !== null) (draft(share).Ends ??= []).push([p.job, p.index, p.attempt, outcome]);
+      if (share !== null) (draft(share).ends ??= []).push([p.job, p.index, p.attempt, outcome]);
     }
     for (const entry of ledger.hosts.values()) {
       const { host, share, destination } = entry;
       if (share === null) {
         if (typeof destination === 'number' && shares.has(destination))
-          (draft(destination).Takes ??= []).push(host);
+          (draft(destination).takes ??= []).push(host);
         continue;
       }
       if (!shares.has(share)) continue;
       const status = this.workers.status(entry, now);
-      if (status !== entry.status) (draft(share).Status ??= []).push([host, status]);
+      if (status !== entry.status) (draft(share).statuses ??= []).push([host, status]);
       // One that goes back to the cloud is let go only when nothing can be on it any more.
       if (destination === null || (destination === 'return' && ledger.onHost.has(host))) continue;
       const report = this.workers.sessions.get(host)?.report;
-      (draft(share).Releases ??= []).push([host, report ? [report.session, report.sequence] : null]);
+      (draft(share).releases ??= []).push([host, report ? [report.session, report.sequence] : null]);
       this.lettingGo.set(host, { log: share, seq: Infinity });
     }
     return drafts;
@@ -465,7 +424,7 @@
 
   private settleReleases(drafts: ReadonlyMap<LogId, RecordDraft>, landed: boolean): void {
     for (const [log, draft] of drafts) {
-      for (const [host] of draft.Releases ?? []) {
+      for (const [host] of draft.releases ?? []) {
         if (landed || log === 'lead') this.lettingGo.delete(host);
         else this.lettingGo.set(host, { log, seq: this.replica.ledger.seq(log) });
       }
--- a/packages/daemon/scheduler.ts
+++ b/packages/daemon/scheduler.ts
@@ -157,12 +157,12 @@
       if (index.done === true) continue;
       let groups = byShare.get(share);
       if (!groups) byShare.set(share, (groups = []));
-      let group = groups.find((g) => g.Job === job);
+      let group = groups.find((g) => g.job === job);
       if (!group) {
         const { team, image, cpus, gpus, memGb } = spec;
-        groups.push((group = { Job: job, team, image, Need: [cpus, gpus, memGb], On: [] }));
+        groups.push((group = { job, team, image, need: [cpus, gpus, memGb], tasks: [] }));
       }
-      group.On.push([index.value, host, session.report.session]);
+      group.tasks.push([index.value, host, session.report.session]);
     }
     return byShare;
   }
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -46,7 +46,7 @@
 const MOST_REFUSAL: Micros = 40 * SECOND;
 const GONE_KEPT: Micros = 120 * SECOND;
 
-type Pending = Required<Pick<RecordDraft, 'Hosts' | 'Gone' | 'Hires' | 'Settled' | 'Moves'>>;
+type Pending = Required<Pick<RecordDraft, 'machines' | 'removed' | 'rentals' | 'settledRentals' | 'moves'>>;
 
 /**
  * Rents and returns machines for the leader. What it wants written into the leader's log it gathers in
@@ -88,30 +88,36 @@
 
   /** What is to go into the next record; it stays pending until {@link landed} is told of it. */
   draft(): RecordDraft {
-    const { Hosts, Gone, Hires, Settled, Moves } = this.pending;
+    const {
+      machines: Hosts,
+      removed: Gone,
+      rentals: Hires,
+      settledRentals: Settled,
+      moves: Moves,
+    } = this.pending;
     return {
-      Hosts: [...Hosts],
-      Gone: [...Gone],
-      Hires: [...Hires],
-      Settled: [...Settled],
-      Moves: [...Moves],
+      machines: [...Hosts],
+      removed: [...Gone],
+      rentals: [...Hires],
+      settledRentals: [...Settled],
+      moves: [...Moves],
     };
   }
 
   landed(draft: RecordDraft): void {
     const p = this.pending;
-    p.Hosts = p.Hosts.filter((r) => !draft.Hosts?.includes(r));
-    p.Gone = p.Gone.filter((r) => !draft.Gone?.includes(r));
-    p.Hires = p.Hires.filter((r) => !draft.Hires?.includes(r));
-    p.Settled = p.Settled.filter((r) => !draft.Settled?.includes(r));
-    p.Moves = p.Moves.filter((r) => !draft.Moves?.includes(r));
+    p.machines = p.machines.filter((r) => !draft.machines?.includes(r));
+    p.removed = p.removed.filter((r) => !draft.removed?.includes(r));
+    p.rentals = p.rentals.filter((r) => !draft.rentals?.includes(r));
+    p.settledRentals = p.settledRentals.filter((r) => !draft.settledRentals?.includes(r));
+    p.moves = p.moves.filter((r) => !draft.moves?.includes(r));
   }
 
   move(host: string, to: Destination, why: string): void {
     const entry = this.facts().ledger.hosts.get(host);
     if (!entry || entry.destination === to || entry.destination === 'return') return;
-    if (this.pending.Moves.some(([other]) => other === host)) return;
-    this.pending.Moves.push([host, to]);
+    if (this.pending.moves.some(([other]) => other === host)) return;
+    this.pending.moves.push([host, to]);
     this.log.debug({ host, from: entry.share, to, why }, 'move');
   }
 
@@ -147,7 +153,7 @@
         coming.push({ ...host, room: amountsOf(type) });
     }
     const asked = [...ledger.rentals.values()].map((h) => ({ ...h }));
-    for (const [, machineType, zone, spot, number, to] of this.pending.Hires) {
+    for (const [, machineType, zone, spot, number, to] of this.pending.rentals) {
       asked.push({ id: '', machineType, zone, spot, number, share: to, at: 0 });
     }
     for (const { machineType, zone, spot, number, share: to } of asked) {
@@ -168,7 +174,7 @@
       for (let left = wanted; left > 0; left -= MAX_RENT) {
         const number = Math.min(left, MAX_RENT);
         const rental = `h-${this.clock.wall()}-${ledger.size}-${++this.rentals}`;
-        this.pending.Hires.push([rental, machineType, zone, spot, number, share]);
+        this.pending.rentals.push([rental, machineType, zone, spot, number, share]);
         this.log.info({ hire: rental, machineType, zone, spot, number, share }, 'renting');
       }
     }
@@ -188,7 +194,8 @@
   private async ask(name: string): Promise<void> {
     const rental = this.facts().ledger.rentals.get(name);
     const now = this.clock.now();
-    if (!rental || (this.asking.get(name) ?? -Infinity) > now || this.pending.Settled.includes(name)) return;
+    if (!rental || (this.asking.get(name) ?? -Infinity) > now || this.pending.settledRentals.includes(name))
+      return;
     this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
     const { machineType, zone, spot, number } = rental;
     const result = await this.cloud.rent({
@@ -210,7 +217,7 @@
       return;
     }
     // An answer that never came may still have rented machines: the list shows them, and they are adopted.
-    this.pending.Settled.push(name);
+    this.pending.settledRentals.push(name);
     this.asking.delete(name);
     this.log.info({ hire: name, result }, 'rental answered');
     this.wake();
@@ -219,12 +226,12 @@
   private adopt(host: string, { machineType, zone, spot }: Offer, share: number, ageS: number): void {
     if (!this.isUnknown(host)) return;
     const since = Math.floor(this.clock.wall() / MS - ageS * 1000);
-    this.pending.Hosts.push([host, machineType, zone, spot, since, share]);
+    this.pending.machines.push([host, machineType, zone, spot, since, share]);
   }
 
   private isUnknown(host: string): boolean {
     if (this.facts().ledger.hosts.has(host) || this.gone.has(host)) return false;
-    return !this.pending.Hosts.some(([other]) => other === host);
+    return !this.pending.machines.some(([other]) => other === host);
   }
 
   private async list(): Promise<void> {
@@ -283,7 +290,7 @@
     if (this.deleting) return;
     const unwanted = new Map<string, string>();
     for (const host of this.facts().ledger.hosts.values()) {
-      const why = this.pending.Gone.includes(host.host) ? null : this.deletionReason(host);
+      const why = this.pending.removed.includes(host.host) ? null : this.deletionReason(host);
       if (why !== null) unwanted.set(host.host, why);
     }
     for (const host of this.wrecks) unwanted.set(host, 'failed');
@@ -297,14 +304,14 @@
     for (const host of hosts) {
       this.gone.set(host, this.clock.now() + GONE_KEPT);
       this.wrecks.delete(host);
-      if (this.facts().ledger.hosts.has(host)) this.pending.Gone.push(host);
+      if (this.facts().ledger.hosts.has(host)) this.pending.removed.push(host);
     }
     this.wake();
   }
 }
 
 function empty(): Pending {
-  return { Hosts: [], Gone: [], Hires: [], Settled: [], Moves: [] };
+  return { machines: [], removed: [], rentals: [], settledRentals: [], moves: [] };
 }
 
 function isFilled(pending: Pending): boolean {
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -34,7 +34,7 @@
     if (!this.reference.apply(log, record)) {
       throw new BrokenRule(
         'agreement',
-        `record ${record.Seq} of log ${log} follows ${this.reference.seq(log)}`,
+        `record ${record.sequence} of log ${log} follows ${this.reference.seq(log)}`,
       );
     }
   }
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -551,7 +551,7 @@
 /** Machines whose release a transaction holds. */
 function releasedIn(writes: readonly Fields[]): string[] {
   return writes.flatMap(({ V: record }) => {
-    const releases = isFields(record) ? (record['Releases'] as [string, unknown][] | undefined) : undefined;
+    const releases = isFields(record) ? (record['releases'] as [string, unknown][] | undefined) : undefined;
     return (releases ?? []).map(([host]) => host);
   });
 }
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -427,7 +427,7 @@
     for (const w of writes) {
       const path = String(w['Set'] ?? '');
       if (path === LEAD) this.onEvent('lead');
-      else if (path.startsWith(LOGS) && isFields(w['V']) && w['V']['Releases'] !== undefined)
+      else if (path.startsWith(LOGS) && isFields(w['V']) && w['V']['releases'] !== undefined)
         this.onEvent('release');
     }
   }
--- a/packages/workers/worker-registry.test.ts
+++ b/packages/workers/worker-registry.test.ts
@@ -24,11 +24,11 @@
 /** One task, j-1/0 attempt 1, recorded for session 1 of n-1. */
 function scene(): { workers: WorkerRegistry; ledger: Ledger; jobs: Map<string, LiveJob> } {
   const ledger = new Ledger();
-  ledger.apply('lead', { Seq: 1, At: 0, Hosts: [['n-1', 'small', 'east', false, 0, 0]] });
+  ledger.apply('lead', { sequence: 1, at: 0, machines: [['n-1', 'small', 'east', false, 0, 0]] });
   ledger.apply(0, {
-    Seq: 1,
-    At: 0,
-    Starts: [{ Job: 'j-1', team: 'blue', image: 'i', Need: [2, 0, 4], On: [[0, 'n-1', 1]] }],
+    sequence: 1,
+    at: 0,
+    starts: [{ job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], tasks: [[0, 'n-1', 1]] }],
   });
   const workers = new WorkerRegistry(LIMITS);
   workers.own(ledger, OWNERS, 5, NOW);
@@ -75,7 +75,7 @@
   assert.deepEqual(workers.commands('n-1', ledger, jobs, true), []);
   const ending = workers.endings(ledger, jobs, NOW)[0];
   assert.equal(ending?.outcome, 'done');
-  ledger.apply(0, { Seq: 2, At: 0, Ends: [['j-1', 0, TRY, 'done']] });
+  ledger.apply(0, { sequence: 2, at: 0, ends: [['j-1', 0, TRY, 'done']] });
   assert.deepEqual(workers.commands('n-1', ledger, jobs, true), [
     { kind: 'forget', task: 'j-1/0', attempt: TRY },
   ]);
@@ -107,9 +107,9 @@
 
 test('after a move, reports that the last owner had are no news, however late they come', () => {
   const { ledger, jobs } = scene();
-  ledger.apply('lead', { Seq: 2, At: 0, Moves: [['n-1', 1]] });
-  ledger.apply(0, { Seq: 2, At: 0, Releases: [['n-1', [1, 8]]] });
-  ledger.apply(1, { Seq: 1, At: 0, Takes: ['n-1'] });
+  ledger.apply('lead', { sequence: 2, at: 0, moves: [['n-1', 1]] });
+  ledger.apply(0, { sequence: 2, at: 0, releases: [['n-1', [1, 8]]] });
+  ledger.apply(1, { sequence: 1, at: 0, takes: ['n-1'] });
   const workers = new WorkerRegistry(LIMITS);
   workers.own(ledger, new Map([[1, { member: 'b', nonce: 'y', revision: 4, token: 5 }]]), 5, NOW);
   jobs.clear();
