--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -1,7 +1,53 @@
-import { Ledger, type LogId, logOfKey, LOGS, type PlacementRecord, type StateCopy } from '#cluster';
-import { type Fields, isFields } from '#wire';
+/** Checks that every node's copy of the placement state is the one that the commits lead to. */
+import {
+  type Destination,
+  Ledger,
+  type LogId,
+  logOfKey,
+  LOGS,
+  type MachineStatus,
+  type PlacementRecord,
+  type ReplicaState,
+} from '#cluster';
+import { type Count, type Fields, isFields } from '#wire';
 import { BrokenRule } from './rules.js';
 
+/** A machine as a ledger holds it, as far as copies are compared. */
+export interface ComparedMachine {
+  readonly host: string;
+  readonly share: number | null;
+  readonly destination: Destination | null;
+  readonly ownershipCount: number;
+  readonly status: MachineStatus;
+  readonly lastReport: { readonly incarnation: Count; readonly sequence: Count } | null;
+}
+
+/** A placement as a ledger holds it, as far as copies are compared. */
+export interface ComparedPlacement {
+  readonly taskName: string;
+  readonly host: string;
+  readonly attempt: number;
+  readonly session: Count;
+}
+
+/** What is compared of a ledger, whichever version of the program keeps it. */
+export interface LedgerFacts {
+  readonly machines: readonly ComparedMachine[];
+  readonly placements: readonly ComparedPlacement[];
+}
+
+/** One node's copy of the state. */
+export interface ReplicaFacts {
+  readonly member: string;
+  readonly state: ReplicaState;
+  /** Revision up to which every commit is applied. */
+  readonly applied: number;
+  /** Tells one ledger from the next: a new object after every complete read of the state. */
+  readonly ledger: object;
+  /** Lists all of the ledger, which costs time in proportion to its size. */
+  readonly describeLedger: () => LedgerFacts;
+}
+
 /**
  * Checks that every node's ledger is the one that the commits, applied one after the other, lead to. It keeps a
  * ledger of its own that never restarts, is never read from a checkpoint and sees each commit as it happens.
@@ -19,12 +65,12 @@
   }
 
   /** Compares the copies of those nodes that have applied everything up to the present epoch. */
-  check(copies: readonly StateCopy[], epoch: number): void {
+  check(copies: readonly ReplicaFacts[], epoch: number): void {
     const current = copies.filter((copy) => copy.state === 'following' && copy.applied === epoch);
     if (current.length === 0) return;
-    const expected = describe(this.reference);
-    for (const { ledger, member } of current) {
-      const actual = describe(ledger);
+    const expected = describe(factsOfLedger(this.reference));
+    for (const { describeLedger, member } of current) {
+      const actual = describe(describeLedger());
       const wrong = actual.find((line, i) => line !== expected[i]) ?? expected[actual.length];
       if (wrong !== undefined) throw new BrokenRule('agreement', `${member} at epoch ${epoch}: ${wrong}`);
     }
@@ -40,13 +86,38 @@
   }
 }
 
-/** Machines with their shares, and placements, in an order that does not depend on how the ledger came about. */
-function describe(ledger: Ledger): string[] {
-  const hosts = [...ledger.hosts.values()].map((h) =>
-    [h.host, h.share, h.destination, h.ownershipCount, h.status, JSON.stringify(h.lastReport)].join(' '),
+/** What is compared of a ledger of the present version. */
+export function factsOfLedger(ledger: Ledger): LedgerFacts {
+  const machines = [...ledger.hosts.values()].map((machine) => ({
+    host: machine.host,
+    share: machine.share,
+    destination: machine.destination,
+    ownershipCount: machine.ownershipCount,
+    status: machine.status,
+    lastReport: machine.lastReport && {
+      incarnation: machine.lastReport[0],
+      sequence: machine.lastReport[1],
+    },
+  }));
+  const placements = [...ledger.onHost.values()].flatMap((tasks) =>
+    [...tasks.values()].map((placement) => ({
+      taskName: placement.taskName,
+      host: placement.host,
+      attempt: placement.attempt,
+      session: placement.session,
+    })),
   );
-  const placements = [...ledger.onHost.values()].flatMap((there) =>
-    [...there.values()].map((p) => `${p.taskName} on ${p.host} attempt ${p.attempt} session ${p.session}`),
+  return { machines, placements };
+}
+
+/** Machines with their shares, and placements, in an order that does not depend on how the ledger came about. */
+function describe({ machines, placements }: LedgerFacts): string[] {
+  const machineLines = machines.map((machine) => {
+    const { host, share, destination, ownershipCount, status, lastReport } = machine;
+    return [host, share, destination, ownershipCount, status, JSON.stringify(lastReport)].join(' ');
+  });
+  const placementLines = placements.map(
+    ({ taskName, host, attempt, session }) => `${taskName} on ${host} attempt ${attempt} session ${session}`,
   );
-  return [...hosts.sort(), ...placements.sort()];
+  return [...machineLines.sort(), ...placementLines.sort()];
 }
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -1,16 +1,191 @@
 /**
  * The controller as the version in production has it, to be run side by side with the present one. Its code lies under
- * `fixtures/` as that version's own build made it; see `fixtures/README.md`.
+ * `fixtures/` as that version's own build made it; see `fixtures/README.md`. This module alone knows the names that
+ * version gives to its settings, its methods and its state, and maps them onto those of the present version.
  */
-import type { Controller } from '#daemon';
+import type { Answer } from '#api';
+import type { Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
+import type { ControllerParts } from '#daemon';
+import type { Settings, Tuning } from '#settings';
+import type { Caller, Clock, Count, Micros } from '#wire';
+import type { LedgerFacts, ReplicaFacts } from './agreement.js';
+import type { SimulatedController } from './simulated-controller.js';
 
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
 
-/** What both versions have in common: the parts they are made of, and what a world asks of a node. */
+/** Settings under the names of the production version; all others have kept their names. */
+interface ProductionSettings extends Omit<Settings, 'report' | 'lease' | 'cancel' | 'listLag'> {
+  readonly report: Micros;
+  readonly lease: Micros;
+  readonly cancel: Micros;
+  readonly listLag: Micros;
+}
+
+/** Operators' settings under the names of the production version. */
+interface ProductionTuning extends Omit<Tuning, 'waitDoubles' | 'noticesLoss'> {
+  readonly waitDoubles: Micros;
+}
+
+/** What the production version tells its peers. */
+interface ProductionPeerWord {
+  readonly token: number;
+  readonly served: boolean;
+  readonly referred: Record<string, number>;
+}
+
+interface ProductionPingAnswer {
+  readonly result: 'ok' | 'refused' | 'silent';
+  readonly word: ProductionPeerWord | null;
+}
+
+interface ProductionParts {
+  readonly settings: ProductionSettings;
+  readonly tuning: ProductionTuning;
+  readonly clock: Clock;
+  readonly random: () => number;
+  readonly incarnation: string;
+  readonly call: Caller;
+  readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingAnswer>;
+  readonly log: Logger;
+}
+
+interface ProductionMachine {
+  readonly host: string;
+  readonly share: number | null;
+  readonly destination: number | 'return' | null;
+  readonly status: MachineStatus;
+  readonly ownershipCount: number;
+  readonly lastReport: readonly [Count, Count] | null;
+}
+
+interface ProductionPlacement {
+  readonly taskName: string;
+  readonly host: string;
+  readonly attempt: number;
+  readonly session: Count;
+}
+
+interface ProductionLedger {
+  readonly hosts: ReadonlyMap<string, ProductionMachine>;
+  readonly onHost: ReadonlyMap<string, ReadonlyMap<string, ProductionPlacement>>;
+}
+
+interface ProductionStateCopy {
+  readonly member: string;
+  readonly state: ReplicaState;
+  readonly applied: number;
+  readonly ledger: ProductionLedger;
+}
+
+/** The controller class of the production version, as far as a simulated cluster uses it. */
+interface ProductionController {
+  start(): void;
+  report(body: unknown): Promise<Answer>;
+  health(): Answer;
+  word(): ProductionPeerWord;
+  stateCopy(): ProductionStateCopy;
+  readonly users: {
+    submit(body: unknown): Promise<Answer>;
+    show(id: string): Promise<Answer>;
+    cancel(id: string): Promise<Answer>;
+  };
+}
+
+/** Makes controllers of the production version. */
 export interface ProductionVersion {
-  Controller: typeof Controller;
+  createController(options: ControllerParts): SimulatedController;
 }
 
 export async function loadProductionVersion(): Promise<ProductionVersion> {
-  return (await import(FIXTURE.href)) as ProductionVersion;
+  const fixture = (await import(FIXTURE.href)) as {
+    Controller: new (parts: ProductionParts) => ProductionController;
+  };
+  return { createController: (options) => adapt(new fixture.Controller(partsOf(options))) };
+}
+
+function adapt(controller: ProductionController): SimulatedController {
+  const { users } = controller;
+  return {
+    start: () => {
+      controller.start();
+    },
+    report: (body) => controller.report(body),
+    submit: (body) => users.submit(body),
+    show: (id) => users.show(id),
+    cancel: (id) => users.cancel(id),
+    health: () => controller.health(),
+    word: () => {
+      const { token, served, referred } = controller.word();
+      return { token, served, referred, memory: null };
+    },
+    replicaFacts: () => replicaFactsOf(controller.stateCopy()),
+  };
+}
+
+function partsOf(options: ControllerParts): ProductionParts {
+  return {
+    settings: settingsOf(options.settings),
+    tuning: tuningOf(options.tuning),
+    clock: options.clock,
+    random: options.random,
+    incarnation: options.incarnation,
+    call: options.call,
+    ping: pingOf(options.ping),
+    log: options.log,
+  };
+}
+
+function settingsOf(settings: Settings): ProductionSettings {
+  const { report: heartbeatInterval, lease: workerLease, cancel: cancellationDeadline, ...others } = settings;
+  const { listLag: machineListLag, ...unchanged } = others;
+  return {
+    ...unchanged,
+    report: heartbeatInterval,
+    lease: workerLease,
+    cancel: cancellationDeadline,
+    listLag: machineListLag,
+  };
+}
+
+function tuningOf({ waitDoubles: priorityDoublingTime, ...others }: Tuning): ProductionTuning {
+  return { ...others, waitDoubles: priorityDoublingTime };
+}
+
+function pingOf(ping: Ping): ProductionParts['ping'] {
+  return async (endpoint, timeout) => {
+    const answer = await ping(endpoint, timeout);
+    if (answer.word === null) return { result: answer.result, word: null };
+    const { word } = answer;
+    return {
+      result: answer.result,
+      word: { token: word.token, served: word.served, referred: word.referred },
+    };
+  };
+}
+
+function replicaFactsOf({ member, state, applied, ledger }: ProductionStateCopy): ReplicaFacts {
+  return { member, state, applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
+}
+
+function ledgerFactsOf(ledger: ProductionLedger): LedgerFacts {
+  const machines = [...ledger.hosts.values()].map((machine) => ({
+    host: machine.host,
+    share: machine.share,
+    destination: machine.destination,
+    ownershipCount: machine.ownershipCount,
+    status: machine.status,
+    lastReport: machine.lastReport && {
+      incarnation: machine.lastReport[0],
+      sequence: machine.lastReport[1],
+    },
+  }));
+  const placements = [...ledger.onHost.values()].flatMap((tasks) =>
+    [...tasks.values()].map((placement) => ({
+      taskName: placement.taskName,
+      host: placement.host,
+      attempt: placement.attempt,
+      session: placement.session,
+    })),
+  );
+  return { machines, placements };
 }
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -1,10 +1,9 @@
-import { Controller } from '#daemon';
+import { Controller, type ControllerParts } from '#daemon';
 import {
   CHECKPOINT_HEAD,
   chunkKey,
   CHUNKS,
   LEAD,
-  type Ledger,
   type Logger,
   LOGS,
   type PeerMemory,
@@ -36,6 +35,7 @@
 import { SimNet } from './sim-net.js';
 import { SimStore } from './sim-store.js';
 import { SimWorker } from './sim-worker.js';
+import { simulate, type SimulatedController } from './simulated-controller.js';
 
 const ZONES = ['east', 'west'];
 export const STATE = '10.2.0.1:2379';
@@ -89,7 +89,10 @@
 ];
 
 interface Node {
-  controller: Controller | null;
+  /** Null while the process is down. */
+  controller: SimulatedController | null;
+  /** The same, where it is of the present version. */
+  present: Controller | null;
   index: number;
   life: Life;
   /** Its process comes back with the version in production. */
@@ -162,7 +165,7 @@
   private faultyShare = 0;
   private nextIdleCheck: Micros = 0;
   /** By copy of the ledger: the epoch at which it was last compared. */
-  private readonly checkedAt = new WeakMap<Ledger, number>();
+  private readonly checkedAt = new WeakMap<object, number>();
   /** The first thing that went wrong in a callback; thrown by {@link run}. */
   private readonly failure = new FirstFailure();
 
@@ -225,7 +228,8 @@
     this.net.serve(CLOUD, null, this.cloud.handler);
     for (let i = 0; i < (options.nodes ?? 3); i++) {
       const isOld = options.production !== undefined;
-      this.nodes.push({ controller: null, index: i, life: { on: false, thaws: 0 }, isOld });
+      const life: Life = { on: false, thaws: 0 };
+      this.nodes.push({ controller: null, present: null, index: i, life, isOld });
       this.startNode(i);
     }
   }
@@ -242,7 +246,7 @@
   /** A node of the present version that is up; null while it is down or of the version in production. */
   controller(index: number): Controller | null {
     const node = this.nodes[index];
-    return node && !node.isOld ? node.controller : null;
+    return node?.present ?? null;
   }
 
   /** What this node answers health checks with; null while it is down. */
@@ -271,8 +275,7 @@
       wallOff: Math.floor((this.random() - 0.5) * 100 * MS),
     };
     const { drift, wallOff } = this.options.clockError?.(index) ?? allowed;
-    const Version = old ? old.version.Controller : Controller;
-    const controller = new Version({
+    const options: ControllerParts = {
       settings: old ? { ...settings, ...old.settings } : settings,
       tuning: { ...standardTuning(), ...this.options.tuning },
       clock: this.clock.view(gate, drift, wallOff),
@@ -281,7 +284,10 @@
       call: this.callerOf(node, this.net.caller(settings.member, settings.domain, gate)),
       ping: this.pingFrom(settings.member, settings.domain, gate),
       log: this.options.log ?? SILENT,
-    });
+    };
+    node.present = old ? null : new Controller(options);
+    const controller = node.present ? simulate(node.present) : old?.version.createController(options);
+    if (!controller) throw new Error(`no version for node ${index}`);
     node.controller = controller;
     controller.start();
     const awake = (): Promise<void> => new Promise(gate);
@@ -296,10 +302,10 @@
         path === '/v1/report'
           ? await controller.report(body)
           : path === '/submissions' && method === 'POST'
-            ? await controller.users.submit(body)
+            ? await controller.submit(body)
             : method === 'POST'
-              ? await controller.users.cancel(path.split('/')[2] ?? '')
-              : await controller.users.show(path.split('/')[2] ?? '');
+              ? await controller.cancel(path.split('/')[2] ?? '')
+              : await controller.show(path.split('/')[2] ?? '');
       if (path === '/v1/report') {
         if (answer.status === 200) this.renewals.set(index, this.workerReports(index) + 1);
         this.onReport(isFields(body) ? String(body['Host']) : '', index, answer.status);
@@ -322,6 +328,7 @@
     if (!node.life.on) return;
     node.life.on = false;
     node.controller = null;
+    node.present = null;
     const settings = this.settingsOf(index);
     this.net.unplug(settings.bind);
     this.net.unplug(settings.clusterListen);
@@ -390,7 +397,7 @@
     const { epoch, hasLost } = this.store;
     // Epochs of another history: those of the copies that are compared name other commits.
     if (hasLost) return;
-    const copies = this.nodes.flatMap((n) => (n.controller ? [n.controller.stateCopy()] : []));
+    const copies = this.nodes.flatMap((n) => (n.controller ? [n.controller.replicaFacts()] : []));
     const current = copies.filter((c) => c.applied === epoch && this.checkedAt.get(c.ledger) !== epoch);
     for (const { ledger } of current) this.checkedAt.set(ledger, epoch);
     this.agreement.check(current, epoch);
@@ -515,7 +522,7 @@
 
 /** The term of the lead that a node of the present version believes to hold; null if it believes in none. */
 function leadTermOf(node: Node): number | null {
-  return node.isOld ? null : (node.controller?.leadTerm() ?? null);
+  return node.present?.leadTerm() ?? null;
 }
 
 export { sampleJob };
