--- /dev/null
+++ b/packages/store/request-format.test.ts
@@ -0,0 +1,240 @@
+/** The requests to the state service and how its answers are read, as literals: they change only with the protocol. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Caller, Fields, Reply } from '#wire';
+import { type EpochCheck, isTooFast, isTooLarge, NEVER_WRITTEN, StoreClient, StoreError } from './index.js';
+
+interface Bench {
+  client: StoreClient;
+  /** Each request: its method, path, body if it has one, and the time in milliseconds that it may take. */
+  asked: string[];
+}
+
+/** A state service that gives these answers in their order, null for none, and notes what it was asked. */
+function storeOf(replies: readonly (Reply | null)[], check?: EpochCheck): Bench {
+  const asked: string[] = [];
+  const left = [...replies];
+  const call: Caller = (endpoint, method, path, body, timeout) => {
+    assert.equal(endpoint, '10.2.0.1:2379');
+    const parts = [
+      method,
+      path,
+      ...(body === undefined ? [] : [JSON.stringify(body)]),
+      `${timeout / 1000} ms`,
+    ];
+    asked.push(parts.join(' '));
+    const reply = left.shift();
+    return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
+  };
+  return { client: new StoreClient('10.2.0.1:2379', call, check), asked };
+}
+
+function answer(status: number, json = '{}'): Reply {
+  return { status, body: JSON.parse(json) as Fields };
+}
+
+const isError =
+  (status: number) =>
+  (cause: unknown): boolean => {
+    const message = status === 0 ? 'state service: no response' : `state service: ${status}`;
+    return cause instanceof StoreError && cause.status === status && cause.message === message;
+  };
+
+test('a key is read by its path, unescaped', async () => {
+  const { client, asked } = storeOf([
+    answer(200, '{"Path":"a/b","V":{"N":1},"Stamp":412,"Permit":7}'),
+    answer(404, '{"Epoch":431}'),
+    answer(200, '{"Path":"a/b","V":7,"Stamp":412}'),
+    answer(503),
+    null,
+  ]);
+  assert.deepEqual(await client.get('a/b'), {
+    row: { path: 'a/b', value: { N: 1 }, revision: 412 },
+    epoch: 412,
+  });
+  assert.deepEqual(await client.get('a/b'), { row: null, epoch: 431 });
+  assert.deepEqual(await client.get('a/b'), {
+    row: { path: 'a/b', value: {}, revision: 412 },
+    epoch: 412,
+  });
+  await assert.rejects(client.get('a/b'), isError(503));
+  await assert.rejects(client.get('a/b'), isError(0));
+  assert.deepEqual(asked, Array(5).fill('GET /store/a/b 1500 ms'));
+});
+
+test('keys are listed in pages of a thousand', async () => {
+  const { client, asked } = storeOf([
+    answer(
+      200,
+      '{"Rows":[{"Path":"c/1","V":{"N":1},"Stamp":4},7,{"Path":"c/2","Stamp":9}],"More":true,"Epoch":431}',
+    ),
+    answer(200, '{"Rows":[],"More":false,"Epoch":432}'),
+    answer(200, '{"Epoch":432}'),
+    answer(429),
+    null,
+  ]);
+  assert.deepEqual(await client.list('c/', ''), {
+    rows: [
+      { path: 'c/1', value: { N: 1 }, revision: 4 },
+      { path: 'c/2', value: {}, revision: 9 },
+    ],
+    more: true,
+    epoch: 431,
+  });
+  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, epoch: 432 });
+  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, epoch: 432 });
+  await assert.rejects(client.list('c/', ''), isError(429));
+  await assert.rejects(client.list('c/', ''), isError(0));
+  assert.deepEqual(asked, [
+    'GET /store?Starts=c/&Limit=1000 4000 ms',
+    'GET /store?Starts=c/&After=c/2&Limit=1000 4000 ms',
+    'GET /store?Starts=c/&After=c/2&Limit=1000 4000 ms',
+    'GET /store?Starts=c/&Limit=1000 4000 ms',
+    'GET /store?Starts=c/&Limit=1000 4000 ms',
+  ]);
+});
+
+test('a transaction names its conditions and its writes, with a lease only where one is given', async () => {
+  const { client, asked } = storeOf([answer(200, '{"Epoch":432}'), answer(200, '{"Epoch":433}')]);
+  const guards = [
+    { path: 'a/b', revision: 0 },
+    { path: 'a/c', revision: 412 },
+  ];
+  const result = await client.commit(guards, [
+    { set: 'a/b', value: { N: 1 }, leaseId: 7 },
+    { set: 'a/c', value: {} },
+    { remove: 'c/d' },
+  ]);
+  assert.deepEqual(result, { kind: 'applied', epoch: 432 });
+  assert.deepEqual(await client.commit([], []), { kind: 'applied', epoch: 433 });
+  assert.deepEqual(asked, [
+    'POST /commit {"Guards":[{"Path":"a/b","Stamp":0},{"Path":"a/c","Stamp":412}],' +
+      '"Writes":[{"Set":"a/b","V":{"N":1},"Permit":7},{"Set":"a/c","V":{}},{"Remove":"c/d"}]} 1500 ms',
+    'POST /commit {"Guards":[],"Writes":[]} 1500 ms',
+  ]);
+});
+
+test('each answer to a transaction means what it says', async () => {
+  const replies = [
+    answer(409, '{"failed":["a/b"],"Epoch":431}'),
+    answer(409, '{"Epoch":431}'),
+    answer(400, '{"error":"no such lease"}'),
+    answer(400, '{"error":"malformed"}'),
+    answer(429),
+    answer(503),
+    answer(302),
+    null,
+  ];
+  const { client } = storeOf(replies);
+  const results = [];
+  for (let i = 0; i < replies.length; i++) results.push(await client.commit([], [{ remove: 'a/b' }]));
+  assert.deepEqual(results, [
+    { kind: 'refused', failed: ['a/b'], epoch: 431 },
+    { kind: 'refused', failed: [], epoch: 431 },
+    { kind: 'no_permit' },
+    { kind: 'not_executed', status: 400 },
+    { kind: 'not_executed', status: 429 },
+    { kind: 'not_executed', status: 503 },
+    { kind: 'unknown' },
+    { kind: 'unknown' },
+  ]);
+  assert.deepEqual(results.map(isTooLarge), [false, false, false, true, false, false, false, false]);
+  assert.deepEqual(results.map(isTooFast), [false, false, false, false, true, false, false, false]);
+});
+
+test('leases are made, renewed and ended by their numbers, up to 2^64 - 1', async () => {
+  const most = 18_446_744_073_709_551_615n;
+  const { client, asked } = storeOf([
+    answer(200, '{"Permit":7}'),
+    { status: 200, body: { Permit: most } },
+    answer(503),
+    answer(200),
+    answer(404),
+    answer(503),
+    answer(200),
+    answer(404),
+    null,
+  ]);
+  assert.equal(await client.createLease(3_000_000), 7);
+  assert.equal(await client.createLease(2_999_600), most);
+  await assert.rejects(client.createLease(3_000_000), isError(503));
+  assert.equal(await client.renew(7), true);
+  assert.equal(await client.renew(most), false);
+  await assert.rejects(client.renew(7), isError(503));
+  await client.revoke(most);
+  await client.revoke(7);
+  await assert.rejects(client.revoke(7), isError(0));
+  assert.deepEqual(asked, [
+    'POST /grants {"LifeMs":3000} 1500 ms',
+    'POST /grants {"LifeMs":3000} 1500 ms',
+    'POST /grants {"LifeMs":3000} 1500 ms',
+    'POST /grants/7/renew 1500 ms',
+    'POST /grants/18446744073709551615/renew 1500 ms',
+    'POST /grants/7/renew 1500 ms',
+    'DELETE /grants/18446744073709551615 1500 ms',
+    'DELETE /grants/7 1500 ms',
+    'DELETE /grants/7 1500 ms',
+  ]);
+});
+
+test('changes are followed from an epoch on, and read in the order of the answer', async () => {
+  const { client, asked } = storeOf([
+    answer(
+      200,
+      '{"Epoch":433,"News":[{"Set":"c/9","V":{"N":1},"Stamp":433},{"Remove":"c/d","Stamp":432},7,' +
+        '{"Set":null,"Remove":"c/e","Stamp":431}]}',
+    ),
+    answer(200, '{"Epoch":433}'),
+    answer(410),
+    answer(503),
+    null,
+  ]);
+  const follow = () => client.follow('c/', 431, 10_000_000);
+  assert.deepEqual(await follow(), {
+    epoch: 433,
+    news: [
+      { path: 'c/9', revision: 433, value: { N: 1 } },
+      { path: 'c/d', revision: 432, value: null },
+      { path: 'c/e', revision: 431, value: null },
+    ],
+  });
+  assert.deepEqual(await follow(), { epoch: 433, news: [] });
+  assert.equal(await follow(), null);
+  await assert.rejects(follow(), isError(503));
+  await assert.rejects(follow(), isError(0));
+  assert.deepEqual(asked, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
+});
+
+test('a lease that is gone is confirmed by a read of the present epoch where epochs are checked', async () => {
+  const check: EpochCheck = {
+    isOpen: () => true,
+    floor: () => 400,
+    accepts: (floor, epoch) => epoch >= floor,
+    acceptsNew: (floor, epoch) => epoch > floor,
+  };
+  const whole = storeOf([answer(404), answer(404, '{"Epoch":400}')], check);
+  assert.equal(await whole.client.renew(7), false);
+  const lost = storeOf([answer(404), answer(404, '{"Epoch":399}')], check);
+  await assert.rejects(lost.client.renew(7), isError(503));
+  for (const { asked } of [whole, lost]) {
+    assert.deepEqual(asked, ['POST /grants/7/renew 1500 ms', 'GET /store/mw/nothing 1500 ms']);
+  }
+  assert.equal(NEVER_WRITTEN, 'mw/nothing');
+});
+
+test('while the state is not believed nothing is asked, and all is refused as in an outage', async () => {
+  const closed: EpochCheck = {
+    isOpen: () => false,
+    floor: () => 400,
+    accepts: () => true,
+    acceptsNew: () => true,
+  };
+  const { client, asked } = storeOf([], closed);
+  await assert.rejects(client.get('a/b'), isError(503));
+  await assert.rejects(client.createLease(3_000_000), isError(503));
+  await assert.rejects(client.renew(7), isError(503));
+  await assert.rejects(client.follow('c/', 431, 10_000_000), isError(503));
+  const result = await client.commit([], [{ remove: 'a/b' }]);
+  assert.deepEqual(result, { kind: 'not_executed', status: 503 });
+  assert.deepEqual(asked, []);
+});
