--- a/packages/wire/job-state.ts
+++ b/packages/wire/job-state.ts
@@ -1,21 +1,25 @@
-/** Answers to users about their jobs. */
+/** Codec of the answers that tell a user the state of a job. */
 import type { Fields } from './codec.js';
 import type { JobState, JobStatus } from './messages.js';
 
-const TO_WIRE: Record<JobStatus, string> = {
+const STATUS_NAMES: Readonly<Record<JobStatus, string>> = {
   pending: 'pending',
   running: 'running',
   done: 'done',
   cancelled: 'withdrawn',
 };
 
-const STATUSES = Object.keys(TO_WIRE) as JobStatus[];
+const STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
 
-export function encodeJobState({ id, status, ...counts }: JobState): Fields {
-  return { Uid: id, Status: TO_WIRE[status], ...counts };
+/** The body that tells a user the state of a job. Task counts are left out where the state has none. */
+export function encodeJobState(state: JobState): Fields {
+  const fields: Fields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
+  if (state.done !== undefined) fields['done'] = state.done;
+  if (state.running !== undefined) fields['running'] = state.running;
+  return fields;
 }
 
-/** The status that an answer tells, or null if it tells none. */
+/** The status in an answer's body, or null if the body holds none, as that of an error does. */
 export function decodeJobStatus(body: Fields): JobStatus | null {
-  return STATUSES.find((status) => TO_WIRE[status] === body['Status']) ?? null;
+  return STATUSES.find((status) => STATUS_NAMES[status] === body['Status']) ?? null;
 }
