--- a/packages/wire/http.ts
+++ b/packages/wire/http.ts
@@ -2,6 +2,9 @@
 import { decode, encode, type Fields, isFields } from './codec.js';
 import type { Micros } from './time.js';
 
+/** The largest body of a request, and of an answer to a user or worker, in bytes. */
+export const MAX_BODY_BYTES = 64 * 1024;
+
 export type Method = 'GET' | 'POST' | 'DELETE';
 
 export interface Reply {
--- a/packages/wire/index.ts
+++ b/packages/wire/index.ts
@@ -1,7 +1,14 @@
+/**
+ * Everything that crosses the wire: the messages in the terms of the code, their codecs, and the HTTP client. The codecs
+ * are the only place that knows the protocol's own names. Clients of the service can use this package by itself.
+ */
 export * from './codec.js';
 export * from './http.js';
 export * from './job-state.js';
-export * from './messages.js';
+export * from './jobs.js';
+export * from './machines.js';
 export * from './report.js';
 export * from './submission.js';
+export * from './tasks.js';
 export * from './time.js';
+export * from './workers.js';
--- a/packages/wire/job-state.ts
+++ b/packages/wire/job-state.ts
@@ -1,6 +1,6 @@
 /** Codec of the answers that tell a user the state of a job. */
 import type { Fields } from './codec.js';
-import type { JobState, JobStatus } from './messages.js';
+import type { JobState, JobStatus } from './jobs.js';
 
 const STATUS_NAMES: Readonly<Record<JobStatus, string>> = {
   pending: 'pending',
--- a/packages/wire/report.ts
+++ b/packages/wire/report.ts
@@ -1,6 +1,7 @@
 /** Reports of workers, and the answers to them. */
 import { type Fields, isCount, isFields, type Count } from './codec.js';
-import type { Command, ExitCause, ReportAnswer, TaskReport, TaskState, WorkerReport } from './messages.js';
+import type { ExitCause, TaskReport, TaskState } from './tasks.js';
+import type { Command, ReportAnswer, WorkerReport } from './workers.js';
 
 const TASK_STATES = new Map<unknown, TaskState>([
   ['pulling', 'fetching'],
--- a/packages/wire/submission.ts
+++ b/packages/wire/submission.ts
@@ -1,5 +1,5 @@
 import { type Fields, isFields } from './codec.js';
-import { isJobId, MAX_TASKS, RANKS, type Rank, type JobShape, type JobSpec } from './messages.js';
+import { isJobId, MAX_TASKS, RANKS, type Rank, type JobShape, type JobSpec } from './jobs.js';
 
 const SHAPE_NAMES: Record<JobShape, string> = { array: 'array', gang: 'ensemble' };
 const SHAPES = new Map<unknown, JobShape>([
--- /dev/null
+++ b/packages/wire/tasks.ts
@@ -0,0 +1,35 @@
+/** Tasks as the workers see them, and their names. */
+import type { Count } from './codec.js';
+
+/** `fetching`: waiting for its image. `gathering`: a gang's task that waits for the others of its attempt. */
+export type TaskState = 'fetching' | 'gathering' | 'running' | 'saving' | 'exited';
+
+/**
+ * Why a task ended. `peer_gone`: another task of its gang is gone. `gang_incomplete`: its gang did not come
+ * together in time. The last three: its start was refused.
+ */
+export type ExitCause =
+  'done' | 'stopped' | 'failed' | 'peer_gone' | 'gang_incomplete' | 'no_room' | 'duplicate' | 'unknown_task';
+
+/** One task on a machine, as its worker reports it. */
+export interface TaskReport {
+  /** Its name, see {@link formatTaskName}. */
+  task: string;
+  attempt: Count;
+  state: TaskState;
+  /** Null while the task has not exited, and where the cause isn't known here. */
+  cause?: ExitCause | null;
+}
+
+/** The name of a job's task, `<job>/<index>`. */
+export function formatTaskName(job: string, index: number): string {
+  return `${job}/${index}`;
+}
+
+/** The job and index that a task's name is made of; null if it isn't the name of a task. */
+export function parseTaskName(piece: string): { job: string; index: number } | null {
+  const separator = piece.lastIndexOf('/');
+  const index = Number(piece.slice(separator + 1));
+  const isTaskName = separator > 0 && Number.isInteger(index) && index >= 0;
+  return isTaskName ? { job: piece.slice(0, separator), index } : null;
+}
--- a/packages/wire/wire.test.ts
+++ b/packages/wire/wire.test.ts
@@ -3,9 +3,10 @@
 import fc from 'fast-check';
 import { decode, encode, isCount, sameCount } from './codec.js';
 import { decodeJobStatus, encodeJobState } from './job-state.js';
-import type { Command, JobSpec } from './messages.js';
+import type { JobSpec } from './jobs.js';
 import { encodeRedirect, encodeReportAnswer, parseReport } from './report.js';
 import { encodeSubmission, parseSubmission } from './submission.js';
+import type { Command } from './workers.js';
 
 const JOB = {
   ...{ Uid: 'j-000412', Lane: 'train', Crew: 'vision', Shape: 'array', Rank: 'urgent', Pieces: 16 },
