--- a/packages/wire/codec.ts
+++ b/packages/wire/codec.ts
@@ -1,9 +1,7 @@
+/** MessagePack, as every interface of the service speaks it, and checks of what was decoded. */
 import { Packr } from 'msgpackr/pack';
 
-/**
- * MessagePack as every interface of the service speaks it. Integers up to 2^64 survive: those that a
- * number can't hold exactly come back as bigint, hence {@link Count}.
- */
+/** Integers up to 2^64 survive: those that a number can't hold exactly come back as bigint, hence {@link Count}. */
 const packr = new Packr({
   useRecords: false,
   mapsAsObjects: true,
@@ -15,34 +13,42 @@
 /** A count, version, token or attempt: an integer from 0 to 2^64 - 1. */
 export type Count = number | bigint;
 
+/** A map with text keys whose values have not been checked. */
 export type Fields = Record<string, unknown>;
 
+/** The MessagePack bytes of a value; undefined becomes null. */
 export function encode(value: unknown): Buffer {
   return packr.pack(value);
 }
 
+/** The value of these MessagePack bytes. Throws if they end early or go on behind it. */
 export function decode(bytes: Buffer): unknown {
   return packr.unpack(bytes) as unknown;
 }
 
-/** A plain map. The decoder makes objects of its own of bytes that are no valid value (0xc1) and of extensions. */
+/**
+ * Whether a decoded value is a plain map. The decoder makes objects of classes of its own from bytes that are no valid
+ * value (0xc1) and from extensions.
+ */
 export function isFields(value: unknown): value is Fields {
   return typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype;
 }
 
+/** Whether a decoded value is an integer from 0 to 2^64 - 1. */
 export function isCount(value: unknown): value is Count {
   if (typeof value === 'number') return Number.isSafeInteger(value) && value >= 0;
   return typeof value === 'bigint' && value >= 0n && value < 1n << 64n;
 }
 
-/** Counts compare by value, whichever of the two types carries them. */
+/** Whether two counts are the same integer, whichever of the two types carries them. */
 export function sameCount(a: Count, b: Count): boolean {
   return typeof a === typeof b ? a === b : BigInt(a) === BigInt(b);
 }
 
-/** Size of a value in the form in which limits are counted: JSON. */
+/** Size of a value as JSON in bytes, the form in which the protocol counts its limits. */
 export function jsonBytes(value: unknown): number {
-  return Buffer.byteLength(
-    JSON.stringify(value, (_k, v: unknown) => (typeof v === 'bigint' ? Number(v) : v)),
+  const text = JSON.stringify(value, (_key, item: unknown) =>
+    typeof item === 'bigint' ? Number(item) : item,
   );
+  return Buffer.byteLength(text);
 }
