--- /dev/null
+++ b/packages/operations/answer-format.test.ts
@@ -0,0 +1,440 @@
+/** What the operators' listener answers, to the byte: tools of the operators read these texts. */
+import assert from 'node:assert/strict';
+import { request, type Server } from 'node:http';
+import type { AddressInfo } from 'node:net';
+import { test } from 'node:test';
+import type { Logger, Membership, StateReading } from '#cluster';
+import { type DutyHolder, type DutyName, DutyRegistry, type IntentLedger, reportDuties } from '#duties';
+import { LossWatch, type LossReport } from '#recovery';
+import { type Clock, type Micros, SECOND } from '#wire';
+import {
+  askDuties,
+  askLoss,
+  askToResign,
+  createOperatorApp,
+  listenForOperators,
+  type NodeDutyReport,
+  type OperatedNode,
+  openSnapshot,
+} from './index.js';
+
+/** A clock that stands still until it is moved. */
+class StillClock implements Clock {
+  time: Micros = 0;
+
+  now(): Micros {
+    return this.time;
+  }
+
+  wall(): Micros {
+    return this.time;
+  }
+
+  after(): { cancel: () => void } {
+    return { cancel: () => undefined };
+  }
+}
+
+const SILENT_LOG: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
+
+const NO_INTENTS: IntentLedger = { rentals: new Map(), hosts: new Map() };
+
+const INTENTS: IntentLedger = {
+  rentals: new Map(
+    [{ id: 'hire-1-41-1', machineType: 'small', zone: 'east', spot: true, number: 2 }].map((r) => [r.id, r]),
+  ),
+  hosts: new Map(
+    [
+      { host: 'n-000003', share: 0, destination: 'return' as const },
+      { host: 'n-000004', share: null, destination: 'return' as const },
+      { host: 'n-000005', share: 0, destination: 1 },
+    ].map((h) => [h.host, h]),
+  ),
+};
+
+/** A registry over holders that a test sets; what it holds itself has the nonce `ours`. */
+function registryOver(clock: Clock, holders: ReadonlyMap<DutyName, DutyHolder>): DutyRegistry {
+  return new DutyRegistry({
+    source: { holders: () => holders, isOurs: (nonce) => nonce === 'ours' },
+    clock,
+    keyOf: (duty) => `key of ${duty}`,
+    leaseLife: 3 * SECOND,
+  });
+}
+
+const OURS = { member: 'node-1', nonce: 'ours' };
+const OTHERS = { member: 'node-2', nonce: 'other' };
+
+const STILL_NODE: OperatedNode = {
+  dutyReport: () => ({ member: 'node-1', membership: 'member', knowledgeAgeS: 0.4, duties: [] }),
+  lossReport: () => ({ member: 'node-1', loss: null }),
+  snapshot: () => null,
+  resign: () => Promise.resolve({ kind: 'handed_over' }),
+};
+
+/** Runs a listener over a node; the errors that it reported, as text. */
+async function withListener(
+  node: Partial<OperatedNode>,
+  act: (address: string) => Promise<void>,
+): Promise<string[]> {
+  const reported: string[] = [];
+  const app = createOperatorApp({ ...STILL_NODE, ...node }, (cause) => reported.push(String(cause)));
+  const server = await listenForOperators(app, '127.0.0.1:0');
+  try {
+    await act(`127.0.0.1:${portOf(server)}`);
+  } finally {
+    server.closeAllConnections();
+    server.close();
+  }
+  return reported;
+}
+
+function portOf(server: Server): number {
+  return (server.address() as AddressInfo).port;
+}
+
+/** One exchange: status, type of the body and its text. */
+function exchange(address: string, method: string, path: string, body?: string): Promise<string> {
+  const [host, port] = address.split(':');
+  return new Promise((resolve, reject) => {
+    const call = request({ host, port: Number(port), method, path }, (response) => {
+      let text = '';
+      response.on('data', (chunk: Buffer) => (text += chunk.toString()));
+      response.on('end', () => {
+        const { statusCode, headers } = response;
+        resolve(`${statusCode} ${headers['content-type']} ${headers.connection}\n${text}`);
+      });
+    });
+    call.on('error', reject);
+    call.end(body);
+  });
+}
+
+async function answerOf(node: Partial<OperatedNode>, path: string): Promise<string> {
+  let answer = '';
+  const reported = await withListener(node, async (address) => {
+    answer = await exchange(address, 'GET', path);
+  });
+  assert.deepEqual(reported, []);
+  return answer;
+}
+
+test('the duties are told in these words, in every state', async () => {
+  const clock = new StillClock();
+  const holders = new Map<DutyName, DutyHolder>([
+    ['lead', { ...OURS, term: 41 }],
+    [0, { ...OTHERS, term: 40 }],
+    [3, { ...OURS, term: 38 }],
+    [4, { ...OURS, term: 39 }],
+  ]);
+  const registry = registryOver(clock, holders);
+  registry.renewed(0);
+  registry.state(1);
+  registry.acquiring(2);
+  const proof = registry.prove(3);
+  assert.ok(proof);
+  registry.refused(proof, 'place tasks', 'the state service: the duty has changed hands');
+  assert.ok(registry.resign(4));
+  clock.time = 1.25 * SECOND;
+  holders.delete(3);
+  const duties = (): OperatedNode['dutyReport'] => () => ({
+    member: 'node-1',
+    membership: 'member',
+    knowledgeAgeS: 0.4,
+    duties: reportDuties(registry, INTENTS, clock.now()),
+  });
+  assert.equal(
+    await answerOf({ dutyReport: duties() }, '/duties'),
+    '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"held","holder":"node-1","term":41,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":0,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":1.3}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":null,"lastRefused":null}]}',
+  );
+  clock.time = 60 * SECOND;
+  assert.equal(
+    await answerOf({ dutyReport: duties() }, '/duties'),
+    '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"suspected","holder":"node-1","term":41,"sinceS":0,"leaseLeftS":0,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":58.8,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":60}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":60,"leaseLeftS":0,"openIntents":null,"lastRefused":null}]}',
+  );
+});
+
+test('a node that knows of nobody, and of no intents, says so', async () => {
+  const clock = new StillClock();
+  const registry = registryOver(clock, new Map());
+  registry.state('lead');
+  const report: NodeDutyReport = {
+    member: 'node-3',
+    membership: 'joining',
+    knowledgeAgeS: null,
+    duties: reportDuties(registry, NO_INTENTS, clock.now()),
+  };
+  assert.equal(
+    await answerOf({ dutyReport: () => report }, '/duties'),
+    '200 application/json; charset=utf-8 close\n{"member":"node-3","membership":"joining","knowledgeAgeS":null,"duties":[{"duty":"lead","state":"vacant","holder":null,"term":null,"sinceS":0,"leaseLeftS":null,"openIntents":{"rentals":[],"returns":[]},"lastRefused":null}]}',
+  );
+});
+
+test('each condition of a member has its word', async () => {
+  const words: [state: Membership['state'], word: string][] = [
+    ['outside', 'outside'],
+    ['joining', 'joining'],
+    ['member', 'member'],
+    ['stopped', 'stopped'],
+  ];
+  for (const [membership, word] of words) {
+    const report = { member: 'node-1', membership, knowledgeAgeS: 0, duties: [] };
+    assert.equal(
+      await answerOf({ dutyReport: () => report }, '/duties'),
+      `200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"${word}","knowledgeAgeS":0,"duties":[]}`,
+    );
+  }
+});
+
+/** A watch for lost state that has believed one reading. */
+function watchOf(clock: StillClock): LossWatch {
+  const watch = new LossWatch({
+    clock,
+    log: SILENT_LOG,
+    claimLife: 600 * SECOND,
+    peerCount: 2,
+    reportInterval: 3 * SECOND,
+  });
+  clock.time += SECOND;
+  assert.ok(watch.judge(readingOf(clock)));
+  return watch;
+}
+
+/** A reading that shows what the watch of {@link watchOf} has seen, but for the changes. */
+function readingOf(clock: Clock, change: Partial<StateReading> = {}): StateReading {
+  return {
+    sentAt: clock.now(),
+    shown: { epoch: 431, token: 7, positions: { lead: 3, '0': 12 } },
+    known: null,
+    differences: { forked: [], wentBack: [], absent: [] },
+    ...change,
+  };
+}
+
+function recoveryOf(loss: LossReport | null): Promise<string> {
+  return answerOf({ lossReport: () => ({ member: 'node-2', loss }) }, '/recovery');
+}
+
+test('a node that does not watch for lost state says null', async () => {
+  assert.equal(
+    await recoveryOf(null),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":null}',
+  );
+});
+
+test('a node that serves tells the highest numbers that it, its workers and its peers have seen', async () => {
+  const clock = new StillClock();
+  const watch = watchOf(clock);
+  clock.time += 12.34 * SECOND;
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":13.3,"evidence":[],"falseAlarms":0,"seen":{"epoch":431}}}',
+  );
+  watch.heardWorker({
+    host: 'n-000001',
+    address: '10.0.0.9:9000',
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    session: 1,
+    sequence: 4,
+    token: 6,
+    tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
+  });
+  watch.heardPeer('node-3', {
+    token: 7,
+    served: true,
+    referred: {},
+    memory: { epoch: 430, isContradicted: false },
+  });
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":13.3,"evidence":[],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
+  );
+});
+
+test('a node in its first alarm tells what contradicts the state, and counts an alarm that was false', async () => {
+  const clock = new StillClock();
+  const watch = watchOf(clock);
+  assert.equal(watch.accepts(431, 9), false);
+  clock.time += 0.5 * SECOND;
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0.5,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own requests: epoch 9 is shown, 431 was seen"}],"falseAlarms":0,"seen":{"epoch":431}}}',
+  );
+  assert.ok(watch.judge(readingOf(clock)));
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":0,"evidence":[],"falseAlarms":1,"seen":{"epoch":431}}}',
+  );
+});
+
+test('a frozen node tells each way in which the state contradicts what was seen', async () => {
+  const clock = new StillClock();
+  const watch = watchOf(clock);
+  watch.heardWorker({
+    host: 'n-000001',
+    address: '10.0.0.9:9000',
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    session: 1,
+    sequence: 4,
+    token: 6,
+    tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
+  });
+  watch.heardPeer('node-3', {
+    token: 7,
+    served: true,
+    referred: {},
+    memory: { epoch: 440, isContradicted: true },
+  });
+  clock.time += SECOND;
+  assert.ok(watch.refuses(['mw/now/token']));
+  clock.time += SECOND;
+  const shown = { epoch: 9, token: 1, positions: { lead: 1 } };
+  const known = { epoch: 431, token: 7, positions: { lead: 3, '0': 12 } };
+  const differences = {
+    forked: ['mw/now/logs/lead/3'],
+    wentBack: ['mw/now/checkpoint'],
+    absent: ['mw/now/jobs/j-000001'],
+  };
+  assert.equal(watch.judge(readingOf(clock, { shown, known, differences })), false);
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own copy","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own copy: epoch 9 is shown, 431 was seen"},{"source":"own copy","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"own copy: token 1 is shown, 7 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"own copy: log 0 ends at 0, record 12 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"lead","known":3,"shown":1},"text":"own copy: log lead ends at 1, record 3 was seen"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/token"},"text":"own copy: mw/now/token is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/jobs/j-000001"},"text":"own copy: mw/now/jobs/j-000001 is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_went_back","key":"mw/now/checkpoint"},"text":"own copy: mw/now/checkpoint is older than it was"},{"source":"own copy","contradiction":{"kind":"history_forked","key":"mw/now/logs/lead/3"},"text":"own copy: mw/now/logs/lead/3 holds another record of the same number: this is another history"},{"source":"worker n-000001","contradiction":{"kind":"token_went_back","known":6,"shown":1},"text":"worker n-000001: token 1 is shown, 6 was seen"},{"source":"worker n-000001","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"worker n-000001: log 0 ends at 0, record 12 was seen"},{"source":"peer node-3","contradiction":{"kind":"epoch_went_back","known":440,"shown":9},"text":"peer node-3: epoch 9 is shown, 440 was seen"},{"source":"peer node-3","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"peer node-3: token 1 is shown, 7 was seen"},{"source":"peer node-3","contradiction":{"kind":"peer_objects","known":440},"text":"peer node-3: it has seen epoch 440, and finds the state to contradict it"}],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
+  );
+});
+
+test('a commit under an epoch that was seen, and a state that can not be read whole, are told', async () => {
+  const clock = new StillClock();
+  const watch = watchOf(clock);
+  assert.equal(watch.acceptsNew(431, 431), false);
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_reused","epoch":431},"text":"own requests: a commit is said to have made epoch 431, which was seen before it"}],"falseAlarms":0,"seen":{"epoch":431}}}',
+  );
+  clock.time += SECOND;
+  for (let i = 0; i < 3; i++) watch.incomplete('a part of the checkpoint is missing');
+  assert.equal(
+    await recoveryOf(watch.report()),
+    '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own reading","contradiction":{"kind":"state_incomplete","reason":"a part of the checkpoint is missing"},"text":"own reading: the state can not be read whole: a part of the checkpoint is missing"}],"falseAlarms":0,"seen":{"epoch":431}}}',
+  );
+});
+
+test('resigning a duty is answered in these words', async () => {
+  const asked: DutyName[] = [];
+  const resign: OperatedNode['resign'] = (duty) => {
+    asked.push(duty);
+    const reason = 'share/1 is not held here: node-2 holds it';
+    return Promise.resolve(duty === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
+  };
+  await withListener({ resign }, async (address) => {
+    const post = (body: string): Promise<string> => exchange(address, 'POST', '/duties/resign', body);
+    assert.equal(
+      await post('{"duty":"lead"}'),
+      '200 application/json; charset=utf-8 close\n{"kind":"handed_over"}',
+    );
+    assert.equal(
+      await post('{"duty":"share/1","later":true}'),
+      '409 application/json; charset=utf-8 close\n{"kind":"refused","reason":"share/1 is not held here: node-2 holds it"}',
+    );
+    for (const body of ['{}', 'null', '{"duty":7}', '{"duty":"share/x"}', '{"duty":""}', '[]']) {
+      assert.equal(
+        await post(body),
+        '400 application/json; charset=utf-8 close\n{"error":"duty: must be lead or share/N"}',
+        body,
+      );
+    }
+    for (const body of ['', '{"duty":', 'lead'])
+      assert.equal(
+        await post(body),
+        '400 application/json; charset=utf-8 close\n{"error":"the body is not JSON"}',
+        body,
+      );
+    assert.equal(
+      await post(`"${'x'.repeat(1_023)}"`),
+      '413 application/json; charset=utf-8 close\n{"error":"the body is over 1024 bytes"}',
+    );
+  });
+  assert.deepEqual(asked, ['lead', 1]);
+});
+
+test('what can not be taken is refused in these words', async () => {
+  await withListener({}, async (address) => {
+    assert.equal(
+      await exchange(address, 'GET', '/duties/resign'),
+      '405 application/json; charset=utf-8 close\n{"error":"use POST"}',
+    );
+    for (const path of ['/duties', '/recovery', '/snapshot']) {
+      assert.equal(
+        await exchange(address, 'POST', path, ''),
+        '405 application/json; charset=utf-8 close\n{"error":"use GET"}',
+        path,
+      );
+    }
+    for (const path of ['/', '/duties/', '/Duties', '/nothing']) {
+      assert.equal(
+        await exchange(address, 'GET', path),
+        '404 application/json; charset=utf-8 close\n{"error":"no such path; there are /duties, /duties/resign, /recovery and /snapshot"}',
+        path,
+      );
+    }
+    assert.equal(
+      await exchange(address, 'GET', '/snapshot'),
+      '503 application/json; charset=utf-8 close\n{"error":"this node holds no copy of the state yet"}',
+    );
+  });
+});
+
+test('an error of the node is told to its log, and the operator where to look', async () => {
+  const resign = (): Promise<never> => Promise.reject(new Error('unforeseen'));
+  const reported = await withListener({ resign }, async (address) => {
+    assert.equal(
+      await exchange(address, 'POST', '/duties/resign', '{"duty":"lead"}'),
+      '500 application/json; charset=utf-8 close\n{"error":"internal error; the log of the node says more"}',
+    );
+  });
+  assert.deepEqual(reported, ['Error: unforeseen']);
+});
+
+test('a snapshot is sent line by line as it is', async () => {
+  async function* lines(): AsyncGenerator<string> {
+    await Promise.resolve();
+    yield '{"kind":"header"}\n';
+    yield '{"kind":"trailer"}\n';
+  }
+  assert.equal(
+    await answerOf({ snapshot: lines }, '/snapshot'),
+    '200 application/octet-stream close\n{"kind":"header"}\n{"kind":"trailer"}\n',
+  );
+});
+
+test('the client hands on what it is answered, or says why there is no answer', async () => {
+  await withListener({}, async (address) => {
+    const nodes = [address];
+    const told = async (answers: Promise<unknown>): Promise<string> =>
+      JSON.stringify(await answers).replaceAll(address, 'ADDRESS');
+    assert.equal(
+      await told(askDuties(nodes)),
+      '[{"node":"ADDRESS","kind":"answered","value":{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[]}}]',
+    );
+    assert.equal(
+      await told(askLoss(nodes)),
+      '[{"node":"ADDRESS","kind":"answered","value":{"member":"node-1","loss":null}}]',
+    );
+    assert.equal(
+      await told(askToResign(address, 'lead')),
+      '{"node":"ADDRESS","kind":"answered","value":{"kind":"handed_over"}}',
+    );
+    assert.equal(
+      await told(askToResign(address, 'nothing')),
+      '{"node":"ADDRESS","kind":"silent","reason":"duty: must be lead or share/N"}',
+    );
+    assert.equal(
+      await told(askDuties(['127.0.0.1:1'])),
+      '[{"node":"127.0.0.1:1","kind":"silent","reason":"connect ECONNREFUSED 127.0.0.1:1"}]',
+    );
+    await assert.rejects(openSnapshot(address), { message: 'this node holds no copy of the state yet' });
+  });
+});
--- /dev/null
+++ b/packages/recovery/snapshot-format.test.ts
@@ -0,0 +1,314 @@
+/** The text of a snapshot, to the byte: files written by earlier versions hold exactly these lines. */
+import assert from 'node:assert/strict';
+import { Readable } from 'node:stream';
+import { test } from 'node:test';
+import { gzipSync } from 'node:zlib';
+import { checkpointRows, Ledger, type Replica } from '#cluster';
+import { sampleJob } from '#testkit';
+import type { MachineType } from '#wire';
+import { MAX_LINE_BYTES, SNAPSHOT_FORMAT, SNAPSHOT_VERSION, type SnapshotLine } from './snapshot-format.js';
+import { readSnapshot, SnapshotError } from './snapshot-reader.js';
+import { type FinalPages, type SnapshotOrigin, writeSnapshot } from './snapshot-writer.js';
+
+/** A state with machines in every condition, an open rental, prices, array and gang tasks, and tasks that are done. */
+function sampleLedger(): Ledger {
+  const ledger = new Ledger();
+  ledger.apply('lead', {
+    sequence: 1,
+    at: 1_000,
+    machines: [
+      ['n-000001', 'small', 'east', false, 1_000, 0],
+      ['n-000002', 'large', 'west', true, 2_500, 0],
+      ['n-000003', 'small', 'east', false, 1_200, 0],
+      ['n-000004', 'small', 'west', false, 1_300, 0],
+      ['n-000005', 'small', 'west', false, 1_400, 1],
+      ['n-000006', 'small', 'west', false, 1_500, 1],
+      ['n-000007', 'small', 'west', false, 1_600, 1],
+      ['n-000008', 'small', 'west', false, 1_700, 1],
+    ],
+    rentals: [['hire-1-41-1', 'large', 'west', true, 4, 1]],
+    moves: [
+      ['n-000003', 'return'],
+      ['n-000004', 1],
+      ['n-000005', 0],
+    ],
+  });
+  ledger.apply(0, {
+    sequence: 1,
+    at: 3_000,
+    statuses: [
+      ['n-000001', 'up'],
+      ['n-000002', 'up'],
+    ],
+    releases: [
+      ['n-000003', [2, 17]],
+      ['n-000004', null],
+    ],
+    starts: [
+      {
+        job: 'j-000001',
+        team: 'blue',
+        image: 'img-1',
+        need: [2, 0, 4],
+        tasks: [
+          [0, 'n-000001', 1],
+          [1, 'n-000001', 1],
+          [2, 'n-000002', 3],
+        ],
+      },
+      {
+        job: 'j-000002',
+        team: 'green',
+        image: 'img-2',
+        need: [1, 0.5, 1.25],
+        gang: { attempt: 1_024, size: 2 },
+        tasks: [
+          [0, 'n-000001', 1],
+          [1, 'n-000002', 3],
+        ],
+      },
+    ],
+    prices: { small: [0.25, 0, 0.5] },
+  });
+  ledger.apply(0, {
+    sequence: 2,
+    at: 4_000,
+    ends: [
+      ['j-000001', 0, 1_024, 'done'],
+      ['j-000001', 1, 1_024, 'failed'],
+    ],
+  });
+  ledger.apply(1, {
+    sequence: 1,
+    at: 4_500,
+    takes: ['n-000004'],
+    statuses: [
+      ['n-000005', 'silent'],
+      ['n-000006', 'recalled'],
+      ['n-000007', 'faulty'],
+      ['n-000008', 'lost'],
+    ],
+  });
+  return ledger;
+}
+
+const LARGE: MachineType = {
+  name: 'large',
+  cpus: 32,
+  gpus: 4,
+  memGb: 128,
+  cacheGb: 200,
+  fetchGbPerS: 0.5,
+  price: 2.5,
+  spotPrice: 0.75,
+  bootS: 90,
+  zones: ['east', 'west'],
+};
+
+/** A copy of the state that holds {@link sampleLedger}, two live jobs, two that have ended and a machine type. */
+function sampleCopy(): Replica {
+  const ledger = sampleLedger();
+  const gang = sampleJob('j-000002', {
+    team: 'green',
+    shape: 'gang',
+    rank: 'prod',
+    taskCount: 2,
+    gpus: 0.5,
+    machineTypes: ['large'],
+    zone: 'west',
+    singleZone: true,
+    deadlineS: 600,
+  });
+  const copy = {
+    ledger,
+    types: new Map([[LARGE.name, LARGE]]),
+    jobs: new Map([
+      ['j-000001', { spec: sampleJob('j-000001'), at: 900, revision: 5 }],
+      ['j-000002', { spec: gang, at: 950, revision: 6 }],
+    ]),
+    ended: new Map([
+      ['j-000003', { status: 'done', revision: 7 }],
+      ['j-000004', { status: 'cancelled', revision: 8 }],
+    ]),
+    summary: (): object => ({ epoch: 431, token: 7, positions: ledger.allPositions() }),
+  };
+  return copy as unknown as Replica;
+}
+
+const ORIGIN: SnapshotOrigin = {
+  member: 'node-2',
+  nodes: ['node-1', 'node-2'],
+  takenAt: 1_700_000_000_123,
+  loss: null,
+};
+
+/** Two pages of final answers, asked for by the last name of the page before. */
+const finalPages: FinalPages = (after) => {
+  if (after === '') {
+    return Promise.resolve([
+      { id: 'j-000010', status: 'done' },
+      { id: 'j-000011', status: 'cancelled' },
+    ]);
+  }
+  return Promise.resolve(after === 'j-000011' ? [{ id: 'j-000012', status: 'done' }] : []);
+};
+
+async function textOf(origin: SnapshotOrigin, pages: FinalPages): Promise<string[]> {
+  const lines: string[] = [];
+  for await (const line of writeSnapshot(sampleCopy(), origin, pages)) lines.push(line);
+  return lines;
+}
+
+const HEADER =
+  '{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":null,"epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}}';
+
+const BODY = [
+  '{"kind":"type","type":{"name":"large","cpus":32,"gpus":4,"memGb":128,"cacheGb":200,"fetchGbPerS":0.5,"price":2.5,"spotPrice":0.75,"bootS":90,"zones":["east","west"]}}',
+  '{"kind":"job","id":"j-000001","at":900,"spec":{"id":"j-000001","jobClass":"batch","team":"blue","shape":"array","rank":"normal","taskCount":3,"cpus":2,"gpus":0,"memGb":4,"image":"img-1","imageGb":1,"machineTypes":null,"zone":null,"singleZone":false,"spreadZones":false,"allowsSpot":true,"estimateS":10,"checkpointS":0,"saveS":0,"deadlineS":null}}',
+  '{"kind":"job","id":"j-000002","at":950,"spec":{"id":"j-000002","jobClass":"batch","team":"green","shape":"gang","rank":"prod","taskCount":2,"cpus":2,"gpus":0.5,"memGb":4,"image":"img-1","imageGb":1,"machineTypes":["large"],"zone":"west","singleZone":true,"spreadZones":false,"allowsSpot":true,"estimateS":10,"checkpointS":0,"saveS":0,"deadlineS":600}}',
+  '{"kind":"final","id":"j-000003","status":"done"}',
+  '{"kind":"final","id":"j-000004","status":"cancelled"}',
+  '{"kind":"ledger","row":["t",2500]}',
+  '{"kind":"ledger","row":["n","img-1","img-2","small","east","large","west","blue","green"]}',
+  '{"kind":"ledger","row":["h","n-000001",2,3,0,-1500,0,0,[0,1],0,null,null,1,4000]}',
+  '{"kind":"ledger","row":["h","n-000002",4,5,1,0,0,0,[0,1]]}',
+  '{"kind":"ledger","row":["h","n-000003",2,3,0,-1300,null,1,[],0,[2,17],"return"]}',
+  '{"kind":"ledger","row":["h","n-000004",2,5,0,-1200,1,1,[],1]}',
+  '{"kind":"ledger","row":["h","n-000005",2,5,0,-1100,1,2,[],0,null,0]}',
+  '{"kind":"ledger","row":["h","n-000006",2,5,0,-1000,1,3]}',
+  '{"kind":"ledger","row":["h","n-000007",2,5,0,-900,1,4]}',
+  '{"kind":"ledger","row":["h","n-000008",2,5,0,-800,1,5]}',
+  '{"kind":"ledger","row":["q",{"id":"hire-1-41-1","machineType":"large","zone":"west","spot":true,"number":4,"share":1,"at":1000}]}',
+  '{"kind":"ledger","row":["p",0,"small",0.25,0,0.5]}',
+  '{"kind":"ledger","row":["s","j-000001",6,500,1024,[2,0,4],[[2,1,3]]]}',
+  '{"kind":"ledger","row":["d","j-000001","0"]}',
+  '{"kind":"ledger","row":["s","j-000002",7,500,1024,[1,0.5,1.25],[[0,0,1],[1,1,3]],2]}',
+  '{"kind":"final","id":"j-000010","status":"done"}',
+  '{"kind":"final","id":"j-000011","status":"cancelled"}',
+  '{"kind":"final","id":"j-000012","status":"done"}',
+];
+
+const TRAILER =
+  '{"kind":"trailer","lines":24,"sha256":"5b5262c04ef1916e41c1b1d502abc5e4a7f38585b0bc872e59bc2c3d5d53a2d4","hasAllFinals":true}';
+
+const WHOLE = [HEADER, ...BODY, TRAILER];
+
+/** What {@link readSnapshot} tells of the file in numbers, as `snapshot show --json` prints it. */
+const SUMMARY =
+  '{"header":{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":null,"epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}},"jobs":2,"finals":5,"machines":8,"rentals":1,"tasks":3,"machineTypes":1,"lines":24,"hasAllFinals":true,"positions":{"0":2,"1":1,"lead":1}}';
+
+function readBack(text: string, take?: (line: SnapshotLine) => void): ReturnType<typeof readSnapshot> {
+  return readSnapshot(Readable.from([gzipSync(text)]), take);
+}
+
+test('a snapshot is these lines, to the byte', async () => {
+  assert.deepEqual(
+    await textOf(ORIGIN, finalPages),
+    WHOLE.map((line) => `${line}\n`),
+  );
+});
+
+test('a snapshot of a node that watches for lost state and gets no final answers says so in its first and last line', async () => {
+  const failing: FinalPages = () => Promise.reject(new Error('state service: 503'));
+  const lines = await textOf({ ...ORIGIN, loss: 'frozen' }, failing);
+  assert.equal(
+    lines[0],
+    '{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":"frozen","epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}}\n',
+  );
+  assert.equal(
+    lines.at(-1),
+    '{"kind":"trailer","lines":21,"sha256":"f49c15a75d375f491b6b161f8fb95c8a9875643a067742661aa83efe0639502a","hasAllFinals":false}\n',
+  );
+  assert.deepEqual(
+    lines.slice(1, -1),
+    BODY.slice(0, -3).map((line) => `${line}\n`),
+    'all but the final answers that the pages would have given',
+  );
+});
+
+test('the text is read back as it was written, with what it holds in numbers', async () => {
+  const lines: string[] = [];
+  const summary = await readBack(WHOLE.map((line) => `${line}\n`).join(''), (line) =>
+    lines.push(JSON.stringify(line)),
+  );
+  assert.deepEqual(lines, WHOLE.slice(0, -1));
+  assert.equal(JSON.stringify(summary), SUMMARY);
+});
+
+test('the rows of the text restore a state that gives the same rows', async () => {
+  const rows: Parameters<Ledger['restore']>[1][number][] = [];
+  const { positions } = await readBack(WHOLE.map((line) => `${line}\n`).join(''), (line) => {
+    if (line.kind === 'ledger') rows.push(line.row);
+  });
+  const restored = new Ledger();
+  restored.restore(positions, rows);
+  assert.deepEqual(restored.allPositions(), { '0': 2, '1': 1, lead: 1 });
+  assert.deepEqual(
+    checkpointRows(restored, () => true),
+    checkpointRows(sampleLedger(), () => true),
+  );
+});
+
+test('fields that this version does not know are passed over', async () => {
+  const header = `${HEADER.slice(0, -1)},"later":1}\n`;
+  const lines: string[] = [];
+  const { createHash } = await import('node:crypto');
+  const sha256 = createHash('sha256').update(header).digest('hex');
+  const trailer = `{"kind":"trailer","lines":1,"sha256":"${sha256}","hasAllFinals":true,"later":2}\n`;
+  const summary = await readBack(header + trailer, (line) => lines.push(line.kind));
+  assert.deepEqual([lines, summary.lines, summary.header.epoch], [['header'], 1, 431]);
+});
+
+test('a file that is no whole snapshot is refused with these words', async () => {
+  const header = `${HEADER}\n`;
+  const whole = WHOLE.map((line) => `${line}\n`).join('');
+  const long = `"${'x'.repeat(MAX_LINE_BYTES)}`;
+  const cases: [text: string, message: string][] = [
+    ['', 'foreign: the file is empty, or no snapshot'],
+    ['no JSON\n', 'foreign: line 1 can not be read'],
+    ['{"kind":"job"}\n', 'foreign: it is no snapshot'],
+    ['{"kind":"header","format":"other","version":1}\n', 'foreign: it is no snapshot'],
+    [
+      '{"kind":"header","format":"micaworks-snapshot","version":0}\n',
+      'foreign: it has no version that could be read',
+    ],
+    [
+      '{"kind":"header","format":"micaworks-snapshot","version":2}\n',
+      'newer: it has version 2, this program reads up to 1',
+    ],
+    [long, 'foreign: a line is too long'],
+    [header, 'truncated: it ends after 1 lines'],
+    [header + long, 'damaged: a line is too long'],
+    [`${header}nothing\n`, 'damaged: line 2 can not be read'],
+    [`${header}{"kind":"later"}\n`, 'damaged: it has lines of the unknown kind later'],
+    [`${header}${TRAILER}\n`, 'damaged: its checksum is wrong'],
+    [`${whole}${header}`, 'damaged: there is something after its end'],
+  ];
+  for (const [text, message] of cases) {
+    await assert.rejects(
+      readBack(text),
+      (cause) => cause instanceof SnapshotError && cause.message === message,
+      message,
+    );
+  }
+  const compressed = gzipSync(whole);
+  const broken: [bytes: Buffer, message: string][] = [
+    [compressed.subarray(0, compressed.length - 20), 'truncated: it ends within its compressed data'],
+    [Buffer.from('no gzip at all'), 'foreign: it is not compressed as a snapshot is'],
+    [
+      Buffer.concat([compressed.subarray(0, 30), Buffer.alloc(40, 0xff)]),
+      'damaged: its compressed data is damaged',
+    ],
+  ];
+  for (const [bytes, message] of broken) {
+    await assert.rejects(
+      readSnapshot(Readable.from([bytes])),
+      (cause) => cause instanceof SnapshotError && cause.message === message,
+      message,
+    );
+  }
+});
+
+test('the format has a name and a version of its own', () => {
+  assert.deepEqual([SNAPSHOT_FORMAT, SNAPSHOT_VERSION, MAX_LINE_BYTES], ['micaworks-snapshot', 1, 1_048_576]);
+});
