--- /dev/null
+++ b/packages/recovery/snapshot-codec.ts
@@ -0,0 +1,123 @@
+/**
+ * Maps the state to the lines of a snapshot, field by field, and lines to text and back. Where a value of the state is
+ * given a word of its own here, the line's type holds that word, so that another one in the code doesn't compile.
+ */
+import type { CheckpointRow, Final, LiveJob, StateSummary } from '#cluster';
+import type { JobSpec, MachineType } from '#wire';
+import type { LossState } from './report.js';
+import {
+  type FinalLine,
+  type JobLine,
+  type LedgerLine,
+  SNAPSHOT_FORMAT,
+  SNAPSHOT_VERSION,
+  type SnapshotHeader,
+  type SnapshotJobSpec,
+  type SnapshotLine,
+  type SnapshotMachineType,
+  type TypeLine,
+} from './snapshot-format.js';
+
+/** Who writes a snapshot, and when. */
+export interface SnapshotOrigin {
+  /** The node whose copy of the state is written. */
+  readonly member: string;
+  /** Every node of its cluster. */
+  readonly nodes: readonly string[];
+  /** Time of day, in milliseconds. */
+  readonly takenAt: number;
+  /** What the node finds of lost state; null where it doesn't watch. */
+  readonly loss: LossState | null;
+}
+
+/** The first line of a snapshot that is taken of a copy with this summary. */
+export function encodeHeader(origin: SnapshotOrigin, summary: StateSummary): SnapshotHeader {
+  return {
+    kind: 'header',
+    format: SNAPSHOT_FORMAT,
+    version: SNAPSHOT_VERSION,
+    member: origin.member,
+    nodes: origin.nodes,
+    takenAt: origin.takenAt,
+    loss: origin.loss,
+    epoch: summary.epoch,
+    token: summary.token,
+    positions: summary.positions,
+  };
+}
+
+/** The line of a machine type. */
+export function encodeMachineType(type: MachineType): TypeLine {
+  return { kind: 'type', type: machineTypeFields(type) };
+}
+
+/** The line of a job that lies among the live ones. */
+export function encodeJob(id: string, job: LiveJob): JobLine {
+  return { kind: 'job', id, at: job.at, spec: jobSpecFields(job.spec) };
+}
+
+/** The line of a job that is over. */
+export function encodeTerminalStatus(id: string, status: Final): FinalLine {
+  return { kind: 'final', id, status };
+}
+
+/** The line of a checkpoint row. Its cells are those of the stored row. */
+export function encodeCheckpointRow(row: CheckpointRow): LedgerLine {
+  return { kind: 'ledger', row };
+}
+
+/** A line as it stands in the file, with its end. */
+export function formatLine(line: SnapshotLine): string {
+  return `${JSON.stringify(line)}\n`;
+}
+
+/** The line that these bytes hold, of whatever kind it says it is; null if they are no such line. */
+export function parseLine(bytes: Buffer): SnapshotLine | null {
+  try {
+    const value: unknown = JSON.parse(bytes.toString('utf8'));
+    const isLine = typeof value === 'object' && value !== null && 'kind' in value;
+    return isLine ? (value as SnapshotLine) : null;
+  } catch {
+    return null;
+  }
+}
+
+function machineTypeFields(type: MachineType): SnapshotMachineType {
+  return {
+    name: type.name,
+    cpus: type.cpus,
+    gpus: type.gpus,
+    memGb: type.memGb,
+    cacheGb: type.cacheGb,
+    fetchGbPerS: type.fetchGbPerS,
+    price: type.price,
+    spotPrice: type.spotPrice,
+    bootS: type.bootS,
+    zones: type.zones,
+  };
+}
+
+function jobSpecFields(spec: JobSpec): SnapshotJobSpec {
+  return {
+    id: spec.id,
+    jobClass: spec.jobClass,
+    team: spec.team,
+    shape: spec.shape,
+    rank: spec.rank,
+    taskCount: spec.taskCount,
+    cpus: spec.cpus,
+    gpus: spec.gpus,
+    memGb: spec.memGb,
+    image: spec.image,
+    imageGb: spec.imageGb,
+    machineTypes: spec.machineTypes,
+    zone: spec.zone,
+    singleZone: spec.singleZone,
+    spreadZones: spec.spreadZones,
+    allowsSpot: spec.allowsSpot,
+    estimateS: spec.estimateS,
+    checkpointS: spec.checkpointS,
+    saveS: spec.saveS,
+    deadlineS: spec.deadlineS,
+  };
+}
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -7,8 +7,10 @@
 import { sampleJob } from '#testkit';
 import type { MachineType } from '#wire';
 import { MAX_LINE_BYTES, SNAPSHOT_FORMAT, SNAPSHOT_VERSION, type SnapshotLine } from './snapshot-format.js';
-import { readSnapshot, SnapshotError } from './snapshot-reader.js';
-import { type FinalPages, type SnapshotOrigin, writeSnapshot } from './snapshot-writer.js';
+import type { SnapshotOrigin } from './snapshot-codec.js';
+import { SnapshotError } from './snapshot-error.js';
+import { readSnapshot } from './snapshot-reader.js';
+import { type FinalPages, writeSnapshot } from './snapshot-writer.js';
 
 /** A state with machines in every condition, an open rental, prices, array and gang tasks, and tasks that are done. */
 function sampleLedger(): Ledger {
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -1,78 +1,76 @@
-/** Writes the state as one node's copy holds it at one epoch. */
+/** Writes the state as one node's copy holds it at one revision of the state service. */
 import { createHash } from 'node:crypto';
 import { checkpointRows, type Final, type Replica } from '#cluster';
 import {
-  SNAPSHOT_FORMAT,
-  SNAPSHOT_VERSION,
-  type SnapshotHeader,
-  type SnapshotLine,
-  type SnapshotTrailer,
-} from './snapshot-format.js';
+  encodeCheckpointRow,
+  encodeHeader,
+  encodeJob,
+  encodeMachineType,
+  encodeTerminalStatus,
+  formatLine,
+  type SnapshotOrigin,
+} from './snapshot-codec.js';
+import type { SnapshotLine } from './snapshot-format.js';
 
-/** Who writes a snapshot, and when. */
-export interface SnapshotOrigin {
-  member: string;
-  nodes: string[];
-  /** Time of day, in milliseconds. */
-  takenAt: number;
-  loss: string | null;
-}
+/** What of a node's copy of the state a snapshot holds. */
+export type SnapshotSource = Pick<Replica, 'ledger' | 'types' | 'jobs' | 'ended' | 'summary'>;
 
 /** Final answers after the given job, in the order of their names; ends with an empty page. */
-export type FinalPages = (after: string) => Promise<{ id: string; status: Final }[]>;
+export type FinalPages = (after: string) => Promise<readonly { id: string; status: Final }[]>;
 
 /**
  * The lines of a snapshot as text. All that may change is taken at once, as references and short rows; it is written out
- * line by line as fast as the reader takes it. Final answers never change, so they may be read page by page meanwhile.
+ * line by line as fast as the reader takes it. Final answers never change, so they may be read page by page meanwhile;
+ * if a page can't be read, the trailer says that they are not all there.
  */
 export function writeSnapshot(
-  replica: Replica,
+  source: SnapshotSource,
   origin: SnapshotOrigin,
   finalPages: FinalPages,
 ): AsyncGenerator<string> {
-  return encodeLines(captureLines(replica, origin), finalPages);
+  return formatSnapshot(captureLines(source, origin), finalPages);
 }
 
-/** What one epoch's copy holds, but for its final answers of long ago. */
-function captureLines(replica: Replica, origin: SnapshotOrigin): SnapshotLine[] {
-  const { epoch, token, positions } = replica.summary();
-  const header: SnapshotHeader = {
-    ...{ kind: 'header', format: SNAPSHOT_FORMAT, version: SNAPSHOT_VERSION, ...origin },
-    ...{ epoch, token, positions },
-  };
-  const rows = checkpointRows(replica.ledger, (job) => replica.jobs.has(job));
-  return [
-    header,
-    ...[...replica.types.values()].map((type): SnapshotLine => ({ kind: 'type', type })),
-    ...[...replica.jobs].map(([id, { at, spec }]): SnapshotLine => ({ kind: 'job', id, at, spec })),
-    ...[...replica.ended].map(([id, { status }]): SnapshotLine => ({ kind: 'final', id, status })),
-    ...rows.map((row): SnapshotLine => ({ kind: 'ledger', row })),
-  ];
+/** What the copy holds at this moment, but for its final answers of long ago. */
+function captureLines(source: SnapshotSource, origin: SnapshotOrigin): SnapshotLine[] {
+  const lines: SnapshotLine[] = [encodeHeader(origin, source.summary())];
+  for (const type of source.types.values()) lines.push(encodeMachineType(type));
+  for (const [id, job] of source.jobs) lines.push(encodeJob(id, job));
+  for (const [id, { status }] of source.ended) lines.push(encodeTerminalStatus(id, status));
+  const rows = checkpointRows(source.ledger, (job) => source.jobs.has(job));
+  for (const row of rows) lines.push(encodeCheckpointRow(row));
+  return lines;
 }
 
-async function* encodeLines(captured: SnapshotLine[], finalPages: FinalPages): AsyncGenerator<string> {
+/** The lines and final answers as text, then the trailer over all of them. */
+async function* formatSnapshot(
+  captured: readonly SnapshotLine[],
+  finalPages: FinalPages,
+): AsyncGenerator<string> {
   const hash = createHash('sha256');
   let lines = 0;
-  const encode = (line: SnapshotLine): string => {
-    const text = `${JSON.stringify(line)}\n`;
+  const format = (line: SnapshotLine): string => {
+    const text = formatLine(line);
     hash.update(text);
     lines++;
     return text;
   };
-  for (const line of captured) yield encode(line);
+  for (const line of captured) yield format(line);
   let hasAllFinals = true;
   try {
-    for (let after = ''; ;) {
-      const page = await finalPages(after);
-      for (const { id, status } of page) yield encode({ kind: 'final', id, status });
-      const last = page.at(-1);
-      if (!last) break;
-      after = last.id;
-    }
+    for await (const { id, status } of readFinals(finalPages)) yield format(encodeTerminalStatus(id, status));
   } catch {
     // What the copy holds is worth having without them.
     hasAllFinals = false;
   }
-  const trailer: SnapshotTrailer = { kind: 'trailer', lines, sha256: hash.digest('hex'), hasAllFinals };
-  yield `${JSON.stringify(trailer)}\n`;
+  yield formatLine({ kind: 'trailer', lines, sha256: hash.digest('hex'), hasAllFinals });
+}
+
+/** Every final answer, page after page. */
+async function* readFinals(finalPages: FinalPages): AsyncGenerator<{ id: string; status: Final }> {
+  let page = await finalPages('');
+  for (let last = page.at(-1); last !== undefined; last = page.at(-1)) {
+    yield* page;
+    page = await finalPages(last.id);
+  }
 }
