--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,6 +1,6 @@
 /** `micaworks duties`: who holds what, as the nodes that answer know it. */
-import { type DutyReport, parseDutyName } from '#duties';
-import { askDuties, askToResign, type NodeAnswer, type NodeDutyReport } from '#operations';
+import { parseDutyName } from '#duties';
+import { askDuties, askToResign, type DutiesAnswer, type DutyAnswer, type NodeAnswer } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
 import { failure, usageError } from './errors.js';
@@ -25,7 +25,7 @@
   print(`${name} was handed over`);
 }
 
-function printTable(answers: NodeAnswers<NodeDutyReport>, print: Print): void {
+function printTable(answers: NodeAnswers<DutiesAnswer>, print: Print): void {
   const { nodes } = answers;
   const rows = nodes.flatMap((report) => report.duties.map((duty) => rowOf(report.member, duty)));
   for (const line of formatTable([HEADING, ...rows])) print(line);
@@ -36,7 +36,7 @@
   printSilent(answers, print);
 }
 
-function rowOf(member: string, duty: DutyReport): string[] {
+function rowOf(member: string, duty: DutyAnswer): string[] {
   const { openIntents, lastRefused } = duty;
   const open = openIntents
     ? `${openIntents.rentals.length} rentals, ${openIntents.returns.length} returns`
--- a/packages/cli/recover.ts
+++ b/packages/cli/recover.ts
@@ -1,5 +1,5 @@
 /** `micaworks recover status`: whether the nodes that answer find that the state service has lost data. */
-import { askLoss, type NodeLossReport } from '#operations';
+import { askLoss, type RecoveryAnswer } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
 import { failure } from './errors.js';
@@ -20,7 +20,7 @@
   }
 }
 
-function printStatus(answers: NodeAnswers<NodeLossReport>, print: Print): void {
+function printStatus(answers: NodeAnswers<RecoveryAnswer>, print: Print): void {
   for (const line of formatTable([HEADING, ...answers.nodes.map(rowOf)])) print(line);
   for (const { member, loss } of answers.nodes) {
     for (const { text } of loss?.evidence ?? []) print(`${member}: ${text}`);
@@ -28,7 +28,7 @@
   printSilent(answers, print);
 }
 
-function rowOf({ member, loss }: NodeLossReport): string[] {
+function rowOf({ member, loss }: RecoveryAnswer): string[] {
   if (loss === null) return [member, 'not watched', '-', '-', '-', '-'];
   const { state, sinceS, falseAlarms, seen } = loss;
   return [
--- /dev/null
+++ b/packages/operations/answer-codec.ts
@@ -0,0 +1,191 @@
+/**
+ * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
+ * read them, so their names don't follow the names in the code. What a node tells is mapped to them here, field by field.
+ */
+import type { DutyReport, OpenIntents, RefusalReport } from '#duties';
+import type { Contradiction, Evidence, LossReport, SeenNumbers } from '#recovery';
+import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
+
+/** Of `GET /duties`. */
+export interface DutiesAnswer {
+  readonly member: string;
+  readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
+  /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
+  readonly knowledgeAgeS: number | null;
+  readonly duties: readonly DutyAnswer[];
+}
+
+/** One duty, as the node that answers knows it. */
+export interface DutyAnswer {
+  /** `lead` or `share/N`. */
+  readonly duty: string;
+  readonly state: 'vacant' | 'acquiring' | 'held' | 'suspected' | 'lost' | 'resigning';
+  readonly holder: string | null;
+  readonly term: number | null;
+  /** Seconds since the node has known the duty to be in this state. */
+  readonly sinceS: number;
+  /** Seconds that the lease has left by the holder's own clock; null on nodes that don't hold the duty. */
+  readonly leaseLeftS: number | null;
+  /** Of the lead only. */
+  readonly openIntents: OpenIntentsAnswer | null;
+  readonly lastRefused: RefusalAnswer | null;
+}
+
+/** What was asked of the cloud, or is to be, and is not known to be done. */
+export interface OpenIntentsAnswer {
+  readonly rentals: readonly string[];
+  readonly returns: readonly string[];
+}
+
+/** The last action under a duty that was refused. */
+export interface RefusalAnswer {
+  readonly action: string;
+  readonly reason: string;
+  readonly term: number;
+  /** Seconds since. */
+  readonly ageS: number;
+}
+
+/** Of `GET /recovery`. */
+export interface RecoveryAnswer {
+  readonly member: string;
+  /** Null where the operators' settings don't switch it on. */
+  readonly loss: LossAnswer | null;
+}
+
+/** What a node finds of lost state. */
+export interface LossAnswer {
+  readonly state: 'serving' | 'noticed' | 'frozen';
+  /** Seconds since the node came into this state. */
+  readonly sinceS: number;
+  readonly evidence: readonly EvidenceAnswer[];
+  readonly falseAlarms: number;
+  readonly seen: SeenAnswer;
+}
+
+/** One way in which the state contradicts what was seen of it, and who saw it. */
+export interface EvidenceAnswer {
+  readonly source: string;
+  readonly contradiction: ContradictionAnswer;
+  readonly text: string;
+}
+
+/** A contradiction, told apart by its kind. */
+export type ContradictionAnswer =
+  | { readonly kind: 'epoch_went_back'; readonly known: number; readonly shown: number }
+  | { readonly kind: 'epoch_reused'; readonly epoch: number }
+  | { readonly kind: 'token_went_back'; readonly known: number; readonly shown: number }
+  | { readonly kind: 'log_went_back'; readonly log: string; readonly known: number; readonly shown: number }
+  | { readonly kind: 'key_missing'; readonly key: string }
+  | { readonly kind: 'key_went_back'; readonly key: string }
+  | { readonly kind: 'history_forked'; readonly key: string }
+  | { readonly kind: 'peer_objects'; readonly known: number }
+  | { readonly kind: 'state_incomplete'; readonly reason: string };
+
+/** The highest numbers that the node, its workers and its peers have seen; absent where none has. */
+export interface SeenAnswer {
+  readonly epoch?: number | undefined;
+  readonly token?: number | undefined;
+  readonly positions?: Readonly<Record<string, number>> | undefined;
+}
+
+/** Of `POST /duties/resign`. */
+export type ResignAnswer =
+  { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
+
+/** Of any request that can't be taken. */
+export interface ErrorAnswer {
+  readonly error: string;
+}
+
+/** The answer to an operator who asks for a node's duties. */
+export function encodeDuties(report: NodeDutyReport): DutiesAnswer {
+  return {
+    member: report.member,
+    membership: report.membership,
+    knowledgeAgeS: report.knowledgeAgeS,
+    duties: report.duties.map(encodeDuty),
+  };
+}
+
+/** The answer to an operator who asks what a node knows of lost state. */
+export function encodeRecovery(report: NodeLossReport): RecoveryAnswer {
+  return { member: report.member, loss: report.loss === null ? null : encodeLoss(report.loss) };
+}
+
+/** The answer to an operator who asked a node to hand a duty over. */
+export function encodeResignResult(result: ResignResult): ResignAnswer {
+  switch (result.kind) {
+    case 'handed_over':
+      return { kind: 'handed_over' };
+    case 'refused':
+      return { kind: 'refused', reason: result.reason };
+  }
+}
+
+function encodeDuty(duty: DutyReport): DutyAnswer {
+  return {
+    duty: duty.duty,
+    state: duty.state,
+    holder: duty.holder,
+    term: duty.term,
+    sinceS: duty.sinceS,
+    leaseLeftS: duty.leaseLeftS,
+    openIntents: duty.openIntents === null ? null : encodeOpenIntents(duty.openIntents),
+    lastRefused: duty.lastRefused === null ? null : encodeRefusal(duty.lastRefused),
+  };
+}
+
+function encodeOpenIntents(intents: OpenIntents): OpenIntentsAnswer {
+  return { rentals: intents.rentals, returns: intents.returns };
+}
+
+function encodeRefusal(refusal: RefusalReport): RefusalAnswer {
+  return { action: refusal.action, reason: refusal.reason, term: refusal.term, ageS: refusal.ageS };
+}
+
+function encodeLoss(loss: LossReport): LossAnswer {
+  return {
+    state: loss.state,
+    sinceS: loss.sinceS,
+    evidence: loss.evidence.map(encodeEvidence),
+    falseAlarms: loss.falseAlarms,
+    seen: encodeSeen(loss.seen),
+  };
+}
+
+function encodeEvidence(evidence: Evidence): EvidenceAnswer {
+  return {
+    source: evidence.source,
+    contradiction: encodeContradiction(evidence.contradiction),
+    text: evidence.text,
+  };
+}
+
+function encodeContradiction(found: Contradiction): ContradictionAnswer {
+  switch (found.kind) {
+    case 'epoch_went_back':
+      return { kind: 'epoch_went_back', known: found.known, shown: found.shown };
+    case 'epoch_reused':
+      return { kind: 'epoch_reused', epoch: found.epoch };
+    case 'token_went_back':
+      return { kind: 'token_went_back', known: found.known, shown: found.shown };
+    case 'log_went_back':
+      return { kind: 'log_went_back', log: found.log, known: found.known, shown: found.shown };
+    case 'key_missing':
+      return { kind: 'key_missing', key: found.key };
+    case 'key_went_back':
+      return { kind: 'key_went_back', key: found.key };
+    case 'history_forked':
+      return { kind: 'history_forked', key: found.key };
+    case 'peer_objects':
+      return { kind: 'peer_objects', known: found.known };
+    case 'state_incomplete':
+      return { kind: 'state_incomplete', reason: found.reason };
+  }
+}
+
+/** What nobody has seen is undefined, and thereby absent from the JSON. */
+function encodeSeen(seen: SeenNumbers): SeenAnswer {
+  return { epoch: seen.epoch, token: seen.token, positions: seen.positions };
+}
--- a/packages/operations/client.ts
+++ b/packages/operations/client.ts
@@ -1,11 +1,28 @@
 /** A client of the operators' listeners. */
-import { type IncomingMessage, request } from 'node:http';
+import { type ClientRequest, type IncomingMessage, request } from 'node:http';
 import { splitAddress } from '#wire';
-import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
+import type { DutiesAnswer, RecoveryAnswer, ResignAnswer } from './answer-codec.js';
 
-/** What became of a request to one node. */
+/** What became of a request to one node: its answer, or the reason why there is none. */
 export type NodeAnswer<T> =
-  { node: string; kind: 'answered'; value: T } | { node: string; kind: 'silent'; reason: string };
+  | { readonly node: string; readonly kind: 'answered'; readonly value: T }
+  | { readonly node: string; readonly kind: 'silent'; readonly reason: string };
+
+/** A node that can't be talked to, or answers something else than it should; the message says which. */
+export class NodeRequestError extends Error {
+  override readonly name = 'NodeRequestError';
+}
+
+/** One request to one node. */
+interface NodeRequest {
+  readonly node: string;
+  readonly method: 'GET' | 'POST';
+  readonly path: string;
+  /** Sent as JSON; null for none. */
+  readonly body: object | null;
+  /** For the whole exchange, in milliseconds. */
+  readonly timeoutMs: number;
+}
 
 const TIMEOUT_MS = 3000;
 /** Handing a duty over waits for what is under way. */
@@ -13,76 +30,95 @@
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
 /** Asks every node at the same time; those that don't answer are named with the reason. */
-export function askDuties(nodes: readonly string[]): Promise<NodeAnswer<NodeDutyReport>[]> {
-  return Promise.all(nodes.map((node) => exchange<NodeDutyReport>(node, 'GET', '/duties', null, TIMEOUT_MS)));
+export function askDuties(nodes: readonly string[]): Promise<NodeAnswer<DutiesAnswer>[]> {
+  return Promise.all(nodes.map((node) => get<DutiesAnswer>(node, '/duties')));
 }
 
 /** Asks every node at the same time what it knows of lost state. */
-export function askLoss(nodes: readonly string[]): Promise<NodeAnswer<NodeLossReport>[]> {
-  return Promise.all(
-    nodes.map((node) => exchange<NodeLossReport>(node, 'GET', '/recovery', null, TIMEOUT_MS)),
-  );
+export function askLoss(nodes: readonly string[]): Promise<NodeAnswer<RecoveryAnswer>[]> {
+  return Promise.all(nodes.map((node) => get<RecoveryAnswer>(node, '/recovery')));
 }
 
-export function askToResign(node: string, duty: string): Promise<NodeAnswer<ResignResult>> {
-  return exchange<ResignResult>(node, 'POST', '/duties/resign', { duty }, RESIGN_TIMEOUT_MS);
+/** Asks a node to hand over the duty of this name. */
+export function askToResign(node: string, duty: string): Promise<NodeAnswer<ResignAnswer>> {
+  return ask<ResignAnswer>({
+    node,
+    method: 'POST',
+    path: '/duties/resign',
+    body: { duty },
+    timeoutMs: RESIGN_TIMEOUT_MS,
+  });
 }
 
-/** The lines of a node's snapshot; fails with what the node says if it has none. */
+/** The lines of a node's snapshot; fails with {@link NodeRequestError} and what the node says if it has none. */
 export async function openSnapshot(node: string): Promise<IncomingMessage> {
   const response = await new Promise<IncomingMessage>((resolve, reject) => {
     const call = request({ ...splitAddress(node), path: '/snapshot', timeout: TIMEOUT_MS }, resolve);
-    call.on('timeout', () => call.destroy(new Error('no answer in time')));
+    call.on('timeout', () => call.destroy(new NodeRequestError('no answer in time')));
     call.on('error', reject);
     call.end();
   });
   if (response.statusCode === 200) return response;
   const chunks: Buffer[] = [];
-  for await (const chunk of response) chunks.push(chunk as Buffer);
-  const value = parse(Buffer.concat(chunks).toString('utf8'));
-  throw new Error(String(value?.['error'] ?? `answered with status ${response.statusCode}`));
+  for await (const chunk of response as AsyncIterable<Buffer>) chunks.push(chunk);
+  const answer = parseAnswer(Buffer.concat(chunks));
+  throw new NodeRequestError(String(answer?.['error'] ?? `answered with status ${response.statusCode}`));
 }
 
-function exchange<T>(
-  node: string,
-  method: string,
-  path: string,
-  body: object | null,
-  timeoutMs: number,
-): Promise<NodeAnswer<T>> {
-  return new Promise((resolve) => {
-    const silent = (reason: string): void => {
-      resolve({ node, kind: 'silent', reason });
-    };
+function get<T>(node: string, path: string): Promise<NodeAnswer<T>> {
+  return ask<T>({ node, method: 'GET', path, body: null, timeoutMs: TIMEOUT_MS });
+}
+
+/** Sends a request; it never fails, since what went wrong is told by the answer. */
+async function ask<T>(toSend: NodeRequest): Promise<NodeAnswer<T>> {
+  const { node } = toSend;
+  try {
+    const answer = parseAnswer(await exchange(toSend));
+    if (answer === null) return { node, kind: 'silent', reason: 'its answer is not JSON' };
+    if ('error' in answer) return { node, kind: 'silent', reason: String(answer['error']) };
+    return { node, kind: 'answered', value: answer as T };
+  } catch (cause) {
+    return { node, kind: 'silent', reason: cause instanceof Error ? cause.message : String(cause) };
+  }
+}
+
+/** The bytes that a node answers. */
+function exchange({ node, method, path, body, timeoutMs }: NodeRequest): Promise<Buffer> {
+  return new Promise((resolve, reject) => {
     const call = request({ ...splitAddress(node), method, path, timeout: timeoutMs }, (response) => {
-      const chunks: Buffer[] = [];
-      let size = 0;
-      response.on('data', (chunk: Buffer) => {
-        size += chunk.length;
-        if (size > MAX_ANSWER_BYTES) call.destroy(new Error('its answer is too large'));
-        else chunks.push(chunk);
-      });
       response.on('end', () => {
         clearTimeout(deadline);
-        const value = parse(Buffer.concat(chunks).toString('utf8'));
-        if (value === null) silent('its answer is not JSON');
-        else if ('error' in value) silent(String(value['error']));
-        else resolve({ node, kind: 'answered', value: value as T });
       });
+      collectBody(call, response, resolve);
     });
     // Counts from the start: a node that sends a byte now and then must not hold the client for ever.
-    const deadline = setTimeout(() => call.destroy(new Error('no answer in time')), timeoutMs);
+    const deadline = setTimeout(() => call.destroy(new NodeRequestError('no answer in time')), timeoutMs);
     call.on('error', (cause) => {
       clearTimeout(deadline);
-      silent(cause.message);
+      reject(cause);
     });
     call.end(body === null ? undefined : JSON.stringify(body));
   });
 }
 
-function parse(text: string): Record<string, unknown> | null {
+/** Collects the body of a response; ends the call with an error if it is too long. */
+function collectBody(call: ClientRequest, response: IncomingMessage, resolve: (body: Buffer) => void): void {
+  const chunks: Buffer[] = [];
+  let size = 0;
+  response.on('data', (chunk: Buffer) => {
+    size += chunk.length;
+    if (size > MAX_ANSWER_BYTES) call.destroy(new NodeRequestError('its answer is too large'));
+    else chunks.push(chunk);
+  });
+  response.on('end', () => {
+    resolve(Buffer.concat(chunks));
+  });
+}
+
+/** The JSON object that an answer is; null if it is none. */
+function parseAnswer(bytes: Buffer): Record<string, unknown> | null {
   try {
-    const value: unknown = JSON.parse(text);
+    const value: unknown = JSON.parse(bytes.toString('utf8'));
     return typeof value === 'object' && value !== null ? (value as Record<string, unknown>) : null;
   } catch {
     return null;
--- a/packages/operations/listener.ts
+++ b/packages/operations/listener.ts
@@ -2,52 +2,36 @@
  * The operators' listener of a node: JSON over HTTP, off unless the operators' settings name an address. It has a few
  * connections of its own and can't take any from workers and users; nothing that it says counts as proof.
  */
-import { createServer, type IncomingMessage, type Server } from 'node:http';
-import { Readable } from 'node:stream';
+import { createServer, type Server } from 'node:http';
 import Koa from 'koa';
-import { parseDutyName } from '#duties';
 import { splitAddress } from '#wire';
-import type { OperatedNode, OperatorError, ResignResult } from './messages.js';
+import type { ErrorAnswer } from './answer-codec.js';
+import type { OperatedNode } from './messages.js';
+import { OperatorRequestError } from './request-error.js';
+import { handleRequest, type OperatorResponse } from './routes.js';
 
 /** Connections that the listener takes at most. */
 export const OPERATOR_SOCKETS = 8;
-const MAX_BODY_BYTES = 1024;
-/** A client that sends nothing for so long is cut off. */
-const IDLE_MS = 10_000;
-
-/** The body is sent as JSON, or as it is if it is a stream. */
-interface OperatorAnswer {
-  status: number;
-  body: object;
-}
 
-/** A request that can't be taken, with the status and what to do about it. */
-class BadRequest extends Error {
-  constructor(
-    readonly status: number,
-    message: string,
-  ) {
-    super(message);
-  }
-}
+/** A client that sends nothing for so long, in milliseconds, is cut off. */
+const IDLE_MS = 10_000;
 
+/** The application that answers operators for a node; `onError` is told of errors that are not the operators'. */
 export function createOperatorApp(node: OperatedNode, onError: (cause: unknown) => void): Koa {
   const app = new Koa();
   app.silent = true;
   app.use(async (context) => {
-    const answer = await dispatch(node, context.method, context.path, context.req).catch((cause: unknown) => {
-      if (cause instanceof BadRequest) return failure(cause.status, cause.message);
-      onError(cause);
-      return failure(500, 'internal error; the log of the node says more');
-    });
-    context.status = answer.status;
+    const response = await handleRequest(node, context.path, context.req).catch((cause: unknown) =>
+      responseToError(cause, onError),
+    );
+    context.status = response.status;
     context.set('Connection', 'close');
-    context.body = answer.body;
+    context.body = response.body;
   });
   return app;
 }
 
-/** Serves operators on this address. */
+/** Serves operators on this address; fails if it can't be listened on. The caller closes the server. */
 export function listenForOperators(app: Koa, address: string): Promise<Server> {
   const handle = app.callback();
   const server = createServer((request, response) => {
@@ -66,66 +50,13 @@
   });
 }
 
-async function dispatch(
-  node: OperatedNode,
-  method: string,
-  path: string,
-  request: IncomingMessage,
-): Promise<OperatorAnswer> {
-  if (path === '/duties') {
-    if (method !== 'GET') throw new BadRequest(405, 'use GET');
-    return { status: 200, body: node.dutyReport() };
-  }
-  if (path === '/recovery') {
-    if (method !== 'GET') throw new BadRequest(405, 'use GET');
-    return { status: 200, body: node.lossReport() };
-  }
-  if (path === '/snapshot') {
-    if (method !== 'GET') throw new BadRequest(405, 'use GET');
-    const lines = node.snapshot();
-    if (lines === null) throw new BadRequest(503, 'this node holds no copy of the state yet');
-    return { status: 200, body: Readable.from(lines, { objectMode: false }) };
-  }
-  if (path === '/duties/resign') {
-    if (method !== 'POST') throw new BadRequest(405, 'use POST');
-    return resign(node, await readJson(request));
-  }
-  throw new BadRequest(404, 'no such path; there are /duties, /duties/resign, /recovery and /snapshot');
-}
-
-async function resign(node: OperatedNode, body: unknown): Promise<OperatorAnswer> {
-  const name = isObject(body) ? body['duty'] : undefined;
-  const duty = typeof name === 'string' ? parseDutyName(name) : null;
-  if (duty === null) throw new BadRequest(400, 'duty: must be lead or share/N');
-  const result: ResignResult = await node.resign(duty);
-  return { status: result.kind === 'handed_over' ? 200 : 409, body: result };
-}
-
-async function readJson(request: IncomingMessage): Promise<unknown> {
-  const chunks: Buffer[] = [];
-  let size = 0;
-  try {
-    for await (const chunk of request) {
-      size += (chunk as Buffer).length;
-      if (size > MAX_BODY_BYTES) throw new BadRequest(413, `the body is over ${MAX_BODY_BYTES} bytes`);
-      chunks.push(chunk as Buffer);
-    }
-  } catch (cause) {
-    if (cause instanceof BadRequest) throw cause;
-    throw new BadRequest(400, 'the body was cut off');
-  }
-  try {
-    return JSON.parse(Buffer.concat(chunks).toString('utf8'));
-  } catch {
-    throw new BadRequest(400, 'the body is not JSON');
-  }
-}
-
-function isObject(value: unknown): value is Record<string, unknown> {
-  return typeof value === 'object' && value !== null;
+function responseToError(cause: unknown, onError: (cause: unknown) => void): OperatorResponse {
+  if (cause instanceof OperatorRequestError) return errorResponse(cause.status, cause.message);
+  onError(cause);
+  return errorResponse(500, 'internal error; the log of the node says more');
 }
 
-function failure(status: number, error: string): OperatorAnswer {
-  const body: OperatorError = { error };
+function errorResponse(status: number, error: string): OperatorResponse {
+  const body: ErrorAnswer = { error };
   return { status, body };
 }
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,29 +1,27 @@
-/** What the operators' listener and its clients exchange, as JSON. */
+/** What the operators' listener asks its node for, in the terms of the code; `answer-codec.ts` writes it as JSON. */
 import type { DutyName, DutyReport } from '#duties';
 import type { LossReport } from '#recovery';
 
 /** A node's view of the duties; it counts as proof for nothing. */
 export interface NodeDutyReport {
-  member: string;
-  /** `outside`, `joining`, `member` or `stopped`. */
-  membership: string;
+  readonly member: string;
+  /** Whether the node takes part in its cluster. */
+  readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
   /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
-  knowledgeAgeS: number | null;
-  duties: DutyReport[];
+  readonly knowledgeAgeS: number | null;
+  readonly duties: readonly DutyReport[];
 }
 
 /** What a node knows of lost state. */
 export interface NodeLossReport {
-  member: string;
+  readonly member: string;
   /** Null where the operators' settings don't switch it on. */
-  loss: LossReport | null;
+  readonly loss: LossReport | null;
 }
 
-export type ResignResult = { kind: 'handed_over' } | { kind: 'refused'; reason: string };
-
-export interface OperatorError {
-  error: string;
-}
+/** What became of the request to hand a duty over. */
+export type ResignResult =
+  { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
 /** What the listener needs of its node. */
 export interface OperatedNode {
