--- a/packages/cli/address.ts
+++ b/packages/cli/address.ts
@@ -1,12 +1,12 @@
 /** Addresses of nodes as operators write them. */
-import { usageError } from './errors.js';
+import { UsageError } from './errors.js';
 
-const ADDRESS = /^[A-Za-z0-9.-]+:(\d{1,5})$/;
-const PORT_MOST = 65_535;
+const ADDRESS_PATTERN = /^[A-Za-z0-9.-]+:(\d{1,5})$/;
+const MAX_PORT = 65_535;
 
-/** The address as given, or an error that says how one is written. */
+/** The address as given; fails with {@link UsageError} that says how one is written. */
 export function checkAddress(text: string): string {
-  const port = Number(ADDRESS.exec(text)?.[1] ?? 0);
-  if (port >= 1 && port <= PORT_MOST) return text;
-  throw usageError(`${text}: not an address; write HOST:PORT, such as 127.0.0.1:7070`);
+  const port = Number(ADDRESS_PATTERN.exec(text)?.[1] ?? 0);
+  if (port >= 1 && port <= MAX_PORT) return text;
+  throw new UsageError(`${text}: not an address; write HOST:PORT, such as 127.0.0.1:7070`);
 }
--- a/packages/cli/answers.ts
+++ b/packages/cli/answers.ts
@@ -1,35 +1,48 @@
 /** Answers of several nodes: those that came, and which nodes were silent. */
 import type { NodeAnswer } from '#operations';
-import { failure } from './errors.js';
+import { CommandFailure } from './errors.js';
 import type { Print } from './output.js';
 
 /** Options of the commands that ask several nodes. */
 export interface NodesOptions {
-  node: string[];
-  json: boolean;
+  /** Addresses of the operators' listeners, as given. */
+  readonly node: readonly string[];
+  readonly json: boolean;
 }
 
-/** The stable form of `--json`. */
+/** What `--json` prints: its form is stable. */
 export interface NodeAnswers<T> {
-  nodes: (T & { node: string })[];
-  silent: { node: string; reason: string }[];
+  /** What each node answered, with its address. */
+  readonly nodes: readonly (T & { readonly node: string })[];
+  /** The nodes that gave no answer, and why. */
+  readonly silent: readonly SilentNode[];
 }
 
+/** A node that gave no answer. */
+export interface SilentNode {
+  readonly node: string;
+  readonly reason: string;
+}
+
+/** Parts the answers from the nodes that gave none; both stay in the order of the addresses. */
 export function sortAnswers<T>(answers: readonly NodeAnswer<T>[]): NodeAnswers<T> {
-  const sorted: NodeAnswers<T> = { nodes: [], silent: [] };
+  const nodes: (T & { node: string })[] = [];
+  const silent: SilentNode[] = [];
   for (const answer of answers) {
     const { node } = answer;
-    if (answer.kind === 'answered') sorted.nodes.push({ node, ...answer.value });
-    else sorted.silent.push({ node, reason: answer.reason });
+    if (answer.kind === 'answered') nodes.push({ node, ...answer.value });
+    else silent.push({ node, reason: answer.reason });
   }
-  return sorted;
+  return { nodes, silent };
 }
 
+/** Prints a line for each node that gave no answer. */
 export function printSilent({ silent }: NodeAnswers<unknown>, print: Print): void {
   for (const { node, reason } of silent) print(`${node}: no answer (${reason})`);
 }
 
-/** Fails if no node has answered at all. */
+/** Fails with {@link CommandFailure} if no node has answered at all. */
 export function demandAnswer({ nodes }: NodeAnswers<unknown>): void {
-  if (nodes.length === 0) throw failure('no node answered; is operations/listen set in their XML?');
+  if (nodes.length > 0) return;
+  throw new CommandFailure('no node answered; is operations/listen set in their XML?');
 }
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,13 +1,21 @@
 /** `micaworks duties`: who holds what, as the nodes that answer know it. */
 import { parseDutyName } from '#duties';
-import { askDuties, askToResign, type DutiesAnswer, type DutyAnswer, type NodeAnswer } from '#operations';
+import {
+  askDuties,
+  askToResign,
+  type DutiesAnswer,
+  type DutyAnswer,
+  type OpenIntentsAnswer,
+  type RefusalAnswer,
+} from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
-import { failure, usageError } from './errors.js';
+import { CommandFailure, UsageError } from './errors.js';
 import { formatTable, type Print, printJson } from './output.js';
 
 const HEADING = ['NODE', 'DUTY', 'STATE', 'HOLDER', 'TERM', 'SINCE', 'LEASE', 'OPEN', 'LAST REFUSED'];
 
+/** Prints the duties as each node knows them; fails if no node answers. */
 export async function showDuties({ node, json }: NodesOptions, print: Print): Promise<void> {
   const answers = sortAnswers(await askDuties(node.map(checkAddress)));
   if (json) printJson(print, answers);
@@ -15,19 +23,21 @@
   demandAnswer(answers);
 }
 
+/** Has a node hand over the duty of this name; fails with the reason if it does not. */
 export async function resignDuty(name: string, node: string, print: Print): Promise<void> {
   const address = checkAddress(node);
-  if (parseDutyName(name) === null) throw usageError(`${name}: no such duty; write lead or share/N`);
-  const answer: NodeAnswer<unknown> = await askToResign(address, name);
-  if (answer.kind === 'silent') throw failure(`${node}: ${answer.reason}`);
-  const result = answer.value as { kind: string; reason?: string };
-  if (result.kind !== 'handed_over') throw failure(`${name} was not handed over: ${result.reason ?? '?'}`);
+  if (parseDutyName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
+  const answer = await askToResign(address, name);
+  if (answer.kind === 'silent') throw new CommandFailure(`${node}: ${answer.reason}`);
+  // A node of a later version may answer more than this one knows.
+  const { kind, reason }: { kind: string; reason?: string } = answer.value;
+  if (kind !== 'handed_over') throw new CommandFailure(`${name} was not handed over: ${reason ?? '?'}`);
   print(`${name} was handed over`);
 }
 
 function printTable(answers: NodeAnswers<DutiesAnswer>, print: Print): void {
   const { nodes } = answers;
-  const rows = nodes.flatMap((report) => report.duties.map((duty) => rowOf(report.member, duty)));
+  const rows = nodes.flatMap((answer) => answer.duties.map((duty) => rowOf(answer.member, duty)));
   for (const line of formatTable([HEADING, ...rows])) print(line);
   for (const { member, knowledgeAgeS, membership } of nodes) {
     const age = knowledgeAgeS === null ? 'never complete' : `${knowledgeAgeS} s old`;
@@ -36,17 +46,26 @@
   printSilent(answers, print);
 }
 
+/** The cells of one duty, under {@link HEADING}. */
 function rowOf(member: string, duty: DutyAnswer): string[] {
-  const { openIntents, lastRefused } = duty;
-  const open = openIntents
-    ? `${openIntents.rentals.length} rentals, ${openIntents.returns.length} returns`
-    : '-';
-  const refused = lastRefused
-    ? `${lastRefused.action}: ${lastRefused.reason} (term ${lastRefused.term}, ${lastRefused.ageS} s ago)`
-    : '-';
-  const lease = duty.leaseLeftS === null ? '-' : `${duty.leaseLeftS} s`;
   return [
-    ...[member, duty.duty, duty.state, duty.holder ?? '-', String(duty.term ?? '-')],
-    ...[`${duty.sinceS} s`, lease, open, refused],
+    member,
+    duty.duty,
+    duty.state,
+    duty.holder ?? '-',
+    String(duty.term ?? '-'),
+    `${duty.sinceS} s`,
+    duty.leaseLeftS === null ? '-' : `${duty.leaseLeftS} s`,
+    formatIntents(duty.openIntents),
+    formatRefusal(duty.lastRefused),
   ];
 }
+
+function formatIntents(intents: OpenIntentsAnswer | null): string {
+  return intents ? `${intents.rentals.length} rentals, ${intents.returns.length} returns` : '-';
+}
+
+function formatRefusal(refusal: RefusalAnswer | null): string {
+  if (!refusal) return '-';
+  return `${refusal.action}: ${refusal.reason} (term ${refusal.term}, ${refusal.ageS} s ago)`;
+}
--- a/packages/cli/errors.ts
+++ b/packages/cli/errors.ts
@@ -1,26 +1,26 @@
 /** How the command line ends when it can't do what it was asked. */
 
-/** The command was written wrongly, or names a file or value that can't be used. */
+/** Exit code of {@link UsageError}. */
 export const USAGE_EXIT = 2;
-/** The command was understood, and failed. */
+
+/** Exit code of {@link CommandFailure}, and of errors that nobody foresaw. */
 export const FAILURE_EXIT = 1;
 
-/** Ends the command with one line on standard error and this exit code. */
-export class CommandError extends Error {
-  constructor(
-    readonly exitCode: number,
-    message: string,
-  ) {
-    super(message);
-  }
+/** Ends the command with its message as one line on standard error, and with its exit code. */
+export abstract class CommandError extends Error {
+  abstract readonly exitCode: number;
 }
 
-export function usageError(message: string): CommandError {
-  return new CommandError(USAGE_EXIT, message);
+/** The command was written wrongly, or names a file or value that can't be used. */
+export class UsageError extends CommandError {
+  override readonly name = 'UsageError';
+  readonly exitCode = USAGE_EXIT;
 }
 
-export function failure(message: string): CommandError {
-  return new CommandError(FAILURE_EXIT, message);
+/** The command was understood, and failed. */
+export class CommandFailure extends CommandError {
+  override readonly name = 'CommandFailure';
+  readonly exitCode = FAILURE_EXIT;
 }
 
 /** What an error of any kind says. */
--- a/packages/cli/index.ts
+++ b/packages/cli/index.ts
@@ -1,2 +1,3 @@
+/** The command line. */
 export * from './errors.js';
 export * from './program.js';
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -12,88 +12,117 @@
   SECOND,
 } from '#wire';
 import { checkAddress } from './address.js';
-import { failure, messageOf, usageError } from './errors.js';
+import { CommandFailure, messageOf, UsageError } from './errors.js';
 import type { Print } from './output.js';
 
-/** How long a request is repeated that the service can't take at the moment, as its users do. */
-const TRY_FOR_MS = 60_000;
-const PAUSE_MS = 1000;
-const ANSWER_WITHIN = 5 * SECOND;
-const UNAVAILABLE = [429, 503, 504];
+/** How long a request is repeated that the service can't take at the moment, as its users do, and how often. */
+const RETRY_FOR_MS = 60_000;
+const RETRY_PAUSE_MS = 1000;
+const RESPONSE_TIMEOUT = 5 * SECOND;
+/** Statuses of a service that can't take a request at the moment. */
+const UNAVAILABLE_STATUSES: readonly number[] = [429, 503, 504];
+const STDIN_FD = 0;
+const OK_STATUSES: readonly number[] = [200, 201];
 
-/** The job that a file describes, in the service's own JSON form. */
+/** One request to a node that serves users. */
+interface UserRequest {
+  /** Address of the node, as given. */
+  readonly node: string;
+  readonly method: Method;
+  readonly path: string;
+  readonly body?: object;
+}
+
+/** A request that came to nothing, for now: the service was not reached, or can't take it at the moment. */
+interface Unserved {
+  readonly kind: 'unserved';
+  readonly reason: string;
+}
+
+/** A request that the service has answered. */
+interface Served {
+  readonly kind: 'served';
+  readonly reply: Reply;
+}
+
+/** The job that a file describes, in the service's own JSON form; `-` reads standard input. */
 export function readSubmission(file: string): object {
-  let text: string;
-  try {
-    text = readFileSync(file === '-' ? 0 : file, 'utf8');
-  } catch (cause) {
-    throw usageError(`${file}: ${messageOf(cause)}`);
-  }
-  let body: unknown;
-  try {
-    body = JSON.parse(text);
-  } catch {
-    throw usageError(`${file}: not JSON`);
-  }
-  const parsed = parseSubmission(body);
-  if ('invalid' in parsed) throw usageError(`${file}: ${parsed.invalid} is missing or invalid`);
+  const parsed = parseSubmission(parseJson(file, readText(file)));
+  if ('invalid' in parsed) throw new UsageError(`${file}: ${parsed.invalid} is missing or invalid`);
   return encodeSubmission(parsed.job);
 }
 
+/** Submits the job that a file describes, and prints its state. */
 export async function submitJob(file: string, node: string, print: Print): Promise<void> {
   const body = readSubmission(file);
-  printState(await ask(node, 'POST', '/submissions', body), print);
+  printState(await ask({ node, method: 'POST', path: '/submissions', body }), print);
 }
 
+/** Prints the state of a job. */
 export async function showJob(id: string, node: string, print: Print): Promise<void> {
-  printState(await ask(node, 'GET', `/submissions/${checkId(id)}`), print);
+  printState(await ask({ node, method: 'GET', path: `/submissions/${checkId(id)}` }), print);
 }
 
+/** Cancels a job, and prints its state. */
 export async function withdrawJob(id: string, node: string, print: Print): Promise<void> {
-  printState(await ask(node, 'POST', `/submissions/${checkId(id)}/withdraw`), print);
+  printState(await ask({ node, method: 'POST', path: `/submissions/${checkId(id)}/withdraw` }), print);
+}
+
+function readText(file: string): string {
+  try {
+    return readFileSync(file === '-' ? STDIN_FD : file, 'utf8');
+  } catch (cause) {
+    throw new UsageError(`${file}: ${messageOf(cause)}`, { cause });
+  }
+}
+
+function parseJson(file: string, text: string): unknown {
+  try {
+    return JSON.parse(text);
+  } catch (cause) {
+    throw new UsageError(`${file}: not JSON`, { cause });
+  }
 }
 
 function checkId(id: string): string {
   if (isJobId(id)) return id;
-  throw usageError(`${id}: not a job id; they look like j-000412`);
+  throw new UsageError(`${id}: not a job id; they look like j-000412`);
 }
 
-async function ask(node: string, method: Method, path: string, body?: object): Promise<Reply> {
+/** The service's reply; a request that it can't take at the moment is repeated for {@link RETRY_FOR_MS}. */
+async function ask(request: UserRequest): Promise<Reply> {
   const call = httpCaller(1);
-  const address = checkAddress(node);
-  const until = Date.now() + TRY_FOR_MS;
+  checkAddress(request.node);
+  const until = Date.now() + RETRY_FOR_MS;
   for (;;) {
-    const reply = await tryOnce(call, address, method, path, body);
-    const isAway = !(reply instanceof Error) && UNAVAILABLE.includes(reply.status);
-    if (!(reply instanceof Error) && !isAway) return reply;
-    if (Date.now() + PAUSE_MS > until) {
-      const reason = reply instanceof Error ? reply.message : `status ${reply.status}`;
-      throw failure(`${node}: not served for ${TRY_FOR_MS / 1000} s (${reason}); try another node`);
+    const outcome = await tryOnce(call, request);
+    if (outcome.kind === 'served') return outcome.reply;
+    if (Date.now() + RETRY_PAUSE_MS > until) {
+      throw new CommandFailure(
+        `${request.node}: not served for ${RETRY_FOR_MS / 1000} s (${outcome.reason}); try another node`,
+      );
     }
-    await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
+    await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MS));
   }
 }
 
-function tryOnce(
-  call: Caller,
-  address: string,
-  method: Method,
-  path: string,
-  body?: object,
-): Promise<Reply | Error> {
-  return call(address, method, path, body, ANSWER_WITHIN).catch((cause: unknown) =>
-    cause instanceof Error ? cause : new Error(String(cause)),
-  );
+async function tryOnce(call: Caller, { node, method, path, body }: UserRequest): Promise<Served | Unserved> {
+  try {
+    const reply = await call(node, method, path, body, RESPONSE_TIMEOUT);
+    if (!UNAVAILABLE_STATUSES.includes(reply.status)) return { kind: 'served', reply };
+    return { kind: 'unserved', reason: `status ${reply.status}` };
+  } catch (cause) {
+    return { kind: 'unserved', reason: messageOf(cause) };
+  }
 }
 
 function printState({ status, body }: Reply, print: Print): void {
-  const state = decodeJobStatus(body);
-  if (status !== 200 && status !== 201) {
+  if (!OK_STATUSES.includes(status)) {
     const reason = typeof body['error'] === 'string' ? body['error'] : 'no reason given';
-    throw failure(`refused with ${status}: ${reason}`);
+    throw new CommandFailure(`refused with ${status}: ${reason}`);
   }
-  const counts = [body['done'], body['running']].every((n) => n !== undefined)
-    ? `, ${String(body['done'])} tasks done, ${String(body['running'])} running`
-    : '';
-  print(`${String(body['Uid'])}: ${state ?? 'unknown state'}${counts}`);
+  const { Uid: id, done, running } = body;
+  const hasCounts = done !== undefined && running !== undefined;
+  const counts = hasCounts ? `, ${String(done)} tasks done, ${String(running)} running` : '';
+  print(`${String(id)}: ${decodeJobStatus(body) ?? 'unknown state'}${counts}`);
 }
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -1,10 +1,10 @@
-/** The command line: its subcommands and their options. */
+/** The command line: its subcommands and their options, and how it ends. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { loadSettings, loadTuning, SettingsError, standardTuning } from '#settings';
 import type { NodesOptions } from './answers.js';
 import { resignDuty, showDuties } from './duties.js';
-import { CommandError, messageOf, USAGE_EXIT } from './errors.js';
+import { CommandError, FAILURE_EXIT, messageOf, USAGE_EXIT } from './errors.js';
 import { showJob, submitJob, withdrawJob } from './jobs.js';
 import type { Print } from './output.js';
 import { showRecoverStatus } from './recover.js';
@@ -14,24 +14,33 @@
 const PACKAGE = new URL('../../package.json', import.meta.url);
 const DEFAULT_OPERATOR_NODE = '127.0.0.1:7070';
 const DEFAULT_USER_NODE = '127.0.0.1:8080';
+
 const NODE_OPTION = '--node <address>';
+const NODES_OPTION = '--node <address...>';
+const NODES_HELP = "operators' listener of one or more nodes";
+const JSON_OPTION = '--json';
+const JSON_HELP = 'print JSON';
+const CONFIG_OPTION = '--config <file>';
+const CONFIG_HELP = "the platform's settings (TOML)";
+const OPERATOR_OPTION = '--operator <file>';
+const OPERATOR_HELP = "operators' settings (XML)";
 
-function version(): string {
-  return String((JSON.parse(readFileSync(PACKAGE, 'utf8')) as { version: unknown }).version);
+/** Options of the commands that ask one node. */
+interface NodeOption {
+  readonly node: string;
 }
 
-/** Starts the daemon in this process, as `deploy/service.toml` does. */
-async function run({ config, operator }: { config: string; operator?: string }): Promise<void> {
-  // Only this command pays for loading the daemon.
-  const { runNode } = await import('#daemon/run-node');
-  const tuning = operator === undefined ? standardTuning() : await loadTuning(operator);
-  await runNode(loadSettings(config), tuning);
+/** Options of `micaworks run`. */
+interface RunOptions {
+  readonly config: string;
+  readonly operator?: string;
 }
 
+/** The parser of the command line, which runs the command that it finds; results go to `print`. */
 export function createProgram(print: Print): Command {
   const program = new Command('micaworks')
     .description('A cluster scheduler, and the tools to operate it')
-    .version(version())
+    .version(packageVersion())
     .exitOverride()
     .enablePositionalOptions()
     .configureOutput({
@@ -42,23 +51,60 @@
       writeErr: () => undefined,
     })
     .showSuggestionAfterError();
+  addNodeCommands(program, print);
+  addJobCommands(program, print);
+  addDutyCommands(program, print);
+  addRecoverCommands(program, print);
+  addSnapshotCommands(program, print);
+  return program;
+}
+
+/** Runs one command and returns the exit code. Errors go to `complain` as one line. */
+export async function execute(args: readonly string[], print: Print, complain: Print): Promise<number> {
+  try {
+    await createProgram(print).parseAsync([...args], { from: 'user' });
+    return 0;
+  } catch (cause) {
+    if (cause instanceof CommanderError) return endOfParsing(cause, complain);
+    complain(`micaworks: ${messageOf(cause)}`);
+    if (cause instanceof CommandError) return cause.exitCode;
+    return cause instanceof SettingsError ? USAGE_EXIT : FAILURE_EXIT;
+  }
+}
+
+/** Help and version end the parsing, too, and are no errors. */
+function endOfParsing({ exitCode, code, message }: CommanderError, complain: Print): number {
+  if (exitCode === 0) return 0;
+  const text = code === 'commander.help' ? 'name a command' : message.replace(/^error: /, '');
+  complain(`micaworks: ${text.split('\n').join(' ')}; micaworks --help lists what there is`);
+  return USAGE_EXIT;
+}
+
+function packageVersion(): string {
+  return String((JSON.parse(readFileSync(PACKAGE, 'utf8')) as { version: unknown }).version);
+}
+
+/** Starts the daemon in this process, as `deploy/service.toml` does. */
+async function runDaemon({ config, operator }: RunOptions): Promise<void> {
+  // Only this command pays for loading the daemon.
+  const { runNode } = await import('#daemon/run-node');
+  const tuning = operator === undefined ? standardTuning() : await loadTuning(operator);
+  await runNode(loadSettings(config), tuning);
+}
+
+function addNodeCommands(program: Command, print: Print): void {
   program
     .command('run')
     .description('run a node of the service until it is killed')
-    .requiredOption('--config <file>', "the platform's settings (TOML)")
-    .option('--operator <file>', "operators' settings (XML)")
-    .action(run);
+    .requiredOption(CONFIG_OPTION, CONFIG_HELP)
+    .option(OPERATOR_OPTION, OPERATOR_HELP)
+    .action(runDaemon);
   program
     .command('check')
     .description('check settings files without starting anything')
-    .option('--config <file>', "the platform's settings (TOML)")
-    .option('--operator <file>', "operators' settings (XML)")
+    .option(CONFIG_OPTION, CONFIG_HELP)
+    .option(OPERATOR_OPTION, OPERATOR_HELP)
     .action((files: SettingsFiles) => checkSettings(files, print));
-  addJobCommands(program, print);
-  addDutyCommands(program, print);
-  addRecoverCommands(program, print);
-  addSnapshotCommands(program, print);
-  return program;
 }
 
 function addJobCommands(program: Command, print: Print): void {
@@ -67,17 +113,17 @@
     .command('submit <file>')
     .description('submit the job that a JSON file describes; - reads standard input')
     .option(NODE_OPTION, nodeHelp, DEFAULT_USER_NODE)
-    .action((file: string, { node }: { node: string }) => submitJob(file, node, print));
+    .action((file: string, { node }: NodeOption) => submitJob(file, node, print));
   program
     .command('show <job>')
     .description("tell a job's state")
     .option(NODE_OPTION, nodeHelp, DEFAULT_USER_NODE)
-    .action((job: string, { node }: { node: string }) => showJob(job, node, print));
+    .action((job: string, { node }: NodeOption) => showJob(job, node, print));
   program
     .command('withdraw <job>')
     .description('cancel a job')
     .option(NODE_OPTION, nodeHelp, DEFAULT_USER_NODE)
-    .action((job: string, { node }: { node: string }) => withdrawJob(job, node, print));
+    .action((job: string, { node }: NodeOption) => withdrawJob(job, node, print));
 }
 
 function addDutyCommands(program: Command, print: Print): void {
@@ -85,14 +131,14 @@
     .command('duties')
     .enablePositionalOptions()
     .description('show who holds each duty that one controller may hold at a time')
-    .option('--node <address...>', "operators' listener of one or more nodes", [DEFAULT_OPERATOR_NODE])
-    .option('--json', 'print JSON', false)
+    .option(NODES_OPTION, NODES_HELP, [DEFAULT_OPERATOR_NODE])
+    .option(JSON_OPTION, JSON_HELP, false)
     .action((options: NodesOptions) => showDuties(options, print));
   duties
     .command('resign <duty>')
     .description('have the node that holds a duty (lead or share/N) hand it over')
     .requiredOption(NODE_OPTION, "operators' listener of the node that holds it")
-    .action((duty: string, { node }: { node: string }) => resignDuty(duty, node, print));
+    .action((duty: string, { node }: NodeOption) => resignDuty(duty, node, print));
 }
 
 function addRecoverCommands(program: Command, print: Print): void {
@@ -100,8 +146,8 @@
   recover
     .command('status')
     .description('tell whether the state service has lost data; exit code 1 if it has')
-    .option('--node <address...>', "operators' listener of one or more nodes", [DEFAULT_OPERATOR_NODE])
-    .option('--json', 'print JSON', false)
+    .option(NODES_OPTION, NODES_HELP, [DEFAULT_OPERATOR_NODE])
+    .option(JSON_OPTION, JSON_HELP, false)
     .action((options: NodesOptions) => showRecoverStatus(options, print));
 }
 
@@ -120,30 +166,6 @@
   snapshot
     .command('show <file>')
     .description('tell what a snapshot holds')
-    .option('--json', 'print JSON', false)
+    .option(JSON_OPTION, JSON_HELP, false)
     .action((file: string, options: { json: boolean }) => showSnapshot(file, options, print));
 }
-
-/** Runs one command; the exit code. Errors go out as one line. */
-export async function execute(args: readonly string[], print: Print, complain: Print): Promise<number> {
-  try {
-    await createProgram(print).parseAsync([...args], { from: 'user' });
-    return 0;
-  } catch (cause) {
-    if (cause instanceof CommanderError) return endOfParsing(cause, complain);
-    if (cause instanceof CommandError) {
-      complain(`micaworks: ${cause.message}`);
-      return cause.exitCode;
-    }
-    complain(`micaworks: ${messageOf(cause)}`);
-    return cause instanceof SettingsError ? USAGE_EXIT : 1;
-  }
-}
-
-/** Help and version end the parsing, too, and are no errors. */
-function endOfParsing({ exitCode, code, message }: CommanderError, complain: Print): number {
-  if (exitCode === 0) return 0;
-  const text = code === 'commander.help' ? 'name a command' : message.replace(/^error: /, '');
-  complain(`micaworks: ${text.split('\n').join(' ')}; micaworks --help lists what there is`);
-  return USAGE_EXIT;
-}
--- a/packages/cli/recover.ts
+++ b/packages/cli/recover.ts
@@ -2,22 +2,23 @@
 import { askLoss, type RecoveryAnswer } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
-import { failure } from './errors.js';
+import { CommandFailure } from './errors.js';
 import { formatTable, type Print, printJson } from './output.js';
 
 const HEADING = ['NODE', 'STATE', 'SINCE', 'FALSE ALARMS', 'HIGHEST EPOCH', 'HIGHEST TOKEN'];
 
-/** Ends with exit code 1 if a node finds that state was lost, so that a watchdog can call it. */
+/** Prints what each node finds; fails if one finds that state was lost, so that a watchdog can call it. */
 export async function showRecoverStatus({ node, json }: NodesOptions, print: Print): Promise<void> {
   const answers = sortAnswers(await askLoss(node.map(checkAddress)));
   if (json) printJson(print, answers);
   else printStatus(answers, print);
   demandAnswer(answers);
   const alarmed = answers.nodes.filter(({ loss }) => loss !== null && loss.state !== 'serving');
-  if (alarmed.length > 0) {
-    const names = alarmed.map(({ member }) => member).join(', ');
-    throw failure(`the state service has lost state, as ${names} found; see docs/operations/recovery.md`);
-  }
+  if (alarmed.length === 0) return;
+  const names = alarmed.map(({ member }) => member).join(', ');
+  throw new CommandFailure(
+    `the state service has lost state, as ${names} found; see docs/operations/recovery.md`,
+  );
 }
 
 function printStatus(answers: NodeAnswers<RecoveryAnswer>, print: Print): void {
@@ -28,6 +29,7 @@
   printSilent(answers, print);
 }
 
+/** The cells of one node, under {@link HEADING}. */
 function rowOf({ member, loss }: RecoveryAnswer): string[] {
   if (loss === null) return [member, 'not watched', '-', '-', '-', '-'];
   const { state, sinceS, falseAlarms, seen } = loss;
--- a/packages/cli/settings.ts
+++ b/packages/cli/settings.ts
@@ -1,16 +1,18 @@
 /** `micaworks check`: whether the settings files can be used. */
 import { loadSettings, loadTuning, SettingsError } from '#settings';
-import { usageError } from './errors.js';
+import { UsageError } from './errors.js';
 import type { Print } from './output.js';
 
+/** The files to check, as given. */
 export interface SettingsFiles {
-  config?: string;
-  operator?: string;
+  readonly config?: string;
+  readonly operator?: string;
 }
 
+/** Prints a line for each file that can be used; fails with {@link UsageError} at the first that can't. */
 export async function checkSettings({ config, operator }: SettingsFiles, print: Print): Promise<void> {
   if (config === undefined && operator === undefined) {
-    throw usageError('name a file to check: --config FILE, --operator FILE, or both');
+    throw new UsageError('name a file to check: --config FILE, --operator FILE, or both');
   }
   try {
     if (config !== undefined) {
@@ -22,7 +24,7 @@
       print(`${operator}: usable; operators' listener ${operatorListen ?? 'off'}`);
     }
   } catch (cause) {
-    if (cause instanceof SettingsError) throw usageError(cause.message);
+    if (cause instanceof SettingsError) throw new UsageError(cause.message, { cause });
     throw cause;
   }
 }
--- a/packages/cli/snapshot.ts
+++ b/packages/cli/snapshot.ts
@@ -7,12 +7,16 @@
 import { openSnapshot } from '#operations';
 import { readSnapshot, type SnapshotSummary } from '#recovery';
 import { checkAddress } from './address.js';
-import { failure, messageOf, usageError } from './errors.js';
+import { CommandFailure, messageOf, UsageError } from './errors.js';
 import { formatTable, type Print, printJson } from './output.js';
+import { encodeSnapshotOutput, snapshotRows } from './snapshot-output.js';
 
+/** Options of `micaworks snapshot FILE`. */
 export interface SnapshotOptions {
-  node: string;
-  force: boolean;
+  /** Address of the operators' listener of the node, as given. */
+  readonly node: string;
+  /** Replaces a file that is there. */
+  readonly force: boolean;
 }
 
 /** Takes the snapshot into a file beside the named one, which it replaces only once it is found whole. */
@@ -22,13 +26,10 @@
   print: Print,
 ): Promise<void> {
   const address = checkAddress(node);
-  if (existsSync(file) && !force) throw usageError(`${file}: there is such a file; --force replaces it`);
+  if (existsSync(file) && !force) throw new UsageError(`${file}: there is such a file; --force replaces it`);
   const partial = `${file}.partial`;
   try {
-    const source = await openSnapshot(address).catch((cause: unknown) => {
-      throw failure(`${node}: ${messageOf(cause)}`);
-    });
-    await store(source, partial);
+    await download(address, partial);
     const summary = await verify(partial);
     await rename(partial, file);
     print(`${file}: epoch ${summary.header.epoch}, ${summary.jobs} jobs, ${summary.tasks} tasks on machines`);
@@ -38,56 +39,42 @@
   }
 }
 
+/** Prints a line if the file is a whole snapshot; fails with its fault if it is not. */
 export async function verifySnapshot(file: string, print: Print): Promise<void> {
   const { lines, header } = await verify(file);
   print(`${file}: whole; version ${header.version}, ${lines} lines`);
 }
 
+/** Prints what a whole snapshot holds; fails with its fault if it is not whole. */
 export async function showSnapshot(file: string, { json }: { json: boolean }, print: Print): Promise<void> {
   const summary = await verify(file);
   const { size } = await stat(file);
-  if (json) {
-    printJson(print, { ...summary, bytes: size });
-    return;
-  }
-  for (const line of formatTable(rowsOf(summary, size))) print(line);
+  const output = encodeSnapshotOutput(summary, size);
+  if (json) printJson(print, output);
+  else for (const line of formatTable(snapshotRows(output))) print(line);
+}
+
+/** Writes the lines that a node sends into a compressed file. */
+async function download(address: string, file: string): Promise<void> {
+  const lines = await openSnapshot(address).catch((cause: unknown) => {
+    throw new CommandFailure(`${address}: ${messageOf(cause)}`, { cause });
+  });
+  await store(lines, file);
 }
 
-async function store(source: Readable, file: string): Promise<void> {
+async function store(lines: Readable, file: string): Promise<void> {
   try {
-    await pipeline(source, createGzip(), createWriteStream(file, { flush: true } as object));
+    await pipeline(lines, createGzip(), createWriteStream(file, { flush: true }));
   } catch (cause) {
-    throw failure(`the snapshot was cut off: ${messageOf(cause)}`);
+    throw new CommandFailure(`the snapshot was cut off: ${messageOf(cause)}`, { cause });
   }
 }
 
 async function verify(file: string): Promise<SnapshotSummary> {
-  if (!existsSync(file)) throw usageError(`${file}: there is no such file`);
+  if (!existsSync(file)) throw new UsageError(`${file}: there is no such file`);
   try {
     return await readSnapshot(createReadStream(file));
   } catch (cause) {
-    throw failure(`${file}: ${messageOf(cause)}`);
+    throw new CommandFailure(`${file}: ${messageOf(cause)}`, { cause });
   }
 }
-
-function rowsOf(summary: SnapshotSummary, size: number): string[][] {
-  const { header } = summary;
-  return [
-    ['taken at', new Date(header.takenAt).toISOString()],
-    ['by', `${header.member} (of ${header.nodes.join(', ')})`],
-    ['lost state', header.loss ?? 'not watched'],
-    ['epoch, token', `${header.epoch}, ${header.token}`],
-    [
-      'logs',
-      Object.entries(summary.positions)
-        .map(([log, seq]) => `${log}: ${seq}`)
-        .join(', '),
-    ],
-    ['jobs', String(summary.jobs)],
-    ['tasks on machines', String(summary.tasks)],
-    ['final answers', summary.hasAllFinals ? String(summary.finals) : `${summary.finals}, not all`],
-    ['machines', String(summary.machines)],
-    ['open rentals', String(summary.rentals)],
-    ['size', `${size} bytes, ${summary.lines} lines`],
-  ];
-}
