--- a/packages/settings/error.ts
+++ b/packages/settings/error.ts
@@ -1,2 +1,6 @@
-/** Names the field that is wrong; `main` prints it and exits with code 2. */
-export class SettingsError extends Error {}
+/** What is wrong with a settings file. */
+
+/** A settings file that can't be read or used; the message names the file or the field, and what is wrong with it. */
+export class SettingsError extends Error {
+  override readonly name = 'SettingsError';
+}
--- a/packages/settings/operator.ts
+++ b/packages/settings/operator.ts
@@ -1,21 +1,28 @@
-import { readFileSync } from 'node:fs';
+/** The operators' settings: what they may turn beyond the platform's file. Every element of their file is optional. */
 import { isIPv4 } from 'node:net';
-import { fromSeconds, type Micros } from '#wire';
+import { fromSeconds, type Micros, MS, SECOND } from '#wire';
 import { SettingsError } from './error.js';
+import { readSettingsFile } from './read-file.js';
 
 /** What an operator may turn beyond the platform's file. */
 export interface Tuning {
   /** Least time between two rounds. */
   roundGap: Micros;
-  /** Time after which a round is played without any news. */
+  /** Time after which a round is run without any change. */
   roundIdle: Micros;
+  /** Price passes a round. */
   passes: number;
+  /** Step of a price at full gap for a whole machine's worth, as a part of top priority. */
   step: number;
+  /** What a GPU shape costs a task without GPUs, as a part of top priority. */
   gpuShapeCost: number;
+  /** By what part GPUs raise a task's priority. */
   gpuTaskWeight: number;
+  /** Raise for what lies within a team's guarantee, as a part of top priority. */
   guaranteeWeight: number;
   /** Waiting this long doubles a job's priority. */
   waitDoubles: Micros;
+  /** Random machines with free capacity that are looked at for each task. */
   choices: number;
   /** Where the operators' listener is to be had; null: nowhere. */
   operatorListen: string | null;
@@ -25,110 +32,181 @@
   noticesLoss: boolean;
 }
 
-interface Knob {
-  /** Path of the element in the file. */
-  path: string;
-  least: number;
-  most: number;
-  standard: number;
-  whole: boolean;
-  set: (tuning: Tuning, value: number) => void;
+/** An element of the file that holds a number. */
+export interface Knob {
+  /** Path of the element in the file; the unit is a part of the name. */
+  readonly path: string;
+  readonly minimum: number;
+  readonly maximum: number;
+  /** Only whole numbers are taken. */
+  readonly isInteger: boolean;
+  /** What a value in the file sets. */
+  readonly apply: (value: number) => Partial<Tuning>;
 }
 
-/** Every element the file may hold, with its range and default; units are part of the names. */
+/** Every element with a number that the file may hold, with its range; {@link standardTuning} holds the defaults. */
 export const KNOBS: readonly Knob[] = [
-  knob('round/gapMs', 20, 5000, 250, (t, v) => (t.roundGap = fromSeconds(v / 1000))),
-  knob('round/idleMs', 100, 10_000, 1000, (t, v) => (t.roundIdle = fromSeconds(v / 1000))),
-  { ...knob('pricing/passes', 1, 1000, 30, (t, v) => (t.passes = v)), whole: true },
-  knob('pricing/step', 0.001, 10, 0.1, (t, v) => (t.step = v)),
-  knob('pricing/gpuShapeCost', 0, 10, 0.5, (t, v) => (t.gpuShapeCost = v)),
-  knob('pricing/gpuTaskWeight', 0, 10, 0.5, (t, v) => (t.gpuTaskWeight = v)),
-  knob('pricing/guaranteeWeight', 0, 10, 0.5, (t, v) => (t.guaranteeWeight = v)),
-  knob('pricing/waitDoublesS', 1, 86_400, 60, (t, v) => (t.waitDoubles = fromSeconds(v))),
-  { ...knob('placement/choices', 1, 64, 6, (t, v) => (t.choices = v)), whole: true },
+  {
+    path: 'round/gapMs',
+    minimum: 20,
+    maximum: 5000,
+    isInteger: false,
+    apply: (value) => ({ roundGap: fromMilliseconds(value) }),
+  },
+  {
+    path: 'round/idleMs',
+    minimum: 100,
+    maximum: 10_000,
+    isInteger: false,
+    apply: (value) => ({ roundIdle: fromMilliseconds(value) }),
+  },
+  {
+    path: 'pricing/passes',
+    minimum: 1,
+    maximum: 1000,
+    isInteger: true,
+    apply: (value) => ({ passes: value }),
+  },
+  {
+    path: 'pricing/step',
+    minimum: 0.001,
+    maximum: 10,
+    isInteger: false,
+    apply: (value) => ({ step: value }),
+  },
+  {
+    path: 'pricing/gpuShapeCost',
+    minimum: 0,
+    maximum: 10,
+    isInteger: false,
+    apply: (value) => ({ gpuShapeCost: value }),
+  },
+  {
+    path: 'pricing/gpuTaskWeight',
+    minimum: 0,
+    maximum: 10,
+    isInteger: false,
+    apply: (value) => ({ gpuTaskWeight: value }),
+  },
+  {
+    path: 'pricing/guaranteeWeight',
+    minimum: 0,
+    maximum: 10,
+    isInteger: false,
+    apply: (value) => ({ guaranteeWeight: value }),
+  },
+  {
+    path: 'pricing/waitDoublesS',
+    minimum: 1,
+    maximum: 86_400,
+    isInteger: false,
+    apply: (value) => ({ waitDoubles: fromSeconds(value) }),
+  },
+  {
+    path: 'placement/choices',
+    minimum: 1,
+    maximum: 64,
+    isInteger: true,
+    apply: (value) => ({ choices: value }),
+  },
 ];
 
+const MS_PER_SECOND = 1000;
+const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
+const MAX_PORT = 65_535;
+
+/** What holds without an operators' file, and for every element that a file leaves out. */
 export function standardTuning(): Tuning {
-  const tuning = { operatorListen: null, handsOverOnStop: false, noticesLoss: false } as Tuning;
-  for (const k of KNOBS) k.set(tuning, k.standard);
-  return tuning;
+  return {
+    roundGap: 250 * MS,
+    roundIdle: SECOND,
+    passes: 30,
+    step: 0.1,
+    gpuShapeCost: 0.5,
+    gpuTaskWeight: 0.5,
+    guaranteeWeight: 0.5,
+    waitDoubles: 60 * SECOND,
+    choices: 6,
+    operatorListen: null,
+    handsOverOnStop: false,
+    noticesLoss: false,
+  };
 }
 
-/** Reads an operators' file; unknown elements are ignored, a wrong value is named. */
+/**
+ * Reads the text of an operators' file. Unknown elements are ignored; a wrong value fails with {@link SettingsError}
+ * that names its element.
+ */
 export async function parseTuning(xml: string): Promise<Tuning> {
+  const root = await parseXml(xml);
+  const tuning = standardTuning();
+  for (const knob of KNOBS) {
+    const value = numberAt(root, knob);
+    if (value !== null) Object.assign(tuning, knob.apply(value));
+  }
+  tuning.operatorListen = addressAt(root, 'operations/listen');
+  tuning.handsOverOnStop = flagAt(root, 'operations/handOverOnStop');
+  tuning.noticesLoss = flagAt(root, 'recovery/noticeLoss');
+  return tuning;
+}
+
+/** Reads an operators' file; fails with {@link SettingsError} if it can't be read or used. */
+export async function loadTuning(file: string): Promise<Tuning> {
+  return parseTuning(readSettingsFile(file));
+}
+
+/** The content of the file's root element. */
+async function parseXml(xml: string): Promise<unknown> {
   // Only who has such a file pays for the parser at start-up.
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
   if (valid !== true) throw new SettingsError(`operators' file, line ${valid.err.line}: ${valid.err.msg}`);
   const root = (new XMLParser({ parseTagValue: false }).parse(xml) as Record<string, unknown>)['micaworks'];
   if (root === undefined) throw new SettingsError("operators' file: micaworks: the root element is missing");
-  const tuning = standardTuning();
-  for (const k of KNOBS) {
-    const text = k.path
-      .split('/')
-      .reduce<unknown>((at, name) => (at as Record<string, unknown> | undefined)?.[name], root);
-    if (text === undefined) continue;
-    const value = typeof text === 'string' && text.trim() !== '' ? Number(text) : NaN;
-    if (!(value >= k.least && value <= k.most) || (k.whole && !Number.isInteger(value))) {
-      const kind = k.whole ? 'a whole number' : 'a number';
-      throw new SettingsError(`operators' file: ${k.path}: must be ${kind} from ${k.least} to ${k.most}`);
-    }
-    k.set(tuning, value);
-  }
-  tuning.operatorListen = listenAddress(root);
-  tuning.handsOverOnStop = flagAt(root, 'operations', 'handOverOnStop');
-  tuning.noticesLoss = flagAt(root, 'recovery', 'noticeLoss');
-  return tuning;
+  return root;
 }
 
-const LISTEN_PATH = 'operations/listen';
-const PORT_MOST = 65_535;
+/** The content of the element at a path of a section and a name; undefined if the file doesn't have it. */
+function elementAt(root: unknown, path: string): unknown {
+  let element = root;
+  for (const name of path.split('/')) {
+    if (typeof element !== 'object' || element === null) return undefined;
+    element = (element as Record<string, unknown>)[name];
+  }
+  return element;
+}
 
-/** An element below a section of the file; undefined if the file doesn't have it. */
-function elementAt(root: unknown, sectionName: string, name: string): unknown {
-  const section = (root as Record<string, unknown>)[sectionName];
-  if (typeof section !== 'object' || section === null) return undefined;
-  return (section as Record<string, unknown>)[name];
+/** The number that an element holds; null if the file doesn't have it. */
+function numberAt(root: unknown, { path, minimum, maximum, isInteger }: Knob): number | null {
+  const text = elementAt(root, path);
+  if (text === undefined) return null;
+  const value = typeof text === 'string' && text.trim() !== '' ? Number(text) : NaN;
+  const isInRange = value >= minimum && value <= maximum;
+  if (isInRange && (!isInteger || Number.isInteger(value))) return value;
+  const kind = isInteger ? 'a whole number' : 'a number';
+  throw new SettingsError(`operators' file: ${path}: must be ${kind} from ${minimum} to ${maximum}`);
 }
 
-/** A flag below a section; off if the file doesn't have it. */
-function flagAt(root: unknown, section: string, name: string): boolean {
-  const text = elementAt(root, section, name);
+/** The flag that an element holds; off if the file doesn't have it. */
+function flagAt(root: unknown, path: string): boolean {
+  const text = elementAt(root, path);
   if (text === undefined || text === 'false') return false;
   if (text === 'true') return true;
-  throw new SettingsError(`operators' file: ${section}/${name}: must be true or false`);
+  throw new SettingsError(`operators' file: ${path}: must be true or false`);
 }
 
-/** The address of the operators' listener, if the file names one. */
-function listenAddress(root: unknown): string | null {
-  const address = elementAt(root, 'operations', 'listen');
-  if (address === undefined) return null;
-  const match =
-    typeof address === 'string' ? /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(address.trim()) : null;
+/** The address that an element holds; null if the file doesn't have it. */
+function addressAt(root: unknown, path: string): string | null {
+  const text = elementAt(root, path);
+  if (text === undefined) return null;
+  const match = typeof text === 'string' ? ADDRESS_PATTERN.exec(text.trim()) : null;
   const [, ip = '', port = ''] = match ?? [];
-  const isAddress = isIPv4(ip) && Number(port) >= 1 && Number(port) <= PORT_MOST;
-  if (isAddress) return `${ip}:${Number(port)}`;
+  if (isIPv4(ip) && Number(port) >= 1 && Number(port) <= MAX_PORT) return `${ip}:${Number(port)}`;
   throw new SettingsError(
-    `operators' file: ${LISTEN_PATH}: must be an IPv4 address and a port, such as 127.0.0.1:7070`,
+    `operators' file: ${path}: must be an IPv4 address and a port, such as 127.0.0.1:7070`,
   );
 }
 
-export async function loadTuning(file: string): Promise<Tuning> {
-  let xml: string;
-  try {
-    xml = readFileSync(file, 'utf8');
-  } catch (cause) {
-    throw new SettingsError(`${file}: ${cause instanceof Error ? cause.message : String(cause)}`);
-  }
-  return parseTuning(xml);
-}
-
-function knob(
-  path: string,
-  least: number,
-  most: number,
-  standard: number,
-  set: (t: Tuning, v: number) => void,
-): Knob {
-  return { path, least, most, standard, whole: false, set };
+function fromMilliseconds(milliseconds: number): Micros {
+  return fromSeconds(milliseconds / MS_PER_SECOND);
 }
