--- /dev/null
+++ b/packages/cluster/stored-rows.test.ts
@@ -0,0 +1,720 @@
+/**
+ * The exact text of every row that this package stores, as the version in production reads it. A change here breaks
+ * upgrades, restored backups and snapshots: names of fields in the code may change, these may not.
+ */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { FencedStore } from '#duties';
+import { Pace, StoreClient, WriteLimits } from '#store';
+import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
+import { type Clock, type Count, type Fields, type Micros, MS, SECOND } from '#wire';
+import { checkpointRows } from './checkpoint.js';
+import {
+  ALL,
+  CAPABILITIES,
+  CHECKPOINT_HEAD,
+  CHUNKS,
+  capabilityKey,
+  checkpointId,
+  checkpointOfKey,
+  chunkKey,
+  jobKey,
+  JOBS,
+  LEAD,
+  type LogId,
+  logKey,
+  logOfKey,
+  LOGS,
+  memberKey,
+  MEMBERS,
+  NOW,
+  OVER,
+  overKey,
+  ownershipKey,
+  shareKey,
+  SHARES,
+  TOKEN_KEY,
+  TYPES,
+} from './keys.js';
+import type { HostRow, MachineEntry, Outcome, Placement } from './ledger.js';
+import { inOrder } from './live-state.js';
+import { Membership } from './membership.js';
+import { Replica } from './replica.js';
+import { endWrite, LogWriter, type RecordDraft } from './writer.js';
+
+const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const STATE = '10.2.0.1:2379';
+/** Time of day of every record, in milliseconds. */
+const AT = 1_790_000_000_123;
+/** An integer that no number holds exactly. */
+const HUGE = 2n ** 63n + 1n;
+
+function textOf(value: unknown): string {
+  return JSON.stringify(value, (_key, part: unknown) => (typeof part === 'bigint' ? `${part}n` : part));
+}
+
+function valueOf(text: string): Fields {
+  const revive = (_key: string, part: unknown): unknown =>
+    typeof part === 'string' && /^\d+n$/.test(part) ? BigInt(part.slice(0, -1)) : part;
+  return JSON.parse(text, revive) as Fields;
+}
+
+/** The state service, and what reaches it. */
+class Service {
+  readonly clock = new SimClock();
+  readonly view: Clock = {
+    ...this.clock.view((step) => step(), 0, 0),
+    wall: () => AT * MS,
+  };
+  readonly store = new SimStore(this.clock, () => 0.5, {
+    ...{ rps: 100_000, writeRps: 100_000, txnOps: 100, valueBytes: 100_000, pageRows: 1000 },
+  });
+  private readonly net = new SimNet(this.clock, () => 0.5);
+
+  constructor() {
+    this.net.serve(STATE, null, this.store.handler);
+  }
+
+  client(): StoreClient {
+    const call = this.net.caller('node-1', null, (step) => {
+      step();
+    });
+    return new StoreClient(STATE, call);
+  }
+
+  async pass(duration: Micros): Promise<void> {
+    await this.clock.run(this.clock.time + duration, () => undefined);
+  }
+
+  async until<T>(work: Promise<T>): Promise<T> {
+    let isOver = false;
+    const watched = work.finally(() => {
+      isOver = true;
+    });
+    while (!isOver) await this.pass(10 * MS);
+    return watched;
+  }
+
+  /** Rows below this prefix in the order of their keys: the text of each. */
+  texts(prefix: string): Record<string, string> {
+    const rows = [...this.store.rows].filter(([path]) => path.startsWith(prefix));
+    rows.sort(([a], [b]) => (a < b ? -1 : 1));
+    return Object.fromEntries(rows.map(([path, { value }]) => [path, textOf(value)]));
+  }
+
+  /** The copy of a node that starts now. */
+  async load(): Promise<Replica> {
+    const replica = new Replica(this.client(), this.view, SILENT, 10_000);
+    void replica.run();
+    await this.pass(SECOND);
+    assert.equal(replica.state, 'following');
+    replica.stop();
+    return replica;
+  }
+}
+
+/** One member that leads and owns share 0, and writes through the real code. */
+class Writer extends Service {
+  readonly replica = new Replica(this.client(), this.view, SILENT, 10_000);
+  readonly membership = new Membership(
+    'node-1',
+    'east',
+    'p1',
+    this.client(),
+    this.replica,
+    this.view,
+    () => 0.5,
+    SILENT,
+  );
+  private log: LogWriter | null = null;
+
+  async start(valueBytes = 4096): Promise<this> {
+    void this.replica.run();
+    void this.membership.run();
+    await this.pass(3 * SECOND);
+    assert.ok(this.membership.lead());
+    for (const share of [0, 1]) {
+      const value = { Member: 'node-1', Nonce: 'p1.1', Token: 1 };
+      this.store.spoil({ Set: shareKey(share), V: value, Permit: 1 });
+    }
+    await this.pass(SECOND);
+    this.log = this.writerFor(valueBytes);
+    return this;
+  }
+
+  writerFor(valueBytes: number): LogWriter {
+    const { duties } = this.membership;
+    const pace = new Pace(this.view, () => 1000);
+    const limits = new WriteLimits(valueBytes, 20);
+    const store = new FencedStore(this.client(), duties);
+    return new LogWriter(store, this.replica, duties, this.view, limits, pace, pace, SILENT);
+  }
+
+  get writer(): LogWriter {
+    assert.ok(this.log);
+    return this.log;
+  }
+
+  async append(...drafts: [LogId, RecordDraft][]): Promise<void> {
+    assert.ok(await this.until(this.writer.append(new Map(drafts))));
+  }
+}
+
+/** The copy of a node that finds these rows, written in this order. */
+async function readBack(texts: Record<string, string>): Promise<Replica> {
+  const service = new Service();
+  for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: valueOf(text) });
+  return service.load();
+}
+
+test('keys: where each kind of row lies', () => {
+  assert.deepEqual(
+    [
+      ...[ALL, NOW, TOKEN_KEY, LEAD, CHECKPOINT_HEAD, CHUNKS, JOBS, LOGS, CAPABILITIES, MEMBERS, SHARES],
+      ...[TYPES, OVER, jobKey('j-1'), overKey('j-1'), shareKey(3), memberKey('node-1')],
+      ...[capabilityKey('node-1'), ownershipKey('lead'), ownershipKey(3), logKey('lead', 1), logKey(3, 255)],
+      ...[logKey(3, 256), logKey(3, 257), checkpointId(1234, 56, 7), chunkKey(checkpointId(1234, 56, 7), 12)],
+    ],
+    [
+      ...['mw/', 'mw/now/', 'mw/now/token', 'mw/now/lead', 'mw/now/checkpoint', 'mw/now/chunk/'],
+      ...['mw/now/job/', 'mw/now/log/', 'mw/now/capability/', 'mw/now/member/', 'mw/now/share/'],
+      ...['mw/now/type/', 'mw/over/', 'mw/now/job/j-1', 'mw/over/j-1', 'mw/now/share/3'],
+      ...['mw/now/member/node-1', 'mw/now/capability/node-1', 'mw/now/lead', 'mw/now/share/3'],
+      ...['mw/now/log/lead/0001', 'mw/now/log/3/0255', 'mw/now/log/3/0000', 'mw/now/log/3/0001'],
+      '000000001234-000000000056-000000000007',
+      'mw/now/chunk/000000001234-000000000056-000000000007/0012',
+    ],
+  );
+  assert.deepEqual([logOfKey('mw/now/log/lead/0001'), logOfKey('mw/now/log/3/0255')], ['lead', 3]);
+  assert.equal(checkpointOfKey('mw/now/chunk/12-5-7/0012'), '12-5-7');
+});
+
+const CAPABILITIES_TEXT = '{"Capabilities":["gangs","handover","memory"]}';
+
+test('rows of a member, of the lead and of what it announces', async () => {
+  const node = await new Writer().start();
+  const lead = '{"Member":"node-1","Nonce":"p1.1"}';
+  assert.deepEqual(node.texts(NOW), {
+    'mw/now/capability/node-1': CAPABILITIES_TEXT,
+    'mw/now/lead': lead,
+    'mw/now/member/node-1':
+      '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":[],"WorkersUnreachable":false,"Capabilities":["gangs","handover","memory"]}',
+    'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
+    'mw/now/share/1': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
+  });
+  const notes = { unreachable: ['node-2', 'node-3'], workersUnreachable: true, resigned: [0, 2] };
+  await node.until(node.membership.tell(notes));
+  const member =
+    '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
+  assert.deepEqual(node.texts(MEMBERS), { 'mw/now/member/node-1': member });
+
+  const copy = await readBack({
+    'mw/now/token': '{"Token":41}',
+    'mw/now/lead': lead,
+    'mw/now/member/node-1': member,
+    'mw/now/capability/node-1': CAPABILITIES_TEXT,
+    'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1","Token":41}',
+  });
+  assert.deepEqual(copy.token, { value: 41, revision: 1 });
+  assert.deepEqual(copy.lead, { member: 'node-1', nonce: 'p1.1', revision: 2 });
+  const capabilities = new Set(['gangs', 'handover', 'memory']);
+  assert.deepEqual(
+    [...copy.members.values()],
+    [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
+  );
+  assert.deepEqual(copy.capabilities.get('node-1'), capabilities);
+  assert.deepEqual(copy.owners.get(2), { member: 'node-1', nonce: 'p1.1', revision: 5, token: 41 });
+});
+
+/** What an older version left out, and rows that can't be read. */
+test('rows of older versions and unreadable rows', async () => {
+  const copy = await readBack({
+    'mw/now/token': '{"Token":"x"}',
+    'mw/now/lead': '{"Member":7}',
+    'mw/now/member/node-1':
+      '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":[],"WorkersUnreachable":false}',
+    'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1"}',
+  });
+  assert.deepEqual(copy.token, { value: -1, revision: 1 });
+  assert.deepEqual(copy.lead, { member: '', nonce: '', revision: 2 });
+  const notes = { unreachable: [], workersUnreachable: false, resigned: [] };
+  assert.deepEqual(
+    [...copy.members.values()],
+    [
+      {
+        ...{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities: new Set(), ...notes },
+        revision: 3,
+      },
+    ],
+  );
+  assert.deepEqual(copy.owners.get(2), { member: '', nonce: '', revision: 4, token: 0 });
+});
+
+const LEAD_DRAFT: RecordDraft = {
+  machines: [
+    ['n-1', 'small', 'east', false, AT - 5, 0],
+    ['n-2', 'large', 'west', true, AT - 4, 1],
+    ['n-3', 'small', 'east', false, AT - 3, 0],
+    ['n-4', 'small', 'east', true, AT - 2, 0],
+    ['n-5', 'small', 'east', true, AT - 1, 1],
+  ],
+  removed: ['n-8', 'n-9'],
+  rentals: [
+    ['hire-1', 'small', 'east', false, 2, 0],
+    ['hire-2', 'large', 'west', true, 1, 1],
+  ],
+  settledRentals: ['hire-8', 'hire-9'],
+  moves: [
+    ['n-3', 1],
+    ['n-4', 'return'],
+    ['n-5', 0],
+  ],
+};
+
+const LEAD_RECORD =
+  '{"removed":["n-8","n-9"],"machines":[["n-1","small","east",false,1790000000118,0],["n-2","large","west",true,1790000000119,1],["n-3","small","east",false,1790000000120,0],["n-4","small","east",true,1790000000121,0],["n-5","small","east",true,1790000000122,1]],"settledRentals":["hire-8","hire-9"],"rentals":[["hire-1","small","east",false,2,0],["hire-2","large","west",true,1,1]],"moves":[["n-3",1],["n-4","return"],["n-5",0]],"sequence":1,"at":1790000000123}';
+
+function machine(host: string, change: Partial<MachineEntry>): MachineEntry {
+  return {
+    host,
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    since: AT,
+    share: 0,
+    destination: null,
+    status: 'new',
+    ownershipCount: 0,
+    lastReport: null,
+    images: [],
+    errors: 0,
+    failedAt: 0,
+    ...change,
+  };
+}
+
+test("records of the leader's log, with every field", async () => {
+  const node = await new Writer().start();
+  await node.append(['lead', LEAD_DRAFT]);
+  assert.deepEqual(node.texts(LOGS), { 'mw/now/log/lead/0001': LEAD_RECORD });
+
+  const { ledger } = await readBack({ 'mw/now/log/lead/0001': LEAD_RECORD });
+  assert.equal(ledger.seq('lead'), 1);
+  assert.deepEqual(
+    [...ledger.hosts.values()],
+    [
+      machine('n-1', { since: AT - 5 }),
+      machine('n-2', { machineType: 'large', zone: 'west', spot: true, since: AT - 4, share: 1 }),
+      machine('n-3', { since: AT - 3, destination: 1 }),
+      machine('n-4', { spot: true, since: AT - 2, destination: 'return' }),
+      machine('n-5', { spot: true, since: AT - 1, share: 1, destination: 0 }),
+    ],
+  );
+  assert.deepEqual(
+    [...ledger.rentals.values()],
+    [
+      { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
+      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, number: 1, share: 1, at: AT },
+    ],
+  );
+});
+
+test('a later record of the leader takes away machines and rentals', async () => {
+  const { ledger } = await readBack({
+    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/lead/0002':
+      '{"removed":["n-1"],"settledRentals":["hire-1"],"moves":[["n-3",0]],"sequence":2,"at":1790000000124}',
+  });
+  assert.deepEqual([...ledger.hosts.keys()], ['n-2', 'n-3', 'n-4', 'n-5']);
+  assert.equal(ledger.hosts.get('n-3')?.destination, null);
+  assert.deepEqual([...ledger.rentals.keys()], ['hire-2']);
+});
+
+/** In the order of the protocol; all that a record may say of an end. */
+const OUTCOMES: Outcome[] = ['done', 'stopped', 'failed', 'refused', 'lost', 'undelivered'];
+
+const START_DRAFT: RecordDraft = {
+  starts: [
+    {
+      ...{ job: 'j-1', team: 'blue', image: 'img-1', need: [2, 0, 4.5] },
+      tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? HUGE : 1]),
+    },
+    {
+      ...{ job: 'j-2', team: 'green', image: 'img-2', need: [1.5, 1, 8], gang: { attempt: 1024, size: 2 } },
+      tasks: [
+        [0, 'n-1', 1],
+        [1, 'n-4', 3],
+      ],
+    },
+  ],
+  prices: { small: [0.25, 0, 0.0125], 'large*': [0, 1.5, 0] },
+  unmet: { blue: 12.5, green: 0 },
+};
+
+const START_RECORD =
+  '{"prices":{"small":[0.25,0,0.0125],"large*":[0,1.5,0]},"unmet":{"blue":12.5,"green":0},"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4.5],"tasks":[[0,"n-1","9223372036854775809n"],[1,"n-1",1],[2,"n-1",1],[3,"n-1",1],[4,"n-1",1],[5,"n-1",1]]},{"job":"j-2","team":"green","image":"img-2","need":[1.5,1,8],"gang":{"attempt":1024,"size":2},"tasks":[[0,"n-1",1],[1,"n-4",3]]}],"sequence":1,"at":1790000000123}';
+
+const END_DRAFT: RecordDraft = {
+  ends: OUTCOMES.map((outcome, i): [string, number, number, Outcome] => ['j-1', i, 1024, outcome]),
+  statuses: [
+    ['n-1', 'up'],
+    ['n-3', 'silent'],
+    ['n-4', 'recalled'],
+    ['n-1', 'faulty'],
+    ['n-3', 'lost'],
+    ['n-4', 'new'],
+  ],
+  releases: [
+    ['n-3', [HUGE, 7]],
+    ['n-4', null],
+  ],
+  takes: ['n-5'],
+};
+
+const END_RECORD =
+  '{"ends":[["j-1",0,1024,"done"],["j-1",1,1024,"stopped"],["j-1",2,1024,"failed"],["j-1",3,1024,"refused"],["j-1",4,1024,"lost"],["j-1",5,1024,"undelivered"]],"statuses":[["n-1","up"],["n-3","silent"],["n-4","recalled"],["n-1","faulty"],["n-3","lost"],["n-4","new"]],"takes":["n-5"],"releases":[["n-3",["9223372036854775809n",7]],["n-4",null]],"sequence":2,"at":1790000000123}';
+
+const RELEASE_RECORD = '{"releases":[["n-5",[4,5]]],"sequence":1,"at":1790000000123}';
+
+function placement(change: Partial<Placement>): Placement {
+  return {
+    ...{ job: 'j-1', index: 0, taskName: 'j-1/0', team: 'blue', attempt: 1024, host: 'n-1', session: 1 },
+    ...{ at: AT, cpus: 2, gpus: 0, memGb: 4.5, gangSize: null },
+    ...change,
+  };
+}
+
+test("records of an owner's log, with every field, status and outcome", async () => {
+  const node = await new Writer().start();
+  await node.append(['lead', LEAD_DRAFT]);
+  await node.append([0, START_DRAFT]);
+  await node.append([1, { releases: [['n-5', [4, 5]]] }]);
+  await node.append([0, END_DRAFT]);
+  assert.deepEqual(node.texts(LOGS), {
+    'mw/now/log/0/0001': START_RECORD,
+    'mw/now/log/0/0002': END_RECORD,
+    'mw/now/log/1/0001': RELEASE_RECORD,
+    'mw/now/log/lead/0001': LEAD_RECORD,
+  });
+
+  // The job is live: what is done of it counts.
+  const job = { 'mw/now/job/j-1': `{"At":${AT},"Job":${textOf(sampleJob('j-1'))}}` };
+  const started = await readBack({
+    ...job,
+    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/0/0001': START_RECORD,
+  });
+  const gang = { job: 'j-2', team: 'green', cpus: 1.5, gpus: 1, memGb: 8, gangSize: 2 };
+  assert.deepEqual(
+    [...started.ledger.placementsOn('n-1')],
+    [
+      placement({ session: HUGE }),
+      ...[1, 2, 3, 4, 5].map((index) => placement({ index, taskName: `j-1/${index}` })),
+      placement({ ...gang, taskName: 'j-2/0' }),
+    ],
+  );
+  assert.deepEqual(
+    [...started.ledger.placementsOn('n-4')],
+    [placement({ ...gang, index: 1, taskName: 'j-2/1', host: 'n-4', session: 3 })],
+  );
+  assert.deepEqual(
+    [...(started.ledger.prices.get(0) ?? [])],
+    [
+      ['small', { cpu: 0.25, gpu: 0, mem: 0.0125 }],
+      ['large*', { cpu: 0, gpu: 1.5, mem: 0 }],
+    ],
+  );
+
+  const ended = await readBack({
+    ...job,
+    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/0/0001': START_RECORD,
+    'mw/now/log/1/0001': RELEASE_RECORD,
+    'mw/now/log/0/0002': END_RECORD,
+  });
+  const { hosts, jobEntries } = ended.ledger;
+  assert.deepEqual(
+    ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => hosts.get(host)),
+    [
+      machine('n-1', {
+        ...{ since: AT - 5, status: 'faulty', images: ['img-1', 'img-2'], errors: 1, failedAt: AT },
+      }),
+      machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
+      machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
+      machine('n-5', { since: AT - 1, spot: true, ownershipCount: 1, lastReport: [4, 5] }),
+    ],
+  );
+  const entry = jobEntries.get('j-1');
+  assert.deepEqual(entry?.done.ranges(), ['0']);
+  assert.deepEqual([entry.placed.size, entry.errors, entry.failedAt], [0, 1, AT]);
+});
+
+test('records of one commit carry their place in it; a draft too large for a value is cut', async () => {
+  const node = await new Writer().start(640);
+  await node.append(['lead', { machines: LEAD_DRAFT.machines ?? [] }]);
+  const tasks = [...Array(60).keys()].map((i): [number, string, Count] => [i, 'n-1', 1]);
+  const start = { job: 'j-1', team: 'blue', image: 'img-1', need: [2, 0, 4] as [number, number, number] };
+  await node.append(
+    [0, { starts: [{ ...start, gang: { attempt: 1024, size: 60 }, tasks }], statuses: [['n-1', 'up']] }],
+    [1, { statuses: [['n-2', 'up']], unmet: { green: 1 } }],
+  );
+  const records = {
+    'mw/now/log/0/0001':
+      '{"statuses":[["n-1","up"]],"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4],"gang":{"attempt":1024,"size":60},"tasks":[[0,"n-1",1],[1,"n-1",1],[2,"n-1",1],[3,"n-1",1],[4,"n-1",1],[5,"n-1",1],[6,"n-1",1],[7,"n-1",1],[8,"n-1",1],[9,"n-1",1],[10,"n-1",1],[11,"n-1",1],[12,"n-1",1],[13,"n-1",1],[14,"n-1",1],[15,"n-1",1],[16,"n-1",1],[17,"n-1",1],[18,"n-1",1],[19,"n-1",1],[20,"n-1",1],[21,"n-1",1],[22,"n-1",1]]}],"sequence":1,"at":1790000000123,"order":1}',
+    'mw/now/log/0/0002':
+      '{"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4],"gang":{"attempt":1024,"size":60},"tasks":[[23,"n-1",1],[24,"n-1",1],[25,"n-1",1],[26,"n-1",1],[27,"n-1",1],[28,"n-1",1],[29,"n-1",1],[30,"n-1",1],[31,"n-1",1],[32,"n-1",1],[33,"n-1",1],[34,"n-1",1],[35,"n-1",1],[36,"n-1",1],[37,"n-1",1],[38,"n-1",1],[39,"n-1",1],[40,"n-1",1],[41,"n-1",1],[42,"n-1",1],[43,"n-1",1],[44,"n-1",1],[45,"n-1",1],[46,"n-1",1]]}],"sequence":2,"at":1790000000123,"order":2}',
+    'mw/now/log/0/0003':
+      '{"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4],"gang":{"attempt":1024,"size":60},"tasks":[[47,"n-1",1],[48,"n-1",1],[49,"n-1",1],[50,"n-1",1],[51,"n-1",1],[52,"n-1",1],[53,"n-1",1],[54,"n-1",1],[55,"n-1",1],[56,"n-1",1],[57,"n-1",1],[58,"n-1",1],[59,"n-1",1]]}],"sequence":3,"at":1790000000123,"order":3}',
+    'mw/now/log/1/0001': '{"statuses":[["n-2","up"]],"unmet":{"green":1},"sequence":1,"at":1790000000123}',
+    'mw/now/log/lead/0001':
+      '{"machines":[["n-1","small","east",false,1790000000118,0],["n-2","large","west",true,1790000000119,1],["n-3","small","east",false,1790000000120,0],["n-4","small","east",true,1790000000121,0],["n-5","small","east",true,1790000000122,1]],"sequence":1,"at":1790000000123}',
+  };
+  assert.deepEqual(node.texts(LOGS), records);
+
+  // Pages of rows come in the order of their keys, not of their commits.
+  const copy = await node.load();
+  const placed = [...(copy.ledger.jobEntries.get('j-1')?.placed.values() ?? [])];
+  assert.equal(placed.length, 60);
+  assert.ok(placed.every((p) => p.attempt === 1024 && copy.ledger.isWhole(p)));
+  const changes = Object.entries(records).map(([path, text]) => ({
+    path,
+    value: valueOf(text),
+    revision: path.includes('lead') ? 1 : 2,
+  }));
+  assert.deepEqual(
+    changes.sort(inOrder).map(({ path }) => path),
+    [
+      'mw/now/log/lead/0001',
+      'mw/now/log/1/0001',
+      'mw/now/log/0/0001',
+      'mw/now/log/0/0002',
+      'mw/now/log/0/0003',
+    ],
+  );
+});
+
+test('how a job ended, where it lies among the live ones and where it is put away', async () => {
+  const node = await new Writer().start();
+  for (const id of ['j-1', 'j-2']) {
+    node.store.spoil({ Set: jobKey(id), V: { At: AT, Job: { ...sampleJob(id) } } });
+  }
+  await node.pass(SECOND);
+  const done = [...node.replica.jobs].filter(([id]) => id === 'j-1');
+  await node.until(node.writer.finish(done, [0]));
+  await node.until(node.client().commit([], [endWrite('j-2', 'cancelled')]));
+  await node.pass(SECOND);
+  const live = { 'mw/now/job/j-1': '{"Status":"done"}', 'mw/now/job/j-2': '{"Status":"cancelled"}' };
+  assert.deepEqual(node.texts(JOBS), live);
+  const copy = await readBack(live);
+  assert.deepEqual([...copy.jobs], []);
+  assert.deepEqual(
+    [...copy.ended],
+    [
+      ['j-1', { status: 'done', revision: 1 }],
+      ['j-2', { status: 'cancelled', revision: 2 }],
+    ],
+  );
+
+  await node.until(node.writer.tidy());
+  await node.pass(SECOND);
+  assert.deepEqual(node.texts(JOBS), {});
+  const over = { 'mw/over/j-1': '{"Status":"done"}', 'mw/over/j-2': '{"Status":"cancelled"}' };
+  assert.deepEqual(node.texts(OVER), over);
+  const service = new Service();
+  for (const [path, text] of Object.entries(over)) service.store.spoil({ Set: path, V: valueOf(text) });
+  const later = await service.load();
+  assert.equal(await service.until(later.final('j-1')), 'done');
+  assert.equal(await service.until(later.final('j-2')), 'cancelled');
+  assert.equal(await service.until(later.final('j-3')), null);
+});
+
+/** A node whose ledger has something of every kind that a checkpoint holds. */
+async function fullNode(): Promise<Writer> {
+  const node = await new Writer().start();
+  for (const id of ['j-1', 'j-3']) {
+    node.store.spoil({ Set: jobKey(id), V: { At: AT, Job: { ...sampleJob(id) } } });
+  }
+  await node.append(['lead', LEAD_DRAFT]);
+  await node.append([0, START_DRAFT]);
+  await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'recalled']] }]);
+  await node.append([0, END_DRAFT]);
+  // More names than one row holds.
+  const more = [...Array(14).keys()].map((i): HostRow => [
+    `n-${i + 6}`,
+    `type-${i}`,
+    'north',
+    true,
+    AT + i,
+    0,
+  ]);
+  await node.append(['lead', { machines: more }]);
+  await node.append([
+    0,
+    {
+      statuses: [
+        ['n-6', 'up'],
+        ['n-5', 'silent'],
+      ],
+    },
+  ]);
+  // More tasks, and more gaps between those that are done, than one row holds.
+  const odd = [...Array(61).keys()].map((i) => 2 * i + 1);
+  const tasks = odd.map((i): [number, string, Count] => [i, i % 4 === 1 ? 'n-1' : 'n-5', i === 3 ? HUGE : 2]);
+  const image = `img-${'x'.repeat(300)}`;
+  await node.append([0, { starts: [{ job: 'j-3', team: 'blue', image, need: [0.5, 0, 1], tasks }] }]);
+  const attempt = 4 * 1024;
+  await node.append([
+    0,
+    { ends: odd.map((i): [string, number, number, Outcome] => ['j-3', i, attempt, 'done']) },
+  ]);
+  await node.append([
+    0,
+    {
+      starts: [
+        {
+          job: 'j-1',
+          team: 'blue',
+          image,
+          need: [0.5, 0, 1],
+          tasks: tasks.map(([, host, session], i): [number, string, Count] => [i, host, session]),
+        },
+      ],
+    },
+  ]);
+  await node.append([0, { ends: [['j-1', 60, 6 * 1024, 'failed']] }]);
+  for (let i = node.replica.ledger.size; i < 90; i++) await node.append(['lead', {}]);
+  return node;
+}
+
+const CHECKPOINT_HEAD_TEXT =
+  '{"Id":"000000000090-000000000002-000000000001","Positions":{"0":7,"1":1,"lead":82},"Chunks":1}';
+
+const CHECKPOINT_ROWS = [
+  '["t",1790000000136]',
+  '["n","img-1","img-2"]',
+  `["n","img-${'x'.repeat(300)}"]`,
+  '["n","small","east","large","west","type-0","north","type-1","type-2","type-3","type-4","type-5","type-6","type-7","type-8","type-9","type-10","type-11","type-12","type-13","blue"]',
+  '["n","green"]',
+  '["h","n-1",3,4,0,-18,0,4,[0,1,2],0,null,null,1,1790000000123]',
+  '["h","n-2",5,6,1,-17,1,3]',
+  '["h","n-3",3,4,0,-16,null,5,[],0,["9223372036854775809n",7],1]',
+  '["h","n-4",3,4,1,-15,null,1,[1],0,null,"return"]',
+  '["h","n-5",3,4,1,-14,0,2,[2],1,[4,5]]',
+  '["h","n-6",7,8,1,-13,0]',
+  '["h","n-7",9,8,1,-12,0,1]',
+  '["h","n-8",10,8,1,-11,0,1]',
+  '["h","n-9",11,8,1,-10,0,1]',
+  '["h","n-10",12,8,1,-9,0,1]',
+  '["h","n-11",13,8,1,-8,0,1]',
+  '["h","n-12",14,8,1,-7,0,1]',
+  '["h","n-13",15,8,1,-6,0,1]',
+  '["h","n-14",16,8,1,-5,0,1]',
+  '["h","n-15",17,8,1,-4,0,1]',
+  '["h","n-16",18,8,1,-3,0,1]',
+  '["h","n-17",19,8,1,-2,0,1]',
+  '["h","n-18",20,8,1,-1,0,1]',
+  '["h","n-19",21,8,1,0,0,1]',
+  '["q",{"id":"hire-1","machineType":"small","zone":"east","spot":false,"number":2,"share":0,"at":1790000000123}]',
+  '["q",{"id":"hire-2","machineType":"large","zone":"west","spot":true,"number":1,"share":1,"at":1790000000123}]',
+  '["p",0,"small",0.25,0,0.0125]',
+  '["p",0,"large*",0,1.5,0]',
+  '["s","j-1",22,-13,6144,[0.5,0,1],[[1,4,"9223372036854775809n"],[2,0,2],[3,4,2],[4,0,2],[5,4,2],[6,0,2],[7,4,2],[8,0,2],[9,4,2],[10,0,2],[11,4,2],[12,0,2],[13,4,2],[14,0,2],[15,4,2],[16,0,2],[17,4,2],[18,0,2],[19,4,2],[20,0,2],[21,4,2],[22,0,2],[23,4,2],[24,0,2],[25,4,2],[26,0,2],[27,4,2],[28,0,2],[29,4,2],[30,0,2],[31,4,2],[32,0,2],[33,4,2],[34,0,2],[35,4,2],[36,0,2],[37,4,2],[38,0,2],[39,4,2],[40,0,2]]]',
+  '["s","j-1",22,-13,6144,[0.5,0,1],[[41,4,2],[42,0,2],[43,4,2],[44,0,2],[45,4,2],[46,0,2],[47,4,2],[48,0,2],[49,4,2],[50,0,2],[51,4,2],[52,0,2],[53,4,2],[54,0,2],[55,4,2],[56,0,2],[57,4,2],[58,0,2],[59,4,2]]]',
+  '["d","j-1","0"]',
+  '["s","j-2",23,-13,1024,[1.5,1,8],[[0,0,1],[1,3,3]],2]',
+  '["d","j-3","1,3,5,7,9,11,13,15,17,19,21,23,25,27,29,31,33,35,37,39,41,43,45,47,49,51,53,55,57,59,61,63,65,67,69,71,73,75,77,79,81,83,85,87,89,91,93,95,97,99,101,103,105,107,109,111,113,115,117,119"]',
+  '["d","j-3","121"]',
+];
+
+const LIVE_JOBS = {
+  'mw/now/job/j-1': `{"At":${AT},"Job":${textOf(sampleJob('j-1'))}}`,
+  'mw/now/job/j-3': `{"At":${AT},"Job":${textOf(sampleJob('j-3'))}}`,
+};
+
+test('rows of a checkpoint, of every kind, and its head', async () => {
+  const node = await fullNode();
+  await node.until(node.writer.tidy());
+  const chunk = `{"Rows":[${CHECKPOINT_ROWS.join()}]}`;
+  const texts = {
+    'mw/now/checkpoint': CHECKPOINT_HEAD_TEXT,
+    'mw/now/chunk/000000000090-000000000002-000000000001/0000': chunk,
+  };
+  assert.deepEqual({ ...node.texts(CHECKPOINT_HEAD), ...node.texts(CHUNKS) }, texts);
+
+  const { ledger, checkpointChunks, sinceCheckpoint } = await readBack({ ...LIVE_JOBS, ...texts });
+  assert.deepEqual([checkpointChunks, sinceCheckpoint], [1, 0]);
+  assert.deepEqual(ledger.allPositions(), { 0: 7, 1: 1, lead: 82 });
+  const isLive = (job: string): boolean => job !== 'j-2';
+  assert.equal(textOf({ Rows: checkpointRows(ledger, isLive) }), chunk);
+  const image = `img-${'x'.repeat(300)}`;
+  assert.deepEqual(
+    ['n-1', 'n-2', 'n-3', 'n-4', 'n-5', 'n-6', 'n-7'].map((host) => ledger.hosts.get(host)),
+    [
+      machine('n-1', {
+        ...{ since: AT - 5, status: 'faulty', images: ['img-1', 'img-2', image], errors: 1, failedAt: AT },
+      }),
+      machine('n-2', {
+        ...{ machineType: 'large', zone: 'west', spot: true, since: AT - 4, share: 1, status: 'recalled' },
+      }),
+      machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
+      machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
+      machine('n-5', {
+        ...{ since: AT - 1, spot: true, status: 'silent', ownershipCount: 1, lastReport: [4, 5] },
+        images: [image],
+      }),
+      machine('n-6', { machineType: 'type-0', zone: 'north', spot: true, since: AT, status: 'up' }),
+      machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, since: AT + 1 }),
+    ],
+  );
+  assert.deepEqual(
+    [...ledger.rentals.values()],
+    [
+      { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
+      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, number: 1, share: 1, at: AT },
+    ],
+  );
+  assert.deepEqual(
+    [...(ledger.prices.get(0) ?? [])],
+    [
+      ['small', { cpu: 0.25, gpu: 0, mem: 0.0125 }],
+      ['large*', { cpu: 0, gpu: 1.5, mem: 0 }],
+    ],
+  );
+  assert.deepEqual(
+    ledger.placement('j-1', 1),
+    placement({
+      ...{ index: 1, taskName: 'j-1/1', host: 'n-5', session: HUGE, attempt: 6 * 1024 },
+      ...{ cpus: 0.5, memGb: 1 },
+    }),
+  );
+  assert.deepEqual(
+    ledger.placement('j-2', 1),
+    placement({
+      ...{ job: 'j-2', index: 1, taskName: 'j-2/1', team: 'green', host: 'n-4', session: 3 },
+      ...{ cpus: 1.5, gpus: 1, memGb: 8, gangSize: 2 },
+    }),
+  );
+  assert.equal(ledger.jobEntries.get('j-3')?.done.count, 61);
+});
+
+test('a checkpoint larger than a value is cut into chunks', async () => {
+  const node = await fullNode();
+  await node.until(node.writerFor(1024).tidy());
+  const chunks = Object.entries(node.texts(CHUNKS));
+  const prefix = 'mw/now/chunk/000000000090-000000000002-000000000001';
+  assert.deepEqual(
+    chunks.map(([path, text]) => [path, (valueOf(text)['Rows'] as unknown[]).length]),
+    [
+      [`${prefix}/0000`, 11],
+      [`${prefix}/0001`, 17],
+      [`${prefix}/0002`, 4],
+      [`${prefix}/0003`, 2],
+    ],
+  );
+  const head = CHECKPOINT_HEAD_TEXT.replace('"Chunks":1', '"Chunks":4');
+  assert.deepEqual(node.texts(CHECKPOINT_HEAD), { 'mw/now/checkpoint': head });
+  const rows = chunks.flatMap(([, text]) => valueOf(text)['Rows'] as unknown[]);
+  assert.equal(textOf(rows), `[${CHECKPOINT_ROWS.join()}]`);
+  const copy = await node.load();
+  assert.equal(textOf(checkpointRows(copy.ledger, (job) => job !== 'j-2')), `[${CHECKPOINT_ROWS.join()}]`);
+});
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,4 +1,4 @@
-import { type Fields, isFields, type Method, type Micros, MS, SECOND } from '#wire';
+import { type Fields, isFields, jsonBytes, type Method, type Micros, MS, SECOND } from '#wire';
 import type { WorldClock } from './sim-clock.js';
 import type { Handler, Served } from './sim-net.js';
 
@@ -210,7 +210,7 @@
     let bytes = 0;
     for (const key of keys.slice(0, limit)) {
       const row = this.rows.get(key) as Row;
-      bytes += key.length + Buffer.byteLength(JSON.stringify(row.value));
+      bytes += key.length + jsonBytes(row.value);
       if (Rows.length > 0 && bytes > PAGE_BYTES) break;
       Rows.push({ Path: key, V: row.value, Stamp: row.revision });
     }
@@ -225,7 +225,7 @@
     if (!this.admit(this.changes, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
     for (const w of writes) {
       if (w['Set'] === undefined) continue;
-      if (Buffer.byteLength(JSON.stringify(w['V'])) > this.limits.valueBytes) {
+      if (jsonBytes(w['V']) > this.limits.valueBytes) {
         if (!this.areLowered) throw new Error(`value of ${String(w['Set'])} is over the limit`);
         this.tooLarge++;
         return { status: 400, body: {} };
