--- a/packages/cluster/capabilities.ts
+++ b/packages/cluster/capabilities.ts
@@ -3,8 +3,6 @@
  * by side; formats and jobs that an old one would misread come into use only once every node has announced that it
  * understands them.
  */
-import type { Fields } from '#wire';
-
 /**
  * `gangs`: jobs whose tasks start together, their starts in the logs and in checkpoints. `handover`: the shares that a
  * member gives up, in its record; the leader deals them to others. `memory`: peers tell each other what they
@@ -15,17 +13,6 @@
 /** What this version announces. */
 export const OWN_CAPABILITIES: readonly Capability[] = ['gangs', 'handover', 'memory'];
 
-/** A node's announcement, as it lies in its member record and, beyond its process's end, under a key of its own. */
-export function encodeCapabilities(): Fields {
-  return { Capabilities: [...OWN_CAPABILITIES] };
-}
-
-/** Reads an announcement; a value without one, as older versions write it, announces nothing. */
-export function decodeCapabilities(value: Fields | null): ReadonlySet<string> {
-  const listed = value?.['Capabilities'];
-  return new Set(Array.isArray(listed) ? listed.map(String) : []);
-}
-
 export interface Announcements {
   /** By living member: what its present process announces. */
   living: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -1,8 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkpointRows } from './checkpoint.js';
-import { type HostRow, Ledger, type StartGroup } from './ledger.js';
-import { splitDraft } from './writer.js';
+import { Ledger } from './ledger.js';
+import type { HostRow, StartGroup } from './placement.js';
+import { checkpointRows } from './stored/checkpoint-codec.js';
+import { encodeRecordDraft } from './stored/record-codec.js';
+import { splitDraft } from './stored/record-splitter.js';
 
 const ATTEMPT = 3072;
 const HOSTS = ['n-1', 'n-2', 'n-3'];
@@ -45,7 +47,7 @@
 });
 
 test('the parts of a start that is cut to fit its values bear one attempt', () => {
-  const parts = splitDraft({ starts: [part([0, 1, 2])] }, 100);
+  const parts = splitDraft(encodeRecordDraft({ starts: [part([0, 1, 2])] }), 100);
   assert.ok(parts.length > 1);
   for (const { starts } of parts) assert.deepEqual(starts?.[0]?.gang, { attempt: ATTEMPT, size: 3 });
 });
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -2,11 +2,13 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { jsonBytes } from '#wire';
-import { checkpointRows } from './checkpoint.js';
 import { DoneSet } from './done-set.js';
 import type { LogId } from './keys.js';
-import { type HostRow, Ledger, type PlacementRecord, type StartGroup } from './ledger.js';
-import { packRows, type RecordDraft, splitDraft } from './writer.js';
+import { Ledger } from './ledger.js';
+import type { HostRow, PlacementRecord, StartGroup } from './placement.js';
+import { checkpointRows, packRows } from './stored/checkpoint-codec.js';
+import type { StoredRecordDraft } from './stored/record-codec.js';
+import { splitDraft } from './stored/record-splitter.js';
 
 type Step = [log: LogId, record: PlacementRecord];
 
@@ -199,7 +201,7 @@
 test('a draft of any size is cut into values within the limit, nothing lost, no start before an end', () => {
   fc.assert(
     fc.property(fc.nat(400), fc.nat(400), fc.integer({ min: 600, max: 4000 }), (ends, starts, limit) => {
-      const draft: RecordDraft = {
+      const draft: StoredRecordDraft = {
         ends: Array.from({ length: ends }, (_, i) => [`j-${i}`, i, 7, 'done']),
         starts: [
           { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 2], tasks: [] },
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -1,6 +1,5 @@
 /** All live state as the state service lists it, read into a ledger; and changes that no node ever makes. */
 import type { Change, Row } from '#store';
-import type { CheckpointRow } from './checkpoint.js';
 import {
   CHECKPOINT_HEAD,
   checkpointOfKey,
@@ -13,9 +12,12 @@
   overKey,
   TOKEN_KEY,
 } from './keys.js';
-import { Ledger, type PlacementRecord, type Positions } from './ledger.js';
-import { decodeToken, UNREADABLE_TOKEN } from './rows.js';
+import { Ledger } from './ledger.js';
 import type { RowDifferences } from './state-check.js';
+import { type CheckpointRow, decodeCheckpointHead, decodeChunk } from './stored/checkpoint-codec.js';
+import { decodeToken, UNREADABLE_TOKEN } from './stored/holder-codec.js';
+import { isTerminal } from './stored/job-codec.js';
+import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
 
 /** All live rows as of one epoch. */
 export interface LiveRows {
@@ -35,18 +37,19 @@
   if (head) {
     const byPath = new Map(rows.filter((r) => r.path.startsWith(CHUNKS)).map((r) => [r.path, r]));
     const parts: CheckpointRow[] = [];
-    for (let i = 0; i < Number(head['Chunks']); i++) {
-      const chunk = byPath.get(chunkKey(String(head['Id']), i));
+    const { id, positions, chunkCount } = decodeCheckpointHead(head);
+    for (let i = 0; i < chunkCount; i++) {
+      const chunk = byPath.get(chunkKey(id, i));
       if (!chunk) throw new IncompleteState(`checkpoint lacks part ${i}`);
-      parts.push(...(chunk.value['Rows'] as CheckpointRow[]));
+      parts.push(...decodeChunk(chunk.value));
     }
-    ledger.restore(head['Positions'] as Positions, parts);
+    ledger.restore(positions, parts);
   }
   // The order of commits is the order of their epochs, whichever logs they went to.
   const records = rows.filter((row) => row.path.startsWith(LOGS)).sort(inOrder);
   const live = liveJobs(rows);
   for (const { path, value } of records) {
-    const record = value as unknown as PlacementRecord;
+    const record = decodeRecord(value);
     // A place may have been taken anew since the checkpoint was read.
     if (!ledger.apply(logOfKey(path), record)) {
       throw new IncompleteState('log and checkpoint were read at different times');
@@ -59,7 +62,7 @@
 
 /** Jobs that have not ended. */
 function liveJobs(rows: readonly Row[]): Set<string> {
-  const live = rows.filter(({ path, value }) => path.startsWith(JOBS) && value['Status'] === undefined);
+  const live = rows.filter(({ path, value }) => path.startsWith(JOBS) && !isTerminal(value));
   return new Set(live.map(({ path }) => path.slice(JOBS.length)));
 }
 
@@ -71,7 +74,7 @@
 
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
 export function inOrder(x: Change, y: Change): number {
-  return x.revision - y.revision || Number(x.value?.['order'] ?? 0) - Number(y.value?.['order'] ?? 0);
+  return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
 }
 
 /** What a copy knows of the place of a record. */
@@ -96,7 +99,7 @@
     const row = shown.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) wentBack.push(path);
-    else if (Number(row.value['sequence']) === seq && row.revision !== revision) forked.push(path);
+    else if (storedSequence(row.value) === seq && row.revision !== revision) forked.push(path);
   }
   for (const [path, revision] of revisions) {
     const row = shown.get(path);
@@ -122,13 +125,13 @@
   const ended = new Set<string>();
   let { checkpointId } = copy;
   for (const { path, value } of changes) {
-    if (path === CHECKPOINT_HEAD && value) checkpointId = String(value['Id']);
+    if (path === CHECKPOINT_HEAD && value) checkpointId = decodeCheckpointHead(value).id;
     else if (path.startsWith(JOBS)) {
       const job = path.slice(JOBS.length);
-      if (value?.['Status'] !== undefined) ended.add(job);
+      if (value && isTerminal(value)) ended.add(job);
       else if (!value && copy.isLive(job) && !ended.has(job)) lost.push(path);
     } else if (path.startsWith(LOGS)) {
-      const isBack = value !== null && Number(value['sequence']) <= copy.position(path);
+      const isBack = value !== null && storedSequence(value) <= copy.position(path);
       if (!value || isBack) lost.push(path);
     } else if (!value && isKeptForever(path, checkpointId)) lost.push(path);
   }
@@ -143,7 +146,11 @@
 /** A part of a checkpoint that these rows don't rely on. */
 export function isOldChunk(path: string, { rows }: LiveRows): boolean {
   const head = rows.find((row) => row.path === CHECKPOINT_HEAD);
-  return path.startsWith(CHUNKS) && head !== undefined && checkpointOfKey(path) !== String(head.value['Id']);
+  return (
+    path.startsWith(CHUNKS) &&
+    head !== undefined &&
+    checkpointOfKey(path) !== decodeCheckpointHead(head.value).id
+  );
 }
 
 function isKeptForever(path: string, checkpointId: string): boolean {
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -1,28 +1,16 @@
-import { encodeCapabilities, OWN_CAPABILITIES } from './capabilities.js';
+import { OWN_CAPABILITIES } from './capabilities.js';
 import { capabilityKey, LEAD, memberKey, ownershipKey } from './keys.js';
 import type { Logger } from './logger.js';
+import type { Lead, MemberNotes, ShareOwner } from './members.js';
 import type { Replica } from './replica.js';
-import type { Lead, ShareOwner } from './rows.js';
+import { encodeHolder } from './stored/holder-codec.js';
+import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
 import { type DutyHolder, type DutyName, DutyRegistry } from '#duties';
 import { type StoreClient, StoreError } from '#store';
-import { type Clock, type Count, type Micros, MS, SECOND, sleep } from '#wire';
+import { type Clock, type Count, type Fields, type Micros, MS, SECOND, sleep } from '#wire';
 
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
-/** Whom a node can't reach. */
-export interface MemberContacts {
-  /** Members, by its peer links. */
-  unreachable: string[];
-  /** Its workers ask the other nodes, and none of them arrives here. */
-  workersUnreachable: boolean;
-}
-
-/** What a node tells the others in its member record. */
-export interface MemberNotes extends MemberContacts {
-  /** Shares that it gives up on purpose. */
-  resigned: number[];
-}
-
 /** How long a member outlives its last sign of life. */
 const LIFE: Micros = 3 * SECOND;
 const RENEW: Micros = 800 * MS;
@@ -144,15 +132,9 @@
     return this.state === 'member' && nonce === this.standing?.nonce;
   }
 
-  private memberRecord(standing: { nonce: string; leaseId: Count }): Record<string, unknown> {
-    const { unreachable, workersUnreachable, resigned } = this.notes;
-    return {
-      ...{ Nonce: standing.nonce, Zone: this.zone, Permit: standing.leaseId },
-      ...{ Unreachable: unreachable, WorkersUnreachable: workersUnreachable },
-      // Only once all nodes have announced to know it, and left out where there is nothing to say.
-      ...(resigned.length > 0 ? { Resigned: resigned } : {}),
-      ...encodeCapabilities(),
-    };
+  private memberRecord({ nonce, leaseId }: { nonce: string; leaseId: Count }): Fields {
+    const { zone, notes } = this;
+    return encodeMember({ nonce, zone, leaseId, notes, capabilities: OWN_CAPABILITIES });
   }
 
   private async join(): Promise<void> {
@@ -197,7 +179,7 @@
     // Guarded by this process's own record: a late commit can't speak for a later process.
     await this.store.commit(
       [{ path: memberKey(this.member), revision: memberRecord.revision }],
-      [{ set: capabilityKey(this.member), value: encodeCapabilities() }],
+      [{ set: capabilityKey(this.member), value: encodeCapabilities(OWN_CAPABILITIES) }],
     );
   }
 
@@ -239,9 +221,10 @@
     const { standing } = this;
     if (!standing || this.state !== 'member' || !this.vacant()) return;
     this.duties.acquiring('lead');
+    const value = encodeHolder({ member: this.member, nonce: standing.nonce });
     const result = await this.store.commit(
       [{ path: LEAD, revision: this.replica.lead?.revision ?? 0 }],
-      [{ set: LEAD, value: { Member: this.member, Nonce: standing.nonce }, leaseId: standing.leaseId }],
+      [{ set: LEAD, value, leaseId: standing.leaseId }],
     );
     if (result.kind === 'applied') this.log.info({ nonce: standing.nonce }, 'leading');
     else {
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -2,10 +2,11 @@
 import { test } from 'node:test';
 import type { Change, Row, StoreClient } from '#store';
 import { SimClock } from '#testkit';
-import { type Fields, type Micros, MS, SECOND } from '#wire';
+import { type Micros, MS, SECOND } from '#wire';
 import { logKey, type LogId } from './keys.js';
-import type { PlacementRecord, StartGroup } from './ledger.js';
+import type { PlacementRecord, StartGroup } from './placement.js';
 import { Replica } from './replica.js';
+import { encodeRecord, encodeRecordDraft } from './stored/record-codec.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
@@ -52,7 +53,7 @@
 
   commit({ log, record }: Commit): void {
     const path = logKey(log, record.sequence);
-    const row = { path, value: record as unknown as Fields, revision: ++this.epoch };
+    const row = { path, value: encodeRecord(encodeRecordDraft(record), record), revision: ++this.epoch };
     this.rows.set(path, row);
     this.history.push(row);
     this.wake();
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -21,7 +21,8 @@
   SHARES,
   TYPES,
 } from './keys.js';
-import { allSupport, type Capability, decodeCapabilities } from './capabilities.js';
+import { allSupport, type Capability } from './capabilities.js';
+import type { Final, LiveJob } from './jobs.js';
 import {
   buildLedger,
   compareRows,
@@ -35,40 +36,24 @@
   successorOf,
   tokenIn,
 } from './live-state.js';
+import { Ledger } from './ledger.js';
+import type { Lead, Member, ShareOwner } from './members.js';
+import type { Positions } from './placement.js';
+import { decodeCheckpointHead } from './stored/checkpoint-codec.js';
 import {
-  decodeFinal,
   decodeHolder,
-  decodeMember,
   decodeOwner,
   decodeToken,
-  type Final,
   isReadable,
-  type Lead,
-  type Member,
-  type ShareOwner,
   UNREADABLE_TOKEN,
-} from './rows.js';
-import { Ledger, type PlacementRecord, type Positions } from './ledger.js';
+} from './stored/holder-codec.js';
+import { decodeFinal, decodeJobRow, isTerminal } from './stored/job-codec.js';
+import { decodeMachineTypeRow } from './stored/machine-type-codec.js';
+import { decodeCapabilities, decodeMember } from './stored/member-codec.js';
+import { decodeRecord, storedSequence } from './stored/record-codec.js';
 import { type StateCheck, type StateSummary, TRUSTING_STATE_CHECK } from './state-check.js';
 import { type Change, Meter, NEVER_WRITTEN, Pace, type Row, type StoreClient, StoreError } from '#store';
-import {
-  type Clock,
-  type Fields,
-  type MachineType,
-  type Micros,
-  MS,
-  SECOND,
-  sleep,
-  type JobSpec,
-} from '#wire';
-
-export interface LiveJob {
-  spec: JobSpec;
-  /** Time of day of its acceptance, in milliseconds. */
-  at: number;
-  /** Order of acceptance. */
-  revision: number;
-}
+import { type Clock, type Fields, type MachineType, type Micros, MS, SECOND, sleep } from '#wire';
 
 /**
  * `loading`: reads all live state, page by page. `catching_up`: applies what was committed while it read.
@@ -461,12 +446,12 @@
     } else if (path.startsWith(OVER)) {
       if (value) this.keepFinal(path.slice(OVER.length), value);
     } else if (path.startsWith(TYPES)) {
-      if (value) this.types.set(path.slice(TYPES.length), value['Type'] as MachineType);
+      if (value) this.types.set(path.slice(TYPES.length), decodeMachineTypeRow(value));
       else this.types.delete(path.slice(TYPES.length));
     } else if (path === CHECKPOINT_HEAD) {
       if (!value) return;
-      const positions = value['Positions'] as Positions;
-      this.checkpoint = { id: String(value['Id']), positions, chunks: Number(value['Chunks']), revision };
+      const { id, positions, chunkCount } = decodeCheckpointHead(value);
+      this.checkpoint = { id, positions, chunks: chunkCount, revision };
     } else if (path.startsWith(CHUNKS)) {
       if (value) this.chunkRows.add(path);
       else this.chunkRows.delete(path);
@@ -479,7 +464,7 @@
       this.logRows.delete(path);
       return true;
     }
-    const record = value as unknown as PlacementRecord;
+    const record = decodeRecord(value);
     this.noteLogRow({ path, value, revision });
     if (!this.ledger.apply(logOfKey(path), record)) return false;
     for (const [job] of record.ends ?? []) if (!this.jobs.has(job)) this.ledger.drop(job);
@@ -487,13 +472,13 @@
   }
 
   private noteLogRow({ path, value, revision }: Row): void {
-    this.logRows.set(path, { seq: Number(value['sequence']), revision });
+    this.logRows.set(path, { seq: storedSequence(value), revision });
   }
 
   private takeJob(id: string, { value, revision }: Change): void {
     this.ended.delete(id);
-    if (value && value['Status'] === undefined) {
-      this.jobs.set(id, { spec: value['Job'] as JobSpec, at: Number(value['At']), revision });
+    if (value && !isTerminal(value)) {
+      this.jobs.set(id, { ...decodeJobRow(value), revision });
       return;
     }
     this.jobs.delete(id);
--- a/packages/cluster/state-check.ts
+++ b/packages/cluster/state-check.ts
@@ -1,6 +1,6 @@
 /** What a node's copy of the state asks of whoever watches for lost state. */
 import type { Micros } from '#wire';
-import type { Positions } from './ledger.js';
+import type { Positions } from './placement.js';
 
 /** Numbers that never fall while the state service keeps what was committed. */
 export interface StateSummary {
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -8,7 +8,7 @@
 import { Pace, StoreClient, WriteLimits } from '#store';
 import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
 import { type Clock, type Count, type Fields, type Micros, MS, SECOND } from '#wire';
-import { checkpointRows } from './checkpoint.js';
+import { checkpointRows } from './stored/checkpoint-codec.js';
 import {
   ALL,
   CAPABILITIES,
@@ -36,11 +36,11 @@
   TOKEN_KEY,
   TYPES,
 } from './keys.js';
-import type { HostRow, MachineEntry, Outcome, Placement } from './ledger.js';
+import type { HostRow, MachineEntry, Outcome, Placement, RecordDraft } from './placement.js';
 import { inOrder } from './live-state.js';
 import { Membership } from './membership.js';
 import { Replica } from './replica.js';
-import { endWrite, LogWriter, type RecordDraft } from './writer.js';
+import { endWrite, LogWriter } from './writer.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STATE = '10.2.0.1:2379';
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/writer.test.ts
@@ -5,7 +5,7 @@
 import { sampleJob, SimClock } from '#testkit';
 import { type Clock, MS, SECOND } from '#wire';
 import { jobKey, LEAD, overKey, ownershipKey } from './keys.js';
-import type { HostRow } from './ledger.js';
+import type { HostRow } from './placement.js';
 import { Replica } from './replica.js';
 import { LogWriter } from './writer.js';
 
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -8,11 +8,14 @@
   LOG_PLACES,
   overKey,
 } from './keys.js';
-import { type CheckpointRow, checkpointRows } from './checkpoint.js';
-import type { PlacementRecord, StartGroup } from './ledger.js';
+import type { Final, LiveJob } from './jobs.js';
 import type { Logger } from './logger.js';
-import type { LiveJob, Replica } from './replica.js';
-import type { Final } from './rows.js';
+import type { RecordDraft, RecordPosition } from './placement.js';
+import type { Replica } from './replica.js';
+import { checkpointRows, encodeCheckpointHead, encodeChunk, packRows } from './stored/checkpoint-codec.js';
+import { encodeFinal } from './stored/job-codec.js';
+import { encodeRecord, encodeRecordDraft, type StoredRecordDraft } from './stored/record-codec.js';
+import { splitDraft } from './stored/record-splitter.js';
 import type { DutyName, DutyRegistry, FencedStore, TermProof } from '#duties';
 import {
   type CommitResult,
@@ -23,9 +26,7 @@
   type Write,
   type WriteLimits,
 } from '#store';
-import { type Clock, type Fields, jsonBytes, type Micros, MS, SECOND, sleep } from '#wire';
-
-export type RecordDraft = Omit<PlacementRecord, 'sequence' | 'at' | 'order'>;
+import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
 /** Records between two checkpoints, at least and for each value that the last one took. */
 const CHECKPOINT_EVERY = 90;
@@ -73,9 +74,10 @@
    * nothing may be assumed, plan anew. `also`: ownerships on which the drafts rely besides their own logs'.
    */
   async append(drafts: ReadonlyMap<LogId, RecordDraft>, also: readonly LogId[] = []): Promise<boolean> {
-    const parts: { log: LogId; part: RecordDraft }[] = [];
+    const parts: { log: LogId; part: StoredRecordDraft }[] = [];
     for (const [log, draft] of drafts) {
-      for (const part of splitDraft(draft, this.limits.valueBytes - FRAME_BYTES)) parts.push({ log, part });
+      const stored = encodeRecordDraft(draft);
+      for (const part of splitDraft(stored, this.limits.valueBytes - FRAME_BYTES)) parts.push({ log, part });
     }
     // Ends of every log come before starts of any: a limit may rely on them.
     parts.sort((a, b) => Number(a.part.starts !== undefined) - Number(b.part.starts !== undefined));
@@ -90,15 +92,15 @@
       for (const { log, part } of some) {
         const seq = (next.get(log) ?? this.replica.ledger.seq(log)) + 1;
         next.set(log, seq);
-        const record: PlacementRecord = { ...part, sequence: seq, at: Math.floor(this.clock.wall() / MS) };
-        if (writes.length > 0) record.order = writes.length;
+        const position: RecordPosition = { sequence: seq, at: Math.floor(this.clock.wall() / MS) };
+        if (writes.length > 0) position.order = writes.length;
         const revision = this.replica.placeRevision(log, seq);
         if (revision === null) {
           this.log.info({ log, seq }, 'log waits for a checkpoint');
           return false;
         }
         guards.push({ path: logKey(log, seq), revision });
-        writes.push({ set: logKey(log, seq), value: record as unknown as Fields });
+        writes.push({ set: logKey(log, seq), value: encodeRecord(part, position) });
       }
       if (!(await this.settle(proofs, 'append records', guards, writes))) return false;
     }
@@ -151,7 +153,7 @@
     const writes: Write[] = [];
     for (const [id, { status, revision }] of ended) {
       guards.push({ path: jobKey(id), revision });
-      writes.push({ remove: jobKey(id) }, { set: overKey(id), value: { Status: status } });
+      writes.push({ remove: jobKey(id) }, { set: overKey(id), value: encodeFinal(status) });
     }
     this.upkeep.take(writes.length);
     const result = await this.store.commit([proof], 'put away ended jobs', guards, writes);
@@ -166,7 +168,7 @@
     const before = this.replica.checkpointRevision;
     const rows = checkpointRows(ledger, (job) => jobs.has(job));
     const chunks = packRows(rows, this.limits.valueBytes - FRAME_BYTES);
-    const writes: Write[] = chunks.map((part, i) => ({ set: chunkKey(id, i), value: { Rows: part } }));
+    const writes: Write[] = chunks.map((part, i) => ({ set: chunkKey(id, i), value: encodeChunk(part) }));
     const perTxn = this.valuesPerCommit();
     for (let i = 0; i < writes.length; i += perTxn) {
       if (!(await this.insist(proof, [], writes.slice(i, i + perTxn)))) return;
@@ -174,7 +176,7 @@
     // Once a newer checkpoint is the present one, its predecessors' chunks go: a late commit of this one must
     // not bring it back then.
     const guards: Guard[] = [{ path: CHECKPOINT_HEAD, revision: before }];
-    const head = { Id: id, Positions: positions, Chunks: chunks.length };
+    const head = encodeCheckpointHead({ id, positions, chunkCount: chunks.length });
     if (!(await this.insist(proof, guards, [{ set: CHECKPOINT_HEAD, value: head }]))) return;
     this.log.debug({ id, chunks: chunks.length }, 'checkpoint');
   }
@@ -245,75 +247,5 @@
  * it away takes. From then on the key says nothing but how it ended.
  */
 export function endWrite(id: string, status: Final): Write {
-  return { set: jobKey(id), value: { Status: status } };
-}
-
-/** What an empty draft takes. */
-const EMPTY_BYTES = 2;
-
-/** Fields of a draft that are plain lists, in the order in which a cut draft carries them. */
-const LISTS = [
-  ...(['removed', 'machines', 'settledRentals', 'rentals', 'moves'] as const),
-  ...(['ends', 'statuses', 'takes', 'releases'] as const),
-] as const;
-
-/**
- * Cuts a draft into parts that each fit into one value, ends before starts, so that no prefix of the parts
- * holds a start that relies on an end after it.
- */
-export function splitDraft(draft: RecordDraft, limit: number): RecordDraft[] {
-  const parts: RecordDraft[] = [{}];
-  let size = EMPTY_BYTES;
-  const room = (bytes: number): RecordDraft => {
-    if (size > EMPTY_BYTES && size + bytes > limit) {
-      parts.push({});
-      size = EMPTY_BYTES;
-    }
-    size += bytes;
-    return parts[parts.length - 1] as RecordDraft;
-  };
-  for (const key of LISTS) {
-    for (const row of draft[key] ?? []) {
-      const part = room(jsonBytes(row) + key.length + 6) as Record<string, unknown[]>;
-      (part[key] ??= []).push(row);
-    }
-  }
-  for (const [shape, row] of Object.entries(draft.prices ?? {})) {
-    (room(jsonBytes(row) + jsonBytes(shape) + 14).prices ??= {})[shape] = row;
-  }
-  for (const [team, cpus] of Object.entries(draft.unmet ?? {})) {
-    (room(jsonBytes(team) + 34).unmet ??= {})[team] = cpus;
-  }
-  for (const group of draft.starts ?? []) {
-    const head = jsonBytes({ ...group, tasks: [] }) + 14;
-    let open: StartGroup | null = null;
-    let holder: RecordDraft | null = null;
-    for (const on of group.tasks) {
-      const part = room(jsonBytes(on) + 1 + (open ? 0 : head));
-      if (!open || part !== holder) {
-        if (open) size += head;
-        open = { ...group, tasks: [] };
-        holder = part;
-        (part.starts ??= []).push(open);
-      }
-      open.tasks.push(on);
-    }
-  }
-  return parts;
-}
-
-/** Packs rows into as few values as their order allows. */
-export function packRows(rows: CheckpointRow[], limit: number): CheckpointRow[][] {
-  const chunks: CheckpointRow[][] = [[]];
-  let size = 12;
-  for (const row of rows) {
-    const bytes = jsonBytes(row) + 1;
-    if (size + bytes > limit) {
-      chunks.push([]);
-      size = 12;
-    }
-    size += bytes;
-    chunks[chunks.length - 1]?.push(row);
-  }
-  return chunks;
+  return { set: jobKey(id), value: encodeFinal(status) };
 }
--- a/packages/daemon/job-service.ts
+++ b/packages/daemon/job-service.ts
@@ -1,5 +1,5 @@
 import type { Answer } from '#api';
-import { endWrite, type Final, jobKey, overKey, type Replica } from '#cluster';
+import { encodeJobRow, encodeJobSpec, endWrite, type Final, jobKey, overKey, type Replica } from '#cluster';
 import { fits } from '#pricing';
 import type { Settings } from '#settings';
 import type { StoreClient } from '#store';
@@ -56,7 +56,7 @@
       // A node of an older version would run its tasks one by one.
       return this.known(job.id, unavailable('gangs are not served by all nodes yet'));
     }
-    const value = { At: Math.floor(this.clock.wall() / MS), Job: this.storable(job) };
+    const value = encodeJobRow({ spec: this.storable(job), at: Math.floor(this.clock.wall() / MS) });
     for (let i = 0; i < TRIES; i++) {
       if (i > 0) await sleep(this.clock, 150 * MS);
       // Both keys must be absent: a repeat that comes after the job's end must not start it again.
@@ -125,7 +125,10 @@
 
   /** The job as it is stored: where its list of machine types is too long for a value, only those that exist. */
   private storable(job: JobSpec): JobSpec {
-    if (job.machineTypes === null || jsonBytes(job) <= this.settings.valueBytes - RECORD_FRAME_BYTES)
+    if (
+      job.machineTypes === null ||
+      jsonBytes(encodeJobSpec(job)) <= this.settings.valueBytes - RECORD_FRAME_BYTES
+    )
       return job;
     const machineTypes = [...this.replica.types.keys()].filter((name) => job.machineTypes?.includes(name));
     return { ...job, machineTypes };
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -2,6 +2,9 @@
   TOKEN_KEY,
   cutZones,
   eligible,
+  encodeMachineTypeRow,
+  encodeOwner,
+  encodeToken,
   type LogId,
   type Logger,
   type LogWriter,
@@ -30,7 +33,7 @@
 } from '#fleet';
 import type { Settings } from '#settings';
 import { isTooLarge, type Write, type WriteLimits } from '#store';
-import { type Clock, type Fields, fromSeconds, type MachineType, type Micros, SECOND } from '#wire';
+import { type Clock, fromSeconds, type MachineType, type Micros, SECOND } from '#wire';
 import type { Forecaster, OwnerForecast } from './forecast.js';
 import type { RunTimes } from './run-times.js';
 
@@ -175,11 +178,11 @@
         revision: replica.owners.get(share)?.revision ?? 0,
       })),
     ];
-    const writes: Write[] = [{ set: TOKEN_KEY, value: { Token: token } }];
+    const writes: Write[] = [{ set: TOKEN_KEY, value: encodeToken(token) }];
     for (const { share, member } of some) {
       const memberRecord = replica.members.get(member);
       if (!memberRecord) continue;
-      const value = { Member: member, Nonce: memberRecord.nonce, Token: token };
+      const value = encodeOwner({ member, nonce: memberRecord.nonce, token });
       writes.push({ set: shareKey(share), value, leaseId: memberRecord.leaseId });
     }
     const result = await store.commit([proof], 'deal shares', guards, writes);
@@ -366,7 +369,7 @@
     for (let i = 0; i < changed.length; i += perTxn) {
       const writes: Write[] = changed.slice(i, i + perTxn).map((t) => ({
         set: TYPES + t.name,
-        value: { Type: t } as unknown as Fields,
+        value: encodeMachineTypeRow(t),
       }));
       const result = await store.commit([proof], 'write machine types', [], writes);
       if (isTooLarge(result)) limits.shrink();
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -1,4 +1,12 @@
-import { Ledger, type LogId, logOfKey, LOGS, type PlacementRecord, type StateCopy } from '#cluster';
+import {
+  decodeRecord,
+  Ledger,
+  type LogId,
+  logOfKey,
+  LOGS,
+  type PlacementRecord,
+  type StateCopy,
+} from '#cluster';
 import { type Fields, isFields } from '#wire';
 import { BrokenRule } from './rules.js';
 
@@ -14,7 +22,7 @@
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
       if (!path.startsWith(LOGS) || !isFields(write['V'])) continue;
-      this.take(logOfKey(path), write['V'] as unknown as PlacementRecord);
+      this.take(logOfKey(path), decodeRecord(write['V']));
     }
   }
 
--- a/packages/testkit/duty-history.ts
+++ b/packages/testkit/duty-history.ts
@@ -6,6 +6,7 @@
 import {
   CHECKPOINT_HEAD,
   CHUNKS,
+  decodeRecord,
   JOBS,
   LEAD,
   Ledger,
@@ -88,7 +89,7 @@
       const path = String(write['Set'] ?? '');
       if (path === LEAD) this.term = epoch;
       if (path === TOKEN_KEY) this.takeToken(write['V']);
-      if (path.startsWith(LOGS)) this.takeRecord(path, write['V'] as unknown as PlacementRecord);
+      if (path.startsWith(LOGS)) this.takeRecord(path, decodeRecord(write['V'] as Fields));
     }
   }
 
