--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -1,5 +1,6 @@
 /** Checks that every node's copy of the placement state is the one that the commits lead to. */
 import {
+  decodeRecord,
   type Destination,
   Ledger,
   type LogId,
@@ -60,7 +61,7 @@
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
       if (!path.startsWith(LOGS) || !isFields(write['V'])) continue;
-      this.take(logOfKey(path), write['V'] as unknown as PlacementRecord);
+      this.take(logOfKey(path), decodeRecord(write['V']));
     }
   }
 
