--- /dev/null
+++ b/packages/cloud/cloud-client.ts
@@ -0,0 +1,85 @@
+/** Requests to the cloud. */
+import {
+  type Caller,
+  type ListedMachine,
+  type MachineType,
+  type Method,
+  type Micros,
+  type RentalRequest,
+  type Reply,
+  SECOND,
+} from '#wire';
+import {
+  decodeMachines,
+  decodeMachineTypes,
+  decodeNewHosts,
+  encodeDeletion,
+  encodeScaleOutRequest,
+} from './wire-format.js';
+
+/** What became of a scale-out request. `unknown`: it may have been carried out, or may yet be. */
+export type RentResult =
+  { kind: 'rented'; hosts: string[] } | { kind: 'no_capacity' } | { kind: 'failed' } | { kind: 'unknown' };
+
+const TIMEOUT: Micros = 4 * SECOND;
+const PAGE_MACHINES = 500;
+/** Machines that one request may delete. */
+export const MAX_DELETE = 100;
+/** Machines that one request may ask for. */
+export const MAX_RENT = 50;
+
+/** The cloud as its clients use it. Its methods never reject: each says in its result that an answer is missing. */
+export class CloudClient {
+  constructor(
+    private readonly endpoint: string,
+    private readonly call: Caller,
+  ) {}
+
+  /** All types that can be rented, or null if they could not be read. */
+  async machineTypes(): Promise<MachineType[] | null> {
+    const reply = await this.send('GET', '/machine_types');
+    return reply?.status === 200 ? decodeMachineTypes(reply.body) : null;
+  }
+
+  /** Asks for machines. The same request may be sent again: the cloud knows it by its id. */
+  async rent(request: RentalRequest): Promise<RentResult> {
+    const reply = await this.send('POST', '/rentals', encodeScaleOutRequest(request));
+    if (!reply) return { kind: 'unknown' };
+    const hosts = reply.status === 200 ? decodeNewHosts(reply.body) : null;
+    if (hosts) return { kind: 'rented', hosts };
+    if (reply.status === 503 && reply.body['error'] === 'no capacity') return { kind: 'no_capacity' };
+    return { kind: 'failed' };
+  }
+
+  /** True: the machines and everything on them are gone. */
+  async delete(hosts: string[]): Promise<boolean> {
+    const reply = await this.send('POST', '/rentals/delete', encodeDeletion(hosts));
+    return reply?.status === 200;
+  }
+
+  /** Every machine the cloud lists at the moment, or null if the list could not be read whole. */
+  async machines(): Promise<ListedMachine[] | null> {
+    const machines: ListedMachine[] = [];
+    for (let after = ''; ;) {
+      const reply = await this.send(
+        'GET',
+        `/rentals?${after === '' ? '' : `After=${after}&`}Limit=${PAGE_MACHINES}`,
+      );
+      const page = reply?.status === 200 ? decodeMachines(reply.body) : null;
+      if (!reply || !page) return null;
+      machines.push(...page);
+      const last = machines.at(-1);
+      if (reply.body['More'] !== true || !last) return machines;
+      after = last.host;
+    }
+  }
+
+  /** The answer; null if none came in time. */
+  private async send(method: Method, path: string, body?: unknown): Promise<Reply | null> {
+    try {
+      return await this.call(this.endpoint, method, path, body, TIMEOUT);
+    } catch {
+      return null;
+    }
+  }
+}
