--- a/packages/wire/http.ts
+++ b/packages/wire/http.ts
@@ -1,18 +1,28 @@
-import { Agent, request } from 'node:http';
+/** The HTTP client that the service and its clients share: HTTP/1.1 with MessagePack bodies. */
+import { Agent, type IncomingMessage, request, type RequestOptions } from 'node:http';
 import { decode, encode, type Fields, isFields } from './codec.js';
-import type { Micros } from './time.js';
+import { type Micros, MS } from './time.js';
 
 /** The largest body of a request, and of an answer to a user or worker, in bytes. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
+const MAX_IDLE_CONNECTIONS = 8;
+const FIRST_ERROR_STATUS = 400;
+
+/** The methods that the protocol uses. */
 export type Method = 'GET' | 'POST' | 'DELETE';
 
+/** A server's response. */
 export interface Reply {
   status: number;
+  /** Empty if the body was empty or no map. */
   body: Fields;
 }
 
-/** One exchange with a server. Rejects when no response came in time, or the connection failed. */
+/**
+ * One exchange with a server. Rejects when no response came in time, the connection failed, or the body of a response
+ * that isn't an error can't be decoded. Without a body (undefined) the request has none.
+ */
 export type Caller = (
   endpoint: string,
   method: Method,
@@ -21,51 +31,97 @@
   timeout: Micros,
 ) => Promise<Reply>;
 
-/** Host and port of an address as the settings give it. */
+/** No response came in time: whether the request was carried out is unknown. */
+export class RequestTimeoutError extends Error {
+  constructor(readonly endpoint: string) {
+    super(`no response from ${endpoint} in time`);
+    this.name = 'RequestTimeoutError';
+  }
+}
+
+/** The connection ended within the response: whether the request was carried out is unknown. */
+export class ResponseAbortedError extends Error {
+  constructor(readonly endpoint: string) {
+    super('aborted');
+    this.name = 'ResponseAbortedError';
+  }
+}
+
+/** Host and port of an address that the settings give as `host:port`. */
 export function splitAddress(address: string): { host: string; port: number } {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+  const separator = address.lastIndexOf(':');
+  return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-/** The real {@link Caller}: HTTP/1.1 with kept connections, MessagePack bodies. */
+/** The {@link Caller} for real servers. Connections are kept open and reused, with at most `maxSockets` per endpoint. */
 export function httpCaller(maxSockets: number): Caller {
-  const agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: 8 });
-  return (endpoint, method, path, body, timeout) =>
-    new Promise<Reply>((resolve, reject) => {
-      const payload = body === undefined ? null : encode(body);
-      const headers: Record<string, string | number> = {};
-      if (payload) {
-        headers['Content-Type'] = 'application/msgpack';
-        headers['Content-Length'] = payload.length;
-      }
-      const req = request({ ...splitAddress(endpoint), method, path, agent, headers }, (res) => {
-        const chunks: Buffer[] = [];
-        res.on('data', (chunk: Buffer) => chunks.push(chunk));
-        res.on('error', fail);
-        res.on('aborted', () => {
-          fail(new Error('aborted'));
-        });
-        res.on('end', () => {
-          clearTimeout(timer);
-          try {
-            const value = chunks.length > 0 ? decode(Buffer.concat(chunks)) : {};
-            resolve({ status: res.statusCode ?? 0, body: isFields(value) ? value : {} });
-          } catch (cause) {
-            // An error page need not be MessagePack; its status still counts.
-            if ((res.statusCode ?? 0) >= 400) resolve({ status: res.statusCode ?? 0, body: {} });
-            else fail(cause instanceof Error ? cause : new Error(String(cause)));
-          }
-        });
-      });
-      const fail = (cause: Error): void => {
+  const agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: MAX_IDLE_CONNECTIONS });
+  return (endpoint, method, path, body, timeout) => {
+    const payload = body === undefined ? null : encode(body);
+    const headers = payload ? payloadHeaders(payload) : {};
+    const options = { ...splitAddress(endpoint), method, path, agent, headers };
+    return exchange({ endpoint, options, payload, timeout });
+  };
+}
+
+interface Exchange {
+  readonly endpoint: string;
+  readonly options: RequestOptions;
+  readonly payload: Buffer | null;
+  readonly timeout: Micros;
+}
+
+function payloadHeaders(payload: Buffer): Record<string, string | number> {
+  return { 'Content-Type': 'application/msgpack', 'Content-Length': payload.length };
+}
+
+function exchange({ endpoint, options, payload, timeout }: Exchange): Promise<Reply> {
+  return new Promise((resolve, reject) => {
+    const fail = (cause: Error): void => {
+      clearTimeout(timer);
+      outgoing.destroy();
+      reject(cause);
+    };
+    const outgoing = request(options, (response) => {
+      readReply(response, endpoint).then((reply) => {
         clearTimeout(timer);
-        req.destroy();
-        reject(cause);
-      };
-      const timer = setTimeout(() => {
-        fail(new Error(`no response from ${endpoint} in time`));
-      }, timeout / 1000);
-      req.on('error', fail);
-      req.end(payload ?? undefined);
+        resolve(reply);
+      }, fail);
+    });
+    const timer = setTimeout(() => {
+      fail(new RequestTimeoutError(endpoint));
+    }, timeout / MS);
+    outgoing.on('error', fail);
+    outgoing.end(payload ?? undefined);
+  });
+}
+
+function readReply(response: IncomingMessage, endpoint: string): Promise<Reply> {
+  return new Promise((resolve, reject) => {
+    const chunks: Buffer[] = [];
+    response.on('data', (chunk: Buffer) => chunks.push(chunk));
+    response.on('error', reject);
+    response.on('aborted', () => {
+      reject(new ResponseAbortedError(endpoint));
     });
+    response.on('end', () => {
+      try {
+        resolve(decodeReply(response.statusCode ?? 0, Buffer.concat(chunks)));
+      } catch (cause) {
+        reject(cause instanceof Error ? cause : new Error(String(cause), { cause }));
+      }
+    });
+  });
+}
+
+function decodeReply(status: number, bytes: Buffer): Reply {
+  if (bytes.length === 0) return { status, body: {} };
+  try {
+    const value = decode(bytes);
+    return { status, body: isFields(value) ? value : {} };
+  } catch (cause) {
+    // An error page need not be MessagePack; its status still counts.
+    if (status >= FIRST_ERROR_STATUS) return { status, body: {} };
+    throw cause;
+  }
 }
--- a/packages/wire/report.ts
+++ b/packages/wire/report.ts
@@ -1,9 +1,9 @@
-/** Reports of workers, and the answers to them. */
-import { type Fields, isCount, isFields, type Count } from './codec.js';
+/** Codec of the workers' reports and of the answers to them. */
+import { type Count, type Fields, isCount, isFields } from './codec.js';
 import type { ExitCause, TaskReport, TaskState } from './tasks.js';
 import type { Command, ReportAnswer, WorkerReport } from './workers.js';
 
-const TASK_STATES = new Map<unknown, TaskState>([
+const TASK_STATES: ReadonlyMap<unknown, TaskState> = new Map<unknown, TaskState>([
   ['pulling', 'fetching'],
   ['gathering', 'gathering'],
   ['running', 'running'],
@@ -11,7 +11,7 @@
   ['exited', 'exited'],
 ]);
 
-const EXIT_CAUSES = new Map<unknown, ExitCause>([
+const EXIT_CAUSES: ReadonlyMap<unknown, ExitCause> = new Map<unknown, ExitCause>([
   ['done', 'done'],
   ['halted', 'stopped'],
   ['error', 'failed'],
@@ -22,21 +22,17 @@
   ['unknown', 'unknown_task'],
 ]);
 
-/** Reads a worker's report as it came off the wire; null if a field that matters is missing or invalid. */
+/** Reads a worker's report from a decoded body; null if a field that matters is missing or invalid. */
 export function parseReport(body: unknown): WorkerReport | null {
   if (!isFields(body) || !Array.isArray(body['Pieces'])) return null;
   const { Host, Endpoint, Build, Hall, Loaners, Shift, Tally, Baton, RecallS } = body;
-  const texts = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
-  const counts = [Shift, Tally, Baton].every(isCount);
-  const notice = RecallS ?? null;
-  if (!texts || !counts || typeof Loaners !== 'boolean') return null;
-  if (notice !== null && typeof notice !== 'number') return null;
-  const tasks: TaskReport[] = [];
-  for (const fields of body['Pieces'] as unknown[]) {
-    const task = parseTask(fields);
-    if (!task) return null;
-    tasks.push(task);
-  }
+  const areTexts = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
+  const areCounts = [Shift, Tally, Baton].every(isCount);
+  const spotNoticeS = RecallS ?? null;
+  if (!areTexts || !areCounts || typeof Loaners !== 'boolean') return null;
+  if (spotNoticeS !== null && typeof spotNoticeS !== 'number') return null;
+  const tasks = parseTasks(body['Pieces']);
+  if (!tasks) return null;
   return {
     host: Host as string,
     address: Endpoint as string,
@@ -46,20 +42,31 @@
     session: Shift as Count,
     sequence: Tally as Count,
     token: Baton as Count,
-    spotNoticeS: notice,
+    spotNoticeS,
     tasks,
   };
 }
 
-function parseTask(fields: unknown): TaskReport | null {
-  if (!isFields(fields)) return null;
-  const { Piece, Try, Status, Cause } = fields;
+function parseTasks(pieces: readonly unknown[]): TaskReport[] | null {
+  const tasks: TaskReport[] = [];
+  for (const piece of pieces) {
+    const task = parseTask(piece);
+    if (!task) return null;
+    tasks.push(task);
+  }
+  return tasks;
+}
+
+function parseTask(piece: unknown): TaskReport | null {
+  if (!isFields(piece)) return null;
+  const { Piece, Try, Status, Cause } = piece;
   if (typeof Piece !== 'string' || !isCount(Try) || typeof Status !== 'string') return null;
-  // A task in a state that is not known here is on its machine all the same.
+  // A task in a state that this version doesn't know is on its machine all the same.
   const state = TASK_STATES.get(Status) ?? 'fetching';
   return { task: Piece, attempt: Try, state, cause: EXIT_CAUSES.get(Cause) ?? null };
 }
 
+/** The body of the answer that renews a worker's lease and carries its commands. */
 export function encodeReportAnswer({ token, commands }: ReportAnswer): Fields {
   return { Baton: token, Orders: commands.map(encodeCommand) };
 }
@@ -76,7 +83,7 @@
   }
 }
 
-/** Tells a worker which node acts for its machine. */
+/** The body that tells a worker which node acts for its machine. */
 export function encodeRedirect(member: string): Fields {
   return { Foreman: member };
 }
--- a/packages/wire/submission.ts
+++ b/packages/wire/submission.ts
@@ -1,77 +1,100 @@
+/** Codec of the jobs that users submit. */
 import { type Fields, isFields } from './codec.js';
-import { isJobId, MAX_TASKS, RANKS, type Rank, type JobShape, type JobSpec } from './jobs.js';
+import { isJobId, type JobShape, type JobSpec, MAX_TASKS, type Rank, RANKS } from './jobs.js';
 
-const SHAPE_NAMES: Record<JobShape, string> = { array: 'array', gang: 'ensemble' };
-const SHAPES = new Map<unknown, JobShape>([
+const MAX_TEXT_LENGTH = 200;
+
+const SHAPE_NAMES: Readonly<Record<JobShape, string>> = { array: 'array', gang: 'ensemble' };
+const SHAPES: ReadonlyMap<unknown, JobShape> = new Map<unknown, JobShape>([
   [SHAPE_NAMES.array, 'array'],
   [SHAPE_NAMES.gang, 'gang'],
 ]);
 
-const absent = (v: unknown): boolean => v === null || v === undefined;
-const text = (v: unknown): v is string => typeof v === 'string' && v.length > 0 && v.length <= 200;
-const amount = (v: unknown): v is number =>
-  (typeof v === 'number' || typeof v === 'bigint') && Number.isFinite(Number(v)) && Number(v) >= 0;
-const flag = (v: unknown): v is boolean => typeof v === 'boolean';
+type Check = (value: unknown) => boolean;
+
+const isAbsent: Check = (value) => value === null || value === undefined;
+const isText: Check = (value) =>
+  typeof value === 'string' && value.length > 0 && value.length <= MAX_TEXT_LENGTH;
+const isAmount: Check = (value) =>
+  (typeof value === 'number' || typeof value === 'bigint') &&
+  Number.isFinite(Number(value)) &&
+  Number(value) >= 0;
+const isFlag: Check = (value) => typeof value === 'boolean';
+const isShape: Check = (value) => SHAPES.has(value);
+const isRank: Check = (value) => RANKS.includes(value as Rank);
+const isTaskCount: Check = (value) => {
+  const count = Number(value);
+  return isAmount(value) && Number.isInteger(count) && count >= 1 && count <= MAX_TASKS;
+};
+const isTextList: Check = (value) => Array.isArray(value) && value.every(isText);
+const optional =
+  (check: Check): Check =>
+  (value) =>
+    isAbsent(value) || check(value);
+
+/** What each field must be, in the order in which they are checked. */
+const FIELD_CHECKS: Readonly<Record<string, Check>> = {
+  Uid: isJobId,
+  Lane: isText,
+  Crew: isText,
+  Shape: isShape,
+  Rank: isRank,
+  Pieces: isTaskCount,
+  Cpus: isAmount,
+  Gpus: isAmount,
+  MemGb: isAmount,
+  Bundle: isText,
+  SizeGb: isAmount,
+  Builds: optional(isTextList),
+  Hall: optional(isText),
+  SamePlace: isFlag,
+  Scatter: isFlag,
+  Loaners: isFlag,
+  ExpectS: isAmount,
+  BookmarkS: isAmount,
+  StashS: isAmount,
+  DueS: optional(isAmount),
+};
+
+/** A valid submission, or the name of the first field that is missing or invalid (`body` if it isn't a map). */
+export type ParsedSubmission = { readonly job: JobSpec } | { readonly invalid: string };
 
-/**
- * Checks a submission as it came off the wire. Returns the job with the fields the protocol names and no
- * others, or the name of the first field that is missing or invalid.
- */
-export function parseSubmission(body: unknown): { job: JobSpec } | { invalid: string } {
+/** Checks a submission and reads it from a decoded body. Fields that the protocol doesn't name are dropped. */
+export function parseSubmission(body: unknown): ParsedSubmission {
   if (!isFields(body)) return { invalid: 'body' };
-  const b = body;
-  const shape = SHAPES.get(b['Shape']);
-  const need: [string, boolean][] = [
-    ['Uid', isJobId(b['Uid'])],
-    ['Lane', text(b['Lane'])],
-    ['Crew', text(b['Crew'])],
-    ['Shape', shape !== undefined],
-    ['Rank', RANKS.includes(b['Rank'] as Rank)],
-    ['Pieces', Number.isInteger(Number(b['Pieces'])) && amount(b['Pieces']) && inRange(Number(b['Pieces']))],
-    ['Cpus', amount(b['Cpus'])],
-    ['Gpus', amount(b['Gpus'])],
-    ['MemGb', amount(b['MemGb'])],
-    ['Bundle', text(b['Bundle'])],
-    ['SizeGb', amount(b['SizeGb'])],
-    ['Builds', absent(b['Builds']) || (Array.isArray(b['Builds']) && b['Builds'].every(text))],
-    ['Hall', absent(b['Hall']) || text(b['Hall'])],
-    ['SamePlace', flag(b['SamePlace'])],
-    ['Scatter', flag(b['Scatter'])],
-    ['Loaners', flag(b['Loaners'])],
-    ['ExpectS', amount(b['ExpectS'])],
-    ['BookmarkS', amount(b['BookmarkS'])],
-    ['StashS', amount(b['StashS'])],
-    ['DueS', absent(b['DueS']) || amount(b['DueS'])],
-  ];
-  const bad = need.find(([, ok]) => !ok);
-  if (bad || shape === undefined) return { invalid: bad?.[0] ?? 'Shape' };
+  for (const [field, isValid] of Object.entries(FIELD_CHECKS)) {
+    if (!isValid(body[field])) return { invalid: field };
+  }
+  return { job: decodeJob(body) };
+}
+
+/** Reads a job from fields that were found valid. */
+function decodeJob(body: Fields): JobSpec {
   return {
-    job: {
-      id: b['Uid'] as string,
-      jobClass: b['Lane'] as string,
-      team: b['Crew'] as string,
-      shape,
-      rank: b['Rank'] as Rank,
-      taskCount: Number(b['Pieces']),
-      cpus: Number(b['Cpus']),
-      gpus: Number(b['Gpus']),
-      memGb: Number(b['MemGb']),
-      image: b['Bundle'] as string,
-      imageGb: Number(b['SizeGb']),
-      machineTypes: (b['Builds'] as string[] | null | undefined) ?? null,
-      zone: (b['Hall'] as string | null | undefined) ?? null,
-      singleZone: b['SamePlace'] as boolean,
-      spreadZones: b['Scatter'] as boolean,
-      allowsSpot: b['Loaners'] as boolean,
-      estimateS: Number(b['ExpectS']),
-      checkpointS: Number(b['BookmarkS']),
-      saveS: Number(b['StashS']),
-      deadlineS: absent(b['DueS']) ? null : Number(b['DueS']),
-    },
+    id: body['Uid'] as string,
+    jobClass: body['Lane'] as string,
+    team: body['Crew'] as string,
+    shape: SHAPES.get(body['Shape']) as JobShape,
+    rank: body['Rank'] as Rank,
+    taskCount: Number(body['Pieces']),
+    cpus: Number(body['Cpus']),
+    gpus: Number(body['Gpus']),
+    memGb: Number(body['MemGb']),
+    image: body['Bundle'] as string,
+    imageGb: Number(body['SizeGb']),
+    machineTypes: (body['Builds'] as string[] | null | undefined) ?? null,
+    zone: (body['Hall'] as string | null | undefined) ?? null,
+    singleZone: body['SamePlace'] as boolean,
+    spreadZones: body['Scatter'] as boolean,
+    allowsSpot: body['Loaners'] as boolean,
+    estimateS: Number(body['ExpectS']),
+    checkpointS: Number(body['BookmarkS']),
+    saveS: Number(body['StashS']),
+    deadlineS: isAbsent(body['DueS']) ? null : Number(body['DueS']),
   };
 }
 
-/** A submission as it goes over the wire: what {@link parseSubmission} reads back. */
+/** The body of a submission: what {@link parseSubmission} reads back. */
 export function encodeSubmission(job: JobSpec): Fields {
   return {
     Uid: job.id,
@@ -97,12 +120,8 @@
   };
 }
 
-/** The id under which something was submitted, whatever else is wrong with it; null if it has none. */
+/** The id under which a body was submitted, whatever else is wrong with it; null if it has no valid one. */
 export function submittedId(body: unknown): string | null {
   const id = isFields(body) ? body['Uid'] : null;
   return isJobId(id) ? id : null;
 }
-
-function inRange(pieces: number): boolean {
-  return pieces >= 1 && pieces <= MAX_TASKS;
-}
