--- a/packages/wire/http.ts
+++ b/packages/wire/http.ts
@@ -14,9 +14,9 @@
 
 /** A server's response. */
 export interface Reply {
-  status: number;
+  readonly status: number;
   /** Empty if the body was empty or no map. */
-  body: Fields;
+  readonly body: Fields;
 }
 
 /**
--- a/packages/wire/jobs.ts
+++ b/packages/wire/jobs.ts
@@ -15,41 +15,41 @@
 /** A job as its user submitted it. Resource amounts are those of one task; decimal numbers are allowed. */
 export interface JobSpec {
   /** Chosen by the user, see {@link isJobId}. */
-  id: string;
+  readonly id: string;
   /** The class of jobs that it belongs to, for which the settings name service-level objectives. */
-  jobClass: string;
+  readonly jobClass: string;
   /** The team whose guarantee and limit apply. */
-  team: string;
-  shape: JobShape;
-  rank: Rank;
+  readonly team: string;
+  readonly shape: JobShape;
+  readonly rank: Rank;
   /** From 1 to {@link MAX_TASKS}. */
-  taskCount: number;
-  cpus: number;
-  gpus: number;
+  readonly taskCount: number;
+  readonly cpus: number;
+  readonly gpus: number;
   /** In GB. */
-  memGb: number;
+  readonly memGb: number;
   /** The image that a machine fetches before the task can start. */
-  image: string;
+  readonly image: string;
   /** Size of the image in GB. */
-  imageGb: number;
+  readonly imageGb: number;
   /** The allowed machine types; null for any. */
-  machineTypes: string[] | null;
+  readonly machineTypes: readonly string[] | null;
   /** The only allowed zone; null for any. */
-  zone: string | null;
+  readonly zone: string | null;
   /** All tasks must be in the same zone. */
-  singleZone: boolean;
+  readonly singleZone: boolean;
   /** At most half of the tasks, rounded up, may be in one zone. */
-  spreadZones: boolean;
+  readonly spreadZones: boolean;
   /** Tasks may run on spot machines. */
-  allowsSpot: boolean;
+  readonly allowsSpot: boolean;
   /** The owner's estimate of a task's run time in seconds, without the image fetch. Often wrong. */
-  estimateS: number;
+  readonly estimateS: number;
   /** Progress, in seconds, after which a task saves a checkpoint by itself; 0 if it never saves. */
-  checkpointS: number;
+  readonly checkpointS: number;
   /** Time in seconds that a task needs to save when it is stopped. */
-  saveS: number;
+  readonly saveS: number;
   /** Seconds from the submission until the job should be complete; null for no deadline. */
-  deadlineS: number | null;
+  readonly deadlineS: number | null;
 }
 
 /** What becomes of a job; `done` and `cancelled` are terminal. */
@@ -57,12 +57,12 @@
 
 /** What a user is told of a job. */
 export interface JobState {
-  id: string;
-  status: JobStatus;
+  readonly id: string;
+  readonly status: JobStatus;
   /** Number of completed tasks, for display. */
-  done?: number;
+  readonly done?: number;
   /** Number of tasks that are on a machine, for display. */
-  running?: number;
+  readonly running?: number;
 }
 
 const JOB_ID = /^j-[0-9]{1,32}$/;
--- a/packages/wire/machines.ts
+++ b/packages/wire/machines.ts
@@ -2,45 +2,45 @@
 
 /** A machine type that the cloud offers. */
 export interface MachineType {
-  name: string;
-  cpus: number;
-  gpus: number;
+  readonly name: string;
+  readonly cpus: number;
+  readonly gpus: number;
   /** In GB. */
-  memGb: number;
+  readonly memGb: number;
   /** Room for images, in GB. */
-  cacheGb: number;
+  readonly cacheGb: number;
   /** Rate at which images are fetched, in GB per second; actual rates differ by up to a third. */
-  fetchGbPerS: number;
+  readonly fetchGbPerS: number;
   /** Per hour, for an ordinary machine. */
-  price: number;
+  readonly price: number;
   /** Present price per hour of a spot machine. */
-  spotPrice: number;
+  readonly spotPrice: number;
   /** Usual time in seconds from the request until the machine is up. */
-  bootS: number;
+  readonly bootS: number;
   /** The zones that have this type. */
-  zones: string[];
+  readonly zones: readonly string[];
 }
 
 /** A request for machines of one type, zone and kind. */
 export interface RentalRequest {
   /** Never used twice, not even by another node: the cloud answers a repetition with the same machines. */
-  id: string;
-  machineType: string;
-  zone: string;
-  spot: boolean;
-  count: number;
+  readonly id: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly count: number;
 }
 
 /** A machine as the cloud lists it. The list lags behind. */
 export interface ListedMachine {
-  host: string;
+  readonly host: string;
   /** Address of its worker, as `host:port`. */
-  address: string;
-  machineType: string;
-  zone: string;
-  spot: boolean;
+  readonly address: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
   /** `failed`: it stopped by itself, and stays listed until it is deleted. */
-  state: 'starting' | 'running' | 'failed';
+  readonly state: 'starting' | 'running' | 'failed';
   /** Seconds since the rental request, at the time that the list describes. */
-  ageS: number;
+  readonly ageS: number;
 }
--- a/packages/wire/tasks.ts
+++ b/packages/wire/tasks.ts
@@ -14,11 +14,11 @@
 /** One task on a machine, as its worker reports it. */
 export interface TaskReport {
   /** Its name, see {@link formatTaskName}. */
-  task: string;
-  attempt: Count;
-  state: TaskState;
+  readonly task: string;
+  readonly attempt: Count;
+  readonly state: TaskState;
   /** Null while the task has not exited, and where the cause isn't known here. */
-  cause?: ExitCause | null;
+  readonly cause?: ExitCause | null;
 }
 
 /** The name of a job's task, `<job>/<index>`. */
