--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -66,7 +66,7 @@
   for (const [bytes, value] of cases) assert.equal(decode(Buffer.from(bytes, 'hex')), value, bytes);
 });
 
-test('what a user is told of a job keeps its bytes, whichever order its fields were built in', () => {
+test('what a user is told of a job keeps its bytes', () => {
   const cases: [JobState, string, string][] = [
     [
       { id: 'j-1', status: 'pending' },
@@ -333,3 +333,25 @@
   server.closeAllConnections();
   server.close();
 });
+
+test('an exchange that fails says why, as the command line shows it', async () => {
+  const server = createServer((req, res) => {
+    if (req.url === '/cut') {
+      res.writeHead(200, { 'Content-Length': 9 }).write('x', () => res.destroy());
+    }
+  });
+  await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
+  const { port } = server.address() as AddressInfo;
+  const endpoint = `127.0.0.1:${port}`;
+  const call = httpCaller(2);
+  await assert.rejects(call(endpoint, 'GET', '/silent', undefined, SECOND / 5), {
+    message: `no response from ${endpoint} in time`,
+  });
+  await assert.rejects(call(endpoint, 'GET', '/cut', undefined, 5 * SECOND), { message: 'aborted' });
+  server.closeAllConnections();
+  await new Promise((done) => server.close(done));
+  await assert.rejects(call(endpoint, 'GET', '/gone', undefined, 5 * SECOND), {
+    message: `connect ECONNREFUSED ${endpoint}`,
+    code: 'ECONNREFUSED',
+  });
+});
