--- a/packages/daemon/hand-over.test.ts
+++ b/packages/daemon/hand-over.test.ts
@@ -1,9 +1,11 @@
 /** The reasons that operators are told when a duty is not handed over. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { Member, Membership, Replica, ShareOwner } from '#cluster';
 import { type DutyHolder, type DutyName, DutyRegistry, FencedStore } from '#duties';
 import type { CommitResult } from '#store';
 import { type Clock, type Micros, SECOND } from '#wire';
+import type { StateFreshness } from './freshness.js';
 import { HandOver, type HandOverParts } from './hand-over.js';
 
 /** A clock on which whatever waits is done at once, and time has passed by then. */
@@ -69,28 +71,31 @@
   });
   duties.renewed(0);
   const told: string[] = [];
-  const parts = {
-    clock,
-    replica: {
-      members: new Map(standing.members.map((member) => [member, {}])),
-      owners: new Map(standing.owned.map((share) => [share, {}])),
-      allSupport: () => standing.supportsHandOver,
-    },
-    membership: {
-      duties,
-      resignedShares: [],
-      shares: () => new Set(standing.kept),
-      abstain: () => undefined,
-      tell: (notes: { resigned: number[] }) => {
-        told.push(notes.resigned.join());
-        return Promise.resolve();
-      },
+  const replica: Partial<Replica> = {
+    members: new Map(standing.members.map((member) => [member, {} as Member])),
+    owners: new Map(standing.owned.map((share) => [share, {} as ShareOwner])),
+    allSupport: () => standing.supportsHandOver,
+  };
+  const membership: Partial<Membership> = {
+    duties,
+    resignedShares: [],
+    shares: () => new Map(standing.kept.map((share) => [share, {} as ShareOwner])),
+    abstain: () => undefined,
+    tell: ({ resigned }) => {
+      told.push(String(resigned));
+      return Promise.resolve();
     },
+  };
+  const freshness: Partial<StateFreshness> = { isServed: () => standing.isServed };
+  const parts: HandOverParts = {
+    clock,
+    replica: replica as Replica,
+    membership: membership as Membership,
     store: new FencedStore({ commit: () => Promise.resolve(standing.commit) }, duties),
-    freshness: { isServed: () => standing.isServed },
+    freshness: freshness as StateFreshness,
     allNodes: ['node-1', 'node-2'],
   };
-  return { clock, handOver: new HandOver(parts as unknown as HandOverParts), duties, told };
+  return { clock, handOver: new HandOver(parts), duties, told };
 }
 
 /** The answer of a node to the request to hand a duty over, as text. */
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -4,7 +4,15 @@
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import type { Logger, Membership, StateReading } from '#cluster';
-import { type DutyHolder, type DutyName, DutyRegistry, type IntentLedger, reportDuties } from '#duties';
+import {
+  type DutyHolder,
+  type DutyName,
+  DutyRegistry,
+  type IntentLedger,
+  type MachineRecord,
+  type RentalRecord,
+  reportDuties,
+} from '#duties';
 import { LossWatch, type LossReport } from '#recovery';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
@@ -39,17 +47,19 @@
 
 const NO_INTENTS: IntentLedger = { rentals: new Map(), hosts: new Map() };
 
+const RENTALS: readonly RentalRecord[] = [
+  { id: 'hire-1-41-1', machineType: 'small', zone: 'east', spot: true, number: 2 },
+];
+
+const MACHINES: readonly MachineRecord[] = [
+  { host: 'n-000003', share: 0, destination: 'return' },
+  { host: 'n-000004', share: null, destination: 'return' },
+  { host: 'n-000005', share: 0, destination: 1 },
+];
+
 const INTENTS: IntentLedger = {
-  rentals: new Map(
-    [{ id: 'hire-1-41-1', machineType: 'small', zone: 'east', spot: true, number: 2 }].map((r) => [r.id, r]),
-  ),
-  hosts: new Map(
-    [
-      { host: 'n-000003', share: 0, destination: 'return' as const },
-      { host: 'n-000004', share: null, destination: 'return' as const },
-      { host: 'n-000005', share: 0, destination: 1 },
-    ].map((h) => [h.host, h]),
-  ),
+  rentals: new Map(RENTALS.map((rental) => [rental.id, rental])),
+  hosts: new Map(MACHINES.map((machine) => [machine.host, machine])),
 };
 
 /** A registry over holders that a test sets; what it holds itself has the nonce `ours`. */
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -3,7 +3,7 @@
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { gzipSync } from 'node:zlib';
-import { checkpointRows, Ledger, type Replica } from '#cluster';
+import { checkpointRows, Ledger, Replica } from '#cluster';
 import { sampleJob } from '#testkit';
 import type { MachineType } from '#wire';
 import { MAX_LINE_BYTES, SNAPSHOT_FORMAT, SNAPSHOT_VERSION, type SnapshotLine } from './snapshot-format.js';
@@ -107,9 +107,10 @@
   zones: ['east', 'west'],
 };
 
+type Writable<T> = { -readonly [K in keyof T]: T[K] };
+
 /** A copy of the state that holds {@link sampleLedger}, two live jobs, two that have ended and a machine type. */
 function sampleCopy(): Replica {
-  const ledger = sampleLedger();
   const gang = sampleJob('j-000002', {
     team: 'green',
     shape: 'gang',
@@ -121,20 +122,21 @@
     singleZone: true,
     deadlineS: 600,
   });
-  const copy = {
-    ledger,
-    types: new Map([[LARGE.name, LARGE]]),
-    jobs: new Map([
-      ['j-000001', { spec: sampleJob('j-000001'), at: 900, revision: 5 }],
-      ['j-000002', { spec: gang, at: 950, revision: 6 }],
-    ]),
-    ended: new Map([
-      ['j-000003', { status: 'done', revision: 7 }],
-      ['j-000004', { status: 'cancelled', revision: 8 }],
-    ]),
-    summary: (): object => ({ epoch: 431, token: 7, positions: ledger.allPositions() }),
-  };
-  return copy as unknown as Replica;
+  // Its own summary is used, but no state service to follow.
+  const copy = Object.create(Replica.prototype) as Writable<Replica>;
+  copy.ledger = sampleLedger();
+  copy.applied = 431;
+  copy.token = { value: 7, revision: 1 };
+  copy.types = new Map([[LARGE.name, LARGE]]);
+  copy.jobs = new Map([
+    ['j-000001', { spec: sampleJob('j-000001'), at: 900, revision: 5 }],
+    ['j-000002', { spec: gang, at: 950, revision: 6 }],
+  ]);
+  copy.ended = new Map([
+    ['j-000003', { status: 'done', revision: 7 }],
+    ['j-000004', { status: 'cancelled', revision: 8 }],
+  ]);
+  return copy as Replica;
 }
 
 const ORIGIN: SnapshotOrigin = {
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -3,7 +3,7 @@
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { createGzip } from 'node:zlib';
-import { Ledger, type Replica, type StartGroup } from '#cluster';
+import { Ledger, Replica, type StartGroup } from '#cluster';
 import { sampleJob } from '#testkit';
 import type { SnapshotLine } from './snapshot-format.js';
 import { readSnapshot } from './snapshot-reader.js';
@@ -15,6 +15,8 @@
 const FINALS = 20_000;
 const PAGE = 1_000;
 
+type Writable<T> = { -readonly [K in keyof T]: T[K] };
+
 /** A copy of the state with so many machines, each of which runs as many tasks. */
 function largeCopy(): Replica {
   const ledger = new Ledger();
@@ -31,8 +33,14 @@
   const jobs = new Map(
     [...Array(JOBS).keys()].map((i) => [`j-${i}`, { spec: sampleJob(`j-${i}`), at: i, revision: i }]),
   );
-  const summary = (): object => ({ epoch: 9, token: 3, positions: ledger.allPositions() });
-  return { ledger, jobs, ended: new Map(), types: new Map(), summary } as unknown as Replica;
+  const copy = Object.create(Replica.prototype) as Writable<Replica>;
+  copy.ledger = ledger;
+  copy.applied = 9;
+  copy.token = { value: 3, revision: 1 };
+  copy.jobs = jobs;
+  copy.ended = new Map();
+  copy.types = new Map();
+  return copy as Replica;
 }
 
 test('a fleet of 4,000 machines and 100,000 tasks is written and read back line by line', async (t) => {
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -12,9 +12,6 @@
 } from './snapshot-codec.js';
 import type { SnapshotLine } from './snapshot-format.js';
 
-/** What of a node's copy of the state a snapshot holds. */
-export type SnapshotSource = Pick<Replica, 'ledger' | 'types' | 'jobs' | 'ended' | 'summary'>;
-
 /** Final answers after the given job, in the order of their names; ends with an empty page. */
 export type FinalPages = (after: string) => Promise<readonly { id: string; status: Final }[]>;
 
@@ -24,20 +21,20 @@
  * if a page can't be read, the trailer says that they are not all there.
  */
 export function writeSnapshot(
-  source: SnapshotSource,
+  replica: Replica,
   origin: SnapshotOrigin,
   finalPages: FinalPages,
 ): AsyncGenerator<string> {
-  return formatSnapshot(captureLines(source, origin), finalPages);
+  return formatSnapshot(captureLines(replica, origin), finalPages);
 }
 
 /** What the copy holds at this moment, but for its final answers of long ago. */
-function captureLines(source: SnapshotSource, origin: SnapshotOrigin): SnapshotLine[] {
-  const lines: SnapshotLine[] = [encodeHeader(origin, source.summary())];
-  for (const type of source.types.values()) lines.push(encodeMachineType(type));
-  for (const [id, job] of source.jobs) lines.push(encodeJob(id, job));
-  for (const [id, { status }] of source.ended) lines.push(encodeTerminalStatus(id, status));
-  const rows = checkpointRows(source.ledger, (job) => source.jobs.has(job));
+function captureLines(replica: Replica, origin: SnapshotOrigin): SnapshotLine[] {
+  const lines: SnapshotLine[] = [encodeHeader(origin, replica.summary())];
+  for (const type of replica.types.values()) lines.push(encodeMachineType(type));
+  for (const [id, job] of replica.jobs) lines.push(encodeJob(id, job));
+  for (const [id, { status }] of replica.ended) lines.push(encodeTerminalStatus(id, status));
+  const rows = checkpointRows(replica.ledger, (job) => replica.jobs.has(job));
   for (const row of rows) lines.push(encodeCheckpointRow(row));
   return lines;
 }
