--- a/packages/cluster/stored/job-codec.ts
+++ b/packages/cluster/stored/job-codec.ts
@@ -16,7 +16,7 @@
   memGb: number;
   image: string;
   imageGb: number;
-  machineTypes: string[] | null;
+  machineTypes: readonly string[] | null;
   zone: string | null;
   singleZone: boolean;
   spreadZones: boolean;
--- a/packages/cluster/stored/machine-type-codec.ts
+++ b/packages/cluster/stored/machine-type-codec.ts
@@ -12,7 +12,7 @@
   price: number;
   spotPrice: number;
   bootS: number;
-  zones: string[];
+  zones: readonly string[];
 }
 
 /** The stored form of a machine type. */
