--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -478,7 +478,7 @@
   private takeJob(id: string, { value, revision }: Change): void {
     this.ended.delete(id);
     if (value && !isTerminal(value)) {
-      this.jobs.set(id, { ...decodeJobRow(value), revision });
+      this.jobs.set(id, decodeJobRow(value, revision));
       return;
     }
     this.jobs.delete(id);
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -9,6 +9,7 @@
 import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
 import { type Clock, type Count, type Fields, type Micros, MS, SECOND } from '#wire';
 import { checkpointRows } from './stored/checkpoint-codec.js';
+import { encodeJobRow } from './stored/job-codec.js';
 import {
   ALL,
   CAPABILITIES,
@@ -36,8 +37,17 @@
   TOKEN_KEY,
   TYPES,
 } from './keys.js';
-import type { HostRow, MachineEntry, Outcome, Placement, RecordDraft } from './placement.js';
+import type {
+  HostRow,
+  MachineEntry,
+  Outcome,
+  Placement,
+  RecordDraft,
+  RentalEntry,
+  StartGroup,
+} from './placement.js';
 import { inOrder } from './live-state.js';
+import type { Lead, Member, MemberNotes, ShareOwner } from './members.js';
 import { Membership } from './membership.js';
 import { Replica } from './replica.js';
 import { endWrite, LogWriter } from './writer.js';
@@ -67,7 +77,11 @@
     wall: () => AT * MS,
   };
   readonly store = new SimStore(this.clock, () => 0.5, {
-    ...{ rps: 100_000, writeRps: 100_000, txnOps: 100, valueBytes: 100_000, pageRows: 1000 },
+    rps: 100_000,
+    writeRps: 100_000,
+    txnOps: 100,
+    valueBytes: 100_000,
+    pageRows: 1000,
   });
   private readonly net = new SimNet(this.clock, () => 0.5);
 
@@ -202,7 +216,11 @@
     'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
     'mw/now/share/1': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
   });
-  const notes = { unreachable: ['node-2', 'node-3'], workersUnreachable: true, resigned: [0, 2] };
+  const notes: MemberNotes = {
+    unreachable: ['node-2', 'node-3'],
+    workersUnreachable: true,
+    resigned: [0, 2],
+  };
   await node.until(node.membership.tell(notes));
   const member =
     '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
@@ -216,14 +234,19 @@
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1","Token":41}',
   });
   assert.deepEqual(copy.token, { value: 41, revision: 1 });
-  assert.deepEqual(copy.lead, { member: 'node-1', nonce: 'p1.1', revision: 2 });
+  assert.deepEqual<Lead>(copy.lead, { member: 'node-1', nonce: 'p1.1', revision: 2 });
   const capabilities = new Set(['gangs', 'handover', 'memory']);
-  assert.deepEqual(
+  assert.deepEqual<Member[]>(
     [...copy.members.values()],
     [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
   );
   assert.deepEqual(copy.capabilities.get('node-1'), capabilities);
-  assert.deepEqual(copy.owners.get(2), { member: 'node-1', nonce: 'p1.1', revision: 5, token: 41 });
+  assert.deepEqual<ShareOwner>(copy.owners.get(2), {
+    member: 'node-1',
+    nonce: 'p1.1',
+    revision: 5,
+    token: 41,
+  });
 });
 
 /** What an older version left out, and rows that can't be read. */
@@ -236,18 +259,23 @@
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1"}',
   });
   assert.deepEqual(copy.token, { value: -1, revision: 1 });
-  assert.deepEqual(copy.lead, { member: '', nonce: '', revision: 2 });
-  const notes = { unreachable: [], workersUnreachable: false, resigned: [] };
-  assert.deepEqual(
+  assert.deepEqual<Lead>(copy.lead, { member: '', nonce: '', revision: 2 });
+  const notes: MemberNotes = { unreachable: [], workersUnreachable: false, resigned: [] };
+  assert.deepEqual<Member[]>(
     [...copy.members.values()],
     [
       {
-        ...{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities: new Set(), ...notes },
+        member: 'node-1',
+        nonce: 'p1.1',
+        zone: 'east',
+        leaseId: 1,
+        capabilities: new Set(),
+        ...notes,
         revision: 3,
       },
     ],
   );
-  assert.deepEqual(copy.owners.get(2), { member: '', nonce: '', revision: 4, token: 0 });
+  assert.deepEqual<ShareOwner>(copy.owners.get(2), { member: '', nonce: '', revision: 4, token: 0 });
 });
 
 const LEAD_DRAFT: RecordDraft = {
@@ -310,7 +338,7 @@
       machine('n-5', { spot: true, since: AT - 1, share: 1, destination: 0 }),
     ],
   );
-  assert.deepEqual(
+  assert.deepEqual<RentalEntry[]>(
     [...ledger.rentals.values()],
     [
       { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
@@ -336,11 +364,18 @@
 const START_DRAFT: RecordDraft = {
   starts: [
     {
-      ...{ job: 'j-1', team: 'blue', image: 'img-1', need: [2, 0, 4.5] },
+      job: 'j-1',
+      team: 'blue',
+      image: 'img-1',
+      need: [2, 0, 4.5],
       tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? HUGE : 1]),
     },
     {
-      ...{ job: 'j-2', team: 'green', image: 'img-2', need: [1.5, 1, 8], gang: { attempt: 1024, size: 2 } },
+      job: 'j-2',
+      team: 'green',
+      image: 'img-2',
+      need: [1.5, 1, 8],
+      gang: { attempt: 1024, size: 2 },
       tasks: [
         [0, 'n-1', 1],
         [1, 'n-4', 3],
@@ -378,8 +413,18 @@
 
 function placement(change: Partial<Placement>): Placement {
   return {
-    ...{ job: 'j-1', index: 0, taskName: 'j-1/0', team: 'blue', attempt: 1024, host: 'n-1', session: 1 },
-    ...{ at: AT, cpus: 2, gpus: 0, memGb: 4.5, gangSize: null },
+    job: 'j-1',
+    index: 0,
+    taskName: 'j-1/0',
+    team: 'blue',
+    attempt: 1024,
+    host: 'n-1',
+    session: 1,
+    at: AT,
+    cpus: 2,
+    gpus: 0,
+    memGb: 4.5,
+    gangSize: null,
     ...change,
   };
 }
@@ -398,13 +443,20 @@
   });
 
   // The job is live: what is done of it counts.
-  const job = { 'mw/now/job/j-1': `{"At":${AT},"Job":${textOf(sampleJob('j-1'))}}` };
+  const job = { 'mw/now/job/j-1': textOf(encodeJobRow(sampleJob('j-1'), AT)) };
   const started = await readBack({
     ...job,
     'mw/now/log/lead/0001': LEAD_RECORD,
     'mw/now/log/0/0001': START_RECORD,
   });
-  const gang = { job: 'j-2', team: 'green', cpus: 1.5, gpus: 1, memGb: 8, gangSize: 2 };
+  const gang: Partial<Placement> = {
+    job: 'j-2',
+    team: 'green',
+    cpus: 1.5,
+    gpus: 1,
+    memGb: 8,
+    gangSize: 2,
+  };
   assert.deepEqual(
     [...started.ledger.placementsOn('n-1')],
     [
@@ -437,7 +489,11 @@
     ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => hosts.get(host)),
     [
       machine('n-1', {
-        ...{ since: AT - 5, status: 'faulty', images: ['img-1', 'img-2'], errors: 1, failedAt: AT },
+        since: AT - 5,
+        status: 'faulty',
+        images: ['img-1', 'img-2'],
+        errors: 1,
+        failedAt: AT,
       }),
       machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
       machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
@@ -453,9 +509,16 @@
   const node = await new Writer().start(640);
   await node.append(['lead', { machines: LEAD_DRAFT.machines ?? [] }]);
   const tasks = [...Array(60).keys()].map((i): [number, string, Count] => [i, 'n-1', 1]);
-  const start = { job: 'j-1', team: 'blue', image: 'img-1', need: [2, 0, 4] as [number, number, number] };
+  const start: StartGroup = {
+    job: 'j-1',
+    team: 'blue',
+    image: 'img-1',
+    need: [2, 0, 4],
+    gang: { attempt: 1024, size: 60 },
+    tasks,
+  };
   await node.append(
-    [0, { starts: [{ ...start, gang: { attempt: 1024, size: 60 }, tasks }], statuses: [['n-1', 'up']] }],
+    [0, { starts: [start], statuses: [['n-1', 'up']] }],
     [1, { statuses: [['n-2', 'up']], unmet: { green: 1 } }],
   );
   const records = {
@@ -496,7 +559,7 @@
 test('how a job ended, where it lies among the live ones and where it is put away', async () => {
   const node = await new Writer().start();
   for (const id of ['j-1', 'j-2']) {
-    node.store.spoil({ Set: jobKey(id), V: { At: AT, Job: { ...sampleJob(id) } } });
+    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), AT) });
   }
   await node.pass(SECOND);
   const done = [...node.replica.jobs].filter(([id]) => id === 'j-1');
@@ -532,7 +595,7 @@
 async function fullNode(): Promise<Writer> {
   const node = await new Writer().start();
   for (const id of ['j-1', 'j-3']) {
-    node.store.spoil({ Set: jobKey(id), V: { At: AT, Job: { ...sampleJob(id) } } });
+    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), AT) });
   }
   await node.append(['lead', LEAD_DRAFT]);
   await node.append([0, START_DRAFT]);
@@ -627,8 +690,8 @@
 ];
 
 const LIVE_JOBS = {
-  'mw/now/job/j-1': `{"At":${AT},"Job":${textOf(sampleJob('j-1'))}}`,
-  'mw/now/job/j-3': `{"At":${AT},"Job":${textOf(sampleJob('j-3'))}}`,
+  'mw/now/job/j-1': textOf(encodeJobRow(sampleJob('j-1'), AT)),
+  'mw/now/job/j-3': textOf(encodeJobRow(sampleJob('j-3'), AT)),
 };
 
 test('rows of a checkpoint, of every kind, and its head', async () => {
@@ -651,22 +714,35 @@
     ['n-1', 'n-2', 'n-3', 'n-4', 'n-5', 'n-6', 'n-7'].map((host) => ledger.hosts.get(host)),
     [
       machine('n-1', {
-        ...{ since: AT - 5, status: 'faulty', images: ['img-1', 'img-2', image], errors: 1, failedAt: AT },
+        since: AT - 5,
+        status: 'faulty',
+        images: ['img-1', 'img-2', image],
+        errors: 1,
+        failedAt: AT,
       }),
       machine('n-2', {
-        ...{ machineType: 'large', zone: 'west', spot: true, since: AT - 4, share: 1, status: 'recalled' },
+        machineType: 'large',
+        zone: 'west',
+        spot: true,
+        since: AT - 4,
+        share: 1,
+        status: 'recalled',
       }),
       machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
       machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
       machine('n-5', {
-        ...{ since: AT - 1, spot: true, status: 'silent', ownershipCount: 1, lastReport: [4, 5] },
+        since: AT - 1,
+        spot: true,
+        status: 'silent',
+        ownershipCount: 1,
+        lastReport: [4, 5],
         images: [image],
       }),
       machine('n-6', { machineType: 'type-0', zone: 'north', spot: true, since: AT, status: 'up' }),
       machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, since: AT + 1 }),
     ],
   );
-  assert.deepEqual(
+  assert.deepEqual<RentalEntry[]>(
     [...ledger.rentals.values()],
     [
       { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
@@ -683,15 +759,28 @@
   assert.deepEqual(
     ledger.placement('j-1', 1),
     placement({
-      ...{ index: 1, taskName: 'j-1/1', host: 'n-5', session: HUGE, attempt: 6 * 1024 },
-      ...{ cpus: 0.5, memGb: 1 },
+      index: 1,
+      taskName: 'j-1/1',
+      host: 'n-5',
+      session: HUGE,
+      attempt: 6 * 1024,
+      cpus: 0.5,
+      memGb: 1,
     }),
   );
   assert.deepEqual(
     ledger.placement('j-2', 1),
     placement({
-      ...{ job: 'j-2', index: 1, taskName: 'j-2/1', team: 'green', host: 'n-4', session: 3 },
-      ...{ cpus: 1.5, gpus: 1, memGb: 8, gangSize: 2 },
+      job: 'j-2',
+      index: 1,
+      taskName: 'j-2/1',
+      team: 'green',
+      host: 'n-4',
+      session: 3,
+      cpus: 1.5,
+      gpus: 1,
+      memGb: 8,
+      gangSize: 2,
     }),
   );
   assert.equal(ledger.jobEntries.get('j-3')?.done.count, 61);
--- a/packages/cluster/stored/job-codec.ts
+++ b/packages/cluster/stored/job-codec.ts
@@ -1,6 +1,6 @@
 /** Rows of jobs, while they are live and once they are terminal. */
 import { type Fields, isFields, type JobShape, type JobSpec, type Rank } from '#wire';
-import type { Final } from '../jobs.js';
+import type { Final, LiveJob } from '../jobs.js';
 import { storedWords } from './words.js';
 
 /** A job as its user submitted it. */
@@ -27,12 +27,6 @@
   deadlineS: number | null;
 }
 
-/** A job that was accepted, and when: time of day in milliseconds. */
-export interface AcceptedJob {
-  spec: JobSpec;
-  at: number;
-}
-
 const SHAPE_WORDS = storedWords<JobShape>({ array: 'array', gang: 'gang' });
 
 const RANK_WORDS = storedWords<Rank>({
@@ -94,15 +88,15 @@
   };
 }
 
-/** The row of a live job. */
-export function encodeJobRow({ spec, at }: AcceptedJob): Fields {
-  return { At: at, Job: encodeJobSpec(spec) };
+/** The row of a live job; `acceptedAtMs`: time of day. */
+export function encodeJobRow(spec: JobSpec, acceptedAtMs: number): Fields {
+  return { At: acceptedAtMs, Job: encodeJobSpec(spec) };
 }
 
 /** Reads the row of a live job. */
-export function decodeJobRow(value: Fields): AcceptedJob {
+export function decodeJobRow(value: Fields, revision: number): LiveJob {
   const stored: Partial<StoredJobSpec> = isFields(value['Job']) ? value['Job'] : {};
-  return { spec: decodeJobSpec(stored as StoredJobSpec), at: Number(value['At']) };
+  return { spec: decodeJobSpec(stored as StoredJobSpec), at: Number(value['At']), revision };
 }
 
 /** From the end of a job on its row says nothing but its terminal status. */
--- a/packages/daemon/job-service.ts
+++ b/packages/daemon/job-service.ts
@@ -56,7 +56,7 @@
       // A node of an older version would run its tasks one by one.
       return this.known(job.id, unavailable('gangs are not served by all nodes yet'));
     }
-    const value = encodeJobRow({ spec: this.storable(job), at: Math.floor(this.clock.wall() / MS) });
+    const value = encodeJobRow(this.storable(job), Math.floor(this.clock.wall() / MS));
     for (let i = 0; i < TRIES; i++) {
       if (i > 0) await sleep(this.clock, 150 * MS);
       // Both keys must be absent: a repeat that comes after the job's end must not start it again.
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, LOGS, Replica, SHARES, TOKEN_KEY, TYPES } from '#cluster';
+import { JOBS, type LiveJob, LOGS, Replica, SHARES, TOKEN_KEY, TYPES } from '#cluster';
 import { StoreClient } from '#store';
 import {
   SAMPLE_TYPES,
@@ -49,7 +49,11 @@
     wall: () => AT * MS,
   };
   readonly store = new SimStore(this.clock, () => 0.5, {
-    ...{ rps: 100_000, writeRps: 100_000, txnOps: 100, valueBytes: 100_000, pageRows: 1000 },
+    rps: 100_000,
+    writeRps: 100_000,
+    txnOps: 100,
+    valueBytes: 100_000,
+    pageRows: 1000,
   });
   private readonly net = new SimNet(this.clock, () => 0.5);
   readonly replica: Replica;
@@ -106,8 +110,14 @@
 };
 
 const GANG_JOB: JobSpec = sampleJob('j-2', {
-  ...{ shape: 'gang', rank: 'best_effort', team: 'green', taskCount: 2, cpus: 1, gpus: 1 },
-  ...{ spreadZones: true, allowsSpot: false },
+  shape: 'gang',
+  rank: 'best_effort',
+  team: 'green',
+  taskCount: 2,
+  cpus: 1,
+  gpus: 1,
+  spreadZones: true,
+  allowsSpot: false,
 });
 
 test('rows of jobs: every field, of arrays and gangs', async () => {
@@ -125,7 +135,7 @@
 
   const reader = new UserWorld(rows);
   await reader.pass();
-  assert.deepEqual(
+  assert.deepEqual<[string, LiveJob][]>(
     [...reader.replica.jobs],
     [
       ['j-1', { spec: ARRAY_JOB, at: AT, revision: 1 }],
