--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,7 +6,7 @@
 import { requireModuleComment } from './tools/eslint-rules/require-module-comment.js';
 
 /** Packages that hold to the full set. A package is added when it does; the list ends with all of them. */
-const READABLE_PACKAGES = ['cloud', 'store'];
+const READABLE_PACKAGES = ['cloud', 'pricing', 'store'];
 
 /** Packages that are checked by the full set in this run only. */
 const CHECKED_IN_FULL = (process.env.LINT_FULL ?? '').split(',').filter((name) => name !== '');
--- a/packages/pricing/gang.test.ts
+++ b/packages/pricing/gang.test.ts
@@ -8,35 +8,68 @@
 import type { RoomyMachine, RoundInput, RoundOptions, RoundResult, WaitingJob } from './types.js';
 
 const OPTIONS: RoundOptions = {
-  ...{ passes: 30, step: 0.1, gpuShapeCost: 0.5, gpuTaskWeight: 0.5, guaranteeWeight: 0.5 },
-  ...{ mostStarts: 1000, choices: 4 },
+  passes: 30,
+  step: 0.1,
+  gpuShapeCost: 0.5,
+  gpuTaskWeight: 0.5,
+  guaranteeWeight: 0.5,
+  mostStarts: 1000,
+  choices: 4,
 };
 
 function gang(id: string, size: number, change: Partial<WaitingJob> = {}): WaitingJob {
   return {
-    ...{ id, team: 'blue', need: { cpus: 2, gpus: 0, memGb: 4 }, priority: 2, order: 1 },
-    ...{ waiting: size, taskCount: size, gang: true, machineTypes: null, zone: null, singleZone: true },
-    ...{ spreadZones: false, spot: true, image: 'img-1', placedByZone: new Map() },
+    id,
+    team: 'blue',
+    need: { cpus: 2, gpus: 0, memGb: 4 },
+    priority: 2,
+    order: 1,
+    waiting: size,
+    taskCount: size,
+    gang: true,
+    machineTypes: null,
+    zone: null,
+    singleZone: true,
+    spreadZones: false,
+    spot: true,
+    image: 'img-1',
+    placedByZone: new Map(),
     ...change,
   };
 }
 
-function machine(host: string, zone: string, freeCpus: number, busyS = 1000): RoomyMachine {
+/** Some of its CPUs may be in use, for a long time. */
+function machine(host: string, zone: string, freeCpus: number): RoomyMachine {
   return {
-    ...{ host, machineType: 'small', zone, spot: false, warm: [], toldIn: 0, upkeep: 1 },
+    host,
+    machineType: 'small',
+    zone,
+    spot: false,
+    warm: [],
+    toldIn: 0,
+    upkeep: 1,
     total: { cpus: 4, gpus: 0, memGb: 16 },
     room: { cpus: freeCpus, gpus: 0, memGb: 4 * freeCpus },
-    busyFor: () => busyS * SECOND,
+    busyFor: () => 1000 * SECOND,
   };
 }
 
-function play(jobs: WaitingJob[], machines: RoomyMachine[], most = 1000, seed = 1): RoundResult {
+function play(
+  jobs: WaitingJob[],
+  machines: RoomyMachine[],
+  { most = 1000, seed = 1 }: { most?: number; seed?: number } = {},
+): RoundResult {
   const generator = xoroshiro128plus(seed);
   const input: RoundInput = {
-    ...{ jobs, machines, prices: new Map(), options: OPTIONS },
+    jobs,
+    machines,
+    prices: new Map(),
+    options: OPTIONS,
     teams: [
       {
-        ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 0, gpus: 0 } },
+        name: 'blue',
+        used: { cpus: 0, gpus: 0, memGb: 0 },
+        guaranteed: { cpus: 0, gpus: 0 },
         most: { cpus: most, gpus: 0 },
       },
     ],
@@ -89,14 +122,14 @@
     toldIn: toldIn * 1000,
   }));
   for (let seed = 1; seed < 20; seed++) {
-    const hosts = startsOf(play([gang('j-1', 4)], machines, 1000, seed), 'j-1');
+    const hosts = startsOf(play([gang('j-1', 4)], machines, { seed }), 'j-1');
     for (const host of hosts) assert.ok(['n-1', 'n-3', 'n-4'].includes(host), host);
   }
 });
 
 test('room is kept for a gang only where the rest comes free soon, and what ranks lower does not take it', () => {
   const small = gang('j-2', 1, { gang: false, singleZone: false, waiting: 4, taskCount: 4, priority: 1 });
-  const soon = [machine('a', 'east', 2, 10), machine('b', 'east', 2, 10)];
+  const soon = ['a', 'b'].map((name) => ({ ...machine(name, 'east', 2), busyFor: () => 10 * SECOND }));
   const gathering = play([gang('j-1', 4), small], soon);
   assert.deepEqual(gathering.starts, []);
   assert.equal(gathering.unmet.get('j-1'), 2);
@@ -126,13 +159,20 @@
   const machines = ['a', 'b', 'c', 'd'].map((name) => machine(name, 'east', 4));
   const small = gang('j-2', 1, { gang: false, singleZone: false, waiting: 8, taskCount: 8, priority: 1 });
   // A limit of 6 CPUs leaves no room for four tasks of two: until it does, nothing of lower rank begins.
-  assert.deepEqual(play([gang('j-1', 4), small], machines, 6).starts, []);
-  assert.equal(startsOf(play([gang('j-1', 4), small], machines, 8), 'j-1').length, 4);
+  assert.deepEqual(play([gang('j-1', 4), small], machines, { most: 6 }).starts, []);
+  assert.equal(startsOf(play([gang('j-1', 4), small], machines, { most: 8 }), 'j-1').length, 4);
 });
 
 test('for a gang as many tasks are stopped as it needs, or none', () => {
   const victim = (host: string, cpus: number): Victim => ({
-    ...{ taskName: `v/${host}`, host, rank: 0, beyond: false, saves: true, cpus, gpus: 0, memGb: 4 },
+    taskName: `v/${host}`,
+    host,
+    rank: 0,
+    beyond: false,
+    saves: true,
+    cpus,
+    gpus: 0,
+    memGb: 4,
   });
   const stopsFor = (count: number): number =>
     planStops({
--- a/packages/pricing/gang.ts
+++ b/packages/pricing/gang.ts
@@ -1,6 +1,6 @@
 /**
- * Gangs in a round: one candidate each, placed as a whole or not at all. Room that is not enough yet is kept for the
- * next rounds, where the rest of it is about to come free.
+ * Gang scheduling in a round: one candidate each, placed as a whole or not at all. Room that is not enough yet is kept
+ * for the next rounds, where the rest of it is about to come free.
  */
 import { slots, take } from './amounts.js';
 import { fill, type FillOptions } from './fill.js';
@@ -9,15 +9,24 @@
 import type { RoomyMachine, WaitingJob } from './types.js';
 import { ZoneRule } from './zone-rule.js';
 
+/** What became of a gang in a round. */
 export type GangPlacement =
-  | { kind: 'placed'; machines: RoomyMachine[] }
-  /** `missing`: tasks for which there is no room in the zone that serves it best (null: in any zones). */
-  | { kind: 'released'; missing: number; zone: string | null; kept: string[] };
+  | { readonly kind: 'placed'; readonly machines: readonly RoomyMachine[] }
+  | {
+      readonly kind: 'released';
+      /** Tasks for which there is no room in `zone`. */
+      readonly missing: number;
+      /** The zone that serves it best; null: its tasks may lie in any zones. */
+      readonly zone: string | null;
+      /** Hosts of the machines whose room is kept for it. */
+      readonly kept: readonly string[];
+    };
 
 /** A zone that may take a gang (null: its tasks may lie in different zones), with the machines open to it there. */
 interface Site {
-  zone: string | null;
-  machines: RoomyMachine[];
+  readonly zone: string | null;
+  readonly machines: RoomyMachine[];
+  /** Tasks of the gang that there is room for. */
   free: number;
 }
 
@@ -27,7 +36,8 @@
   for (const site of sites) {
     if (site.free < job.waiting) break;
     const rule = new ZoneRule(inZone(job, site.zone), []);
-    const machines = fill(job, soonestTold(job, pools, rule), rule, job.waiting, options);
+    const openPools = soonestTold(job, pools, rule);
+    const machines = fill({ job, pools: openPools, rule, count: job.waiting }, options);
     if (machines.length === job.waiting) return { kind: 'placed', machines };
     for (const machine of machines) take(machine.room, job.need, -1);
   }
@@ -46,7 +56,7 @@
   let left = job.waiting;
   for (const pool of pools) {
     const open = pool.machines.filter((m) => rule.open(m.zone) && slots(job.need, m.room) > 0);
-    const free = open.reduce((sum, m) => sum + slots(job.need, m.room), 0);
+    const free = slotsOn(open, job);
     if (free >= left) {
       const isCold = (m: RoomyMachine): number => (m.warm.includes(job.image) ? 0 : 1);
       open.sort((a, b) => isCold(a) - isCold(b) || a.toldIn - b.toldIn);
@@ -58,38 +68,53 @@
   return chosen;
 }
 
+/** How many of the job's tasks the machines have room for. */
+function slotsOn(machines: readonly RoomyMachine[], job: WaitingJob): number {
+  return machines.reduce((sum, machine) => sum + slots(job.need, machine.room), 0);
+}
+
+/** The first machines that together have room for so many tasks; all of them if they have not. */
 function firstWithRoom(job: WaitingJob, machines: readonly RoomyMachine[], count: number): RoomyMachine[] {
+  const chosen: RoomyMachine[] = [];
   let room = 0;
-  const end = machines.findIndex((m) => (room += slots(job.need, m.room)) >= count);
-  return end < 0 ? [...machines] : machines.slice(0, end + 1);
+  for (const machine of machines) {
+    chosen.push(machine);
+    room += slots(job.need, machine.room);
+    if (room >= count) break;
+  }
+  return chosen;
 }
 
 /** The sites of a gang, the one with most room first; of several that have enough, the one that has its image. */
 function sitesOf(job: WaitingJob, pools: readonly Pool[]): Site[] {
   const sites = new Map<string | null, Site>();
   for (const pool of pools) {
-    for (const machine of pool.machines) {
-      if (job.zone !== null && machine.zone !== job.zone) continue;
-      const zone = job.singleZone ? machine.zone : null;
-      let site = sites.get(zone);
-      if (!site) sites.set(zone, (site = { zone, machines: [], free: 0 }));
-      site.machines.push(machine);
-      site.free += slots(job.need, machine.room);
-    }
+    for (const machine of pool.machines) addToSite(sites, machine, job);
   }
-  const warmth = (site: Site): number => {
-    if (site.free < job.waiting) return 0;
-    const warm = site.machines.filter((m) => m.warm.includes(job.image));
-    return Math.min(
-      job.waiting,
-      warm.reduce((sum, m) => sum + slots(job.need, m.room), 0),
-    );
-  };
-  const ranked = [...sites.values()].map((site) => ({ site, warmth: warmth(site) }));
+  const ranked = [...sites.values()].map((site) => ({ site, warmth: warmthOf(site, job) }));
   ranked.sort((a, b) => b.warmth - a.warmth || b.site.free - a.site.free);
   return ranked.map(({ site }) => site);
 }
 
+function addToSite(sites: Map<string | null, Site>, machine: RoomyMachine, job: WaitingJob): void {
+  if (job.zone !== null && machine.zone !== job.zone) return;
+  const zone = job.singleZone ? machine.zone : null;
+  let site = sites.get(zone);
+  if (!site) {
+    site = { zone, machines: [], free: 0 };
+    sites.set(zone, site);
+  }
+  site.machines.push(machine);
+  site.free += slots(job.need, machine.room);
+}
+
+/** How many tasks of the gang would start without loading their image; 0 where the site can't take the gang. */
+function warmthOf(site: Site, job: WaitingJob): number {
+  if (site.free < job.waiting) return 0;
+  const warm = site.machines.filter((machine) => machine.warm.includes(job.image));
+  return Math.min(job.waiting, slotsOn(warm, job));
+}
+
 /**
  * Keeps what room there is for a gang where the rest comes free soon. Nothing is allotted by it: each round decides
  * anew, the gang of highest rank first, so that two gangs never wait for each other's half.
@@ -98,18 +123,23 @@
   const best = sites[0];
   if (!best) return { kind: 'released', missing: job.waiting, zone: null, kept: [] };
   const missing = Math.max(1, job.waiting - best.free);
-  const result: GangPlacement = { kind: 'released', missing, zone: best.zone, kept: [] };
   // For one that has to be spread, room in one zone says nothing of when the gang can start.
-  if (job.spreadZones || !comesFree(job, best)) return result;
+  const kept = !job.spreadZones && comesFree(job, best) ? keepRoom(job, best.machines) : [];
+  return { kind: 'released', missing, zone: best.zone, kept };
+}
+
+/** Takes room for as many of the gang's tasks as it can. Returns the hosts. */
+function keepRoom(job: WaitingJob, machines: readonly RoomyMachine[]): string[] {
+  const kept: string[] = [];
   let left = job.waiting;
-  for (const machine of best.machines) {
+  for (const machine of machines) {
     const count = Math.min(left, slots(job.need, machine.room));
     if (count === 0) continue;
     take(machine.room, job.need, count);
     left -= count;
-    result.kept.push(machine.host);
+    kept.push(machine.host);
   }
-  return result;
+  return kept;
 }
 
 /** The running tasks of the site leave enough room within the time for which any is kept. */
--- a/packages/pricing/preempt.test.ts
+++ b/packages/pricing/preempt.test.ts
@@ -5,23 +5,33 @@
 
 const NEED = { cpus: 4, gpus: 0, memGb: 8 };
 const JOB: WaitingJob = {
-  ...{
-    id: 'j-1',
-    team: 'blue',
-    need: NEED,
-    priority: 4,
-    order: 1,
-    waiting: 1,
-    taskCount: 1,
-    gang: false,
-    machineTypes: null,
-  },
-  ...{ zone: null, singleZone: false, spreadZones: false, spot: true, image: 'i', placedByZone: new Map() },
+  id: 'j-1',
+  team: 'blue',
+  need: NEED,
+  priority: 4,
+  order: 1,
+  waiting: 1,
+  taskCount: 1,
+  gang: false,
+  machineTypes: null,
+  zone: null,
+  singleZone: false,
+  spreadZones: false,
+  spot: true,
+  image: 'i',
+  placedByZone: new Map(),
 };
 
 function victim(taskName: string, change: Partial<Victim> = {}): Victim {
   return {
-    ...{ taskName, host: 'n-1', rank: 0, beyond: false, saves: true, cpus: 2, gpus: 0, memGb: 4 },
+    taskName,
+    host: 'n-1',
+    rank: 0,
+    beyond: false,
+    saves: true,
+    cpus: 2,
+    gpus: 0,
+    memGb: 4,
     ...change,
   };
 }
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -1,3 +1,4 @@
+/** Preemption: which running tasks to stop so that more urgent ones find room. */
 import { fits, take } from './amounts.js';
 import type { Amounts, WaitingJob } from './types.js';
 
@@ -5,6 +6,7 @@
 export interface Victim extends Amounts {
   taskName: string;
   host: string;
+  /** Of its job; the higher, the more urgent. */
   rank: number;
   /** Its team runs more than its guarantee. */
   beyond: boolean;
@@ -12,20 +14,34 @@
   saves: boolean;
 }
 
+/** Tasks of one job that found no room and may preempt others. */
 export interface PreemptionRequest {
   job: WaitingJob;
+  /** Tasks, each of which takes a machine of its own. */
   count: number;
+  /** Compared with the rank of victims. */
   rank: number;
   /** It lies within its team's guarantee. */
   guaranteed: boolean;
 }
 
+/** A machine on which tasks may be stopped. */
+export interface PreemptibleMachine {
+  readonly host: string;
+  /** Its free room, once all that is being stopped already has ended. */
+  readonly left: Amounts;
+  /** Whether the job's constraints admit the machine. */
+  readonly allowed: (job: WaitingJob) => boolean;
+}
+
+/** What `planStops` decides on. */
 export interface PreemptInput {
   /** Tasks that found no room and have waited long enough to stop others for, most urgent first. */
   requests: readonly PreemptionRequest[];
-  machines: readonly { host: string; left: Amounts; allowed: (job: WaitingJob) => boolean }[];
+  machines: readonly PreemptibleMachine[];
   /** Tasks that may be stopped at all. */
   victims: readonly Victim[];
+  /** Tasks that may be stopped, at most. */
   most: number;
 }
 
@@ -34,49 +50,96 @@
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
 export function planStops({ requests, machines, victims, most }: PreemptInput): Victim[] {
-  const stops: Victim[] = [];
-  const used = new Set<string>();
-  // Found by machine once: machines times tasks would be looked at for every claim otherwise.
-  const onHost = new Map<string, Victim[]>();
+  const plan = new PreemptionPlan(candidatesOf(machines, victims), most);
+  for (const request of requests) plan.serve(request);
+  return plan.stops;
+}
+
+/** A machine with the tasks on it that could be stopped, those of lowest rank first. */
+interface Candidate extends PreemptibleMachine {
+  readonly victims: readonly Victim[];
+}
+
+/** Machines that have victims. Found by host once: machines times tasks would be looked at for every request else. */
+function candidatesOf(machines: readonly PreemptibleMachine[], victims: readonly Victim[]): Candidate[] {
+  const byHost = new Map<string, Victim[]>();
   for (const victim of victims) {
     if (!victim.saves) continue;
-    const there = onHost.get(victim.host);
-    if (there) there.push(victim);
-    else onHost.set(victim.host, [victim]);
+    const onHost = byHost.get(victim.host);
+    if (onHost) onHost.push(victim);
+    else byHost.set(victim.host, [victim]);
   }
-  for (const there of onHost.values()) there.sort((a, b) => a.rank - b.rank);
-  const candidates = machines.flatMap((m) => {
-    const open = onHost.get(m.host);
-    return open ? [{ ...m, open }] : [];
+  for (const onHost of byHost.values()) onHost.sort((a, b) => a.rank - b.rank);
+  return machines.flatMap((machine) => {
+    const onHost = byHost.get(machine.host);
+    return onHost ? [{ ...machine, victims: onHost }] : [];
   });
-  for (const { job, count, rank, guaranteed } of requests) {
-    const chosenBefore = stops.length;
-    const hosts: string[] = [];
-    let found = 0;
-    for (; found < count; found++) {
-      let best: { host: string; chosen: Victim[] } | null = null;
-      for (const machine of candidates) {
-        if (used.has(machine.host) || !machine.allowed(job)) continue;
-        const room = { ...machine.left };
-        const chosen: Victim[] = [];
-        for (const v of machine.open) {
-          if (fits(job.need, room)) break;
-          if (v.rank >= rank && !(guaranteed && v.beyond)) continue;
-          take(room, v, -1);
-          chosen.push(v);
-        }
-        if (fits(job.need, room) && (!best || chosen.length < best.chosen.length))
-          best = { host: machine.host, chosen };
-      }
-      if (!best || stops.length + best.chosen.length > most) break;
-      used.add(best.host);
-      hosts.push(best.host);
-      stops.push(...best.chosen);
+}
+
+/** A machine that is to take one task, and what has to be stopped on it. */
+interface Choice {
+  readonly host: string;
+  readonly victims: readonly Victim[];
+}
+
+/** The stops decided on so far. A machine makes room for one task only. */
+class PreemptionPlan {
+  readonly stops: Victim[] = [];
+  private readonly usedHosts = new Set<string>();
+
+  constructor(
+    private readonly candidates: readonly Candidate[],
+    private readonly maxPreemptions: number,
+  ) {}
+
+  /** Adds stops for as many of the request's tasks as possible; for a gang for all of them or none. */
+  serve(request: PreemptionRequest): void {
+    const choices: Choice[] = [];
+    while (choices.length < request.count) {
+      const choice = this.fewestStops(request);
+      if (!choice || this.stops.length + choice.victims.length > this.maxPreemptions) break;
+      this.add(choice);
+      choices.push(choice);
     }
-    if (!job.gang || found === count) continue;
     // Room for a part of a gang is of no use to it.
-    stops.length = chosenBefore;
-    for (const host of hosts) used.delete(host);
+    if (request.job.gang && choices.length < request.count) this.takeBack(choices);
+  }
+
+  private add({ host, victims }: Choice): void {
+    this.usedHosts.add(host);
+    this.stops.push(...victims);
+  }
+
+  /** Takes back what was added last. */
+  private takeBack(choices: readonly Choice[]): void {
+    for (const { host, victims } of choices) {
+      this.usedHosts.delete(host);
+      this.stops.length -= victims.length;
+    }
+  }
+
+  /** The first of the machines on which the fewest tasks have to be stopped for one of the request's. */
+  private fewestStops(request: PreemptionRequest): Choice | null {
+    let best: Choice | null = null;
+    for (const candidate of this.candidates) {
+      if (this.usedHosts.has(candidate.host) || !candidate.allowed(request.job)) continue;
+      const victims = victimsOn(candidate, request);
+      if (victims && (!best || victims.length < best.victims.length))
+        best = { host: candidate.host, victims };
+    }
+    return best;
+  }
+}
+
+/** What to stop on the machine for one task of the request; null if all that may be stopped is not enough. */
+function victimsOn(candidate: Candidate, { job, rank, guaranteed }: PreemptionRequest): Victim[] | null {
+  const room = { ...candidate.left };
+  const chosen: Victim[] = [];
+  for (const victim of candidate.victims) {
+    if (fits(job.need, room)) break;
+    if (victim.rank >= rank && !(guaranteed && victim.beyond)) continue;
+    take(room, victim, -1);
+    chosen.push(victim);
   }
-  return stops;
+  return fits(job.need, room) ? chosen : null;
 }
--- /dev/null
+++ b/packages/pricing/prices.ts
@@ -0,0 +1,78 @@
+/** Prices of the shapes' resources, and what a placement is worth at them. */
+import { nothing, take } from './amounts.js';
+import { isFeasible, type Pool } from './pools.js';
+import type { Segment } from './segments.js';
+import type { Amounts, RoundOptions } from './types.js';
+
+/** What utilities and price steps of a round are computed from. */
+export interface Market {
+  readonly pools: readonly Pool[];
+  /** The highest priority of any segment: price steps and surcharges are parts of it. */
+  readonly topPriority: number;
+  readonly options: RoundOptions;
+}
+
+/** Each priced resource: its field in prices, and in amounts. */
+const RESOURCES = [
+  { price: 'cpu', amount: 'cpus' },
+  { price: 'gpu', amount: 'gpus' },
+  { price: 'mem', amount: 'memGb' },
+] as const;
+
+/** Net utility of a task of the segment on the shape: its priority less what it asks for at the present prices. */
+export function utility(segment: Segment, pool: Pool, market: Market): number {
+  const { need } = segment.job;
+  const { price } = pool;
+  const isGpuWasted = need.gpus === 0 && pool.total.gpus > 0;
+  const gpuShapeCost = isGpuWasted ? market.options.gpuShapeCost * market.topPriority : 0;
+  const cost = price.cpu * need.cpus + price.gpu * need.gpus + price.mem * need.memGb;
+  return segment.priority - cost - gpuShapeCost;
+}
+
+/**
+ * One price pass: every task picks its best shape, and each price follows the gap on its shape. A step is so large
+ * that a whole machine's worth of a resource moves by the same part of top priority, and it stays within that
+ * while the first machines of a shape come up and a hundred times as much is asked as there is. Prices far above
+ * all that anyone would pay come down only as room comes free, which on a full fleet takes minutes; until then
+ * tasks would rank by the size of their demand alone, and urgent ones that need a whole machine come last.
+ */
+export function movePrices(segments: readonly Segment[], market: Market): void {
+  const demands = demandByPool(segments, market);
+  for (const pool of market.pools) movePricesOf(pool, demands.get(pool) ?? nothing(), market);
+}
+
+/** What is asked of each shape if every task goes where its utility is highest, if that is above zero. */
+function demandByPool(segments: readonly Segment[], market: Market): Map<Pool, Amounts> {
+  const demands = new Map<Pool, Amounts>(market.pools.map((pool) => [pool, nothing()]));
+  for (const segment of segments) {
+    const best = bestPool(segment, market);
+    if (best) take(demands.get(best) ?? nothing(), segment.job.need, -segment.count);
+  }
+  return demands;
+}
+
+function bestPool(segment: Segment, market: Market): Pool | null {
+  let best: Pool | null = null;
+  let bestUtility = 0;
+  for (const pool of market.pools) {
+    if (!isFeasible(segment.job, pool)) continue;
+    const value = utility(segment, pool, market);
+    if (value <= bestUtility) continue;
+    best = pool;
+    bestUtility = value;
+  }
+  return best;
+}
+
+function movePricesOf(pool: Pool, demand: Amounts, { topPriority, options }: Market): void {
+  for (const { price, amount } of RESOURCES) {
+    const total = pool.total[amount];
+    if (total <= 0) {
+      pool.price[price] = 0;
+      continue;
+    }
+    const step = (options.step * topPriority * pool.machines.length) / total;
+    const gap = Math.min(1, (demand[amount] - pool.room[amount]) / total);
+    pool.price[price] = Math.max(0, pool.price[price] + step * gap);
+  }
+}
--- a/packages/pricing/reserve.ts
+++ b/packages/pricing/reserve.ts
@@ -7,16 +7,22 @@
 /** Part of a machine stands idle for a larger task, or for a gang, no longer than this. */
 export const KEPT_FOR: Micros = 30 * SECOND;
 
+/** Tasks of one job that found no machine with enough room. */
+export interface ReservationRequest {
+  readonly job: WaitingJob;
+  readonly rule: ZoneRule;
+  /** Tasks; nothing is kept for none or fewer. */
+  readonly count: number;
+}
+
 /**
  * Machines that could hold one of the tasks, and already have part of the room, take nothing of lower rank until
  * the rest is free, too. Otherwise small tasks would fill each half as it comes, and a task that needs a whole
- * machine would wait for ever on a full fleet. Those that are free soonest come first.
+ * machine would wait for ever on a full fleet. Those that are free soonest come first. Returns the hosts kept.
  */
 export function reserve(
   machines: readonly RoomyMachine[],
-  job: WaitingJob,
-  rule: ZoneRule,
-  count: number,
+  { job, rule, count }: ReservationRequest,
 ): string[] {
   if (count <= 0) return [];
   const partly = machines.filter(
--- a/packages/pricing/round.test.ts
+++ b/packages/pricing/round.test.ts
@@ -9,15 +9,13 @@
 import type { RoomyMachine, RoundInput, RoundOptions, WaitingJob } from './types.js';
 
 const OPTIONS: RoundOptions = {
-  ...{
-    passes: 30,
-    step: 0.1,
-    gpuShapeCost: 0.5,
-    gpuTaskWeight: 0.5,
-    guaranteeWeight: 0.5,
-    mostStarts: 1000,
-    choices: 4,
-  },
+  passes: 30,
+  step: 0.1,
+  gpuShapeCost: 0.5,
+  gpuTaskWeight: 0.5,
+  guaranteeWeight: 0.5,
+  mostStarts: 1000,
+  choices: 4,
 };
 
 function random(seed: number): () => number {
@@ -27,17 +25,20 @@
 
 function job(id: string, change: Partial<WaitingJob> = {}): WaitingJob {
   return {
-    ...{
-      id,
-      team: 'blue',
-      need: { cpus: 2, gpus: 0, memGb: 4 },
-      priority: 2,
-      order: 1,
-      waiting: 1,
-      taskCount: 1,
-      gang: false,
-    },
-    ...{ machineTypes: null, zone: null, singleZone: false, spreadZones: false, spot: true, image: 'img-1' },
+    id,
+    team: 'blue',
+    need: { cpus: 2, gpus: 0, memGb: 4 },
+    priority: 2,
+    order: 1,
+    waiting: 1,
+    taskCount: 1,
+    gang: false,
+    machineTypes: null,
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    spot: true,
+    image: 'img-1',
     placedByZone: new Map(),
     ...change,
   };
@@ -46,18 +47,16 @@
 function machine(host: string, change: Partial<RoomyMachine> = {}): RoomyMachine {
   const total = { cpus: 4, gpus: 0, memGb: 16 };
   return {
-    ...{
-      host,
-      machineType: 'small',
-      zone: 'east',
-      spot: false,
-      total,
-      room: { ...total },
-      warm: [],
-      busyFor: () => Infinity,
-      toldIn: 0,
-      upkeep: 1,
-    },
+    host,
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    total,
+    room: { ...total },
+    warm: [],
+    busyFor: () => Infinity,
+    toldIn: 0,
+    upkeep: 1,
     ...change,
   };
 }
@@ -98,7 +97,10 @@
     fc.property(fc.array(anyJob, { maxLength: 12 }), fc.array(anyMachine, { maxLength: 12 }), (js, ms) => {
       const jobs = js.map((j, i) =>
         job(`j-${i}`, {
-          ...{ ...j, need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb }, order: i, taskCount: j.waiting },
+          ...j,
+          need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb },
+          order: i,
+          taskCount: j.waiting,
         }),
       );
       const machines = ms.map((m, i) => {
@@ -112,8 +114,8 @@
       const zones = new Map<string, string[]>();
       const count = new Map<string, number>();
       for (const { job: id, host } of result.starts) {
-        const j = jobs.find((x) => x.id === id) as WaitingJob;
-        const m = machines.find((x) => x.host === host) as RoomyMachine;
+        const j = jobs.find((x) => x.id === id)!;
+        const m = machines.find((x) => x.host === host)!;
         const left = room.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
         assert.ok(fits(j.need, left), 'room');
         take(left, j.need, 1);
@@ -214,7 +216,9 @@
   let prices: RoundInput['prices'] = new Map();
   const teams = [
     {
-      ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 0, gpus: 0 } },
+      name: 'blue',
+      used: { cpus: 0, gpus: 0, memGb: 0 },
+      guaranteed: { cpus: 0, gpus: 0 },
       most: { cpus: 1e4, gpus: 0 },
     },
   ];
@@ -245,12 +249,18 @@
     const waitsForLarge = job('j-1', { priority: 24, waiting: 8, machineTypes: ['large'], isOverdue });
     const runsAnywhere = job('j-2', { priority: 1, order: 2, waiting: 2 });
     const team = {
-      ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 8, gpus: 0 } },
+      name: 'blue',
+      used: { cpus: 0, gpus: 0, memGb: 0 },
+      guaranteed: { cpus: 8, gpus: 0 },
       most: { cpus: 16, gpus: 0 },
     };
     const result = playRound({
-      ...{ jobs: [waitsForLarge, runsAnywhere], machines: [machine('m-1')], teams: [team] },
-      ...{ prices: new Map(), options: OPTIONS, random: random(1) },
+      jobs: [waitsForLarge, runsAnywhere],
+      machines: [machine('m-1')],
+      teams: [team],
+      prices: new Map(),
+      options: OPTIONS,
+      random: random(1),
     });
     assert.equal(result.unmet.get('j-1'), 8, 'machines for it are still asked for');
     return result.starts.map((start) => start.job);
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -1,11 +1,15 @@
+/** What a scheduling round decides on, and what it decides. */
 import type { Micros } from '#wire';
 
+/** What a task needs or a machine has. CPUs may be fractions. */
 export interface Amounts {
   cpus: number;
   gpus: number;
+  /** Memory in GB. */
   memGb: number;
 }
 
+/** Price of one CPU, one GPU and one GB of memory on a shape, in units of priority. */
 export interface Price {
   cpu: number;
   gpu: number;
@@ -21,22 +25,30 @@
   priority: number;
   /** Order of acceptance, for ties. */
   order: number;
+  /** Tasks that wait for a machine. */
   waiting: number;
+  /** Tasks of the whole job. */
   taskCount: number;
   /** All that waits is placed in one round, or nothing is. */
   gang: boolean;
   /** It has waited for longer than a machine takes to come up. */
   isOverdue?: boolean;
+  /** Types that it is limited to; null: any. */
   machineTypes: readonly string[] | null;
+  /** The zone that it is limited to; null: any. */
   zone: string | null;
+  /** All of its tasks have to lie in one zone. */
   singleZone: boolean;
+  /** No zone may hold more than half of its tasks. */
   spreadZones: boolean;
+  /** It may run on spot machines. */
   spot: boolean;
   image: string;
   /** Tasks of the job that are on machines now, by zone. */
   placedByZone: ReadonlyMap<string, number>;
 }
 
+/** A machine that may take tasks in this round. */
 export interface RoomyMachine {
   host: string;
   machineType: string;
@@ -55,14 +67,19 @@
   upkeep: number;
 }
 
+/** A team's quota and its use. */
 export interface TeamBooks {
   name: string;
+  /** What its tasks on machines take up. */
   used: Amounts;
   guaranteed: { cpus: number; gpus: number };
+  /** Its limit. */
   most: { cpus: number; gpus: number };
 }
 
+/** Parameters of the design that are set by the operators. */
 export interface RoundOptions {
+  /** Price passes of a round. */
   passes: number;
   /** Step for a whole machine's worth of a resource at full gap, as a part of top priority. */
   step: number;
@@ -72,30 +89,36 @@
   gpuTaskWeight: number;
   /** Raise for what lies within a team's guarantee, as a part of top priority. */
   guaranteeWeight: number;
+  /** Tasks started in one round, at most; a gang that is larger has a round to itself. */
   mostStarts: number;
   /** Random roomy machines that are looked at for each task; the fullest of them gets it. */
   choices: number;
 }
 
+/** The state that a round begins with. */
 export interface RoundInput {
   jobs: readonly WaitingJob[];
   machines: readonly RoomyMachine[];
   teams: readonly TeamBooks[];
+  /** By shape, as the last round left them; a shape that is new begins at zero. */
   prices: ReadonlyMap<string, Price>;
   options: RoundOptions;
   /** Uniform in [0, 1). */
   random: () => number;
 }
 
+/** What a round decided. */
 export interface RoundResult {
+  /** One for each task, in the order of placement. */
   starts: { job: string; host: string }[];
+  /** By shape. */
   prices: Map<string, Price>;
-  /** Tasks within their team's limit that found no roomy machine. */
+  /** By job: tasks within their team's limit that found no roomy machine. */
   unmet: Map<string, number>;
   /** By gang that found no room and has to lie in one zone: the zone that serves it best. */
   gatheringZones: Map<string, string>;
-  /** Room left on each machine. */
+  /** By host: room left on each machine. */
   left: Map<string, Amounts>;
-  /** Machines that are kept for tasks which need more room than they have yet. */
+  /** Hosts of machines that are kept for tasks which need more room than they have yet. */
   kept: ReadonlySet<string>;
 }
--- a/packages/pricing/zone-rule.ts
+++ b/packages/pricing/zone-rule.ts
@@ -17,6 +17,7 @@
     this.only = job.singleZone && this.counts.size === 0 ? roomiest(job, machines) : null;
   }
 
+  /** Whether the next task may go to the zone. */
   open(zone: string): boolean {
     const { job, counts } = this;
     if (job.zone !== null && zone !== job.zone) return false;
@@ -26,6 +27,7 @@
     return !job.spreadZones || (counts.get(zone) ?? 0) < this.half;
   }
 
+  /** A task was placed in the zone. */
   placed(zone: string): void {
     this.counts.set(zone, (this.counts.get(zone) ?? 0) + 1);
   }
@@ -34,10 +36,16 @@
 /** The zone with room for most of the job's tasks; a job tied to one zone starts there. */
 function roomiest(job: WaitingJob, machines: readonly RoomyMachine[]): string | null {
   const room = new Map<string, number>();
-  for (const m of machines) {
-    const usable = (job.spot || !m.spot) && (job.machineTypes?.includes(m.machineType) ?? true);
-    if (!usable || (job.zone !== null && job.zone !== m.zone)) continue;
-    room.set(m.zone, (room.get(m.zone) ?? 0) + slots(job.need, m.room));
+  for (const machine of machines) {
+    if (!admits(job, machine)) continue;
+    room.set(machine.zone, (room.get(machine.zone) ?? 0) + slots(job.need, machine.room));
   }
   return [...room].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
 }
+
+/** Whether the job's constraints admit the machine, whatever room it has. */
+function admits(job: WaitingJob, machine: RoomyMachine): boolean {
+  if (machine.spot && !job.spot) return false;
+  if (job.machineTypes && !job.machineTypes.includes(machine.machineType)) return false;
+  return job.zone === null || job.zone === machine.zone;
+}
