--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -1,23 +1,27 @@
 /** Places ranked segments on machines, and notes what found no room. */
-import { EPS } from './amounts.js';
-import { fill, type FillOptions } from './fill.js';
+import { RESOURCE_TOLERANCE } from './amounts.js';
+import { packTasks, type BinPackingOptions } from './fill.js';
 import { placeGang } from './gang.js';
-import { isFeasible, type Pool } from './pools.js';
+import { isFeasible, type ShapePool } from './pools.js';
 import { type Market, utility } from './prices.js';
-import { reserve } from './reserve.js';
+import { reserveMachines } from './reserve.js';
 import type { Segment } from './segments.js';
-import type { RoomyMachine, RoundInput, RoundResult, WaitingJob } from './types.js';
-import { ZoneRule } from './zone-rule.js';
+import type { CandidateMachine, PricingRoundInput, PricingRoundResult, PendingJob } from './types.js';
+import { ZoneConstraint } from './zone-rule.js';
 
 /** A segment with the shapes feasible for it, best first, and its net utility on the best. */
 interface RankedSegment {
   readonly segment: Segment;
-  readonly pools: readonly Pool[];
+  readonly pools: readonly ShapePool[];
   readonly bestUtility: number;
 }
 
 /** Places the segments, the one of highest net utility first, and takes the room of each from the market's pools. */
-export function placeSegments(input: RoundInput, segments: readonly Segment[], market: Market): RoundResult {
+export function placeSegments(
+  input: PricingRoundInput,
+  segments: readonly Segment[],
+  market: Market,
+): PricingRoundResult {
   const placer = new RoundPlacer(input);
   for (const ranked of rankSegments(segments, market)) placer.place(ranked);
   return placer.result(market.pools);
@@ -28,14 +32,14 @@
  * of candidates that rank alike the larger one goes first, since it is the harder to place.
  */
 function rankSegments(segments: readonly Segment[], market: Market): RankedSegment[] {
-  const gangSize = ({ job }: Segment): number => (job.gang ? job.waiting : 0);
+  const gangSize = ({ job }: Segment): number => (job.isGang ? job.pendingTasks : 0);
   return segments
     .map((segment) => rankPools(segment, market))
     .sort(
       (a, b) =>
         b.bestUtility - a.bestUtility ||
         gangSize(b.segment) - gangSize(a.segment) ||
-        a.segment.job.order - b.segment.job.order,
+        a.segment.job.acceptanceOrder - b.segment.job.acceptanceOrder,
     );
 }
 
@@ -43,38 +47,42 @@
   const ranked = market.pools
     .filter((pool) => isFeasible(segment.job, pool))
     .map((pool) => ({ pool, value: utility(segment, pool, market) }))
-    .sort((a, b) => (Math.abs(b.value - a.value) > EPS ? b.value - a.value : a.pool.upkeep - b.pool.upkeep));
+    .sort((a, b) =>
+      Math.abs(b.value - a.value) > RESOURCE_TOLERANCE
+        ? b.value - a.value
+        : a.pool.hourlyCostPerCpu - b.pool.hourlyCostPerCpu,
+    );
   const pools = ranked.map(({ pool }) => pool);
   return { segment, pools, bestUtility: ranked[0]?.value ?? -Infinity };
 }
 
 /** Places segment after segment, and holds what the round has decided so far. */
 class RoundPlacer {
-  private readonly starts: RoundResult['starts'] = [];
+  private readonly starts: PricingRoundResult['starts'] = [];
   private readonly unmet = new Map<string, number>();
   private readonly kept = new Set<string>();
   private readonly gatheringZones = new Map<string, string>();
-  private readonly zoneRules = new Map<string, ZoneRule>();
-  private readonly fillOptions: FillOptions;
+  private readonly zoneRules = new Map<string, ZoneConstraint>();
+  private readonly fillOptions: BinPackingOptions;
 
-  constructor(private readonly input: RoundInput) {
+  constructor(private readonly input: PricingRoundInput) {
     this.fillOptions = { random: input.random, choices: input.options.choices };
   }
 
   place(ranked: RankedSegment): void {
-    if (ranked.segment.job.gang) this.placeGang(ranked);
+    if (ranked.segment.job.isGang) this.placeGang(ranked);
     else this.placeTasks(ranked);
   }
 
-  result(pools: readonly Pool[]): RoundResult {
+  result(pools: readonly ShapePool[]): PricingRoundResult {
     const machines = pools.flatMap((pool) => pool.machines);
     return {
       starts: this.starts,
       prices: new Map(pools.map((pool) => [pool.shape, pool.price])),
       unmet: this.unmet,
       gatheringZones: this.gatheringZones,
-      left: new Map(machines.map((machine) => [machine.host, machine.room])),
-      kept: this.kept,
+      free: new Map(machines.map((machine) => [machine.host, machine.free])),
+      reservedHosts: this.kept,
     };
   }
 
@@ -96,23 +104,23 @@
     const { job } = segment;
     const rule = this.zoneRuleOf(job);
     const count = Math.min(segment.count, Math.max(0, this.startsLeft()));
-    const machines = fill({ job, pools, rule, count }, this.fillOptions);
+    const machines = packTasks({ job, pools, rule, count }, this.fillOptions);
     this.start(job, machines);
     let left = segment.count - machines.length;
     if (left === 0) return;
     this.unmet.set(job.id, (this.unmet.get(job.id) ?? 0) + left);
     for (const pool of pools) {
-      const hosts = reserve(pool.machines, { job, rule, count: left });
+      const hosts = reserveMachines(pool.machines, { job, rule, count: left });
       left -= hosts.length;
       this.keep(hosts);
     }
   }
 
   private startsLeft(): number {
-    return this.input.options.mostStarts - this.starts.length;
+    return this.input.options.maxStarts - this.starts.length;
   }
 
-  private start(job: WaitingJob, machines: readonly RoomyMachine[]): void {
+  private start(job: PendingJob, machines: readonly CandidateMachine[]): void {
     for (const { host } of machines) this.starts.push({ job: job.id, host });
   }
 
@@ -121,10 +129,10 @@
   }
 
   /** One rule for each job: its two segments share what is placed in each zone. */
-  private zoneRuleOf(job: WaitingJob): ZoneRule {
+  private zoneRuleOf(job: PendingJob): ZoneConstraint {
     let rule = this.zoneRules.get(job.id);
     if (!rule) {
-      rule = new ZoneRule(job, this.input.machines);
+      rule = new ZoneConstraint(job, this.input.machines);
       this.zoneRules.set(job.id, rule);
     }
     return rule;
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -1,22 +1,22 @@
 /** Preemption: which running tasks to stop so that more urgent ones find room. */
-import { fits, take } from './amounts.js';
-import type { Amounts, WaitingJob } from './types.js';
+import { fits, subtractResources } from './amounts.js';
+import type { Resources, PendingJob } from './types.js';
 
 /** A running task as one that may have to make room. */
-export interface Victim extends Amounts {
+export interface Victim extends Resources {
   taskName: string;
   host: string;
   /** Of its job; the higher, the more urgent. */
   rank: number;
   /** Its team runs more than its guarantee. */
-  beyond: boolean;
+  isAboveGuarantee: boolean;
   /** Its progress can be saved. */
-  saves: boolean;
+  canCheckpoint: boolean;
 }
 
 /** Tasks of one job that found no room and may preempt others. */
 export interface PreemptionRequest {
-  job: WaitingJob;
+  job: PendingJob;
   /** Tasks, each of which takes a machine of its own. */
   count: number;
   /** Compared with the rank of victims. */
@@ -29,27 +29,32 @@
 export interface PreemptibleMachine {
   readonly host: string;
   /** Its free room, once all that is being stopped already has ended. */
-  readonly left: Amounts;
+  readonly left: Resources;
   /** Whether the job's constraints admit the machine. */
-  readonly allowed: (job: WaitingJob) => boolean;
+  readonly allowed: (job: PendingJob) => boolean;
 }
 
 /** What `planStops` decides on. */
-export interface PreemptInput {
+export interface PreemptionInput {
   /** Tasks that found no room and have waited long enough to stop others for, most urgent first. */
   requests: readonly PreemptionRequest[];
   machines: readonly PreemptibleMachine[];
   /** Tasks that may be stopped at all. */
   victims: readonly Victim[];
   /** Tasks that may be stopped, at most. */
-  most: number;
+  maxPreemptions: number;
 }
 
 /**
  * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
-export function planStops({ requests, machines, victims, most }: PreemptInput): Victim[] {
+export function planPreemptions({
+  requests,
+  machines,
+  victims,
+  maxPreemptions: most,
+}: PreemptionInput): Victim[] {
   const plan = new PreemptionPlan(candidatesOf(machines, victims), most);
   for (const request of requests) plan.serve(request);
   return plan.stops;
@@ -64,7 +69,7 @@
 function candidatesOf(machines: readonly PreemptibleMachine[], victims: readonly Victim[]): Candidate[] {
   const byHost = new Map<string, Victim[]>();
   for (const victim of victims) {
-    if (!victim.saves) continue;
+    if (!victim.canCheckpoint) continue;
     const onHost = byHost.get(victim.host);
     if (onHost) onHost.push(victim);
     else byHost.set(victim.host, [victim]);
@@ -102,7 +107,7 @@
       choices.push(choice);
     }
     // Room for a part of a gang is of no use to it.
-    if (request.job.gang && choices.length < request.count) this.takeBack(choices);
+    if (request.job.isGang && choices.length < request.count) this.takeBack(choices);
   }
 
   private add({ host, victims }: Choice): void {
@@ -137,8 +142,8 @@
   const chosen: Victim[] = [];
   for (const victim of candidate.victims) {
     if (fits(job.need, room)) break;
-    if (victim.rank >= rank && !(guaranteed && victim.beyond)) continue;
-    take(room, victim, -1);
+    if (victim.rank >= rank && !(guaranteed && victim.isAboveGuarantee)) continue;
+    subtractResources(room, victim, -1);
     chosen.push(victim);
   }
   return fits(job.need, room) ? chosen : null;
--- a/packages/pricing/prices.ts
+++ b/packages/pricing/prices.ts
@@ -1,15 +1,15 @@
 /** Prices of the shapes' resources, and what a placement is worth at them. */
-import { nothing, take } from './amounts.js';
-import { isFeasible, type Pool } from './pools.js';
+import { noResources, subtractResources } from './amounts.js';
+import { isFeasible, type ShapePool } from './pools.js';
 import type { Segment } from './segments.js';
-import type { Amounts, RoundOptions } from './types.js';
+import type { Resources, PricingOptions } from './types.js';
 
 /** What utilities and price steps of a round are computed from. */
 export interface Market {
-  readonly pools: readonly Pool[];
+  readonly pools: readonly ShapePool[];
   /** The highest priority of any segment: price steps and surcharges are parts of it. */
   readonly topPriority: number;
-  readonly options: RoundOptions;
+  readonly options: PricingOptions;
 }
 
 /** Each priced resource: its field in prices, and in amounts. */
@@ -20,7 +20,7 @@
 ] as const;
 
 /** Net utility of a task of the segment on the shape: its priority less what it asks for at the present prices. */
-export function utility(segment: Segment, pool: Pool, market: Market): number {
+export function utility(segment: Segment, pool: ShapePool, market: Market): number {
   const { need } = segment.job;
   const { price } = pool;
   const isGpuWasted = need.gpus === 0 && pool.total.gpus > 0;
@@ -38,21 +38,21 @@
  */
 export function movePrices(segments: readonly Segment[], market: Market): void {
   const demands = demandByPool(segments, market);
-  for (const pool of market.pools) movePricesOf(pool, demands.get(pool) ?? nothing(), market);
+  for (const pool of market.pools) movePricesOf(pool, demands.get(pool) ?? noResources(), market);
 }
 
 /** What is asked of each shape if every task goes where its utility is highest, if that is above zero. */
-function demandByPool(segments: readonly Segment[], market: Market): Map<Pool, Amounts> {
-  const demands = new Map<Pool, Amounts>(market.pools.map((pool) => [pool, nothing()]));
+function demandByPool(segments: readonly Segment[], market: Market): Map<ShapePool, Resources> {
+  const demands = new Map<ShapePool, Resources>(market.pools.map((pool) => [pool, noResources()]));
   for (const segment of segments) {
     const best = bestPool(segment, market);
-    if (best) take(demands.get(best) ?? nothing(), segment.job.need, -segment.count);
+    if (best) subtractResources(demands.get(best) ?? noResources(), segment.job.need, -segment.count);
   }
   return demands;
 }
 
-function bestPool(segment: Segment, market: Market): Pool | null {
-  let best: Pool | null = null;
+function bestPool(segment: Segment, market: Market): ShapePool | null {
+  let best: ShapePool | null = null;
   let bestUtility = 0;
   for (const pool of market.pools) {
     if (!isFeasible(segment.job, pool)) continue;
@@ -64,7 +64,7 @@
   return best;
 }
 
-function movePricesOf(pool: Pool, demand: Amounts, { topPriority, options }: Market): void {
+function movePricesOf(pool: ShapePool, demand: Resources, { topPriority, options }: Market): void {
   for (const { price, amount } of RESOURCES) {
     const total = pool.total[amount];
     if (total <= 0) {
@@ -72,7 +72,7 @@
       continue;
     }
     const step = (options.step * topPriority * pool.machines.length) / total;
-    const gap = Math.min(1, (demand[amount] - pool.room[amount]) / total);
+    const gap = Math.min(1, (demand[amount] - pool.free[amount]) / total);
     pool.price[price] = Math.max(0, pool.price[price] + step * gap);
   }
 }
--- a/packages/pricing/round.ts
+++ b/packages/pricing/round.ts
@@ -3,13 +3,13 @@
 import { poolByShape } from './pools.js';
 import { movePrices } from './prices.js';
 import { segmentsWithinLimits } from './segments.js';
-import type { RoundInput, RoundResult } from './types.js';
+import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
 /**
  * Prices every shape, then places what waits: one round of the design. Pure but for the given randomness; the input
  * stays as it is.
  */
-export function playRound(input: RoundInput): RoundResult {
+export function runPricingRound(input: PricingRoundInput): PricingRoundResult {
   const { options } = input;
   const pools = poolByShape(input.machines, input.prices);
   const segments = segmentsWithinLimits(input, pools);
--- a/packages/pricing/segments.ts
+++ b/packages/pricing/segments.ts
@@ -1,11 +1,11 @@
 /** Splits the waiting tasks into segments that rank alike, within the limits of their teams. */
-import { slots, take } from './amounts.js';
-import { isFeasible, type Pool } from './pools.js';
-import type { Amounts, RoundInput, TeamBooks, WaitingJob } from './types.js';
+import { countFitting, subtractResources } from './amounts.js';
+import { isFeasible, type ShapePool } from './pools.js';
+import type { Resources, PricingRoundInput, TeamUsage, PendingJob } from './types.js';
 
 /** Tasks of one job that rank alike: those within their team's guarantee, or those beyond it. */
 export interface Segment {
-  readonly job: WaitingJob;
+  readonly job: PendingJob;
   /** Before prices; within a guarantee it is raised. */
   readonly priority: number;
   /** Tasks, at least one. */
@@ -14,8 +14,8 @@
 
 /** What the segments of all teams are made by. */
 interface Ranking {
-  readonly pools: readonly Pool[];
-  readonly rank: (job: WaitingJob) => number;
+  readonly pools: readonly ShapePool[];
+  readonly rank: (job: PendingJob) => number;
   /** Added to the rank of tasks within their team's guarantee. */
   readonly guaranteeBonus: number;
 }
@@ -24,9 +24,9 @@
  * Splits what waits into segments and leaves out what lies beyond its team's limit. A team's jobs come in
  * the order of their priority, equal ones in the order in which they were accepted.
  */
-export function segmentsWithinLimits(input: RoundInput, pools: readonly Pool[]): Segment[] {
+export function segmentsWithinLimits(input: PricingRoundInput, pools: readonly ShapePool[]): Segment[] {
   const { gpuTaskWeight, guaranteeWeight } = input.options;
-  const rank = (job: WaitingJob): number => job.priority * (job.need.gpus > 0 ? 1 + gpuTaskWeight : 1);
+  const rank = (job: PendingJob): number => job.priority * (job.need.gpus > 0 ? 1 + gpuTaskWeight : 1);
   const topRank = Math.max(1, ...input.jobs.map(rank));
   const ranking = { pools, rank, guaranteeBonus: guaranteeWeight * topRank };
   return input.teams.flatMap((team) => {
@@ -35,20 +35,20 @@
   });
 }
 
-function segmentsOfTeam(team: TeamBooks, jobs: WaitingJob[], ranking: Ranking): Segment[] {
+function segmentsOfTeam(team: TeamUsage, jobs: PendingJob[], ranking: Ranking): Segment[] {
   const { pools, rank, guaranteeBonus } = ranking;
-  const limitLeft = remaining(team.most, team.used);
+  const limitLeft = remaining(team.limit, team.used);
   const guaranteeLeft = remaining(team.guaranteed, team.used);
   const segments: Segment[] = [];
-  const queue = jobs.sort((a, b) => rank(b) - rank(a) || a.order - b.order);
+  const queue = jobs.sort((a, b) => rank(b) - rank(a) || a.acceptanceOrder - b.acceptanceOrder);
   for (const job of queue) {
-    const fitting = Math.min(job.waiting, slots(job.need, limitLeft));
+    const fitting = Math.min(job.pendingTasks, countFitting(job.need, limitLeft));
     const count = countable(job, fitting);
-    const guaranteed = countable(job, Math.min(count, slots(job.need, guaranteeLeft)));
+    const guaranteed = countable(job, Math.min(count, countFitting(job.need, guaranteeLeft)));
     if (holdsClaim(job, pools)) {
       // A gang that the limit has no room for yet holds back what ranks lower: one by one it would never get any.
-      take(limitLeft, job.need, job.gang ? job.waiting : count);
-      take(guaranteeLeft, job.need, count);
+      subtractResources(limitLeft, job.need, job.isGang ? job.pendingTasks : count);
+      subtractResources(guaranteeLeft, job.need, count);
     }
     if (guaranteed > 0) segments.push({ job, priority: rank(job) + guaranteeBonus, count: guaranteed });
     if (count > guaranteed) segments.push({ job, priority: rank(job), count: count - guaranteed });
@@ -56,13 +56,13 @@
   return segments;
 }
 
-function remaining(bound: { readonly cpus: number; readonly gpus: number }, used: Amounts): Amounts {
+function remaining(bound: { readonly cpus: number; readonly gpus: number }, used: Resources): Resources {
   return { cpus: bound.cpus - used.cpus, gpus: bound.gpus - used.gpus, memGb: Infinity };
 }
 
 /** How many of so many fitting tasks are of use: of a gang all or none. */
-function countable(job: WaitingJob, fitting: number): number {
-  return job.gang && fitting < job.waiting ? 0 : fitting;
+function countable(job: PendingJob, fitting: number): number {
+  return job.isGang && fitting < job.pendingTasks ? 0 : fitting;
 }
 
 /**
@@ -70,6 +70,6 @@
  * claim only for as long as a machine takes to come up: what it holds back for longer would stand idle
  * (docs/incidents/upgrade-132.md).
  */
-function holdsClaim(job: WaitingJob, pools: readonly Pool[]): boolean {
+function holdsClaim(job: PendingJob, pools: readonly ShapePool[]): boolean {
   return job.isOverdue !== true || pools.some((pool) => isFeasible(job, pool));
 }
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -2,7 +2,7 @@
 import type { Micros } from '#wire';
 
 /** What a task needs or a machine has. CPUs may be fractions. */
-export interface Amounts {
+export interface Resources {
   cpus: number;
   gpus: number;
   /** Memory in GB. */
@@ -17,20 +17,20 @@
 }
 
 /** What of a job waits for machines. */
-export interface WaitingJob {
+export interface PendingJob {
   id: string;
   team: string;
-  need: Amounts;
+  need: Resources;
   /** Rank and waiting time as one number; the higher, the sooner. */
   priority: number;
   /** Order of acceptance, for ties. */
-  order: number;
+  acceptanceOrder: number;
   /** Tasks that wait for a machine. */
-  waiting: number;
+  pendingTasks: number;
   /** Tasks of the whole job. */
   taskCount: number;
   /** All that waits is placed in one round, or nothing is. */
-  gang: boolean;
+  isGang: boolean;
   /** It has waited for longer than a machine takes to come up. */
   isOverdue?: boolean;
   /** Types that it is limited to; null: any. */
@@ -42,43 +42,43 @@
   /** No zone may hold more than half of its tasks. */
   spreadZones: boolean;
   /** It may run on spot machines. */
-  spot: boolean;
+  allowsSpot: boolean;
   image: string;
   /** Tasks of the job that are on machines now, by zone. */
   placedByZone: ReadonlyMap<string, number>;
 }
 
 /** A machine that may take tasks in this round. */
-export interface RoomyMachine {
+export interface CandidateMachine {
   host: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  total: Amounts;
+  total: Resources;
   /** Room as last reported, less starts sent since. */
-  room: Amounts;
+  free: Resources;
   /** Images that it has. */
-  warm: readonly string[];
+  cachedImages: readonly string[];
   /** Time until all that is on it should have ended. */
   busyFor: () => Micros;
   /** Time until its worker is likely to report next, and so to be told of a start. */
-  toldIn: Micros;
+  nextHeartbeatIn: Micros;
   /** What the machine costs per hour and CPU; decides only between shapes of equal utility. */
-  upkeep: number;
+  hourlyCostPerCpu: number;
 }
 
 /** A team's quota and its use. */
-export interface TeamBooks {
+export interface TeamUsage {
   name: string;
   /** What its tasks on machines take up. */
-  used: Amounts;
+  used: Resources;
   guaranteed: { cpus: number; gpus: number };
   /** Its limit. */
-  most: { cpus: number; gpus: number };
+  limit: { cpus: number; gpus: number };
 }
 
 /** Parameters of the design that are set by the operators. */
-export interface RoundOptions {
+export interface PricingOptions {
   /** Price passes of a round. */
   passes: number;
   /** Step for a whole machine's worth of a resource at full gap, as a part of top priority. */
@@ -90,25 +90,25 @@
   /** Raise for what lies within a team's guarantee, as a part of top priority. */
   guaranteeWeight: number;
   /** Tasks started in one round, at most; a gang that is larger has a round to itself. */
-  mostStarts: number;
+  maxStarts: number;
   /** Random roomy machines that are looked at for each task; the fullest of them gets it. */
   choices: number;
 }
 
 /** The state that a round begins with. */
-export interface RoundInput {
-  jobs: readonly WaitingJob[];
-  machines: readonly RoomyMachine[];
-  teams: readonly TeamBooks[];
+export interface PricingRoundInput {
+  jobs: readonly PendingJob[];
+  machines: readonly CandidateMachine[];
+  teams: readonly TeamUsage[];
   /** By shape, as the last round left them; a shape that is new begins at zero. */
   prices: ReadonlyMap<string, Price>;
-  options: RoundOptions;
+  options: PricingOptions;
   /** Uniform in [0, 1). */
   random: () => number;
 }
 
 /** What a round decided. */
-export interface RoundResult {
+export interface PricingRoundResult {
   /** One for each task, in the order of placement. */
   starts: { job: string; host: string }[];
   /** By shape. */
@@ -118,7 +118,7 @@
   /** By gang that found no room and has to lie in one zone: the zone that serves it best. */
   gatheringZones: Map<string, string>;
   /** By host: room left on each machine. */
-  left: Map<string, Amounts>;
+  free: Map<string, Resources>;
   /** Hosts of machines that are kept for tasks which need more room than they have yet. */
-  kept: ReadonlySet<string>;
+  reservedHosts: ReadonlySet<string>;
 }
--- a/packages/pricing/zone-rule.ts
+++ b/packages/pricing/zone-rule.ts
@@ -1,16 +1,16 @@
 /** Zones that a job's constraints leave open. */
-import { slots } from './amounts.js';
-import type { RoomyMachine, WaitingJob } from './types.js';
+import { countFitting } from './amounts.js';
+import type { CandidateMachine, PendingJob } from './types.js';
 
 /** Which zones a job's next task may go to, given where its other tasks are at this moment. */
-export class ZoneRule {
+export class ZoneConstraint {
   private readonly counts: Map<string, number>;
   private readonly half: number;
   private readonly only: string | null;
 
   constructor(
-    private readonly job: WaitingJob,
-    machines: readonly RoomyMachine[],
+    private readonly job: PendingJob,
+    machines: readonly CandidateMachine[],
   ) {
     this.counts = new Map(job.placedByZone);
     this.half = Math.ceil(job.taskCount / 2);
@@ -18,7 +18,7 @@
   }
 
   /** Whether the next task may go to the zone. */
-  open(zone: string): boolean {
+  allows(zone: string): boolean {
     const { job, counts } = this;
     if (job.zone !== null && zone !== job.zone) return false;
     if (job.singleZone) {
@@ -28,24 +28,24 @@
   }
 
   /** A task was placed in the zone. */
-  placed(zone: string): void {
+  onTaskPlaced(zone: string): void {
     this.counts.set(zone, (this.counts.get(zone) ?? 0) + 1);
   }
 }
 
 /** The zone with room for most of the job's tasks; a job tied to one zone starts there. */
-function roomiest(job: WaitingJob, machines: readonly RoomyMachine[]): string | null {
+function roomiest(job: PendingJob, machines: readonly CandidateMachine[]): string | null {
   const room = new Map<string, number>();
   for (const machine of machines) {
     if (!admits(job, machine)) continue;
-    room.set(machine.zone, (room.get(machine.zone) ?? 0) + slots(job.need, machine.room));
+    room.set(machine.zone, (room.get(machine.zone) ?? 0) + countFitting(job.need, machine.free));
   }
   return [...room].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
 }
 
 /** Whether the job's constraints admit the machine, whatever room it has. */
-function admits(job: WaitingJob, machine: RoomyMachine): boolean {
-  if (machine.spot && !job.spot) return false;
+function admits(job: PendingJob, machine: CandidateMachine): boolean {
+  if (machine.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(machine.machineType)) return false;
   return job.zone === null || job.zone === machine.zone;
 }
