--- a/packages/api/answer-format.test.ts
+++ b/packages/api/answer-format.test.ts
@@ -7,13 +7,13 @@
 import { type AddressInfo, connect } from 'node:net';
 import { after, before, beforeEach, test } from 'node:test';
 import { encode } from '#wire';
-import { type Answer, createApp, listen } from './index.js';
+import { type ServiceResponse, createApp, listen } from './index.js';
 
-let next: Answer | Error = { status: 200, body: {} };
+let next: ServiceResponse | Error = { status: 200, body: {} };
 const asked: string[] = [];
 let server: Server;
 
-function answerTo(what: string, body?: unknown): Answer {
+function answerTo(what: string, body?: unknown): ServiceResponse {
   asked.push(body === undefined ? what : `${what} ${JSON.stringify(body)}`);
   if (next instanceof Error) throw next;
   return next;
@@ -22,10 +22,10 @@
 before(async () => {
   const app = createApp(
     {
-      submit: (body) => Promise.resolve().then(() => answerTo('submit', body)),
-      show: (id) => Promise.resolve().then(() => answerTo(`show ${id}`)),
-      cancel: (id) => Promise.resolve().then(() => answerTo(`cancel ${id}`)),
-      report: (body) => Promise.resolve().then(() => answerTo('report', body)),
+      submitJob: (body) => Promise.resolve().then(() => answerTo('submit', body)),
+      getJob: (id) => Promise.resolve().then(() => answerTo(`show ${id}`)),
+      cancelJob: (id) => Promise.resolve().then(() => answerTo(`cancel ${id}`)),
+      heartbeat: (body) => Promise.resolve().then(() => answerTo('report', body)),
       health: () => answerTo('health'),
     },
     () => undefined,
@@ -79,7 +79,7 @@
 });
 
 test('a refusal keeps its head, with the time after which to come back and the end of the connection', async () => {
-  next = { status: 503, body: { error: 'later' }, retryAfterS: 1, close: true };
+  next = { status: 503, body: { error: 'later' }, retryAfterS: 1, closesConnection: true };
   assert.deepEqual(await exchange('GET', '/submissions/j-1'), [
     'HTTP/1.1 503 Service Unavailable',
     'Retry-After: 1',
--- a/packages/api/api.test.ts
+++ b/packages/api/api.test.ts
@@ -3,19 +3,19 @@
 import { once } from 'node:events';
 import { after, before, test } from 'node:test';
 import type { Server } from 'node:http';
-import { decode, encode, httpCaller, type Method, SECOND } from '#wire';
-import { createApp, listen, type Service } from './index.js';
+import { decode, encode, createHttpClient, type HttpMethod, SECOND } from '#wire';
+import { createApp, listen, type NodeService } from './index.js';
 
 const MOST = 12;
 const seen: unknown[] = [];
-const service: Service = {
-  submit: (body) => {
+const service: NodeService = {
+  submitJob: (body) => {
     seen.push(body);
     return Promise.resolve({ status: 503, body: { error: 'later' }, retryAfterS: 2, close: true });
   },
-  show: (id) => Promise.resolve({ status: 200, body: { Uid: id } }),
-  cancel: () => Promise.reject(new Error('a fault')),
-  report: () => Promise.resolve({ status: 200, body: { Baton: 18446744073709551615n } }),
+  getJob: (id) => Promise.resolve({ status: 200, body: { Uid: id } }),
+  cancelJob: () => Promise.reject(new Error('a fault')),
+  heartbeat: () => Promise.resolve({ status: 200, body: { Baton: 18446744073709551615n } }),
   health: () => ({ status: 200, body: {} }),
 };
 const faults: unknown[] = [];
@@ -36,8 +36,8 @@
 });
 
 test('paths and methods beyond the protocol get 404 and 405, a fault inside 500', async () => {
-  const call = httpCaller(2);
-  const cases: [Method, string, number][] = [
+  const call = createHttpClient(2);
+  const cases: [HttpMethod, string, number][] = [
     ['GET', '/nothing', 404],
     ['GET', '/submissions/j-1/withdraw', 405],
     ['DELETE', '/submissions/j-1', 405],
--- a/packages/api/index.ts
+++ b/packages/api/index.ts
@@ -1,24 +1,24 @@
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import Koa from 'koa';
-import { decode, encode, isFields, MAX_BODY_BYTES, splitAddress } from '#wire';
+import { decode, encode, isWireFields, MAX_BODY_BYTES, parseEndpoint } from '#wire';
 import { Connections } from './connections.js';
 
 /** An answer to a user or a worker, before it is put on the wire. */
-export interface Answer {
+export interface ServiceResponse {
   status: number;
   body: object;
   retryAfterS?: number;
   /** The client should use a new connection for what comes next. */
-  close?: boolean;
+  closesConnection?: boolean;
 }
 
 /** What the HTTP side needs of a node. */
-export interface Service {
-  submit(body: unknown): Promise<Answer>;
-  show(id: string): Promise<Answer>;
-  cancel(id: string): Promise<Answer>;
-  report(body: unknown): Promise<Answer>;
-  health(): Answer;
+export interface NodeService {
+  submitJob(body: unknown): Promise<ServiceResponse>;
+  getJob(id: string): Promise<ServiceResponse>;
+  cancelJob(id: string): Promise<ServiceResponse>;
+  heartbeat(body: unknown): Promise<ServiceResponse>;
+  health(): ServiceResponse;
 }
 
 /** Thrown for a body that can't be taken; the client gets 400. */
@@ -57,41 +57,43 @@
   } catch {
     throw new BadBody('not MessagePack');
   }
-  if (!isFields(value)) throw new BadBody('not a map');
+  if (!isWireFields(value)) throw new BadBody('not a map');
   return value;
 }
 
-type Route = (service: Service, id: string, body: unknown) => Promise<Answer> | Answer;
+type Route = (service: NodeService, id: string, body: unknown) => Promise<ServiceResponse> | ServiceResponse;
 
 const ROUTES: { method: string; path: RegExp; takesBody: boolean; run: Route }[] = [
-  { method: 'POST', path: /^\/v1\/report$/, takesBody: true, run: (s, _id, body) => s.report(body) },
-  { method: 'POST', path: /^\/submissions$/, takesBody: true, run: (s, _id, body) => s.submit(body) },
-  { method: 'GET', path: /^\/submissions\/([^/]+)$/, takesBody: false, run: (s, id) => s.show(id) },
+  { method: 'POST', path: /^\/v1\/report$/, takesBody: true, run: (s, _id, body) => s.heartbeat(body) },
+  { method: 'POST', path: /^\/submissions$/, takesBody: true, run: (s, _id, body) => s.submitJob(body) },
+  { method: 'GET', path: /^\/submissions\/([^/]+)$/, takesBody: false, run: (s, id) => s.getJob(id) },
   {
     method: 'POST',
     path: /^\/submissions\/([^/]+)\/withdraw$/,
     takesBody: false,
-    run: (s, id) => s.cancel(id),
+    run: (s, id) => s.cancelJob(id),
   },
   { method: 'GET', path: /^\/healthz$/, takesBody: false, run: (s) => s.health() },
 ];
 
-export function createApp(service: Service, onError: (cause: unknown) => void): Koa {
+export function createApp(service: NodeService, onError: (cause: unknown) => void): Koa {
   const app = new Koa();
   app.silent = true;
   app.use(async (ctx) => {
-    const answer = await dispatch(service, ctx.method, ctx.path, ctx.req).catch((cause: unknown): Answer => {
-      if (cause instanceof BadBody) {
-        // What is left of an oversized body is not read: the connection can't be used again.
-        ctx.set('Connection', 'close');
-        return { status: 400, body: { error: cause.message } };
-      }
-      onError(cause);
-      return { status: 500, body: { error: 'internal error' } };
-    });
+    const answer = await dispatch(service, ctx.method, ctx.path, ctx.req).catch(
+      (cause: unknown): ServiceResponse => {
+        if (cause instanceof BadBody) {
+          // What is left of an oversized body is not read: the connection can't be used again.
+          ctx.set('Connection', 'close');
+          return { status: 400, body: { error: cause.message } };
+        }
+        onError(cause);
+        return { status: 500, body: { error: 'internal error' } };
+      },
+    );
     ctx.status = answer.status;
     if (answer.retryAfterS !== undefined) ctx.set('Retry-After', String(answer.retryAfterS));
-    if (answer.close) ctx.set('Connection', 'close');
+    if (answer.closesConnection) ctx.set('Connection', 'close');
     ctx.type = 'application/msgpack';
     ctx.body = encode(answer.body);
   });
@@ -99,11 +101,11 @@
 }
 
 async function dispatch(
-  service: Service,
+  service: NodeService,
   method: string,
   path: string,
   req: IncomingMessage,
-): Promise<Answer> {
+): Promise<ServiceResponse> {
   const found = ROUTES.map((route) => ({ route, match: route.path.exec(path) })).filter((r) => r.match);
   if (found.length === 0) return { status: 404, body: { error: 'no such path' } };
   const hit = found.find((r) => r.route.method === method);
@@ -125,7 +127,7 @@
   server.requestTimeout = 0;
   new Connections(server, most);
   // All workers may come at once, after the other nodes have ended.
-  const at = { ...splitAddress(address), backlog: most };
+  const at = { ...parseEndpoint(address), backlog: most };
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(at, () => {
--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { gzipSync } from 'node:zlib';
-import type { DutyName } from '#duties';
+import type { RoleName } from '#duties';
 import {
   createOperatorApp,
   listenForOperators,
@@ -26,7 +26,7 @@
     state: 'frozen',
     sinceS: 12.5,
     falseAlarms: 1,
-    seen: { epoch: 431, token: 7, positions: { lead: 3 } },
+    seen: { revision: 431, fencingToken: 7, positions: { lead: 3 } },
     evidence: [
       {
         source: 'own requests',
@@ -102,12 +102,12 @@
 }
 
 /** A listener over a node that reports {@link REPORT} and hands over the lead only. */
-async function withListener(act: (address: string, resigned: DutyName[]) => Promise<void>): Promise<void> {
-  const resigned: DutyName[] = [];
-  const resign = (duty: DutyName): Promise<ResignResult> => {
-    resigned.push(duty);
+async function withListener(act: (address: string, resigned: RoleName[]) => Promise<void>): Promise<void> {
+  const resigned: RoleName[] = [];
+  const resign = (role: RoleName): Promise<ResignResult> => {
+    resigned.push(role);
     const reason = 'share/1 is not held here: node-2 holds it';
-    return Promise.resolve(duty === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
+    return Promise.resolve(role === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
   };
   const unexpected = (cause: unknown): void => {
     throw cause;
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,5 +1,5 @@
 /** `micaworks duties`: who holds what, as the nodes that answer know it. */
-import { parseDutyName } from '#duties';
+import { parseRoleName } from '#duties';
 import {
   askDuties,
   askToResign,
@@ -26,7 +26,7 @@
 /** Has a node hand over the duty of this name; fails with the reason if it does not. */
 export async function resignDuty(name: string, node: string, print: Print): Promise<void> {
   const address = checkAddress(node);
-  if (parseDutyName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
+  if (parseRoleName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
   const answer = await askToResign(address, name);
   if (answer.kind === 'silent') throw new CommandFailure(`${node}: ${answer.reason}`);
   // A node of a later version may answer more than this one knows.
@@ -37,7 +37,7 @@
 
 function printTable(answers: NodeAnswers<DutiesAnswer>, print: Print): void {
   const { nodes } = answers;
-  const rows = nodes.flatMap((answer) => answer.duties.map((duty) => rowOf(answer.member, duty)));
+  const rows = nodes.flatMap((answer) => answer.duties.map((role) => rowOf(answer.member, role)));
   for (const line of formatTable([HEADING, ...rows])) print(line);
   for (const { member, knowledgeAgeS, membership } of nodes) {
     const age = knowledgeAgeS === null ? 'never complete' : `${knowledgeAgeS} s old`;
@@ -47,17 +47,17 @@
 }
 
 /** The cells of one duty, under {@link HEADING}. */
-function rowOf(member: string, duty: DutyAnswer): string[] {
+function rowOf(member: string, role: DutyAnswer): string[] {
   return [
     member,
-    duty.duty,
-    duty.state,
-    duty.holder ?? '-',
-    String(duty.term ?? '-'),
-    `${duty.sinceS} s`,
-    duty.leaseLeftS === null ? '-' : `${duty.leaseLeftS} s`,
-    formatIntents(duty.openIntents),
-    formatRefusal(duty.lastRefused),
+    role.duty,
+    role.state,
+    role.holder ?? '-',
+    String(role.term ?? '-'),
+    `${role.sinceS} s`,
+    role.leaseLeftS === null ? '-' : `${role.leaseLeftS} s`,
+    formatIntents(role.openIntents),
+    formatRefusal(role.lastRefused),
   ];
 }
 
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -1,14 +1,14 @@
 /** `micaworks submit`, `show` and `withdraw`: a client of the service over the published wire package. */
 import { readFileSync } from 'node:fs';
 import {
-  type Caller,
+  type HttpClient,
   decodeJobStatus,
   encodeSubmission,
-  httpCaller,
+  createHttpClient,
   isJobId,
-  type Method,
+  type HttpMethod,
   parseSubmission,
-  type Reply,
+  type HttpReply,
   SECOND,
 } from '#wire';
 import { checkAddress } from './address.js';
@@ -28,7 +28,7 @@
 interface UserRequest {
   /** Address of the node, as given. */
   readonly node: string;
-  readonly method: Method;
+  readonly method: HttpMethod;
   readonly path: string;
   readonly body?: object;
 }
@@ -42,7 +42,7 @@
 /** A request that the service has answered. */
 interface Served {
   readonly kind: 'served';
-  readonly reply: Reply;
+  readonly reply: HttpReply;
 }
 
 /** The job that a file describes, in the service's own JSON form; `-` reads standard input. */
@@ -90,8 +90,8 @@
 }
 
 /** The service's reply; a request that it can't take at the moment is repeated for {@link RETRY_FOR_MS}. */
-async function ask(request: UserRequest): Promise<Reply> {
-  const call = httpCaller(1);
+async function ask(request: UserRequest): Promise<HttpReply> {
+  const call = createHttpClient(1);
   checkAddress(request.node);
   const until = Date.now() + RETRY_FOR_MS;
   for (;;) {
@@ -106,7 +106,10 @@
   }
 }
 
-async function tryOnce(call: Caller, { node, method, path, body }: UserRequest): Promise<Served | Unserved> {
+async function tryOnce(
+  call: HttpClient,
+  { node, method, path, body }: UserRequest,
+): Promise<Served | Unserved> {
   try {
     const reply = await call(node, method, path, body, RESPONSE_TIMEOUT);
     if (!UNAVAILABLE_STATUSES.includes(reply.status)) return { kind: 'served', reply };
@@ -116,7 +119,7 @@
   }
 }
 
-function printState({ status, body }: Reply, print: Print): void {
+function printState({ status, body }: HttpReply, print: Print): void {
   if (!OK_STATUSES.includes(status)) {
     const reason = typeof body['error'] === 'string' ? body['error'] : 'no reason given';
     throw new CommandFailure(`refused with ${status}: ${reason}`);
--- a/packages/cli/output-format.test.ts
+++ b/packages/cli/output-format.test.ts
@@ -138,13 +138,13 @@
       },
     ],
     falseAlarms: 1,
-    seen: { epoch: 431, token: 7, positions: { '0': 12, lead: 3 } },
+    seen: { revision: 431, fencingToken: 7, positions: { '0': 12, lead: 3 } },
   },
 };
 
 const SERVING: NodeLossReport = {
   member: 'node-1',
-  loss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { epoch: 432 } },
+  loss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { revision: 432 } },
 };
 
 const NOTICED: NodeLossReport = {
@@ -160,7 +160,7 @@
       },
     ],
     falseAlarms: 0,
-    seen: { epoch: 431, token: 7, positions: {} },
+    seen: { revision: 431, fencingToken: 7, positions: {} },
   },
 };
 
@@ -637,8 +637,8 @@
   const failing = await listen(t, { resign: () => Promise.reject(new Error('unforeseen')) });
   const strange = await answerAlways(t, 200, '{"kind":"later"}');
   const names = { [failing]: 'FAILING' };
-  const resign = (duty: string, node: string): Promise<string[]> =>
-    run(['duties', 'resign', duty, '--node', node], names);
+  const resign = (role: string, node: string): Promise<string[]> =>
+    run(['duties', 'resign', role, '--node', node], names);
   assert.deepEqual(await resign('lead', done), ['exit 0', 'lead was handed over']);
   assert.deepEqual(await resign('share/12', done), ['exit 0', 'share/12 was handed over']);
   assert.deepEqual(await resign('share/1', refusing), [
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -1,7 +1,7 @@
 /** The command line: its subcommands and their options, and how it ends. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
-import { loadSettings, loadTuning, SettingsError, standardTuning } from '#settings';
+import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
 import type { NodesOptions } from './answers.js';
 import { resignDuty, showDuties } from './duties.js';
 import { CommandError, FAILURE_EXIT, messageOf, USAGE_EXIT } from './errors.js';
@@ -88,7 +88,7 @@
 async function runDaemon({ config, operator }: RunOptions): Promise<void> {
   // Only this command pays for loading the daemon.
   const { runNode } = await import('#daemon/run-node');
-  const tuning = operator === undefined ? standardTuning() : await loadTuning(operator);
+  const tuning = operator === undefined ? defaultTuning() : await loadTuning(operator);
   await runNode(loadSettings(config), tuning);
 }
 
@@ -127,18 +127,18 @@
 }
 
 function addDutyCommands(program: Command, print: Print): void {
-  const duties = program
+  const roles = program
     .command('duties')
     .enablePositionalOptions()
     .description('show who holds each duty that one controller may hold at a time')
     .option(NODES_OPTION, NODES_HELP, [DEFAULT_OPERATOR_NODE])
     .option(JSON_OPTION, JSON_HELP, false)
     .action((options: NodesOptions) => showDuties(options, print));
-  duties
+  roles
     .command('resign <duty>')
     .description('have the node that holds a duty (lead or share/N) hand it over')
     .requiredOption(NODE_OPTION, "operators' listener of the node that holds it")
-    .action((duty: string, { node }: NodeOption) => resignDuty(duty, node, print));
+    .action((role: string, { node }: NodeOption) => resignDuty(role, node, print));
 }
 
 function addRecoverCommands(program: Command, print: Print): void {
--- a/packages/cloud/cloud-client.ts
+++ b/packages/cloud/cloud-client.ts
@@ -1,12 +1,12 @@
 /** Requests to the cloud. */
 import {
-  type Caller,
+  type HttpClient,
   type ListedMachine,
   type MachineType,
-  type Method,
+  type HttpMethod,
   type Micros,
-  type RentalRequest,
-  type Reply,
+  type ScaleOutRequest,
+  type HttpReply,
   SECOND,
 } from '#wire';
 import {
@@ -18,31 +18,31 @@
 } from './wire-format.js';
 
 /** What became of a scale-out request. `unknown`: it may have been carried out, or may yet be. */
-export type RentResult =
+export type ScaleOutResult =
   { kind: 'rented'; hosts: string[] } | { kind: 'no_capacity' } | { kind: 'failed' } | { kind: 'unknown' };
 
 const TIMEOUT: Micros = 4 * SECOND;
 const PAGE_MACHINES = 500;
 /** Machines that one request may delete. */
-export const MAX_DELETE = 100;
+export const MAX_MACHINES_PER_DELETE = 100;
 /** Machines that one request may ask for. */
-export const MAX_RENT = 50;
+export const MAX_MACHINES_PER_REQUEST = 50;
 
 /** The cloud as its clients use it. Its methods never reject: each says in its result that an answer is missing. */
 export class CloudClient {
   constructor(
     private readonly endpoint: string,
-    private readonly call: Caller,
+    private readonly httpClient: HttpClient,
   ) {}
 
   /** All types that can be rented, or null if they could not be read. */
-  async machineTypes(): Promise<MachineType[] | null> {
+  async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.send('GET', '/machine_types');
     return reply?.status === 200 ? decodeMachineTypes(reply.body) : null;
   }
 
   /** Asks for machines. The same request may be sent again: the cloud knows it by its id. */
-  async rent(request: RentalRequest): Promise<RentResult> {
+  async requestMachines(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const reply = await this.send('POST', '/rentals', encodeScaleOutRequest(request));
     if (!reply) return { kind: 'unknown' };
     const hosts = reply.status === 200 ? decodeNewHosts(reply.body) : null;
@@ -52,13 +52,13 @@
   }
 
   /** True: the machines and everything on them are gone. */
-  async delete(hosts: string[]): Promise<boolean> {
+  async deleteMachines(hosts: string[]): Promise<boolean> {
     const reply = await this.send('POST', '/rentals/delete', encodeDeletion(hosts));
     return reply?.status === 200;
   }
 
   /** Every machine the cloud lists at the moment, or null if the list could not be read whole. */
-  async machines(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     for (let after = ''; ;) {
       const reply = await this.send(
@@ -75,9 +75,9 @@
   }
 
   /** The answer; null if none came in time. */
-  private async send(method: Method, path: string, body?: unknown): Promise<Reply | null> {
+  private async send(method: HttpMethod, path: string, body?: unknown): Promise<HttpReply | null> {
     try {
-      return await this.call(this.endpoint, method, path, body, TIMEOUT);
+      return await this.httpClient(this.endpoint, method, path, body, TIMEOUT);
     } catch {
       return null;
     }
--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -1,15 +1,15 @@
 /** The requests to the cloud and how its answers are read, as literals: they change only with the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Caller, Fields, ListedMachine, MachineType, Micros, Reply } from '#wire';
-import { CloudClient, MAX_DELETE, MAX_RENT } from './index.js';
+import type { HttpClient, WireFields, ListedMachine, MachineType, Micros, HttpReply } from '#wire';
+import { CloudClient, MAX_MACHINES_PER_DELETE, MAX_MACHINES_PER_REQUEST } from './index.js';
 
 const TIMEOUT: Micros = 4_000_000;
 
 /** A cloud that gives these answers in their order, null for none, and notes what it was asked. */
-function cloudOf(...replies: (Reply | null)[]): { client: CloudClient; asked: string[] } {
+function cloudOf(...replies: (HttpReply | null)[]): { client: CloudClient; asked: string[] } {
   const asked: string[] = [];
-  const call: Caller = (endpoint, method, path, body, timeout) => {
+  const call: HttpClient = (endpoint, method, path, body, timeout) => {
     assert.equal(endpoint, '10.2.0.2:8443');
     assert.equal(timeout, TIMEOUT);
     asked.push([method, path, ...(body === undefined ? [] : [JSON.stringify(body)])].join(' '));
@@ -19,8 +19,8 @@
   return { client: new CloudClient('10.2.0.2:8443', call), asked };
 }
 
-function answer(status: number, json = '{}'): Reply {
-  return { status, body: JSON.parse(json) as Fields };
+function answer(status: number, json = '{}'): HttpReply {
+  return { status, body: JSON.parse(json) as WireFields };
 }
 
 const TROUBLE = answer(503, '{"error":"trouble"}');
@@ -58,8 +58,8 @@
     },
   ];
   const { client, asked } = cloudOf(answer(200, json), TROUBLE, answer(429), answer(200), null);
-  assert.deepEqual(await client.machineTypes(), types);
-  for (let i = 0; i < 4; i++) assert.equal(await client.machineTypes(), null);
+  assert.deepEqual(await client.listMachineTypes(), types);
+  for (let i = 0; i < 4; i++) assert.equal(await client.listMachineTypes(), null);
   assert.deepEqual(asked, Array(5).fill('GET /machine_types'));
 });
 
@@ -75,7 +75,7 @@
     null,
   );
   const results = [];
-  for (let i = 0; i < 8; i++) results.push(await client.rent(RENTAL));
+  for (let i = 0; i < 8; i++) results.push(await client.requestMachines(RENTAL));
   assert.deepEqual(results, [
     { kind: 'rented', hosts: ['n-000231', 'n-000232'] },
     { kind: 'rented', hosts: [] },
@@ -88,16 +88,16 @@
   ]);
   const request = 'POST /rentals {"Hire":"r-17","Build":"g8","Hall":"a","Loaners":true,"Number":12}';
   assert.deepEqual(asked, Array(8).fill(request));
-  assert.equal(MAX_RENT, 50);
+  assert.equal(MAX_MACHINES_PER_REQUEST, 50);
 });
 
 test('machines are deleted under the protocol names, and only 200 says that they are gone', async () => {
   const { client, asked } = cloudOf(answer(200), answer(400), TROUBLE, null);
   const results = [];
-  for (let i = 0; i < 4; i++) results.push(await client.delete(['n-000231', 'n-000232']));
+  for (let i = 0; i < 4; i++) results.push(await client.deleteMachines(['n-000231', 'n-000232']));
   assert.deepEqual(results, [true, false, false, false]);
   assert.deepEqual(asked, Array(4).fill('POST /rentals/delete {"Hosts":["n-000231","n-000232"]}'));
-  assert.equal(MAX_DELETE, 100);
+  assert.equal(MAX_MACHINES_PER_DELETE, 100);
 });
 
 const FIRST_PAGE =
@@ -140,12 +140,12 @@
   ];
   const pages = ['GET /rentals?Limit=500', 'GET /rentals?After=n-000232&Limit=500'];
   const whole = cloudOf(answer(200, FIRST_PAGE), answer(200, LAST_PAGE));
-  assert.deepEqual(await whole.client.machines(), machines);
+  assert.deepEqual(await whole.client.listMachines(), machines);
   assert.deepEqual(whole.asked, pages);
   for (const second of [TROUBLE, answer(200), null]) {
     const cut = cloudOf(answer(200, FIRST_PAGE), second);
-    assert.equal(await cut.client.machines(), null);
+    assert.equal(await cut.client.listMachines(), null);
     assert.deepEqual(cut.asked, pages);
   }
-  assert.deepEqual(await cloudOf(answer(200, '{"Hosts":[],"More":false}')).client.machines(), []);
+  assert.deepEqual(await cloudOf(answer(200, '{"Hosts":[],"More":false}')).client.listMachines(), []);
 });
--- a/packages/cloud/wire-format.ts
+++ b/packages/cloud/wire-format.ts
@@ -1,12 +1,18 @@
 /** Requests and answers of the cloud in its own words. */
-import { type Fields, isFields, type ListedMachine, type MachineType, type RentalRequest } from '#wire';
+import {
+  type WireFields,
+  isWireFields,
+  type ListedMachine,
+  type MachineType,
+  type ScaleOutRequest,
+} from '#wire';
 
 /** The machine types that an answer lists; null if it lists none. */
-export function decodeMachineTypes(body: Fields): MachineType[] | null {
+export function decodeMachineTypes(body: WireFields): MachineType[] | null {
   return listOf(body['Builds'])?.map(decodeMachineType) ?? null;
 }
 
-function decodeMachineType(fields: Fields): MachineType {
+function decodeMachineType(fields: WireFields): MachineType {
   return {
     name: String(fields['Sku']),
     cpus: Number(fields['Cpus']),
@@ -22,26 +28,26 @@
 }
 
 /** The body of a request for machines. */
-export function encodeScaleOutRequest({ id, machineType, zone, spot, count }: RentalRequest): Fields {
+export function encodeScaleOutRequest({ id, machineType, zone, spot, count }: ScaleOutRequest): WireFields {
   return { Hire: id, Build: machineType, Hall: zone, Loaners: spot, Number: count };
 }
 
 /** The hosts of the machines that were rented; null if the answer names none. */
-export function decodeNewHosts(body: Fields): string[] | null {
+export function decodeNewHosts(body: WireFields): string[] | null {
   return Array.isArray(body['Hosts']) ? body['Hosts'].map(String) : null;
 }
 
 /** The body of a request to delete machines. */
-export function encodeDeletion(hosts: readonly string[]): Fields {
+export function encodeDeletion(hosts: readonly string[]): WireFields {
   return { Hosts: hosts };
 }
 
 /** The machines of a page; null if the answer is no page. */
-export function decodeMachines(body: Fields): ListedMachine[] | null {
+export function decodeMachines(body: WireFields): ListedMachine[] | null {
   return listOf(body['Hosts'])?.map(decodeMachine) ?? null;
 }
 
-function decodeMachine(fields: Fields): ListedMachine {
+function decodeMachine(fields: WireFields): ListedMachine {
   return {
     host: String(fields['Uid']),
     address: String(fields['Endpoint']),
@@ -53,6 +59,6 @@
   };
 }
 
-function listOf(value: unknown): Fields[] | null {
-  return Array.isArray(value) ? value.filter(isFields) : null;
+function listOf(value: unknown): WireFields[] | null {
+  return Array.isArray(value) ? value.filter(isWireFields) : null;
 }
--- a/packages/cluster/epoch-waiters.ts
+++ b/packages/cluster/epoch-waiters.ts
@@ -6,7 +6,7 @@
   done: (isReached: boolean) => void;
 }
 
-export class EpochWaiters {
+export class RevisionWaiters {
   private waiting: Waiter[] = [];
 
   constructor(private readonly clock: Clock) {}
@@ -30,7 +30,7 @@
   }
 
   /** The copy has applied everything up to this epoch. */
-  reached(epoch: number): void {
+  onRevision(epoch: number): void {
     const done = this.waiting.filter((waiter) => waiter.epoch <= epoch);
     this.waiting = this.waiting.filter((waiter) => waiter.epoch > epoch);
     for (const waiter of done) waiter.done(true);
--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Ledger } from './ledger.js';
-import type { HostRow, StartGroup } from './placement.js';
+import type { MachineRow, StartGroup } from './placement.js';
 import { checkpointRows } from './stored/checkpoint-codec.js';
 import { encodeRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
@@ -11,8 +11,8 @@
 
 function ledgerWithMachines(): Ledger {
   const ledger = new Ledger();
-  const machines = HOSTS.map((host): HostRow => [host, 'small', 'east', false, 0, 0]);
-  ledger.apply('lead', { sequence: 1, at: 0, machines });
+  const machines = HOSTS.map((host): MachineRow => [host, 'small', 'east', false, 0, 0]);
+  ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines });
   return ledger;
 }
 
@@ -22,7 +22,7 @@
 }
 
 function wholeness(ledger: Ledger): boolean[] {
-  return [...(ledger.jobEntries.get('j-1')?.placed.values() ?? [])].map((p) => ledger.isWhole(p));
+  return [...(ledger.jobs.get('j-1')?.placements.values() ?? [])].map((p) => ledger.isGangComplete(p));
 }
 
 function reread(ledger: Ledger): Ledger {
@@ -36,13 +36,13 @@
 
 test('a start in several records counts only once all of it has come, also after a checkpoint between them', () => {
   let ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, at: 0, starts: [part([0])] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0])] });
   ledger = reread(ledger);
   assert.deepEqual(wholeness(ledger), [false]);
-  ledger.apply(0, { sequence: 2, at: 0, starts: [part([1, 2])] });
+  ledger.apply(0, { sequence: 2, recordedAtMs: 0, starts: [part([1, 2])] });
   assert.deepEqual(wholeness(ledger), [true, true, true]);
   assert.deepEqual(wholeness(reread(ledger)), [true, true, true]);
-  const attempts = [...(reread(ledger).jobEntries.get('j-1')?.placed.values() ?? [])].map((p) => p.attempt);
+  const attempts = [...(reread(ledger).jobs.get('j-1')?.placements.values() ?? [])].map((p) => p.attempt);
   assert.deepEqual(attempts, [ATTEMPT, ATTEMPT, ATTEMPT]);
 });
 
@@ -54,17 +54,17 @@
 
 test('once a task has ended, the attempt is over for the others, and no other attempt joins them', () => {
   const ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, at: 0, starts: [part([0, 1, 2])] });
-  ledger.apply(0, { sequence: 2, at: 0, ends: [['j-1', 0, ATTEMPT, 'lost']] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0, 1, 2])] });
+  ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 0, ATTEMPT, 'lost']] });
   assert.deepEqual(wholeness(ledger), [false, false]);
-  ledger.apply(0, { sequence: 3, at: 0, starts: [part([0], 9 * 1024)] });
+  ledger.apply(0, { sequence: 3, recordedAtMs: 0, starts: [part([0], 9 * 1024)] });
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
 test('one task that is done makes the whole gang done, also one whose machine is lost then', () => {
   const ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, at: 0, starts: [part([0, 1, 2])] });
-  ledger.apply(0, { sequence: 2, at: 0, ends: [['j-1', 1, ATTEMPT, 'done']] });
-  ledger.apply(0, { sequence: 3, at: 0, ends: [['j-1', 2, ATTEMPT, 'lost']] });
-  assert.equal(ledger.jobEntries.get('j-1')?.done.count, 3);
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0, 1, 2])] });
+  ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 1, ATTEMPT, 'done']] });
+  ledger.apply(0, { sequence: 3, recordedAtMs: 0, completions: [['j-1', 2, ATTEMPT, 'lost']] });
+  assert.equal(ledger.jobs.get('j-1')?.done.count, 3);
 });
--- a/packages/cluster/gang.ts
+++ b/packages/cluster/gang.ts
@@ -9,7 +9,7 @@
 
 /** What a gang's wholeness is told from. */
 interface PlacedTasks {
-  readonly placed: ReadonlyMap<number, { attempt: number }>;
+  readonly placements: ReadonlyMap<number, { attempt: number }>;
 }
 
 /**
@@ -17,12 +17,12 @@
  * over several records, and a reader that has seen some of them, at whatever point, takes none of it for a start.
  * Once a task has ended the attempt is over for all. For independent tasks this is always true.
  */
-export function isWhole(entry: PlacedTasks, placement: { gangSize: number | null }): boolean {
-  return placement.gangSize === null || entry.placed.size === placement.gangSize;
+export function isGangComplete(entry: PlacedTasks, placement: { gangSize: number | null }): boolean {
+  return placement.gangSize === null || entry.placements.size === placement.gangSize;
 }
 
 /** A part of a gang's start may join what is placed: nothing, or other parts of the same attempt. */
-export function mayJoin(entry: PlacedTasks, { attempt }: GangAttempt): boolean {
-  for (const placement of entry.placed.values()) return placement.attempt === attempt;
+export function mayJoinGang(entry: PlacedTasks, { attempt }: GangAttempt): boolean {
+  for (const placement of entry.placements.values()) return placement.attempt === attempt;
   return true;
 }
--- a/packages/cluster/jobs.ts
+++ b/packages/cluster/jobs.ts
@@ -4,10 +4,10 @@
 export interface LiveJob {
   spec: JobSpec;
   /** Time of day of its acceptance, in milliseconds. */
-  at: number;
+  acceptedAtMs: number;
   /** Order of acceptance. */
-  revision: number;
+  acceptedRevision: number;
 }
 
 /** How a job ended. */
-export type Final = 'done' | 'cancelled';
+export type TerminalStatus = 'done' | 'cancelled';
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -5,7 +5,7 @@
 import { DoneSet } from './done-set.js';
 import type { LogId } from './keys.js';
 import { Ledger } from './ledger.js';
-import type { HostRow, PlacementRecord, StartGroup } from './placement.js';
+import type { MachineRow, PlacementRecord, StartGroup } from './placement.js';
 import { checkpointRows, packRows } from './stored/checkpoint-codec.js';
 import type { StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
@@ -28,19 +28,23 @@
       draft.starts = [{ job, team: 'blue', image: `i-${a}`, need: [1, 0, 2], tasks: [[b, host, 1]] }];
       draft.prices = { small: [0.1 * a, 0, 0] };
     } else if (kind === 1 && placed) {
-      draft.ends = [[job, b, placed.attempt, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
+      draft.completions = [[job, b, placed.attempt, (['done', 'lost', 'failed'] as const)[a % 3] ?? 'done']];
     } else if (kind === 2) draft.releases = [[host, [1, b]]];
-    else if (kind === 3) draft.takes = [host];
+    else if (kind === 3) draft.acquisitions = [host];
     else if (kind === 4) draft.statuses = [[host, 'up']];
     else {
       log = 'lead';
       if (a === 0) draft.removed = [host];
-      else if (a === 1) draft.rentals = [[`h-${b}`, 'small', 'east', false, 2, 1]];
-      else if (a === 2) draft.settledRentals = [`h-${b}`];
-      else if (a < 5) draft.moves = [[host, b % 2]];
+      else if (a === 1) draft.scaleOuts = [[`h-${b}`, 'small', 'east', false, 2, 1]];
+      else if (a === 2) draft.settledScaleOuts = [`h-${b}`];
+      else if (a < 5) draft.transferTargets = [[host, b % 2]];
       else draft.machines = [[host, 'small', 'east', ROW.spot, ROW.since, b % 2]];
     }
-    const record: PlacementRecord = { ...draft, sequence: ledger.seq(log) + 1, at: 1000 + out.length };
+    const record: PlacementRecord = {
+      ...draft,
+      sequence: ledger.position(log) + 1,
+      recordedAtMs: 1000 + out.length,
+    };
     ledger.apply(log, record);
     out.push([log, record]);
   }
@@ -53,15 +57,17 @@
 function picture(ledger: Ledger): unknown {
   const sorted = (rows: Iterable<object>): string[] =>
     [...rows].map((row) => JSON.stringify(Object.entries(row).sort())).sort();
-  const entries = [...ledger.jobEntries].filter(([, b]) => b.placed.size > 0 || b.done.count > 0);
+  const entries = [...ledger.jobs].filter(([, b]) => b.placements.size > 0 || b.done.count > 0);
   return {
     positions: ledger.allPositions(),
     // A job's failures in a row are left out of a checkpoint, so who is to blame for one more may differ.
-    hosts: sorted([...ledger.hosts.values()].map((host) => ({ ...host, errors: 0, failedAt: 0 }))),
-    rentals: sorted(ledger.rentals.values()),
-    prices: sorted([...ledger.prices].map(([share, shapes]) => [share, ...shapes])),
-    placed: sorted([...ledger.onHost.values()].flatMap((there) => [...there.values()])),
-    done: sorted(entries.map(([job, entry]) => [job, entry.done.ranges(), [...entry.placed.keys()].sort()])),
+    hosts: sorted([...ledger.machines.values()].map((host) => ({ ...host, errors: 0, failedAt: 0 }))),
+    rentals: sorted(ledger.pendingScaleOuts.values()),
+    prices: sorted([...ledger.prices].map(([shard, shapes]) => [shard, ...shapes])),
+    placed: sorted([...ledger.placementsByHost.values()].flatMap((there) => [...there.values()])),
+    done: sorted(
+      entries.map(([job, entry]) => [job, entry.done.ranges(), [...entry.placements.keys()].sort()]),
+    ),
   };
 }
 
@@ -80,7 +86,7 @@
       );
       for (const [log, r] of all) second.apply(log, r);
       assert.deepEqual(picture(second), picture(whole));
-      assert.equal(second.used('blue').cpus, whole.used('blue').cpus);
+      assert.equal(second.teamUsage('blue').cpus, whole.teamUsage('blue').cpus);
     }),
     { seed: 3, numRuns: 200 },
   );
@@ -89,9 +95,9 @@
 test('a checkpoint of a thousand machines and two thousand tasks takes few values', () => {
   const ledger = new Ledger();
   const hosts = [...Array(1000).keys()].map((i) => `n-${String(i).padStart(6, '0')}`);
-  const Hosts = hosts.map((host, i): HostRow => [host, 'small', 'east', i % 2 === 0, 1.7e12 + i, i % 3]);
-  ledger.apply('lead', { sequence: 1, at: 1.7e12, machines: Hosts });
-  for (let share = 0; share < 3; share++) {
+  const Hosts = hosts.map((host, i): MachineRow => [host, 'small', 'east', i % 2 === 0, 1.7e12 + i, i % 3]);
+  ledger.apply('lead', { sequence: 1, recordedAtMs: 1.7e12, machines: Hosts });
+  for (let shard = 0; shard < 3; shard++) {
     const tasks = hosts.flatMap((host, i): StartGroup['tasks'] => [
       [2 * i, host, 1],
       [2 * i + 1, host, 1],
@@ -101,7 +107,7 @@
       const part = tasks.slice(i, i + 25);
       starts.push({ job: `j-${i}`, team: 'blue', image: `img-${i % 7}`, need: [2, 0, 7.1], tasks: part });
     }
-    ledger.apply(share, { sequence: 1, at: 1.7e12 + 500, starts });
+    ledger.apply(shard, { sequence: 1, recordedAtMs: 1.7e12 + 500, starts });
   }
   const rows = checkpointRows(ledger, () => true);
   const chunks = packRows(rows, 4096 - 200);
@@ -116,10 +122,10 @@
       for (const [log, r] of records(script)) {
         ledger.apply(log, r);
         let count = 0;
-        for (const entry of ledger.jobEntries.values()) count += entry.placed.size;
-        assert.equal(ledger.used('blue').cpus, count);
+        for (const entry of ledger.jobs.values()) count += entry.placements.size;
+        assert.equal(ledger.teamUsage('blue').cpus, count);
         assert.equal(
-          [...ledger.onHost.values()].reduce((n, m) => n + m.size, 0),
+          [...ledger.placementsByHost.values()].reduce((n, m) => n + m.size, 0),
           count,
         );
       }
@@ -128,56 +134,61 @@
   );
 });
 
-const HOST = (host: string, share: number): HostRow => [host, 'small', 'east', false, 0, share];
+const HOST = (host: string, shard: number): MachineRow => [host, 'small', 'east', false, 0, shard];
 const START = { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 1] as [number, number, number] };
 
 test('a record that is not the next of its log is refused, one already applied changes nothing', () => {
   const ledger = new Ledger();
-  assert.equal(ledger.apply('lead', { sequence: 2, at: 0 }), false);
-  assert.equal(ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0)] }), true);
-  assert.equal(ledger.apply('lead', { sequence: 1, at: 0, removed: ['n-1'] }), true);
-  assert.equal(ledger.hosts.size, 1);
+  assert.equal(ledger.apply('lead', { sequence: 2, recordedAtMs: 0 }), false);
+  assert.equal(ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [HOST('n-1', 0)] }), true);
+  assert.equal(ledger.apply('lead', { sequence: 1, recordedAtMs: 0, removed: ['n-1'] }), true);
+  assert.equal(ledger.machines.size, 1);
 });
 
 test('an end names its attempt: the end of an earlier one leaves the present one alone', () => {
   const ledger = new Ledger();
-  ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0), HOST('n-2', 0)] });
-  ledger.apply(0, { sequence: 1, at: 0, starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
+  ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [HOST('n-1', 0), HOST('n-2', 0)] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
   const first = ledger.placement('j-1', 0)?.attempt ?? -1;
   ledger.apply(0, {
     sequence: 2,
-    at: 0,
-    ends: [['j-1', 0, first, 'lost']],
+    recordedAtMs: 0,
+    completions: [['j-1', 0, first, 'lost']],
     starts: [{ ...START, tasks: [[0, 'n-2', 1]] }],
   });
-  ledger.apply(0, { sequence: 3, at: 0, ends: [['j-1', 0, first, 'done']] });
+  ledger.apply(0, { sequence: 3, recordedAtMs: 0, completions: [['j-1', 0, first, 'done']] });
   assert.equal(ledger.placement('j-1', 0)?.host, 'n-2');
-  assert.equal(ledger.jobEntries.get('j-1')?.done.count, 0);
+  assert.equal(ledger.jobs.get('j-1')?.done.count, 0);
 });
 
 test('a machine has one owner: only from a release to the next take may it change hands, and steps of any other share are void', () => {
   const ledger = new Ledger();
-  ledger.apply('lead', { sequence: 1, at: 0, machines: [HOST('n-1', 0)] });
-  ledger.apply(1, { sequence: 1, at: 0, takes: ['n-1'], starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
+  ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [HOST('n-1', 0)] });
+  ledger.apply(1, {
+    sequence: 1,
+    recordedAtMs: 0,
+    acquisitions: ['n-1'],
+    starts: [{ ...START, tasks: [[0, 'n-1', 1]] }],
+  });
   assert.equal(ledger.placement('j-1', 0), undefined);
   ledger.apply(0, {
     sequence: 1,
-    at: 0,
+    recordedAtMs: 0,
     starts: [{ ...START, tasks: [[0, 'n-1', 1]] }],
     releases: [['n-1', null]],
   });
-  assert.equal(ledger.hosts.get('n-1')?.share, 0, 'nobody named a move');
-  ledger.apply('lead', { sequence: 2, at: 0, moves: [['n-1', 1]] });
-  ledger.apply(0, { sequence: 2, at: 0, releases: [['n-1', [1, 7]]] });
-  assert.equal(ledger.hosts.get('n-1')?.share, null);
-  ledger.apply(0, { sequence: 3, at: 0, starts: [{ ...START, tasks: [[1, 'n-1', 1]] }] });
+  assert.equal(ledger.machines.get('n-1')?.shard, 0, 'nobody named a move');
+  ledger.apply('lead', { sequence: 2, recordedAtMs: 0, transferTargets: [['n-1', 1]] });
+  ledger.apply(0, { sequence: 2, recordedAtMs: 0, releases: [['n-1', [1, 7]]] });
+  assert.equal(ledger.machines.get('n-1')?.shard, null);
+  ledger.apply(0, { sequence: 3, recordedAtMs: 0, starts: [{ ...START, tasks: [[1, 'n-1', 1]] }] });
   assert.equal(ledger.placement('j-1', 1), undefined);
-  ledger.apply(1, { sequence: 2, at: 0, takes: ['n-1'] });
-  assert.equal(ledger.hosts.get('n-1')?.share, 1);
+  ledger.apply(1, { sequence: 2, recordedAtMs: 0, acquisitions: ['n-1'] });
+  assert.equal(ledger.machines.get('n-1')?.shard, 1);
   const { attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
-  ledger.apply(0, { sequence: 4, at: 0, ends: [['j-1', 0, attempt, 'done']] });
+  ledger.apply(0, { sequence: 4, recordedAtMs: 0, completions: [['j-1', 0, attempt, 'done']] });
   assert.ok(ledger.placement('j-1', 0), 'the old owner has no more say');
-  ledger.apply(1, { sequence: 3, at: 0, ends: [['j-1', 0, attempt, 'done']] });
+  ledger.apply(1, { sequence: 3, recordedAtMs: 0, completions: [['j-1', 0, attempt, 'done']] });
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -1,21 +1,21 @@
 /** All live state as the state service lists it, read into a ledger; and changes that no node ever makes. */
 import type { Change, Row } from '#store';
 import {
-  CHECKPOINT_HEAD,
-  checkpointOfKey,
-  chunkKey,
-  CHUNKS,
-  JOBS,
-  logOfKey,
-  LOGS,
-  OVER,
-  overKey,
-  TOKEN_KEY,
+  CHECKPOINT_HEAD_KEY,
+  checkpointIdOfKey,
+  checkpointChunkKey,
+  CHECKPOINT_CHUNK_PREFIX,
+  JOB_PREFIX,
+  logIdOfKey,
+  LOG_PREFIX,
+  TERMINAL_PREFIX,
+  terminalKey,
+  FENCING_TOKEN_KEY,
 } from './keys.js';
 import { Ledger } from './ledger.js';
 import type { RowDifferences } from './state-check.js';
 import { type CheckpointRow, decodeCheckpointHead, decodeChunk } from './stored/checkpoint-codec.js';
-import { decodeToken, UNREADABLE_TOKEN } from './stored/holder-codec.js';
+import { decodeFencingToken, UNREADABLE_FENCING_TOKEN } from './stored/holder-codec.js';
 import { isTerminal } from './stored/job-codec.js';
 import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
 
@@ -28,74 +28,76 @@
 }
 
 /** What was read lacks parts: something changed meanwhile, or is lost. */
-export class IncompleteState extends Error {}
+export class IncompleteStateError extends Error {}
 
-/** The ledger that checkpoint and logs make; throws {@link IncompleteState} where parts are missing. */
+/** The ledger that checkpoint and logs make; throws {@link IncompleteStateError} where parts are missing. */
 export function buildLedger({ rows }: LiveRows): Ledger {
   const ledger = new Ledger();
-  const head = rows.find((r) => r.path === CHECKPOINT_HEAD)?.value;
+  const head = rows.find((r) => r.path === CHECKPOINT_HEAD_KEY)?.value;
   if (head) {
-    const byPath = new Map(rows.filter((r) => r.path.startsWith(CHUNKS)).map((r) => [r.path, r]));
+    const byPath = new Map(
+      rows.filter((r) => r.path.startsWith(CHECKPOINT_CHUNK_PREFIX)).map((r) => [r.path, r]),
+    );
     const parts: CheckpointRow[] = [];
     const { id, positions, chunkCount } = decodeCheckpointHead(head);
     for (let i = 0; i < chunkCount; i++) {
-      const chunk = byPath.get(chunkKey(id, i));
-      if (!chunk) throw new IncompleteState(`checkpoint lacks part ${i}`);
+      const chunk = byPath.get(checkpointChunkKey(id, i));
+      if (!chunk) throw new IncompleteStateError(`checkpoint lacks part ${i}`);
       parts.push(...decodeChunk(chunk.value));
     }
     ledger.restore(positions, parts);
   }
   // The order of commits is the order of their epochs, whichever logs they went to.
-  const records = rows.filter((row) => row.path.startsWith(LOGS)).sort(inOrder);
+  const records = rows.filter((row) => row.path.startsWith(LOG_PREFIX)).sort(byCommitOrder);
   const live = liveJobs(rows);
   for (const { path, value } of records) {
     const record = decodeRecord(value);
     // A place may have been taken anew since the checkpoint was read.
-    if (!ledger.apply(logOfKey(path), record)) {
-      throw new IncompleteState('log and checkpoint were read at different times');
+    if (!ledger.apply(logIdOfKey(path), record)) {
+      throw new IncompleteStateError('log and checkpoint were read at different times');
     }
-    for (const [job] of record.ends ?? []) if (!live.has(job)) ledger.drop(job);
+    for (const [job] of record.completions ?? []) if (!live.has(job)) ledger.dropJob(job);
   }
-  for (const job of [...ledger.jobEntries.keys()]) if (!live.has(job)) ledger.drop(job);
+  for (const job of [...ledger.jobs.keys()]) if (!live.has(job)) ledger.dropJob(job);
   return ledger;
 }
 
 /** Jobs that have not ended. */
 function liveJobs(rows: readonly Row[]): Set<string> {
-  const live = rows.filter(({ path, value }) => path.startsWith(JOBS) && !isTerminal(value));
-  return new Set(live.map(({ path }) => path.slice(JOBS.length)));
+  const live = rows.filter(({ path, value }) => path.startsWith(JOB_PREFIX) && !isTerminal(value));
+  return new Set(live.map(({ path }) => path.slice(JOB_PREFIX.length)));
 }
 
 /** The cluster's token as these rows have it. */
-export function tokenIn({ rows }: LiveRows): number {
-  const value = rows.find((row) => row.path === TOKEN_KEY)?.value ?? null;
-  return decodeToken(value) ?? UNREADABLE_TOKEN;
+export function fencingTokenIn({ rows }: LiveRows): number {
+  const value = rows.find((row) => row.path === FENCING_TOKEN_KEY)?.value ?? null;
+  return decodeFencingToken(value) ?? UNREADABLE_FENCING_TOKEN;
 }
 
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
-export function inOrder(x: Change, y: Change): number {
+export function byCommitOrder(x: Change, y: Change): number {
   return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
 }
 
 /** What a copy knows of the place of a record. */
-export interface LogPlace {
-  seq: number;
+export interface LogSlot {
+  sequence: number;
   revision: number;
 }
 
 /** The revisions that a copy holds, and the records in their places. */
-export interface HeldRows {
+export interface KnownRows {
   revisions: ReadonlyMap<string, number>;
-  places: ReadonlyMap<string, LogPlace>;
+  logSlots: ReadonlyMap<string, LogSlot>;
 }
 
 /** Compares rows that were read with what a copy held before: in one history no row grows older. */
-export function compareRows({ rows }: LiveRows, { revisions, places }: HeldRows): RowDifferences {
+export function compareRows({ rows }: LiveRows, { revisions, logSlots: places }: KnownRows): RowDifferences {
   const shown = new Map(rows.map((row) => [row.path, row]));
   const forked: string[] = [];
   const wentBack: string[] = [];
   const absent: string[] = [];
-  for (const [path, { seq, revision }] of places) {
+  for (const [path, { sequence: seq, revision }] of places) {
     const row = shown.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) wentBack.push(path);
@@ -106,11 +108,11 @@
     if (!row) absent.push(path);
     else if (row.revision < revision) wentBack.push(path);
   }
-  return { forked, wentBack, absent };
+  return { forked, regressed: wentBack, absent };
 }
 
 /** What a copy holds that changes are compared with. */
-export interface CopyFacts {
+export interface KnownState {
   checkpointId: string;
   isLive(job: string): boolean;
   position(path: string): number;
@@ -120,17 +122,17 @@
  * Keys that changes take away, or take back to an earlier record, though no node ever does so: records, the token, the
  * present checkpoint, jobs that have not ended, and what became of jobs. The changes come in the order of their commits.
  */
-export function lostKeys(changes: readonly Change[], copy: CopyFacts): string[] {
+export function findLostKeys(changes: readonly Change[], copy: KnownState): string[] {
   const lost: string[] = [];
   const ended = new Set<string>();
   let { checkpointId } = copy;
   for (const { path, value } of changes) {
-    if (path === CHECKPOINT_HEAD && value) checkpointId = decodeCheckpointHead(value).id;
-    else if (path.startsWith(JOBS)) {
-      const job = path.slice(JOBS.length);
+    if (path === CHECKPOINT_HEAD_KEY && value) checkpointId = decodeCheckpointHead(value).id;
+    else if (path.startsWith(JOB_PREFIX)) {
+      const job = path.slice(JOB_PREFIX.length);
       if (value && isTerminal(value)) ended.add(job);
       else if (!value && copy.isLive(job) && !ended.has(job)) lost.push(path);
-    } else if (path.startsWith(LOGS)) {
+    } else if (path.startsWith(LOG_PREFIX)) {
       const isBack = value !== null && storedSequence(value) <= copy.position(path);
       if (!value || isBack) lost.push(path);
     } else if (!value && isKeptForever(path, checkpointId)) lost.push(path);
@@ -139,21 +141,21 @@
 }
 
 /** A key that would make up for a lost one: a job's end for its record. */
-export function successorOf(path: string): string | null {
-  return path.startsWith(JOBS) ? overKey(path.slice(JOBS.length)) : null;
+export function successorKeyOf(path: string): string | null {
+  return path.startsWith(JOB_PREFIX) ? terminalKey(path.slice(JOB_PREFIX.length)) : null;
 }
 
 /** A part of a checkpoint that these rows don't rely on. */
-export function isOldChunk(path: string, { rows }: LiveRows): boolean {
-  const head = rows.find((row) => row.path === CHECKPOINT_HEAD);
+export function isObsoleteChunk(path: string, { rows }: LiveRows): boolean {
+  const head = rows.find((row) => row.path === CHECKPOINT_HEAD_KEY);
   return (
-    path.startsWith(CHUNKS) &&
+    path.startsWith(CHECKPOINT_CHUNK_PREFIX) &&
     head !== undefined &&
-    checkpointOfKey(path) !== decodeCheckpointHead(head.value).id
+    checkpointIdOfKey(path) !== decodeCheckpointHead(head.value).id
   );
 }
 
 function isKeptForever(path: string, checkpointId: string): boolean {
-  if (path.startsWith(CHUNKS)) return checkpointOfKey(path) === checkpointId;
-  return path === TOKEN_KEY || path === CHECKPOINT_HEAD || path.startsWith(OVER);
+  if (path.startsWith(CHECKPOINT_CHUNK_PREFIX)) return checkpointIdOfKey(path) === checkpointId;
+  return path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY || path.startsWith(TERMINAL_PREFIX);
 }
--- a/packages/cluster/members.ts
+++ b/packages/cluster/members.ts
@@ -2,19 +2,19 @@
 import type { Count } from '#wire';
 
 /** Who holds the lead. */
-export interface Lead {
+export interface LeaseHolder {
   member: string;
   nonce: string;
   revision: number;
 }
 
 /** Who owns a share, and the token that was raised for it. */
-export interface ShareOwner extends Lead {
-  token: number;
+export interface ShardOwner extends LeaseHolder {
+  fencingToken: number;
 }
 
 /** Whom a node can't reach. */
-export interface MemberContacts {
+export interface MemberReachability {
   /** Members, by its peer links. */
   unreachable: string[];
   /** Its workers ask the other nodes, and none of them arrives here. */
@@ -22,12 +22,12 @@
 }
 
 /** What a node tells the others in its member record. */
-export interface MemberNotes extends MemberContacts {
+export interface MemberStatus extends MemberReachability {
   /** Shares that it gives up on purpose. */
-  resigned: number[];
+  resignedShards: number[];
 }
 
-export interface Member extends MemberNotes {
+export interface Member extends MemberStatus {
   member: string;
   nonce: string;
   zone: string;
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -1,13 +1,13 @@
 import { OWN_CAPABILITIES } from './capabilities.js';
-import { capabilityKey, LEAD, memberKey, ownershipKey } from './keys.js';
+import { capabilityKey, LEADER_KEY, memberKey, ownershipKey } from './keys.js';
 import type { Logger } from './logger.js';
-import type { Lead, MemberNotes, ShareOwner } from './members.js';
+import type { LeaseHolder, MemberStatus, ShardOwner } from './members.js';
 import type { Replica } from './replica.js';
 import { encodeHolder } from './stored/holder-codec.js';
 import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
-import { type DutyHolder, type DutyName, DutyRegistry } from '#duties';
+import { type RoleHolder, type RoleName, RoleRegistry } from '#duties';
 import { type StoreClient, StoreError } from '#store';
-import { type Clock, type Count, type Fields, type Micros, MS, SECOND, sleep } from '#wire';
+import { type Clock, type Count, type WireFields, type Micros, MS, SECOND, sleep } from '#wire';
 
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
@@ -25,14 +25,14 @@
 export class Membership {
   state: MembershipState = 'outside';
   /** The right to act for what this process holds. */
-  readonly duties: DutyRegistry;
-  private standing: { nonce: string; leaseId: Count; at: Micros } | null = null;
+  readonly roles: RoleRegistry;
+  private memberLease: { nonce: string; leaseId: Count; at: Micros } | null = null;
   private count = 0;
   private campaigning = false;
   /** Until then another member is to have the lead. */
-  private abstainsUntil: Micros = -Infinity;
-  private notes: MemberNotes = { unreachable: [], workersUnreachable: false, resigned: [] };
-  private telling = false;
+  private candidacyWithdrawnUntil: Micros = -Infinity;
+  private status: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
+  private publishing = false;
 
   constructor(
     private readonly member: string,
@@ -45,7 +45,7 @@
     private readonly random: () => number,
     private readonly log: Logger,
   ) {
-    this.duties = new DutyRegistry({
+    this.roles = new RoleRegistry({
       source: {
         holders: () => holdersIn(replica),
         isOurs: (nonce) => this.isOurs(nonce),
@@ -60,51 +60,51 @@
   }
 
   /** The lead if this very process holds it. */
-  lead(): Lead | null {
-    const { lead } = this.replica;
+  ownLeaderLease(): LeaseHolder | null {
+    const { leader: lead } = this.replica;
     return lead && this.isOurs(lead.nonce) ? lead : null;
   }
 
   /** The shares that this very process owns. */
-  shares(): Map<number, ShareOwner> {
-    return new Map([...this.replica.owners].filter(([, owner]) => this.isOurs(owner.nonce)));
+  ownedShards(): Map<number, ShardOwner> {
+    return new Map([...this.replica.shardOwners].filter(([, owner]) => this.isOurs(owner.nonce)));
   }
 
   /** Tells the others what changed of this node, if its record doesn't say so yet. */
-  async tell(change: Partial<MemberNotes>): Promise<void> {
-    this.notes = { ...this.notes, ...change };
+  async publishStatus(change: Partial<MemberStatus>): Promise<void> {
+    this.status = { ...this.status, ...change };
     const memberRecord = this.replica.members.get(this.member);
     // Compared with the record as it stands: a commit that failed is made good the next time.
-    if (this.telling || !this.standing || !memberRecord || !this.isOurs(memberRecord.nonce)) return;
-    if (isSameNotes(memberRecord, this.notes)) return;
-    this.telling = true;
-    this.log.info(this.notes, 'member record changes');
-    const { leaseId } = this.standing;
-    const result = await this.store.commit(
+    if (this.publishing || !this.memberLease || !memberRecord || !this.isOurs(memberRecord.nonce)) return;
+    if (isSameNotes(memberRecord, this.status)) return;
+    this.publishing = true;
+    this.log.info(this.status, 'member record changes');
+    const { leaseId } = this.memberLease;
+    const result = await this.store.compareAndSwap(
       [{ path: memberKey(this.member), revision: memberRecord.revision }],
-      [{ set: memberKey(this.member), value: this.memberRecord(this.standing), leaseId }],
+      [{ set: memberKey(this.member), value: this.memberRecord(this.memberLease), leaseId }],
     );
-    if (result.kind === 'applied') await this.replica.reach(result.epoch, SECOND);
-    this.telling = false;
+    if (result.kind === 'applied') await this.replica.waitForRevision(result.epoch, SECOND);
+    this.publishing = false;
   }
 
   /** Leaves the lead to others for a while, as after handing it over. */
-  abstain(duration: Micros): void {
-    this.abstainsUntil = this.clock.now() + duration;
+  withdrawCandidacy(duration: Micros): void {
+    this.candidacyWithdrawnUntil = this.clock.now() + duration;
   }
 
   /** The shares that this node is giving up. */
-  get resignedShares(): readonly number[] {
-    return this.notes.resigned;
+  get resignedShards(): readonly number[] {
+    return this.status.resignedShards;
   }
 
   /** Gives up all that this process holds, at once and for good: its grant ends, and with it every key that hangs on it. */
   async retire(): Promise<void> {
-    const leaseId = this.standing?.leaseId;
-    this.standing = null;
+    const leaseId = this.memberLease?.leaseId;
+    this.memberLease = null;
     this.enter('stopped');
-    this.duties.refresh();
-    if (leaseId !== undefined) await this.store.revoke(leaseId).catch(() => undefined);
+    this.roles.refresh();
+    if (leaseId !== undefined) await this.store.revokeLease(leaseId).catch(() => undefined);
   }
 
   stop(): void {
@@ -114,7 +114,7 @@
   async run(): Promise<void> {
     while (!this.isStopped()) {
       try {
-        if (this.standing) await this.keep(this.standing);
+        if (this.memberLease) await this.keepLease(this.memberLease);
         else if (this.replica.state === 'following') await this.join();
       } catch (cause) {
         // In an outage grants don't run out; on a lone 503 a 404 later tells that ours has.
@@ -129,38 +129,38 @@
   }
 
   private isOurs(nonce: string): boolean {
-    return this.state === 'member' && nonce === this.standing?.nonce;
+    return this.state === 'member' && nonce === this.memberLease?.nonce;
   }
 
-  private memberRecord({ nonce, leaseId }: { nonce: string; leaseId: Count }): Fields {
-    const { zone, notes } = this;
+  private memberRecord({ nonce, leaseId }: { nonce: string; leaseId: Count }): WireFields {
+    const { zone, status: notes } = this;
     return encodeMember({ nonce, zone, leaseId, notes, capabilities: OWN_CAPABILITIES });
   }
 
   private async join(): Promise<void> {
     const sentAt = this.clock.now();
     const leaseId = await this.store.createLease(LIFE);
-    this.duties.renewed(sentAt);
-    this.standing = { nonce: `${this.incarnation}.${++this.count}`, leaseId, at: this.clock.now() };
+    this.roles.onLeaseRenewed(sentAt);
+    this.memberLease = { nonce: `${this.incarnation}.${++this.count}`, leaseId, at: this.clock.now() };
     this.enter('joining');
     // Only one process of a member runs at a time: an earlier one's record can be replaced, never disturbed.
     const old = this.replica.members.get(this.member);
-    const result = await this.store.commit(
+    const result = await this.store.compareAndSwap(
       [{ path: memberKey(this.member), revision: old?.revision ?? 0 }],
-      [{ set: memberKey(this.member), value: this.memberRecord(this.standing), leaseId }],
+      [{ set: memberKey(this.member), value: this.memberRecord(this.memberLease), leaseId }],
     );
     if (result.kind !== 'applied' && result.kind !== 'unknown') await this.leave();
   }
 
-  private async keep(standing: { nonce: string; leaseId: Count; at: Micros }): Promise<void> {
+  private async keepLease(standing: { nonce: string; leaseId: Count; at: Micros }): Promise<void> {
     const sentAt = this.clock.now();
-    if (!(await this.store.renew(standing.leaseId))) {
-      this.standing = null;
+    if (!(await this.store.renewLease(standing.leaseId))) {
+      this.memberLease = null;
       this.enter('outside');
-      this.duties.refresh();
+      this.roles.refresh();
       return;
     }
-    this.duties.renewed(sentAt);
+    this.roles.onLeaseRenewed(sentAt);
     if (this.state === 'joining' && this.clock.now() > standing.at + PATIENCE) {
       // The commit's answer was lost. Once its grant is gone it can't be applied any more.
       await this.leave();
@@ -177,58 +177,58 @@
     if (!memberRecord || !this.isOurs(memberRecord.nonce)) return;
     if (OWN_CAPABILITIES.every((capability) => announced?.has(capability))) return;
     // Guarded by this process's own record: a late commit can't speak for a later process.
-    await this.store.commit(
+    await this.store.compareAndSwap(
       [{ path: memberKey(this.member), revision: memberRecord.revision }],
       [{ set: capabilityKey(this.member), value: encodeCapabilities(OWN_CAPABILITIES) }],
     );
   }
 
   private async leave(): Promise<void> {
-    const leaseId = this.standing?.leaseId;
-    this.standing = null;
+    const leaseId = this.memberLease?.leaseId;
+    this.memberLease = null;
     this.enter('outside');
-    if (leaseId !== undefined) await this.store.revoke(leaseId).catch(() => undefined);
+    if (leaseId !== undefined) await this.store.revokeLease(leaseId).catch(() => undefined);
   }
 
   private observe(): void {
     const memberRecord = this.replica.members.get(this.member);
-    const ours = memberRecord !== undefined && memberRecord.nonce === this.standing?.nonce;
-    if (this.state === 'joining' && ours) {
+    const owned = memberRecord !== undefined && memberRecord.nonce === this.memberLease?.nonce;
+    if (this.state === 'joining' && owned) {
       this.enter('member');
-    } else if (this.state === 'member' && !ours && this.replica.state === 'following') {
+    } else if (this.state === 'member' && !owned && this.replica.state === 'following') {
       void this.leave();
     }
-    this.duties.refresh();
+    this.roles.refresh();
     if (this.state === 'member') this.campaign();
   }
 
   /** The lead is free, or held by an earlier start of this very member, which is gone for certain. */
-  private vacant(): boolean {
-    const { lead } = this.replica;
+  private isLeaderVacant(): boolean {
+    const { leader: lead } = this.replica;
     return !lead || (lead.member === this.member && !this.isOurs(lead.nonce));
   }
 
   private campaign(): void {
-    if (this.campaigning || !this.vacant() || this.clock.now() < this.abstainsUntil) return;
+    if (this.campaigning || !this.isLeaderVacant() || this.clock.now() < this.candidacyWithdrawnUntil) return;
     this.campaigning = true;
-    void this.tryLead().finally(() => {
+    void this.tryAcquireLeadership().finally(() => {
       this.campaigning = false;
     });
   }
 
-  private async tryLead(): Promise<void> {
+  private async tryAcquireLeadership(): Promise<void> {
     await sleep(this.clock, Math.floor(this.random() * 100) * MS);
-    const { standing } = this;
-    if (!standing || this.state !== 'member' || !this.vacant()) return;
-    this.duties.acquiring('lead');
+    const { memberLease: standing } = this;
+    if (!standing || this.state !== 'member' || !this.isLeaderVacant()) return;
+    this.roles.beginAcquisition('lead');
     const value = encodeHolder({ member: this.member, nonce: standing.nonce });
-    const result = await this.store.commit(
-      [{ path: LEAD, revision: this.replica.lead?.revision ?? 0 }],
-      [{ set: LEAD, value, leaseId: standing.leaseId }],
+    const result = await this.store.compareAndSwap(
+      [{ path: LEADER_KEY, revision: this.replica.leader?.revision ?? 0 }],
+      [{ set: LEADER_KEY, value, leaseId: standing.leaseId }],
     );
     if (result.kind === 'applied') this.log.info({ nonce: standing.nonce }, 'leading');
     else {
-      this.duties.acquisitionFailed('lead');
+      this.roles.acquisitionFailed('lead');
       await sleep(this.clock, RETRY);
     }
   }
@@ -240,22 +240,22 @@
   }
 }
 
-function isSameNotes(a: MemberNotes, b: MemberNotes): boolean {
+function isSameNotes(a: MemberStatus, b: MemberStatus): boolean {
   return (
     a.unreachable.join() === b.unreachable.join() &&
     a.workersUnreachable === b.workersUnreachable &&
-    a.resigned.join() === b.resigned.join()
+    a.resignedShards.join() === b.resignedShards.join()
   );
 }
 
 /** Who holds which duty, as this copy of the state says. */
-function holdersIn({ lead, owners }: Replica): Map<DutyName, DutyHolder> {
-  const holders = new Map<DutyName, DutyHolder>();
+function holdersIn({ leader: lead, shardOwners: owners }: Replica): Map<RoleName, RoleHolder> {
+  const holders = new Map<RoleName, RoleHolder>();
   if (lead) holders.set('lead', holderOf(lead));
-  for (const [share, owner] of owners) holders.set(share, holderOf(owner));
+  for (const [shard, owner] of owners) holders.set(shard, holderOf(owner));
   return holders;
 }
 
-function holderOf({ member, nonce, revision }: Lead): DutyHolder {
+function holderOf({ member, nonce, revision }: LeaseHolder): RoleHolder {
   return { member, nonce, term: revision };
 }
--- a/packages/cluster/peers.ts
+++ b/packages/cluster/peers.ts
@@ -5,31 +5,31 @@
 export type PingResult = 'ok' | 'refused' | 'silent';
 
 /** What a node tells its peers. */
-export interface PeerWord {
+export interface PeerStatus {
   /** The highest token that it knows. */
-  token: number;
+  fencingToken: number;
   /** The state service serves it. */
-  served: boolean;
+  isStoreReachable: boolean;
   /** By owner: how many machines' workers it has sent there of late. */
-  referred: Record<string, number>;
+  redirectedWorkers: Record<string, number>;
   /** What it remembers of the state; null if it doesn't tell. */
-  memory: PeerMemory | null;
+  highWaterMark: PeerHighWaterMark | null;
 }
 
 /** What a peer remembers of the state, for those that remember less. */
-export interface PeerMemory {
+export interface PeerHighWaterMark {
   /** The highest epoch that the state service has shown it. */
-  epoch: number;
+  revision: number;
   /** What it remembers itself contradicts what the state service shows now. */
-  isContradicted: boolean;
+  isInconsistent: boolean;
 }
 
-export interface PingAnswer {
+export interface PingReply {
   result: PingResult;
   /** What the peer told with its answer. */
-  word: PeerWord | null;
+  status: PeerStatus | null;
 }
-export type Ping = (endpoint: string, timeout: Micros) => Promise<PingAnswer>;
+export type Ping = (endpoint: string, timeout: Micros) => Promise<PingReply>;
 
 const EVERY: Micros = 500 * MS;
 const TIMEOUT: Micros = 1200 * MS;
@@ -41,7 +41,7 @@
  * Watches which peers can be reached. Only a hint that hastens the leader's moves when zones are cut from
  * each other: no rule depends on it.
  */
-export class PeerWatch {
+export class PeerMonitor {
   private readonly states: { member: string; endpoint: string; okAt: Micros; last: PingResult }[];
   private running = true;
 
@@ -50,8 +50,8 @@
     private readonly ping: Ping,
     private readonly clock: Clock,
     private readonly log: Logger,
-    private readonly changed: (unreachable: string[]) => void,
-    private readonly told: (word: PeerWord, member: string) => void,
+    private readonly onReachabilityChange: (unreachable: string[]) => void,
+    private readonly onStatus: (status: PeerStatus, member: string) => void,
   ) {
     this.states = peers.map((p) => ({ ...p, okAt: clock.now(), last: 'ok' }));
   }
@@ -80,12 +80,12 @@
     last: PingResult;
   }): Promise<void> {
     while (this.running) {
-      const { result, word } = await this.ping(state.endpoint, TIMEOUT);
-      if (word) this.told(word, state.member);
+      const { result, status } = await this.ping(state.endpoint, TIMEOUT);
+      if (status) this.onStatus(status, state.member);
       if (result !== state.last) this.log.debug({ peer: state.member, result }, 'peer link');
       state.last = result;
       if (result === 'ok') state.okAt = this.clock.now();
-      this.changed(this.unreachable());
+      this.onReachabilityChange(this.unreachable());
       await sleep(this.clock, EVERY);
     }
   }
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -9,14 +9,14 @@
   mem: number;
 }
 
-export interface Demand {
+export interface ResourceDemand {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
 /** A task that is, or may be, on a machine. It is there until its end is recorded. */
-export interface Placement extends Demand {
+export interface Placement extends ResourceDemand {
   job: string;
   index: number;
   taskName: string;
@@ -26,9 +26,9 @@
   gangSize: number | null;
   host: string;
   /** The session for which the start was decided; in any other the start has no force. */
-  session: Count;
+  workerIncarnation: Count;
   /** Time of day of the record, in milliseconds. */
-  at: number;
+  startedAtMs: number;
 }
 
 /**
@@ -46,32 +46,32 @@
   zone: string;
   spot: boolean;
   /** Time of day at which it was rented (or met), in milliseconds. */
-  since: number;
+  acquiredAtMs: number;
   /** The share it belongs to; null while it is between two. */
-  share: number | null;
+  shard: number | null;
   /** Named by the leader; the owner releases it, the new one takes it. */
   destination: Destination | null;
   status: MachineStatus;
   /** Tells one time of belonging to a share from another. */
   ownershipCount: number;
   /** Newest report its last owner had taken in when it let go: an older one tells a later owner nothing. */
-  lastReport: [shift: Count, tally: Count] | null;
+  lastHeartbeat: [shift: Count, tally: Count] | null;
   /** Images fetched for tasks on it, the most recent last. */
-  images: string[];
+  cachedImages: string[];
   /** Tasks that failed here since the last that did not, and the time of day of the last one. */
-  errors: number;
-  failedAt: number;
+  consecutiveFailures: number;
+  lastFailureAtMs: number;
 }
 
-export interface RentalEntry {
+export interface PendingScaleOut {
   id: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  number: number;
+  count: number;
   /** The share that its machines will belong to. */
-  share: number;
-  at: number;
+  shard: number;
+  requestedAtMs: number;
 }
 
 export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
@@ -88,7 +88,7 @@
   tasks: [number, string, Count][];
 }
 
-export type HostRow = [
+export type MachineRow = [
   host: string,
   machineType: string,
   zone: string,
@@ -97,7 +97,7 @@
   share: number,
 ];
 
-export type HireRow = [
+export type ScaleOutRow = [
   id: string,
   machineType: string,
   zone: string,
@@ -109,30 +109,30 @@
 /** One entry of a log. The first group of fields is the leader's, the second that of a share's owner. */
 export interface PlacementRecord {
   sequence: number;
-  at: number;
+  recordedAtMs: number;
   /** Place within its commit: a later record may start what an earlier one of another log has ended. */
-  order?: number;
+  commitIndex?: number;
 
-  machines?: HostRow[];
+  machines?: MachineRow[];
   removed?: string[];
-  rentals?: HireRow[];
-  settledRentals?: string[];
-  moves?: [host: string, to: Destination][];
+  scaleOuts?: ScaleOutRow[];
+  settledScaleOuts?: string[];
+  transferTargets?: [host: string, to: Destination][];
 
-  ends?: [job: string, index: number, attempt: number, outcome: Outcome][];
+  completions?: [job: string, index: number, attempt: number, outcome: Outcome][];
   statuses?: [host: string, status: MachineStatus][];
   releases?: [host: string, lastReport: [session: Count, sequence: Count] | null][];
-  takes?: string[];
+  acquisitions?: string[];
   starts?: StartGroup[];
   prices?: Record<string, [number, number, number]>;
-  unmet?: Record<string, number>;
+  unmetCpus?: Record<string, number>;
 }
 
 /** A position in every log. */
 export type Positions = Record<string, number>;
 
 /** What a writer decides of a record; the log gives it its position. */
-export type RecordDraft = Omit<PlacementRecord, 'sequence' | 'at' | 'order'>;
+export type RecordDraft = Omit<PlacementRecord, 'sequence' | 'recordedAtMs' | 'commitIndex'>;
 
 /** Where a record stands in its log and its commit. */
-export type RecordPosition = Pick<PlacementRecord, 'sequence' | 'at' | 'order'>;
+export type RecordPosition = Pick<PlacementRecord, 'sequence' | 'recordedAtMs' | 'commitIndex'>;
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -27,19 +27,27 @@
   {
     log: 'lead',
     record: {
-      ...{ sequence: 1, at: 0 },
+      ...{ sequence: 1, recordedAtMs: 0 },
       machines: [
         ['n-1', 'small', 'east', false, 0, 0],
         ['n-2', 'small', 'east', false, 0, 1],
         ['n-3', 'small', 'east', false, 0, 0],
       ],
-      moves: [['n-3', 1]],
+      transferTargets: [['n-3', 1]],
     },
   },
-  { log: 0, record: { sequence: 1, at: 1, starts: start('n-1') } },
-  { log: 1, record: { sequence: 1, at: 1, statuses: [['n-2', 'up']] } },
-  { log: 0, record: { sequence: 2, at: 2, ends: [['j-1', 0, 1024, 'stopped']], releases: [['n-3', null]] } },
-  { log: 1, record: { sequence: 2, at: 3, takes: ['n-3'], starts: start('n-2') } },
+  { log: 0, record: { sequence: 1, recordedAtMs: 1, starts: start('n-1') } },
+  { log: 1, record: { sequence: 1, recordedAtMs: 1, statuses: [['n-2', 'up']] } },
+  {
+    log: 0,
+    record: {
+      sequence: 2,
+      recordedAtMs: 2,
+      completions: [['j-1', 0, 1024, 'stopped']],
+      releases: [['n-3', null]],
+    },
+  },
+  { log: 1, record: { sequence: 2, recordedAtMs: 3, acquisitions: ['n-3'], starts: start('n-2') } },
 ];
 
 /** A state service with one row a page; `betweenPages` may commit before each page but the first. */
@@ -110,9 +118,9 @@
       for (const burst of [1, 2, 3]) {
         const { ledger } = await readWhileCommitting(committed, pages, burst);
         const during = `${committed} commits before the reading, ${burst} after page ${pages}`;
-        assert.equal(ledger.size, COMMITS.length, during);
+        assert.equal(ledger.totalRecords, COMMITS.length, during);
         assert.equal(ledger.placement('j-1', 0)?.host, 'n-2', during);
-        assert.equal(ledger.hosts.get('n-3')?.share, 1, during);
+        assert.equal(ledger.machines.get('n-3')?.shard, 1, during);
       }
     }
   }
--- a/packages/cluster/share-assignment.test.ts
+++ b/packages/cluster/share-assignment.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { cutZones, planShares, type ShareHolder } from './share-assignment.js';
+import { partitionedZonePairs, planShardAssignments, type ShardHolder } from './share-assignment.js';
 
 const member = (name: string, zone = 'east') => ({
   member: name,
@@ -18,15 +18,15 @@
       fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'gone'), { maxLength: 6 }),
       (count, names, before) => {
         const members = names.map((n) => member(n));
-        const owners = new Map<number, ShareHolder>(
+        const owners = new Map<number, ShardHolder>(
           before.map((n, i) => [i, { member: n, nonce: `${n}.1` }]),
         );
         for (let round = 0; round < 20; round++) {
-          for (const { share, member: name } of planShares(count, owners, members, new Map())) {
-            owners.set(share, { member: name, nonce: `${name}.1` });
+          for (const { shard, member: name } of planShardAssignments(count, owners, members, new Map())) {
+            owners.set(shard, { member: name, nonce: `${name}.1` });
           }
         }
-        assert.deepEqual(planShares(count, owners, members, new Map()), []);
+        assert.deepEqual(planShardAssignments(count, owners, members, new Map()), []);
         const owned = names.map((n) => [...owners].filter(([s, o]) => s < count && o.member === n).length);
         assert.equal(
           owned.reduce((x, y) => x + y, 0),
@@ -41,10 +41,10 @@
 
 test('a member that came back under another name of its start owns nothing of before', () => {
   const owners = new Map([[0, { member: 'a', nonce: 'a.0' }]]);
-  assert.deepEqual(planShares(1, owners, [member('a')], new Map()), [{ share: 0, member: 'a' }]);
+  assert.deepEqual(planShardAssignments(1, owners, [member('a')], new Map()), [{ share: 0, member: 'a' }]);
 });
 
 test('a cut counts once either side tells of it, and only between zones', () => {
   const a = { ...member('a', 'east'), unreachable: ['b', 'c', 'unknown'] };
-  assert.deepEqual([...cutZones([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
+  assert.deepEqual([...partitionedZonePairs([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
 });
--- a/packages/cluster/state-check.ts
+++ b/packages/cluster/state-check.ts
@@ -3,10 +3,10 @@
 import type { Positions } from './placement.js';
 
 /** Numbers that never fall while the state service keeps what was committed. */
-export interface StateSummary {
-  epoch: number;
+export interface HighWaterMarks {
+  revision: number;
   /** The cluster's fencing token. */
-  token: number;
+  fencingToken: number;
   /** The last record of each log. */
   positions: Positions;
 }
@@ -15,9 +15,9 @@
 export interface StateReading {
   /** Steady time at which it was begun. */
   sentAt: Micros;
-  shown: StateSummary;
+  shown: HighWaterMarks;
   /** What was known when it was begun; null before the first reading. */
-  known: StateSummary | null;
+  known: HighWaterMarks | null;
   /** How the rows that were read differ from those that the copy holds. */
   differences: RowDifferences;
 }
@@ -27,44 +27,44 @@
   /** Another record under a number that the copy has, too. */
   forked: readonly string[];
   /** A row older than the copy's. */
-  wentBack: readonly string[];
+  regressed: readonly string[];
   /** Not there any more; that may be as it should where a job has ended. */
   absent: readonly string[];
 }
 
 /** Judges what the state service shows. While it is closed a copy stays as it is and reads all live state anew. */
-export interface StateCheck {
+export interface StateIntegrityCheck {
   isOpen(): boolean;
   /** False for a while after the start: what would tell of a loss has yet to be heard, and no reading is of use. */
   isReady(): boolean;
   /** Has this called whenever the check closes. */
   onClose(listener: () => void): void;
   /** The highest epoch that any answer has shown. */
-  floor(): number;
+  minimumRevision(): number;
   /** Whether the reading may be taken for the state; opens or closes the check. */
-  judge(reading: StateReading): boolean;
+  judgeReading(reading: StateReading): boolean;
   /** The copy holds all that was committed before this time: may it be relied on? */
-  confirm(sentAt: Micros, copy: StateSummary): boolean;
+  confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean;
   /** Keys have gone that this program never removes; true if that closes the check. */
-  refuses(lostKeys: readonly string[]): boolean;
+  reportLostKeys(lostKeys: readonly string[]): boolean;
   /** Those of them that no reading has shown again. */
   missingKeys(): readonly string[];
   /** One of them has been shown again. */
-  found(key: string): void;
+  reportFoundKey(key: string): void;
   /** A reading that lacks parts, as a change while it was made may cause, too. */
-  incomplete(reason: string): void;
+  reportIncompleteRead(reason: string): void;
 }
 
 /** Believes whatever is shown. */
-export const TRUSTING_STATE_CHECK: StateCheck = {
+export const NO_STATE_INTEGRITY_CHECK: StateIntegrityCheck = {
   isOpen: () => true,
   isReady: () => true,
   onClose: () => undefined,
-  floor: () => 0,
-  judge: () => true,
-  confirm: () => true,
-  refuses: () => false,
+  minimumRevision: () => 0,
+  judgeReading: () => true,
+  confirmCopy: () => true,
+  reportLostKeys: () => false,
   missingKeys: () => [],
-  found: () => undefined,
-  incomplete: () => undefined,
+  reportFoundKey: () => undefined,
+  reportIncompleteRead: () => undefined,
 };
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -5,52 +5,52 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FencedStore } from '#duties';
-import { Pace, StoreClient, WriteLimits } from '#store';
+import { RateLimiter, StoreClient, WriteLimits } from '#store';
 import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
-import { type Clock, type Count, type Fields, type Micros, MS, SECOND } from '#wire';
+import { type Clock, type Count, type WireFields, type Micros, MS, SECOND } from '#wire';
 import { checkpointRows } from './stored/checkpoint-codec.js';
 import { encodeJobRow } from './stored/job-codec.js';
 import {
-  ALL,
-  CAPABILITIES,
-  CHECKPOINT_HEAD,
-  CHUNKS,
+  ROOT_PREFIX,
+  CAPABILITY_PREFIX,
+  CHECKPOINT_HEAD_KEY,
+  CHECKPOINT_CHUNK_PREFIX,
   capabilityKey,
   checkpointId,
-  checkpointOfKey,
-  chunkKey,
+  checkpointIdOfKey,
+  checkpointChunkKey,
   jobKey,
-  JOBS,
-  LEAD,
+  JOB_PREFIX,
+  LEADER_KEY,
   type LogId,
   logKey,
-  logOfKey,
-  LOGS,
+  logIdOfKey,
+  LOG_PREFIX,
   memberKey,
-  MEMBERS,
-  NOW,
-  OVER,
-  overKey,
+  MEMBER_PREFIX,
+  LIVE_PREFIX,
+  TERMINAL_PREFIX,
+  terminalKey,
   ownershipKey,
-  shareKey,
-  SHARES,
-  TOKEN_KEY,
-  TYPES,
+  shardKey,
+  SHARD_PREFIX,
+  FENCING_TOKEN_KEY,
+  MACHINE_TYPE_PREFIX,
 } from './keys.js';
 import type {
-  HostRow,
+  MachineRow,
   MachineEntry,
   Outcome,
   Placement,
   RecordDraft,
-  RentalEntry,
+  PendingScaleOut,
   StartGroup,
 } from './placement.js';
-import { inOrder } from './live-state.js';
-import type { Lead, Member, MemberNotes, ShareOwner } from './members.js';
+import { byCommitOrder } from './live-state.js';
+import type { LeaseHolder, Member, MemberStatus, ShardOwner } from './members.js';
 import { Membership } from './membership.js';
 import { Replica } from './replica.js';
-import { endWrite, LogWriter } from './writer.js';
+import { terminalStatusWrite, LogWriter } from './writer.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STATE = '10.2.0.1:2379';
@@ -63,14 +63,14 @@
   return JSON.stringify(value, (_key, part: unknown) => (typeof part === 'bigint' ? `${part}n` : part));
 }
 
-function valueOf(text: string): Fields {
+function valueOf(text: string): WireFields {
   const revive = (_key: string, part: unknown): unknown =>
     typeof part === 'string' && /^\d+n$/.test(part) ? BigInt(part.slice(0, -1)) : part;
-  return JSON.parse(text, revive) as Fields;
+  return JSON.parse(text, revive) as WireFields;
 }
 
 /** The state service, and what reaches it. */
-class Service {
+class NodeService {
   readonly clock = new SimClock();
   readonly view: Clock = {
     ...this.clock.view((step) => step(), 0, 0),
@@ -128,7 +128,7 @@
 }
 
 /** One member that leads and owns share 0, and writes through the real code. */
-class Writer extends Service {
+class Writer extends NodeService {
   readonly replica = new Replica(this.client(), this.view, SILENT, 10_000);
   readonly membership = new Membership(
     'node-1',
@@ -146,10 +146,10 @@
     void this.replica.run();
     void this.membership.run();
     await this.pass(3 * SECOND);
-    assert.ok(this.membership.lead());
-    for (const share of [0, 1]) {
+    assert.ok(this.membership.ownLeaderLease());
+    for (const shard of [0, 1]) {
       const value = { Member: 'node-1', Nonce: 'p1.1', Token: 1 };
-      this.store.spoil({ Set: shareKey(share), V: value, Permit: 1 });
+      this.store.spoil({ Set: shardKey(shard), V: value, Permit: 1 });
     }
     await this.pass(SECOND);
     this.log = this.writerFor(valueBytes);
@@ -157,11 +157,11 @@
   }
 
   writerFor(valueBytes: number): LogWriter {
-    const { duties } = this.membership;
-    const pace = new Pace(this.view, () => 1000);
+    const { roles } = this.membership;
+    const pace = new RateLimiter(this.view, () => 1000);
     const limits = new WriteLimits(valueBytes, 20);
-    const store = new FencedStore(this.client(), duties);
-    return new LogWriter(store, this.replica, duties, this.view, limits, pace, pace, SILENT);
+    const store = new FencedStore(this.client(), roles);
+    return new LogWriter(store, this.replica, roles, this.view, limits, pace, pace, SILENT);
   }
 
   get writer(): LogWriter {
@@ -176,7 +176,7 @@
 
 /** The copy of a node that finds these rows, written in this order. */
 async function readBack(texts: Record<string, string>): Promise<Replica> {
-  const service = new Service();
+  const service = new NodeService();
   for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: valueOf(text) });
   return service.load();
 }
@@ -184,10 +184,34 @@
 test('keys: where each kind of row lies', () => {
   assert.deepEqual(
     [
-      ...[ALL, NOW, TOKEN_KEY, LEAD, CHECKPOINT_HEAD, CHUNKS, JOBS, LOGS, CAPABILITIES, MEMBERS, SHARES],
-      ...[TYPES, OVER, jobKey('j-1'), overKey('j-1'), shareKey(3), memberKey('node-1')],
+      ...[
+        ROOT_PREFIX,
+        LIVE_PREFIX,
+        FENCING_TOKEN_KEY,
+        LEADER_KEY,
+        CHECKPOINT_HEAD_KEY,
+        CHECKPOINT_CHUNK_PREFIX,
+        JOB_PREFIX,
+        LOG_PREFIX,
+        CAPABILITY_PREFIX,
+        MEMBER_PREFIX,
+        SHARD_PREFIX,
+      ],
+      ...[
+        MACHINE_TYPE_PREFIX,
+        TERMINAL_PREFIX,
+        jobKey('j-1'),
+        terminalKey('j-1'),
+        shardKey(3),
+        memberKey('node-1'),
+      ],
       ...[capabilityKey('node-1'), ownershipKey('lead'), ownershipKey(3), logKey('lead', 1), logKey(3, 255)],
-      ...[logKey(3, 256), logKey(3, 257), checkpointId(1234, 56, 7), chunkKey(checkpointId(1234, 56, 7), 12)],
+      ...[
+        logKey(3, 256),
+        logKey(3, 257),
+        checkpointId(1234, 56, 7),
+        checkpointChunkKey(checkpointId(1234, 56, 7), 12),
+      ],
     ],
     [
       ...['mw/', 'mw/now/', 'mw/now/token', 'mw/now/lead', 'mw/now/checkpoint', 'mw/now/chunk/'],
@@ -199,8 +223,8 @@
       'mw/now/chunk/000000001234-000000000056-000000000007/0012',
     ],
   );
-  assert.deepEqual([logOfKey('mw/now/log/lead/0001'), logOfKey('mw/now/log/3/0255')], ['lead', 3]);
-  assert.equal(checkpointOfKey('mw/now/chunk/12-5-7/0012'), '12-5-7');
+  assert.deepEqual([logIdOfKey('mw/now/log/lead/0001'), logIdOfKey('mw/now/log/3/0255')], ['lead', 3]);
+  assert.equal(checkpointIdOfKey('mw/now/chunk/12-5-7/0012'), '12-5-7');
 });
 
 const CAPABILITIES_TEXT = '{"Capabilities":["gangs","handover","memory"]}';
@@ -208,7 +232,7 @@
 test('rows of a member, of the lead and of what it announces', async () => {
   const node = await new Writer().start();
   const lead = '{"Member":"node-1","Nonce":"p1.1"}';
-  assert.deepEqual(node.texts(NOW), {
+  assert.deepEqual(node.texts(LIVE_PREFIX), {
     'mw/now/capability/node-1': CAPABILITIES_TEXT,
     'mw/now/lead': lead,
     'mw/now/member/node-1':
@@ -216,15 +240,15 @@
     'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
     'mw/now/share/1': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
   });
-  const notes: MemberNotes = {
+  const notes: MemberStatus = {
     unreachable: ['node-2', 'node-3'],
     workersUnreachable: true,
-    resigned: [0, 2],
+    resignedShards: [0, 2],
   };
-  await node.until(node.membership.tell(notes));
+  await node.until(node.membership.publishStatus(notes));
   const member =
     '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
-  assert.deepEqual(node.texts(MEMBERS), { 'mw/now/member/node-1': member });
+  assert.deepEqual(node.texts(MEMBER_PREFIX), { 'mw/now/member/node-1': member });
 
   const copy = await readBack({
     'mw/now/token': '{"Token":41}',
@@ -233,19 +257,19 @@
     'mw/now/capability/node-1': CAPABILITIES_TEXT,
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1","Token":41}',
   });
-  assert.deepEqual(copy.token, { value: 41, revision: 1 });
-  assert.deepEqual<Lead>(copy.lead, { member: 'node-1', nonce: 'p1.1', revision: 2 });
+  assert.deepEqual(copy.fencingToken, { value: 41, revision: 1 });
+  assert.deepEqual<LeaseHolder>(copy.leader, { member: 'node-1', nonce: 'p1.1', revision: 2 });
   const capabilities = new Set(['gangs', 'handover', 'memory']);
   assert.deepEqual<Member[]>(
     [...copy.members.values()],
     [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
   );
   assert.deepEqual(copy.capabilities.get('node-1'), capabilities);
-  assert.deepEqual<ShareOwner>(copy.owners.get(2), {
+  assert.deepEqual<ShardOwner>(copy.shardOwners.get(2), {
     member: 'node-1',
     nonce: 'p1.1',
     revision: 5,
-    token: 41,
+    fencingToken: 41,
   });
 });
 
@@ -258,9 +282,9 @@
       '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":[],"WorkersUnreachable":false}',
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1"}',
   });
-  assert.deepEqual(copy.token, { value: -1, revision: 1 });
-  assert.deepEqual<Lead>(copy.lead, { member: '', nonce: '', revision: 2 });
-  const notes: MemberNotes = { unreachable: [], workersUnreachable: false, resigned: [] };
+  assert.deepEqual(copy.fencingToken, { value: -1, revision: 1 });
+  assert.deepEqual<LeaseHolder>(copy.leader, { member: '', nonce: '', revision: 2 });
+  const notes: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   assert.deepEqual<Member[]>(
     [...copy.members.values()],
     [
@@ -275,7 +299,12 @@
       },
     ],
   );
-  assert.deepEqual<ShareOwner>(copy.owners.get(2), { member: '', nonce: '', revision: 4, token: 0 });
+  assert.deepEqual<ShardOwner>(copy.shardOwners.get(2), {
+    member: '',
+    nonce: '',
+    revision: 4,
+    fencingToken: 0,
+  });
 });
 
 const LEAD_DRAFT: RecordDraft = {
@@ -287,12 +316,12 @@
     ['n-5', 'small', 'east', true, AT - 1, 1],
   ],
   removed: ['n-8', 'n-9'],
-  rentals: [
+  scaleOuts: [
     ['hire-1', 'small', 'east', false, 2, 0],
     ['hire-2', 'large', 'west', true, 1, 1],
   ],
-  settledRentals: ['hire-8', 'hire-9'],
-  moves: [
+  settledScaleOuts: ['hire-8', 'hire-9'],
+  transferTargets: [
     ['n-3', 1],
     ['n-4', 'return'],
     ['n-5', 0],
@@ -308,15 +337,15 @@
     machineType: 'small',
     zone: 'east',
     spot: false,
-    since: AT,
-    share: 0,
+    acquiredAtMs: AT,
+    shard: 0,
     destination: null,
     status: 'new',
     ownershipCount: 0,
-    lastReport: null,
-    images: [],
-    errors: 0,
-    failedAt: 0,
+    lastHeartbeat: null,
+    cachedImages: [],
+    consecutiveFailures: 0,
+    lastFailureAtMs: 0,
     ...change,
   };
 }
@@ -324,25 +353,33 @@
 test("records of the leader's log, with every field", async () => {
   const node = await new Writer().start();
   await node.append(['lead', LEAD_DRAFT]);
-  assert.deepEqual(node.texts(LOGS), { 'mw/now/log/lead/0001': LEAD_RECORD });
+  assert.deepEqual(node.texts(LOG_PREFIX), { 'mw/now/log/lead/0001': LEAD_RECORD });
 
   const { ledger } = await readBack({ 'mw/now/log/lead/0001': LEAD_RECORD });
-  assert.equal(ledger.seq('lead'), 1);
+  assert.equal(ledger.position('lead'), 1);
   assert.deepEqual(
-    [...ledger.hosts.values()],
+    [...ledger.machines.values()],
     [
-      machine('n-1', { since: AT - 5 }),
-      machine('n-2', { machineType: 'large', zone: 'west', spot: true, since: AT - 4, share: 1 }),
-      machine('n-3', { since: AT - 3, destination: 1 }),
-      machine('n-4', { spot: true, since: AT - 2, destination: 'return' }),
-      machine('n-5', { spot: true, since: AT - 1, share: 1, destination: 0 }),
+      machine('n-1', { acquiredAtMs: AT - 5 }),
+      machine('n-2', { machineType: 'large', zone: 'west', spot: true, acquiredAtMs: AT - 4, shard: 1 }),
+      machine('n-3', { acquiredAtMs: AT - 3, destination: 1 }),
+      machine('n-4', { spot: true, acquiredAtMs: AT - 2, destination: 'return' }),
+      machine('n-5', { spot: true, acquiredAtMs: AT - 1, shard: 1, destination: 0 }),
     ],
   );
-  assert.deepEqual<RentalEntry[]>(
-    [...ledger.rentals.values()],
+  assert.deepEqual<PendingScaleOut[]>(
+    [...ledger.pendingScaleOuts.values()],
     [
-      { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
-      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, number: 1, share: 1, at: AT },
+      {
+        id: 'hire-1',
+        machineType: 'small',
+        zone: 'east',
+        spot: false,
+        count: 2,
+        shard: 0,
+        requestedAtMs: AT,
+      },
+      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, count: 1, shard: 1, requestedAtMs: AT },
     ],
   );
 });
@@ -353,9 +390,9 @@
     'mw/now/log/lead/0002':
       '{"removed":["n-1"],"settledRentals":["hire-1"],"moves":[["n-3",0]],"sequence":2,"at":1790000000124}',
   });
-  assert.deepEqual([...ledger.hosts.keys()], ['n-2', 'n-3', 'n-4', 'n-5']);
-  assert.equal(ledger.hosts.get('n-3')?.destination, null);
-  assert.deepEqual([...ledger.rentals.keys()], ['hire-2']);
+  assert.deepEqual([...ledger.machines.keys()], ['n-2', 'n-3', 'n-4', 'n-5']);
+  assert.equal(ledger.machines.get('n-3')?.destination, null);
+  assert.deepEqual([...ledger.pendingScaleOuts.keys()], ['hire-2']);
 });
 
 /** In the order of the protocol; all that a record may say of an end. */
@@ -383,14 +420,14 @@
     },
   ],
   prices: { small: [0.25, 0, 0.0125], 'large*': [0, 1.5, 0] },
-  unmet: { blue: 12.5, green: 0 },
+  unmetCpus: { blue: 12.5, green: 0 },
 };
 
 const START_RECORD =
   '{"prices":{"small":[0.25,0,0.0125],"large*":[0,1.5,0]},"unmet":{"blue":12.5,"green":0},"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4.5],"tasks":[[0,"n-1","9223372036854775809n"],[1,"n-1",1],[2,"n-1",1],[3,"n-1",1],[4,"n-1",1],[5,"n-1",1]]},{"job":"j-2","team":"green","image":"img-2","need":[1.5,1,8],"gang":{"attempt":1024,"size":2},"tasks":[[0,"n-1",1],[1,"n-4",3]]}],"sequence":1,"at":1790000000123}';
 
 const END_DRAFT: RecordDraft = {
-  ends: OUTCOMES.map((outcome, i): [string, number, number, Outcome] => ['j-1', i, 1024, outcome]),
+  completions: OUTCOMES.map((outcome, i): [string, number, number, Outcome] => ['j-1', i, 1024, outcome]),
   statuses: [
     ['n-1', 'up'],
     ['n-3', 'silent'],
@@ -403,7 +440,7 @@
     ['n-3', [HUGE, 7]],
     ['n-4', null],
   ],
-  takes: ['n-5'],
+  acquisitions: ['n-5'],
 };
 
 const END_RECORD =
@@ -419,8 +456,8 @@
     team: 'blue',
     attempt: 1024,
     host: 'n-1',
-    session: 1,
-    at: AT,
+    workerIncarnation: 1,
+    startedAtMs: AT,
     cpus: 2,
     gpus: 0,
     memGb: 4.5,
@@ -435,7 +472,7 @@
   await node.append([0, START_DRAFT]);
   await node.append([1, { releases: [['n-5', [4, 5]]] }]);
   await node.append([0, END_DRAFT]);
-  assert.deepEqual(node.texts(LOGS), {
+  assert.deepEqual(node.texts(LOG_PREFIX), {
     'mw/now/log/0/0001': START_RECORD,
     'mw/now/log/0/0002': END_RECORD,
     'mw/now/log/1/0001': RELEASE_RECORD,
@@ -460,14 +497,14 @@
   assert.deepEqual(
     [...started.ledger.placementsOn('n-1')],
     [
-      placement({ session: HUGE }),
+      placement({ workerIncarnation: HUGE }),
       ...[1, 2, 3, 4, 5].map((index) => placement({ index, taskName: `j-1/${index}` })),
       placement({ ...gang, taskName: 'j-2/0' }),
     ],
   );
   assert.deepEqual(
     [...started.ledger.placementsOn('n-4')],
-    [placement({ ...gang, index: 1, taskName: 'j-2/1', host: 'n-4', session: 3 })],
+    [placement({ ...gang, index: 1, taskName: 'j-2/1', host: 'n-4', workerIncarnation: 3 })],
   );
   assert.deepEqual(
     [...(started.ledger.prices.get(0) ?? [])],
@@ -484,25 +521,37 @@
     'mw/now/log/1/0001': RELEASE_RECORD,
     'mw/now/log/0/0002': END_RECORD,
   });
-  const { hosts, jobEntries } = ended.ledger;
+  const { machines: hosts, jobs: jobEntries } = ended.ledger;
   assert.deepEqual(
     ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => hosts.get(host)),
     [
       machine('n-1', {
-        since: AT - 5,
+        acquiredAtMs: AT - 5,
         status: 'faulty',
-        images: ['img-1', 'img-2'],
-        errors: 1,
-        failedAt: AT,
+        cachedImages: ['img-1', 'img-2'],
+        consecutiveFailures: 1,
+        lastFailureAtMs: AT,
+      }),
+      machine('n-3', {
+        acquiredAtMs: AT - 3,
+        shard: null,
+        destination: 1,
+        status: 'lost',
+        lastHeartbeat: [HUGE, 7],
       }),
-      machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
-      machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
-      machine('n-5', { since: AT - 1, spot: true, ownershipCount: 1, lastReport: [4, 5] }),
+      machine('n-4', {
+        acquiredAtMs: AT - 2,
+        spot: true,
+        shard: null,
+        destination: 'return',
+        cachedImages: ['img-2'],
+      }),
+      machine('n-5', { acquiredAtMs: AT - 1, spot: true, ownershipCount: 1, lastHeartbeat: [4, 5] }),
     ],
   );
   const entry = jobEntries.get('j-1');
   assert.deepEqual(entry?.done.ranges(), ['0']);
-  assert.deepEqual([entry.placed.size, entry.errors, entry.failedAt], [0, 1, AT]);
+  assert.deepEqual([entry.placements.size, entry.consecutiveFailures, entry.lastFailureAtMs], [0, 1, AT]);
 });
 
 test('records of one commit carry their place in it; a draft too large for a value is cut', async () => {
@@ -519,7 +568,7 @@
   };
   await node.append(
     [0, { starts: [start], statuses: [['n-1', 'up']] }],
-    [1, { statuses: [['n-2', 'up']], unmet: { green: 1 } }],
+    [1, { statuses: [['n-2', 'up']], unmetCpus: { green: 1 } }],
   );
   const records = {
     'mw/now/log/0/0001':
@@ -532,20 +581,20 @@
     'mw/now/log/lead/0001':
       '{"machines":[["n-1","small","east",false,1790000000118,0],["n-2","large","west",true,1790000000119,1],["n-3","small","east",false,1790000000120,0],["n-4","small","east",true,1790000000121,0],["n-5","small","east",true,1790000000122,1]],"sequence":1,"at":1790000000123}',
   };
-  assert.deepEqual(node.texts(LOGS), records);
+  assert.deepEqual(node.texts(LOG_PREFIX), records);
 
   // Pages of rows come in the order of their keys, not of their commits.
   const copy = await node.load();
-  const placed = [...(copy.ledger.jobEntries.get('j-1')?.placed.values() ?? [])];
+  const placed = [...(copy.ledger.jobs.get('j-1')?.placements.values() ?? [])];
   assert.equal(placed.length, 60);
-  assert.ok(placed.every((p) => p.attempt === 1024 && copy.ledger.isWhole(p)));
+  assert.ok(placed.every((p) => p.attempt === 1024 && copy.ledger.isGangComplete(p)));
   const changes = Object.entries(records).map(([path, text]) => ({
     path,
     value: valueOf(text),
     revision: path.includes('lead') ? 1 : 2,
   }));
   assert.deepEqual(
-    changes.sort(inOrder).map(({ path }) => path),
+    changes.sort(byCommitOrder).map(({ path }) => path),
     [
       'mw/now/log/lead/0001',
       'mw/now/log/1/0001',
@@ -563,32 +612,32 @@
   }
   await node.pass(SECOND);
   const done = [...node.replica.jobs].filter(([id]) => id === 'j-1');
-  await node.until(node.writer.finish(done, [0]));
-  await node.until(node.client().commit([], [endWrite('j-2', 'cancelled')]));
+  await node.until(node.writer.completeJobs(done, [0]));
+  await node.until(node.client().compareAndSwap([], [terminalStatusWrite('j-2', 'cancelled')]));
   await node.pass(SECOND);
   const live = { 'mw/now/job/j-1': '{"Status":"done"}', 'mw/now/job/j-2': '{"Status":"cancelled"}' };
-  assert.deepEqual(node.texts(JOBS), live);
+  assert.deepEqual(node.texts(JOB_PREFIX), live);
   const copy = await readBack(live);
   assert.deepEqual([...copy.jobs], []);
   assert.deepEqual(
-    [...copy.ended],
+    [...copy.terminalJobs],
     [
       ['j-1', { status: 'done', revision: 1 }],
       ['j-2', { status: 'cancelled', revision: 2 }],
     ],
   );
 
-  await node.until(node.writer.tidy());
+  await node.until(node.writer.maintain());
   await node.pass(SECOND);
-  assert.deepEqual(node.texts(JOBS), {});
+  assert.deepEqual(node.texts(JOB_PREFIX), {});
   const over = { 'mw/over/j-1': '{"Status":"done"}', 'mw/over/j-2': '{"Status":"cancelled"}' };
-  assert.deepEqual(node.texts(OVER), over);
-  const service = new Service();
+  assert.deepEqual(node.texts(TERMINAL_PREFIX), over);
+  const service = new NodeService();
   for (const [path, text] of Object.entries(over)) service.store.spoil({ Set: path, V: valueOf(text) });
   const later = await service.load();
-  assert.equal(await service.until(later.final('j-1')), 'done');
-  assert.equal(await service.until(later.final('j-2')), 'cancelled');
-  assert.equal(await service.until(later.final('j-3')), null);
+  assert.equal(await service.until(later.terminalStatus('j-1')), 'done');
+  assert.equal(await service.until(later.terminalStatus('j-2')), 'cancelled');
+  assert.equal(await service.until(later.terminalStatus('j-3')), null);
 });
 
 /** A node whose ledger has something of every kind that a checkpoint holds. */
@@ -602,7 +651,7 @@
   await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'recalled']] }]);
   await node.append([0, END_DRAFT]);
   // More names than one row holds.
-  const more = [...Array(14).keys()].map((i): HostRow => [
+  const more = [...Array(14).keys()].map((i): MachineRow => [
     `n-${i + 6}`,
     `type-${i}`,
     'north',
@@ -628,7 +677,7 @@
   const attempt = 4 * 1024;
   await node.append([
     0,
-    { ends: odd.map((i): [string, number, number, Outcome] => ['j-3', i, attempt, 'done']) },
+    { completions: odd.map((i): [string, number, number, Outcome] => ['j-3', i, attempt, 'done']) },
   ]);
   await node.append([
     0,
@@ -644,8 +693,8 @@
       ],
     },
   ]);
-  await node.append([0, { ends: [['j-1', 60, 6 * 1024, 'failed']] }]);
-  for (let i = node.replica.ledger.size; i < 90; i++) await node.append(['lead', {}]);
+  await node.append([0, { completions: [['j-1', 60, 6 * 1024, 'failed']] }]);
+  for (let i = node.replica.ledger.totalRecords; i < 90; i++) await node.append(['lead', {}]);
   return node;
 }
 
@@ -696,57 +745,81 @@
 
 test('rows of a checkpoint, of every kind, and its head', async () => {
   const node = await fullNode();
-  await node.until(node.writer.tidy());
+  await node.until(node.writer.maintain());
   const chunk = `{"Rows":[${CHECKPOINT_ROWS.join()}]}`;
   const texts = {
     'mw/now/checkpoint': CHECKPOINT_HEAD_TEXT,
     'mw/now/chunk/000000000090-000000000002-000000000001/0000': chunk,
   };
-  assert.deepEqual({ ...node.texts(CHECKPOINT_HEAD), ...node.texts(CHUNKS) }, texts);
+  assert.deepEqual({ ...node.texts(CHECKPOINT_HEAD_KEY), ...node.texts(CHECKPOINT_CHUNK_PREFIX) }, texts);
 
-  const { ledger, checkpointChunks, sinceCheckpoint } = await readBack({ ...LIVE_JOBS, ...texts });
+  const {
+    ledger,
+    checkpointChunkCount: checkpointChunks,
+    recordsSinceCheckpoint: sinceCheckpoint,
+  } = await readBack({ ...LIVE_JOBS, ...texts });
   assert.deepEqual([checkpointChunks, sinceCheckpoint], [1, 0]);
   assert.deepEqual(ledger.allPositions(), { 0: 7, 1: 1, lead: 82 });
   const isLive = (job: string): boolean => job !== 'j-2';
   assert.equal(textOf({ Rows: checkpointRows(ledger, isLive) }), chunk);
   const image = `img-${'x'.repeat(300)}`;
   assert.deepEqual(
-    ['n-1', 'n-2', 'n-3', 'n-4', 'n-5', 'n-6', 'n-7'].map((host) => ledger.hosts.get(host)),
+    ['n-1', 'n-2', 'n-3', 'n-4', 'n-5', 'n-6', 'n-7'].map((host) => ledger.machines.get(host)),
     [
       machine('n-1', {
-        since: AT - 5,
+        acquiredAtMs: AT - 5,
         status: 'faulty',
-        images: ['img-1', 'img-2', image],
-        errors: 1,
-        failedAt: AT,
+        cachedImages: ['img-1', 'img-2', image],
+        consecutiveFailures: 1,
+        lastFailureAtMs: AT,
       }),
       machine('n-2', {
         machineType: 'large',
         zone: 'west',
         spot: true,
-        since: AT - 4,
-        share: 1,
+        acquiredAtMs: AT - 4,
+        shard: 1,
         status: 'recalled',
       }),
-      machine('n-3', { since: AT - 3, share: null, destination: 1, status: 'lost', lastReport: [HUGE, 7] }),
-      machine('n-4', { since: AT - 2, spot: true, share: null, destination: 'return', images: ['img-2'] }),
+      machine('n-3', {
+        acquiredAtMs: AT - 3,
+        shard: null,
+        destination: 1,
+        status: 'lost',
+        lastHeartbeat: [HUGE, 7],
+      }),
+      machine('n-4', {
+        acquiredAtMs: AT - 2,
+        spot: true,
+        shard: null,
+        destination: 'return',
+        cachedImages: ['img-2'],
+      }),
       machine('n-5', {
-        since: AT - 1,
+        acquiredAtMs: AT - 1,
         spot: true,
         status: 'silent',
         ownershipCount: 1,
-        lastReport: [4, 5],
-        images: [image],
+        lastHeartbeat: [4, 5],
+        cachedImages: [image],
       }),
-      machine('n-6', { machineType: 'type-0', zone: 'north', spot: true, since: AT, status: 'up' }),
-      machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, since: AT + 1 }),
+      machine('n-6', { machineType: 'type-0', zone: 'north', spot: true, acquiredAtMs: AT, status: 'up' }),
+      machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, acquiredAtMs: AT + 1 }),
     ],
   );
-  assert.deepEqual<RentalEntry[]>(
-    [...ledger.rentals.values()],
+  assert.deepEqual<PendingScaleOut[]>(
+    [...ledger.pendingScaleOuts.values()],
     [
-      { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 2, share: 0, at: AT },
-      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, number: 1, share: 1, at: AT },
+      {
+        id: 'hire-1',
+        machineType: 'small',
+        zone: 'east',
+        spot: false,
+        count: 2,
+        shard: 0,
+        requestedAtMs: AT,
+      },
+      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, count: 1, shard: 1, requestedAtMs: AT },
     ],
   );
   assert.deepEqual(
@@ -762,7 +835,7 @@
       index: 1,
       taskName: 'j-1/1',
       host: 'n-5',
-      session: HUGE,
+      workerIncarnation: HUGE,
       attempt: 6 * 1024,
       cpus: 0.5,
       memGb: 1,
@@ -776,20 +849,20 @@
       taskName: 'j-2/1',
       team: 'green',
       host: 'n-4',
-      session: 3,
+      workerIncarnation: 3,
       cpus: 1.5,
       gpus: 1,
       memGb: 8,
       gangSize: 2,
     }),
   );
-  assert.equal(ledger.jobEntries.get('j-3')?.done.count, 61);
+  assert.equal(ledger.jobs.get('j-3')?.done.count, 61);
 });
 
 test('a checkpoint larger than a value is cut into chunks', async () => {
   const node = await fullNode();
-  await node.until(node.writerFor(1024).tidy());
-  const chunks = Object.entries(node.texts(CHUNKS));
+  await node.until(node.writerFor(1024).maintain());
+  const chunks = Object.entries(node.texts(CHECKPOINT_CHUNK_PREFIX));
   const prefix = 'mw/now/chunk/000000000090-000000000002-000000000001';
   assert.deepEqual(
     chunks.map(([path, text]) => [path, (valueOf(text)['Rows'] as unknown[]).length]),
@@ -801,7 +874,7 @@
     ],
   );
   const head = CHECKPOINT_HEAD_TEXT.replace('"Chunks":1', '"Chunks":4');
-  assert.deepEqual(node.texts(CHECKPOINT_HEAD), { 'mw/now/checkpoint': head });
+  assert.deepEqual(node.texts(CHECKPOINT_HEAD_KEY), { 'mw/now/checkpoint': head });
   const rows = chunks.flatMap(([, text]) => valueOf(text)['Rows'] as unknown[]);
   assert.equal(textOf(rows), `[${CHECKPOINT_ROWS.join()}]`);
   const copy = await node.load();
--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -4,13 +4,13 @@
  * machines are given once and then go by their number, times count from the first row's, and trailing cells with their
  * usual values are left out.
  */
-import { type Count, type Fields, jsonBytes } from '#wire';
+import { type Count, type WireFields, jsonBytes } from '#wire';
 import type {
   MachineEntry,
   MachineStatus,
   Placement,
   Positions,
-  RentalEntry,
+  PendingScaleOut,
   ShapePrice,
   StartGroup,
 } from '../placement.js';
@@ -80,22 +80,22 @@
 
 /** What is written to a checkpoint: the placement state, as a ledger holds it. */
 export interface CheckpointSource {
-  readonly hosts: ReadonlyMap<string, MachineEntry>;
-  readonly rentals: ReadonlyMap<string, RentalEntry>;
+  readonly machines: ReadonlyMap<string, MachineEntry>;
+  readonly pendingScaleOuts: ReadonlyMap<string, PendingScaleOut>;
   readonly prices: ReadonlyMap<number, ReadonlyMap<string, ShapePrice>>;
-  readonly jobEntries: ReadonlyMap<string, CheckpointJob>;
+  readonly jobs: ReadonlyMap<string, CheckpointJob>;
 }
 
 interface CheckpointJob {
-  readonly placed: ReadonlyMap<number, Placement>;
+  readonly placements: ReadonlyMap<number, Placement>;
   readonly done: { ranges(): string[] };
 }
 
 /** What a checkpoint is read back into. */
 export interface CheckpointSink {
   host(entry: MachineEntry): void;
-  id(entry: RentalEntry): void;
-  price(share: number, shape: string, row: [number, number, number]): void;
+  id(entry: PendingScaleOut): void;
+  price(shard: number, shape: string, row: [number, number, number]): void;
   done(job: string, ranges: string): void;
   start(group: StartGroup, attempt: number, at: number): void;
 }
@@ -113,12 +113,12 @@
 const SEPARATOR_BYTES = 1;
 
 /** The row that names the present checkpoint. */
-export function encodeCheckpointHead({ id, positions, chunkCount }: CheckpointHead): Fields {
+export function encodeCheckpointHead({ id, positions, chunkCount }: CheckpointHead): WireFields {
   return { Id: id, Positions: { ...positions }, Chunks: chunkCount };
 }
 
 /** Reads the row that names the present checkpoint. */
-export function decodeCheckpointHead(value: Fields): CheckpointHead {
+export function decodeCheckpointHead(value: WireFields): CheckpointHead {
   return {
     id: String(value['Id']),
     positions: value['Positions'] as Positions,
@@ -127,12 +127,12 @@
 }
 
 /** The row of one part of a checkpoint. */
-export function encodeChunk(rows: readonly CheckpointRow[]): Fields {
+export function encodeChunk(rows: readonly CheckpointRow[]): WireFields {
   return { Rows: rows };
 }
 
 /** Reads one part of a checkpoint. */
-export function decodeChunk(value: Fields): readonly CheckpointRow[] {
+export function decodeChunk(value: WireFields): readonly CheckpointRow[] {
   return value['Rows'] as CheckpointRow[];
 }
 
@@ -185,17 +185,17 @@
   const names = new NameTable();
   const rows: CheckpointRow[] = [];
   let base = 0;
-  for (const host of source.hosts.values()) base = Math.max(base, host.since);
+  for (const host of source.machines.values()) base = Math.max(base, host.acquiredAtMs);
   const machines = new Map<string, number>();
-  for (const host of source.hosts.values()) {
+  for (const host of source.machines.values()) {
     machines.set(host.host, machines.size);
     rows.push(['h', ...encodeMachine(host, base, names)]);
   }
-  for (const rental of source.rentals.values()) rows.push(['q', encodeRental(rental)]);
+  for (const scaleOut of source.pendingScaleOuts.values()) rows.push(['q', encodeRental(scaleOut)]);
   for (const [shard, shapes] of source.prices) {
     for (const [shape, price] of shapes) rows.push(['p', shard, shape, price.cpu, price.gpu, price.mem]);
   }
-  for (const [job, entry] of source.jobEntries) {
+  for (const [job, entry] of source.jobs) {
     rows.push(...placementRows(job, entry, { base, names, machines }));
     if (isLive(job)) rows.push(...doneRows(job, entry));
   }
@@ -210,7 +210,11 @@
   machines: ReadonlyMap<string, number>;
 }
 
-function placementRows(job: string, { placed }: CheckpointJob, context: RowContext): CheckpointRow[] {
+function placementRows(
+  job: string,
+  { placements: placed }: CheckpointJob,
+  context: RowContext,
+): CheckpointRow[] {
   const rows: CheckpointRow[] = [];
   const openRows = new Map<number, StoredPlacedTask[]>();
   for (const placement of placed.values()) {
@@ -220,7 +224,7 @@
       openRows.set(placement.attempt, tasks);
       rows.push(placementRow(job, placement, tasks, context));
     }
-    tasks.push([placement.index, context.machines.get(placement.host) ?? -1, placement.session]);
+    tasks.push([placement.index, context.machines.get(placement.host) ?? -1, placement.workerIncarnation]);
   }
   return rows;
 }
@@ -231,7 +235,7 @@
   tasks: StoredPlacedTask[],
   { base, names }: RowContext,
 ): CheckpointRow {
-  const { team, at, attempt, gangSize } = placement;
+  const { team, startedAtMs: at, attempt, gangSize } = placement;
   const need: StoredResources = [placement.cpus, placement.gpus, placement.memGb];
   const row: CheckpointRow = ['s', job, names.numberOf(team), at - base, attempt, need, tasks];
   if (gangSize !== null) row.push(gangSize);
@@ -277,27 +281,27 @@
   }
 }
 
-function encodeRental(rental: RentalEntry): StoredRental {
+function encodeRental(scaleOut: PendingScaleOut): StoredRental {
   return {
-    id: rental.id,
-    machineType: rental.machineType,
-    zone: rental.zone,
-    spot: rental.spot,
-    number: rental.number,
-    share: rental.share,
-    at: rental.at,
+    id: scaleOut.id,
+    machineType: scaleOut.machineType,
+    zone: scaleOut.zone,
+    spot: scaleOut.spot,
+    number: scaleOut.count,
+    share: scaleOut.shard,
+    at: scaleOut.requestedAtMs,
   };
 }
 
-function decodeRental(stored: StoredRental): RentalEntry {
+function decodeRental(stored: StoredRental): PendingScaleOut {
   return {
     id: stored.id,
     machineType: stored.machineType,
     zone: stored.zone,
     spot: stored.spot,
-    number: stored.number,
-    share: stored.share,
-    at: stored.at,
+    count: stored.number,
+    shard: stored.share,
+    requestedAtMs: stored.at,
   };
 }
 
@@ -307,23 +311,23 @@
 const USUAL_CELLS = [0, undefined, 0, null, null, 0, 0] as const;
 
 function encodeMachine(machine: MachineEntry, base: number, names: NameTable): StoredMachineCells {
-  const { lastReport, destination } = machine;
+  const { lastHeartbeat, destination } = machine;
   // Images come before the type and the zone in the table of names.
-  const images = machine.images.map((image) => names.numberOf(image));
+  const images = machine.cachedImages.map((image) => names.numberOf(image));
   const cells: StoredMachineCells = [
     machine.host,
     names.numberOf(machine.machineType),
     names.numberOf(machine.zone),
     machine.spot ? 1 : 0,
-    machine.since - base,
-    machine.share,
+    machine.acquiredAtMs - base,
+    machine.shard,
     STATUSES.indexOf(machine.status),
     images,
     machine.ownershipCount,
-    lastReport && [lastReport[0], lastReport[1]],
+    lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]],
     destination === null ? null : encodeDestination(destination),
-    machine.errors,
-    machine.failedAt,
+    machine.consecutiveFailures,
+    machine.lastFailureAtMs,
   ];
   while (cells.length > FIRST_OPTIONAL_CELL && isUsual(cells.at(-1), cells.length - 1)) cells.pop();
   return cells;
@@ -340,20 +344,20 @@
   name: (number: number) => string,
 ): MachineEntry {
   const [host, machineType, zone, spot, since, shard, status, images, ...rest] = cells;
-  const [ownershipCount, lastReport, destination, errors, failedAt] = rest;
+  const [ownershipCount, lastHeartbeat, destination, errors, failedAt] = rest;
   return {
     host,
     machineType: name(machineType),
     zone: name(zone),
     spot: spot === 1,
-    since: base + since,
-    share: shard,
+    acquiredAtMs: base + since,
+    shard,
     destination: destination === undefined || destination === null ? null : decodeDestination(destination),
     status: STATUSES[status ?? 0] ?? 'up',
     ownershipCount: ownershipCount ?? 0,
-    lastReport: lastReport ? [lastReport[0], lastReport[1]] : null,
-    images: (images ?? []).map(name),
-    errors: errors ?? 0,
-    failedAt: failedAt ?? 0,
+    lastHeartbeat: lastHeartbeat ? [lastHeartbeat[0], lastHeartbeat[1]] : null,
+    cachedImages: (images ?? []).map(name),
+    consecutiveFailures: errors ?? 0,
+    lastFailureAtMs: failedAt ?? 0,
   };
 }
--- a/packages/cluster/stored/job-codec.ts
+++ b/packages/cluster/stored/job-codec.ts
@@ -1,6 +1,6 @@
 /** Rows of jobs, while they are live and once they are terminal. */
-import { type Fields, isFields, type JobShape, type JobSpec, type Rank } from '#wire';
-import type { Final, LiveJob } from '../jobs.js';
+import { type WireFields, isWireFields, type JobShape, type JobSpec, type Rank } from '#wire';
+import type { TerminalStatus, LiveJob } from '../jobs.js';
 import { storedWords } from './words.js';
 
 /** A job as its user submitted it. */
@@ -89,27 +89,31 @@
 }
 
 /** The row of a live job; `acceptedAtMs`: time of day. */
-export function encodeJobRow(spec: JobSpec, acceptedAtMs: number): Fields {
+export function encodeJobRow(spec: JobSpec, acceptedAtMs: number): WireFields {
   return { At: acceptedAtMs, Job: encodeJobSpec(spec) };
 }
 
 /** Reads the row of a live job. */
-export function decodeJobRow(value: Fields, revision: number): LiveJob {
-  const stored: Partial<StoredJobSpec> = isFields(value['Job']) ? value['Job'] : {};
-  return { spec: decodeJobSpec(stored as StoredJobSpec), at: Number(value['At']), revision };
+export function decodeJobRow(value: WireFields, revision: number): LiveJob {
+  const stored: Partial<StoredJobSpec> = isWireFields(value['Job']) ? value['Job'] : {};
+  return {
+    spec: decodeJobSpec(stored as StoredJobSpec),
+    acceptedAtMs: Number(value['At']),
+    acceptedRevision: revision,
+  };
 }
 
 /** From the end of a job on its row says nothing but its terminal status. */
-export function isTerminal(value: Fields): boolean {
+export function isTerminal(value: WireFields): boolean {
   return value['Status'] !== undefined;
 }
 
 /** The row of a job that ended, wherever it lies. */
-export function encodeFinal(status: Final): Fields {
+export function encodeFinal(status: TerminalStatus): WireFields {
   return { Status: status === 'done' ? 'done' : 'cancelled' };
 }
 
 /** How a job ended. */
-export function decodeFinal(value: Fields): Final {
+export function decodeTerminalStatus(value: WireFields): TerminalStatus {
   return value['Status'] === 'done' ? 'done' : 'cancelled';
 }
--- a/packages/cluster/stored/machine-type-codec.ts
+++ b/packages/cluster/stored/machine-type-codec.ts
@@ -1,5 +1,5 @@
 /** Rows of machine types, as a leader last read them from the cloud. */
-import { type Fields, isFields, type MachineType } from '#wire';
+import { type WireFields, isWireFields, type MachineType } from '#wire';
 
 /** A machine type: resources of one machine, prices an hour, boot time in seconds. */
 export interface StoredMachineType {
@@ -48,12 +48,12 @@
 }
 
 /** The row of a machine type. */
-export function encodeMachineTypeRow(type: MachineType): Fields {
+export function encodeMachineTypeRow(type: MachineType): WireFields {
   return { Type: encodeMachineType(type) };
 }
 
 /** Reads the row of a machine type. */
-export function decodeMachineTypeRow(value: Fields): MachineType {
-  const stored: Partial<StoredMachineType> = isFields(value['Type']) ? value['Type'] : {};
+export function decodeMachineTypeRow(value: WireFields): MachineType {
+  const stored: Partial<StoredMachineType> = isWireFields(value['Type']) ? value['Type'] : {};
   return decodeMachineType(stored as StoredMachineType);
 }
--- a/packages/cluster/stored/record-codec.ts
+++ b/packages/cluster/stored/record-codec.ts
@@ -1,9 +1,9 @@
 /** Placement records as they are stored in the logs. */
-import type { Count, Fields } from '#wire';
+import type { Count, WireFields } from '#wire';
 import type {
   Destination,
-  HireRow,
-  HostRow,
+  ScaleOutRow,
+  MachineRow,
   MachineStatus,
   Outcome,
   PlacementRecord,
@@ -110,53 +110,57 @@
   const stored: StoredRecordDraft = {};
   if (draft.removed) stored.removed = [...draft.removed];
   if (draft.machines) stored.machines = draft.machines.map(encodeMachineRow);
-  if (draft.settledRentals) stored.settledRentals = [...draft.settledRentals];
-  if (draft.rentals) stored.rentals = draft.rentals.map(encodeRentalRow);
-  if (draft.moves) stored.moves = draft.moves.map(([host, to]) => [host, encodeDestination(to)]);
-  if (draft.ends) stored.ends = draft.ends.map(encodeCompletion);
+  if (draft.settledScaleOuts) stored.settledRentals = [...draft.settledScaleOuts];
+  if (draft.scaleOuts) stored.rentals = draft.scaleOuts.map(encodeRentalRow);
+  if (draft.transferTargets)
+    stored.moves = draft.transferTargets.map(([host, to]) => [host, encodeDestination(to)]);
+  if (draft.completions) stored.ends = draft.completions.map(encodeCompletion);
   if (draft.statuses) stored.statuses = draft.statuses.map(encodeStatus);
-  if (draft.takes) stored.takes = [...draft.takes];
+  if (draft.acquisitions) stored.takes = [...draft.acquisitions];
   if (draft.releases) stored.releases = draft.releases.map(encodeRelease);
   if (draft.prices) stored.prices = { ...draft.prices };
-  if (draft.unmet) stored.unmet = { ...draft.unmet };
+  if (draft.unmetCpus) stored.unmet = { ...draft.unmetCpus };
   if (draft.starts) stored.starts = draft.starts.map(encodeStartGroup);
   return stored;
 }
 
 /** The value that is stored: the draft's fields first, its position after them. */
-export function encodeRecord(draft: StoredRecordDraft, { sequence, at, order }: RecordPosition): Fields {
-  const value: Fields = { ...draft, sequence, at };
+export function encodeRecord(
+  draft: StoredRecordDraft,
+  { sequence, recordedAtMs: acceptedAtMs, commitIndex: order }: RecordPosition,
+): WireFields {
+  const value: WireFields = { ...draft, sequence, at: acceptedAtMs };
   if (order !== undefined) value['order'] = order;
   return value;
 }
 
 /** Reads a record; fields that this version does not know are left out. */
-export function decodeRecord(value: Fields): PlacementRecord {
+export function decodeRecord(value: WireFields): PlacementRecord {
   const stored = value as Partial<StoredPlacementRecord>;
-  const record: PlacementRecord = { sequence: storedSequence(value), at: Number(stored.at) };
-  if (stored.order !== undefined) record.order = stored.order;
+  const record: PlacementRecord = { sequence: storedSequence(value), recordedAtMs: Number(stored.at) };
+  if (stored.order !== undefined) record.commitIndex = stored.order;
   if (stored.machines) record.machines = stored.machines.map(decodeMachineRow);
   if (stored.removed) record.removed = stored.removed;
-  if (stored.rentals) record.rentals = stored.rentals.map(decodeRentalRow);
-  if (stored.settledRentals) record.settledRentals = stored.settledRentals;
-  if (stored.moves) record.moves = stored.moves.map(([host, to]) => [host, decodeDestination(to)]);
-  if (stored.ends) record.ends = stored.ends.map(decodeCompletion);
+  if (stored.rentals) record.scaleOuts = stored.rentals.map(decodeRentalRow);
+  if (stored.settledRentals) record.settledScaleOuts = stored.settledRentals;
+  if (stored.moves) record.transferTargets = stored.moves.map(([host, to]) => [host, decodeDestination(to)]);
+  if (stored.ends) record.completions = stored.ends.map(decodeCompletion);
   if (stored.statuses) record.statuses = stored.statuses.map(decodeStatus);
   if (stored.releases) record.releases = stored.releases.map(decodeRelease);
-  if (stored.takes) record.takes = stored.takes;
+  if (stored.takes) record.acquisitions = stored.takes;
   if (stored.starts) record.starts = stored.starts.map(decodeStartGroup);
   if (stored.prices) record.prices = stored.prices;
-  if (stored.unmet) record.unmet = stored.unmet;
+  if (stored.unmet) record.unmetCpus = stored.unmet;
   return record;
 }
 
 /** The record's number in its log; NaN if the row names none. */
-export function storedSequence(value: Fields): number {
+export function storedSequence(value: WireFields): number {
   return Number(value['sequence']);
 }
 
 /** The record's place in its commit; 0 for the first, and for rows of other kinds. */
-export function storedCommitOrder(value: Fields | null): number {
+export function storedCommitOrder(value: WireFields | null): number {
   return Number(value?.['order'] ?? 0);
 }
 
@@ -170,23 +174,23 @@
   return to === 'return' ? 'return' : to;
 }
 
-function encodeMachineRow([host, machineType, zone, spot, since, shard]: HostRow): StoredMachineRow {
+function encodeMachineRow([host, machineType, zone, spot, since, shard]: MachineRow): StoredMachineRow {
   return [host, machineType, zone, spot, since, shard];
 }
 
-function decodeMachineRow([host, machineType, zone, spot, since, shard]: StoredMachineRow): HostRow {
+function decodeMachineRow([host, machineType, zone, spot, since, shard]: StoredMachineRow): MachineRow {
   return [host, machineType, zone, spot, since, shard];
 }
 
-function encodeRentalRow([id, machineType, zone, spot, machineCount, shard]: HireRow): StoredRentalRow {
+function encodeRentalRow([id, machineType, zone, spot, machineCount, shard]: ScaleOutRow): StoredRentalRow {
   return [id, machineType, zone, spot, machineCount, shard];
 }
 
-function decodeRentalRow([id, machineType, zone, spot, machineCount, shard]: StoredRentalRow): HireRow {
+function decodeRentalRow([id, machineType, zone, spot, machineCount, shard]: StoredRentalRow): ScaleOutRow {
   return [id, machineType, zone, spot, machineCount, shard];
 }
 
-type CompletionRow = NonNullable<PlacementRecord['ends']>[number];
+type CompletionRow = NonNullable<PlacementRecord['completions']>[number];
 type StatusRow = NonNullable<PlacementRecord['statuses']>[number];
 type ReleaseRow = NonNullable<PlacementRecord['releases']>[number];
 
--- a/packages/cluster/worker-contact.ts
+++ b/packages/cluster/worker-contact.ts
@@ -5,11 +5,11 @@
  */
 import { type Micros, MS, SECOND } from '#wire';
 
-/** Time between two calls of {@link WorkerContact.step}. */
-export const CONTACT_STEP: Micros = 500 * MS;
+/** Time between two calls of {@link WorkerReachability.check}. */
+export const REACHABILITY_CHECK_INTERVAL: Micros = 500 * MS;
 
 /** `unreachable` ends by itself: without shares no worker comes, so the node has to be tried again. */
-export type ContactState = 'reached' | 'unreachable';
+export type WorkerReachabilityState = 'reached' | 'unreachable';
 
 /** For how long a machine that was sent to its owner counts as on its way there. */
 const REFERRAL_KEPT: Micros = 3 * SECOND;
@@ -22,91 +22,92 @@
 const MOST_PAUSE_LEASES = 24;
 
 interface Limits {
-  report: Micros;
-  lease: Micros;
+  heartbeatInterval: Micros;
+  workerLease: Micros;
 }
 
-export class WorkerContact {
-  state: ContactState = 'reached';
+export class WorkerReachability {
+  state: WorkerReachabilityState = 'reached';
   /**
    * Counted in steps and not in time: while the process stands still no step is taken, and what its workers did
    * meanwhile says nothing.
    */
-  private quietSteps = 0;
-  private referredSteps = 0;
-  private referredHere = 0;
+  private silentChecks = 0;
+  private redirectedChecks = 0;
+  private redirectedHere = 0;
   private pause: Micros = 0;
   private until: Micros = -Infinity;
   /** By owner: the machines whose workers this node has sent there, and when. */
-  private readonly referred = new Map<string, Map<string, Micros>>();
+  private readonly redirectedHosts = new Map<string, Map<string, Micros>>();
 
   constructor(private readonly limits: Limits) {}
 
   /** A worker's report has arrived here, whosever machine it is. */
-  heard(): void {
-    this.quietSteps = 0;
+  onHeartbeat(): void {
+    this.silentChecks = 0;
     this.pause = 0;
-    this.referredSteps = 0;
+    this.redirectedChecks = 0;
     this.state = 'reached';
   }
 
   /** This node has sent a worker to the owner of its machine. */
-  sentTo(owner: string, host: string, now: Micros): void {
-    let hosts = this.referred.get(owner);
-    if (!hosts) this.referred.set(owner, (hosts = new Map()));
+  onRedirect(owner: string, host: string, now: Micros): void {
+    let hosts = this.redirectedHosts.get(owner);
+    if (!hosts) this.redirectedHosts.set(owner, (hosts = new Map()));
     hosts.set(host, now);
   }
 
   /** By owner: how many machines' workers this node has sent there of late. */
-  referrals(now: Micros): Record<string, number> {
+  redirectCounts(now: Micros): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const [owner, hosts] of this.referred) {
+    for (const [owner, hosts] of this.redirectedHosts) {
       for (const [host, at] of hosts) if (now - at > REFERRAL_KEPT) hosts.delete(host);
-      if (hosts.size === 0) this.referred.delete(owner);
+      if (hosts.size === 0) this.redirectedHosts.delete(owner);
       else counts[owner] = hosts.size;
     }
     return counts;
   }
 
   /** A peer has sent the workers of so many machines to this node of late. */
-  expect(machines: number): void {
-    this.referredHere = Math.max(this.referredHere, machines);
+  onPeerRedirects(machines: number): void {
+    this.redirectedHere = Math.max(this.redirectedHere, machines);
   }
 
-  /** One step every {@link CONTACT_STEP}. `owns`: this node owns shares, so that workers should come. */
-  step(owns: boolean, now: Micros): void {
-    const isReferred = this.referredHere >= LEAST_REFERRED;
-    this.referredHere = 0;
+  /** One step every {@link REACHABILITY_CHECK_INTERVAL}. `owns`: this node owns shares, so that workers should come. */
+  check(owns: boolean, now: Micros): void {
+    const isReferred = this.redirectedHere >= LEAST_REFERRED;
+    this.redirectedHere = 0;
     if (this.state === 'unreachable') {
-      if (now >= this.until) this.tryAgain();
+      if (now >= this.until) this.retry();
     } else if (owns) {
-      this.quietSteps++;
-      this.referredSteps = isReferred ? this.referredSteps + 1 : 0;
-      if (this.quietSteps >= this.quietLimit() && this.referredSteps >= REFERRED_STEPS) this.giveUp(now);
+      this.silentChecks++;
+      this.redirectedChecks = isReferred ? this.redirectedChecks + 1 : 0;
+      if (this.silentChecks >= this.silentCheckLimit() && this.redirectedChecks >= REFERRED_STEPS)
+        this.markUnreachable(now);
     } else {
-      this.startCounting();
+      this.resetCounters();
     }
   }
 
   /** Every worker that could would have reported within so many steps. */
-  private quietLimit(): number {
-    return Math.ceil((this.limits.report * 1.25) / CONTACT_STEP) + 1;
+  private silentCheckLimit(): number {
+    return Math.ceil((this.limits.heartbeatInterval * 1.25) / REACHABILITY_CHECK_INTERVAL) + 1;
   }
 
-  private giveUp(now: Micros): void {
-    const { lease } = this.limits;
+  private markUnreachable(now: Micros): void {
+    const { workerLease: lease } = this.limits;
     this.pause = Math.min(MOST_PAUSE_LEASES * lease, Math.max(2 * this.pause, PAUSE_LEASES * lease));
     this.until = now + this.pause;
     this.state = 'unreachable';
   }
 
-  private tryAgain(): void {
+  private retry(): void {
     this.state = 'reached';
-    this.startCounting();
+    this.resetCounters();
   }
 
-  private startCounting(): void {
-    this.quietSteps = 0;
-    this.referredSteps = 0;
+  private resetCounters(): void {
+    this.silentChecks = 0;
+    this.redirectedChecks = 0;
   }
 }
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/writer.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type DutyHolder, type DutyName, DutyRegistry, FencedStore } from '#duties';
-import { type Guard, Pace, type StoreClient, type Write, WriteLimits } from '#store';
+import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#duties';
+import { type Guard, RateLimiter, type StoreClient, type Write, WriteLimits } from '#store';
 import { sampleJob, SimClock } from '#testkit';
 import { type Clock, MS, SECOND } from '#wire';
-import { jobKey, LEAD, overKey, ownershipKey } from './keys.js';
-import type { HostRow } from './placement.js';
+import { jobKey, LEADER_KEY, terminalKey, ownershipKey } from './keys.js';
+import type { MachineRow } from './placement.js';
 import { Replica } from './replica.js';
 import { LogWriter } from './writer.js';
 
 /** Duties of a process that leads under term 1 and owns these shares. */
-function dutiesOf(clock: Clock, shares: ReadonlyMap<number, number>): DutyRegistry {
-  const holder = (term: number): DutyHolder => ({ member: 'node-0', nonce: 'ours', term });
-  const holders = new Map<DutyName, DutyHolder>([['lead', holder(1)]]);
-  for (const [share, term] of shares) holders.set(share, holder(term));
+function dutiesOf(clock: Clock, shards: ReadonlyMap<number, number>): RoleRegistry {
+  const holder = (term: number): RoleHolder => ({ member: 'node-0', nonce: 'ours', term });
+  const holders = new Map<RoleName, RoleHolder>([['lead', holder(1)]]);
+  for (const [shard, term] of shards) holders.set(shard, holder(term));
   const source = { holders: () => holders, isOurs: () => true };
-  return new DutyRegistry({ source, clock, keyOf: ownershipKey, leaseLife: SECOND });
+  return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: SECOND });
 }
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
@@ -33,19 +33,26 @@
   } as unknown as StoreClient;
   const replica = new Replica(store, view, SILENT, 70);
   for (let seq = 1; seq <= 100; seq++) {
-    const host = (i: number): HostRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
-    replica.ledger.apply('lead', { sequence: seq, at: 0, machines: [...Array(20).keys()].map(host) });
+    const host = (i: number): MachineRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
+    replica.ledger.apply('lead', {
+      sequence: seq,
+      recordedAtMs: 0,
+      machines: [...Array(20).keys()].map(host),
+    });
   }
-  const duties = dutiesOf(view, new Map());
-  const [rounds, upkeep] = [8, 4].map((rate) => new Pace(view, () => rate)) as [Pace, Pace];
+  const roles = dutiesOf(view, new Map());
+  const [rounds, upkeep] = [8, 4].map((rate) => new RateLimiter(view, () => rate)) as [
+    RateLimiter,
+    RateLimiter,
+  ];
   const limits = new WriteLimits(2048, 6);
-  const fenced = new FencedStore(store, duties);
-  const writer = new LogWriter(fenced, replica, duties, view, limits, rounds, upkeep, SILENT);
+  const fenced = new FencedStore(store, roles);
+  const writer = new LogWriter(fenced, replica, roles, view, limits, rounds, upkeep, SILENT);
   let over = false;
-  void writer.tidy().then(() => (over = true));
+  void writer.maintain().then(() => (over = true));
   for (let i = 0; i < 600 && !over; i++) {
     await clock.run(clock.time + 100 * MS, () => undefined);
-    assert.equal(writer.wait(), 0, `a round has to wait after ${i / 10} s`);
+    assert.equal(writer.appendDelay(), 0, `a round has to wait after ${i / 10} s`);
   }
   assert.ok(over);
   const values = sent.reduce((sum, s) => sum + s.writes, 0);
@@ -71,11 +78,11 @@
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
   const replica = new Replica(store, view, SILENT, 70);
-  const duties = dutiesOf(view, new Map([[0, 7]]));
-  const pace = new Pace(view, () => 10);
+  const roles = dutiesOf(view, new Map([[0, 7]]));
+  const pace = new RateLimiter(view, () => 10);
   const limits = new WriteLimits(2048, 6);
   return {
-    writer: new LogWriter(new FencedStore(store, duties), replica, duties, view, limits, pace, pace, SILENT),
+    writer: new LogWriter(new FencedStore(store, roles), replica, roles, view, limits, pace, pace, SILENT),
     replica,
     sent,
   };
@@ -84,7 +91,7 @@
 // Of a withdrawal and the last end of a job only one may win: whoever comes second must find the key changed.
 test('the end of a job relies on the revision of its key, and on the ownership of its share', () => {
   const { writer, sent } = notingWriter();
-  void writer.finish([['j-1', { spec: sampleJob('j-1'), at: 0, revision: 31 }]], [0]);
+  void writer.completeJobs([['j-1', { spec: sampleJob('j-1'), acceptedAtMs: 0, acceptedRevision: 31 }]], [0]);
   assert.deepEqual(sent[0]?.guards, [
     { path: ownershipKey(0), revision: 7 },
     { path: jobKey('j-1'), revision: 31 },
@@ -94,12 +101,12 @@
 
 test('an ended job is put away only as it lies there', async () => {
   const { writer, replica, sent } = notingWriter();
-  replica.ended.set('j-1', { status: 'cancelled', revision: 32 });
-  await writer.tidy();
+  replica.terminalJobs.set('j-1', { status: 'cancelled', revision: 32 });
+  await writer.maintain();
   assert.deepEqual(sent[0]?.guards, [
-    { path: LEAD, revision: 1 },
+    { path: LEADER_KEY, revision: 1 },
     { path: jobKey('j-1'), revision: 32 },
   ]);
   const value = { Status: 'cancelled' };
-  assert.deepEqual(sent[0].writes, [{ remove: jobKey('j-1') }, { set: overKey('j-1'), value }]);
+  assert.deepEqual(sent[0].writes, [{ remove: jobKey('j-1') }, { set: terminalKey('j-1'), value }]);
 });
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/writer.ts
@@ -1,14 +1,14 @@
 import {
-  CHECKPOINT_HEAD,
+  CHECKPOINT_HEAD_KEY,
   checkpointId,
-  chunkKey,
+  checkpointChunkKey,
   jobKey,
   type LogId,
   logKey,
-  LOG_PLACES,
-  overKey,
+  LOG_RING_CAPACITY,
+  terminalKey,
 } from './keys.js';
-import type { Final, LiveJob } from './jobs.js';
+import type { TerminalStatus, LiveJob } from './jobs.js';
 import type { Logger } from './logger.js';
 import type { RecordDraft, RecordPosition } from './placement.js';
 import type { Replica } from './replica.js';
@@ -16,13 +16,13 @@
 import { encodeFinal } from './stored/job-codec.js';
 import { encodeRecord, encodeRecordDraft, type StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
-import type { DutyName, DutyRegistry, FencedStore, TermProof } from '#duties';
+import type { RoleName, RoleRegistry, FencedStore, TermProof } from '#duties';
 import {
   type CommitResult,
   type Guard,
-  isTooFast,
+  isRateLimited,
   isTooLarge,
-  type Pace,
+  type RateLimiter,
   type Write,
   type WriteLimits,
 } from '#store';
@@ -45,28 +45,28 @@
  * the one after it can't both land.
  */
 export class LogWriter {
-  private tidying = false;
+  private maintaining = false;
   private attempts = 0;
 
   constructor(
     private readonly store: FencedStore,
     private readonly replica: Replica,
-    private readonly duties: DutyRegistry,
+    private readonly roles: RoleRegistry,
     private readonly clock: Clock,
     private readonly limits: WriteLimits,
     /** For records and jobs' ends. */
-    private readonly pace: Pace,
+    private readonly recordLimiter: RateLimiter,
     /**
      * For checkpoints, which only the leader writes: dozens of values each at a thousand machines. Out of the
      * same part as its records they would hold up its rounds for seconds.
      */
-    private readonly upkeep: Pace,
+    private readonly checkpointLimiter: RateLimiter,
     private readonly log: Logger,
   ) {}
 
   /** How long the next record should wait, so that users' submissions find room beside the logs. */
-  wait(): Micros {
-    return this.pace.wait();
+  appendDelay(): Micros {
+    return this.recordLimiter.delay();
   }
 
   /**
@@ -90,11 +90,11 @@
       const writes: Write[] = [];
       const next = new Map<LogId, number>();
       for (const { log, part } of some) {
-        const seq = (next.get(log) ?? this.replica.ledger.seq(log)) + 1;
+        const seq = (next.get(log) ?? this.replica.ledger.position(log)) + 1;
         next.set(log, seq);
-        const position: RecordPosition = { sequence: seq, at: Math.floor(this.clock.wall() / MS) };
-        if (writes.length > 0) position.order = writes.length;
-        const revision = this.replica.placeRevision(log, seq);
+        const position: RecordPosition = { sequence: seq, recordedAtMs: Math.floor(this.clock.wall() / MS) };
+        if (writes.length > 0) position.commitIndex = writes.length;
+        const revision = this.replica.slotRevision(log, seq);
         if (revision === null) {
           this.log.info({ log, seq }, 'log waits for a checkpoint');
           return false;
@@ -102,82 +102,89 @@
         guards.push({ path: logKey(log, seq), revision });
         writes.push({ set: logKey(log, seq), value: encodeRecord(part, position) });
       }
-      if (!(await this.settle(proofs, 'append records', guards, writes))) return false;
+      if (!(await this.commitAndAwait(proofs, 'append records', guards, writes))) return false;
     }
     return true;
   }
 
   /** Ends jobs whose tasks are all done. */
-  async finish(jobs: [string, LiveJob][], shares: readonly LogId[]): Promise<void> {
+  async completeJobs(jobs: [string, LiveJob][], shards: readonly LogId[]): Promise<void> {
     const perTxn = this.limits.txnOps;
     for (let i = 0; i < jobs.length; i += perTxn) {
-      const proofs = this.proofsFor(new Set(shares));
+      const proofs = this.proofsFor(new Set(shards));
       if (!proofs) return;
       const guards: Guard[] = [];
       const some = jobs.slice(i, i + perTxn);
       // A cancellation that came first has changed the key: then the job stays cancelled.
-      for (const [id, job] of some) guards.push({ path: jobKey(id), revision: job.revision });
-      const writes = some.map(([id]) => endWrite(id, 'done'));
-      if (!(await this.settle(proofs, 'end jobs', guards, writes))) return;
+      for (const [id, job] of some) guards.push({ path: jobKey(id), revision: job.acceptedRevision });
+      const writes = some.map(([id]) => terminalStatusWrite(id, 'done'));
+      if (!(await this.commitAndAwait(proofs, 'end jobs', guards, writes))) return;
     }
   }
 
   /** The leader's: writes a checkpoint when enough has come since the last, clears what that made superfluous. */
-  async tidy(): Promise<void> {
-    const proof = this.duties.prove('lead');
-    if (this.tidying || !proof) return;
-    this.tidying = true;
+  async maintain(): Promise<void> {
+    const termProof = this.roles.proveHeld('lead');
+    if (this.maintaining || !termProof) return;
+    this.maintaining = true;
     try {
-      const due = Math.max(CHECKPOINT_EVERY, RECORDS_PER_CHUNK * this.replica.checkpointChunks);
-      if (this.replica.sinceCheckpoint >= due || this.replica.fullestLog >= CHECKPOINT_FILL * LOG_PLACES)
-        await this.checkpoint(proof);
-      else await this.putAway(proof);
-      const litter = this.replica.litter().slice(0, this.limits.txnOps);
+      const due = Math.max(CHECKPOINT_EVERY, RECORDS_PER_CHUNK * this.replica.checkpointChunkCount);
+      if (
+        this.replica.recordsSinceCheckpoint >= due ||
+        this.replica.fullestLogRecords >= CHECKPOINT_FILL * LOG_RING_CAPACITY
+      )
+        await this.writeCheckpoint(termProof);
+      else await this.archiveTerminalJobs(termProof);
+      const litter = this.replica.staleCheckpointChunks().slice(0, this.limits.txnOps);
       if (litter.length > 0) {
-        await sleep(this.clock, this.upkeep.wait());
-        this.upkeep.take(litter.length);
+        await sleep(this.clock, this.checkpointLimiter.delay());
+        this.checkpointLimiter.consume(litter.length);
         const removals = litter.map((remove) => ({ remove }));
-        const result = await this.store.commit([proof], 'clear old checkpoints', [], removals);
-        this.adapt(result, this.upkeep);
+        const result = await this.store.compareAndSwap([termProof], 'clear old checkpoints', [], removals);
+        this.adaptLimits(result, this.checkpointLimiter);
       }
     } finally {
-      this.tidying = false;
+      this.maintaining = false;
     }
   }
 
   /** Takes ended jobs from among the live ones, out of what checkpoints leave of their part. */
-  private async putAway(proof: TermProof): Promise<void> {
-    const ended = [...this.replica.ended].slice(0, Math.max(1, Math.floor(this.limits.txnOps / 2)));
-    if (ended.length === 0 || this.upkeep.wait() > 0) return;
+  private async archiveTerminalJobs(termProof: TermProof): Promise<void> {
+    const ended = [...this.replica.terminalJobs].slice(0, Math.max(1, Math.floor(this.limits.txnOps / 2)));
+    if (ended.length === 0 || this.checkpointLimiter.delay() > 0) return;
     const guards: Guard[] = [];
     const writes: Write[] = [];
     for (const [id, { status, revision }] of ended) {
       guards.push({ path: jobKey(id), revision });
-      writes.push({ remove: jobKey(id) }, { set: overKey(id), value: encodeFinal(status) });
+      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeFinal(status) });
     }
-    this.upkeep.take(writes.length);
-    const result = await this.store.commit([proof], 'put away ended jobs', guards, writes);
-    this.adapt(result, this.upkeep);
-    if (result.kind === 'applied') await this.replica.reach(result.epoch, SECOND);
+    this.checkpointLimiter.consume(writes.length);
+    const result = await this.store.compareAndSwap([termProof], 'put away ended jobs', guards, writes);
+    this.adaptLimits(result, this.checkpointLimiter);
+    if (result.kind === 'applied') await this.replica.waitForRevision(result.epoch, SECOND);
   }
 
-  private async checkpoint(proof: TermProof): Promise<void> {
+  private async writeCheckpoint(termProof: TermProof): Promise<void> {
     const { ledger, jobs } = this.replica;
     const positions = ledger.allPositions();
-    const id = checkpointId(ledger.size, proof.term, ++this.attempts);
+    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.attempts);
     const before = this.replica.checkpointRevision;
     const rows = checkpointRows(ledger, (job) => jobs.has(job));
     const chunks = packRows(rows, this.limits.valueBytes - FRAME_BYTES);
-    const writes: Write[] = chunks.map((part, i) => ({ set: chunkKey(id, i), value: encodeChunk(part) }));
+    const writes: Write[] = chunks.map((part, i) => ({
+      set: checkpointChunkKey(id, i),
+      value: encodeChunk(part),
+    }));
     const perTxn = this.valuesPerCommit();
     for (let i = 0; i < writes.length; i += perTxn) {
-      if (!(await this.insist(proof, [], writes.slice(i, i + perTxn)))) return;
+      if (!(await this.writeCheckpointPart(termProof, [], writes.slice(i, i + perTxn)))) return;
     }
     // Once a newer checkpoint is the present one, its predecessors' chunks go: a late commit of this one must
     // not bring it back then.
-    const guards: Guard[] = [{ path: CHECKPOINT_HEAD, revision: before }];
+    const guards: Guard[] = [{ path: CHECKPOINT_HEAD_KEY, revision: before }];
     const head = encodeCheckpointHead({ id, positions, chunkCount: chunks.length });
-    if (!(await this.insist(proof, guards, [{ set: CHECKPOINT_HEAD, value: head }]))) return;
+    if (!(await this.writeCheckpointPart(termProof, guards, [{ set: CHECKPOINT_HEAD_KEY, value: head }])))
+      return;
     this.log.debug({ id, chunks: chunks.length }, 'checkpoint');
   }
 
@@ -186,14 +193,18 @@
    * others, and logs can't go on for ever without a checkpoint. Repeating does no harm: the keys of the chunks
    * are its own, and the commit of its head is guarded.
    */
-  private async insist(proof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
+  private async writeCheckpointPart(
+    termProof: TermProof,
+    guards: Guard[],
+    writes: Write[],
+  ): Promise<boolean> {
     for (let i = 0; i < CHECKPOINT_TRIES; i++) {
-      await sleep(this.clock, Math.max(this.upkeep.wait(), i > 0 ? CHECKPOINT_RETRY : 0));
-      this.upkeep.take(writes.length);
-      const result = await this.store.commit([proof], 'write a checkpoint', guards, writes);
+      await sleep(this.clock, Math.max(this.checkpointLimiter.delay(), i > 0 ? CHECKPOINT_RETRY : 0));
+      this.checkpointLimiter.consume(writes.length);
+      const result = await this.store.compareAndSwap([termProof], 'write a checkpoint', guards, writes);
       if (result.kind === 'applied') return true;
       if (result.kind === 'refused') return false;
-      this.adapt(result, this.upkeep);
+      this.adaptLimits(result, this.checkpointLimiter);
       // Its other parts were cut to the same size: the checkpoint is begun anew with smaller ones.
       if (isTooLarge(result)) return false;
     }
@@ -201,8 +212,8 @@
   }
 
   /** Later writes are smaller, or come more slowly, if this one was refused for its size or pace. */
-  private adapt(result: CommitResult, pace: Pace): void {
-    if (isTooFast(result)) pace.refused();
+  private adaptLimits(result: CommitResult, pace: RateLimiter): void {
+    if (isRateLimited(result)) pace.onRejected();
     if (!isTooLarge(result)) return;
     this.limits.shrink();
     const { valueBytes, txnOps } = this.limits;
@@ -214,27 +225,27 @@
   }
 
   /** The right to write to these logs, or null if this node no longer holds one of them. */
-  private proofsFor(logs: ReadonlySet<DutyName>): [TermProof, ...TermProof[]] | null {
+  private proofsFor(logs: ReadonlySet<RoleName>): [TermProof, ...TermProof[]] | null {
     const proofs: TermProof[] = [];
     for (const log of logs) {
-      const proof = this.duties.prove(log);
-      if (!proof) return null;
-      proofs.push(proof);
+      const termProof = this.roles.proveHeld(log);
+      if (!termProof) return null;
+      proofs.push(termProof);
     }
     const [first, ...others] = proofs;
     return first ? [first, ...others] : null;
   }
 
-  private async settle(
+  private async commitAndAwait(
     proofs: [TermProof, ...TermProof[]],
     action: string,
     guards: Guard[],
     writes: Write[],
   ): Promise<boolean> {
-    this.pace.take(writes.length);
-    const result = await this.store.commit(proofs, action, guards, writes);
-    if (result.kind === 'applied') return this.replica.reach(result.epoch, SECOND);
-    this.adapt(result, this.pace);
+    this.recordLimiter.consume(writes.length);
+    const result = await this.store.compareAndSwap(proofs, action, guards, writes);
+    if (result.kind === 'applied') return this.replica.waitForRevision(result.epoch, SECOND);
+    this.adaptLimits(result, this.recordLimiter);
     this.log.debug({ result, action, last: guards.at(-1)?.path }, 'commit did not land');
     // What the log says now decides: a lost answer may hide a commit that was applied.
     await this.replica.barrier();
@@ -246,6 +257,6 @@
  * Ends a job with a single change, in the place where it lies: its end must not wait behind the changes that putting
  * it away takes. From then on the key says nothing but how it ended.
  */
-export function endWrite(id: string, status: Final): Write {
+export function terminalStatusWrite(id: string, status: TerminalStatus): Write {
   return { set: jobKey(id), value: encodeFinal(status) };
 }
--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -4,32 +4,32 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Answer } from '#api';
+import type { ServiceResponse } from '#api';
 import { type PlacementRecord, Replica } from '#cluster';
-import { type Settings, standardTuning, type Tuning } from '#settings';
+import { type Settings, defaultTuning, type Tuning } from '#settings';
 import { StoreClient } from '#store';
 import { SAMPLE_TYPES, sampleJob, sampleSettings, SimClock, SimNet, SimStore, STATE } from '#testkit';
 import {
-  type Caller,
+  type HttpClient,
   type Clock,
   encodeSubmission,
-  type Fields,
+  type WireFields,
   type JobSpec,
-  type Method,
+  type HttpMethod,
   type Micros,
-  type Reply,
+  type HttpReply,
   SECOND,
 } from '#wire';
 import { Controller } from './controller.js';
 import { JobService } from './job-service.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
-const AWAY = '503 {"error":"state not reachable"}, after 1 s, on a new connection';
+const STORE_UNREACHABLE = '503 {"error":"state not reachable"}, after 1 s, on a new connection';
 
 /** Status, body and what goes into headers. */
-function textOf(answer: Answer): string {
+function textOf(answer: ServiceResponse): string {
   const after = answer.retryAfterS === undefined ? '' : `, after ${answer.retryAfterS} s`;
-  const close = answer.close ? ', on a new connection' : '';
+  const close = answer.closesConnection ? ', on a new connection' : '';
   return `${answer.status} ${JSON.stringify(answer.body)}${after}${close}`;
 }
 
@@ -43,7 +43,7 @@
   },
 };
 
-type StateService = (method: Method, path: string, body: unknown) => Reply | null;
+type StateService = (method: HttpMethod, path: string, body: unknown) => HttpReply | null;
 
 interface UserBench {
   users: JobService;
@@ -55,7 +55,7 @@
 /** A node whose copy of the state is complete up to epoch 0, with the sample's machine types. */
 function userBench(answer: StateService): UserBench {
   const commits: string[] = [];
-  const call: Caller = (_endpoint, method, path, body) => {
+  const call: HttpClient = (_endpoint, method, path, body) => {
     if (path === '/commit') commits.push(JSON.stringify(body));
     const reply = answer(method, path, body);
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
@@ -63,15 +63,15 @@
   const store = new StoreClient(STATE, call);
   const replica = new Replica(store, STOPPED_CLOCK, SILENT, 1000);
   replica.state = 'following';
-  for (const type of SAMPLE_TYPES) replica.types.set(type.name, type);
+  for (const type of SAMPLE_TYPES) replica.machineTypes.set(type.name, type);
   return { users: new JobService(sampleSettings(0, 1), store, replica, STOPPED_CLOCK), replica, commits };
 }
 
-const absent: Reply = { status: 404, body: { Epoch: 0 } };
+const absent: HttpReply = { status: 404, body: { Epoch: 0 } };
 const UNREACHED: StateService = () => null;
 /** Reads show nothing, commits get this answer. */
 const committing =
-  (reply: Reply | null): StateService =>
+  (reply: HttpReply | null): StateService =>
   (_method, path) =>
     path === '/commit' ? reply : absent;
 const EMPTY = committing({ status: 200, body: { Epoch: 1 } });
@@ -86,13 +86,13 @@
   };
 
 function live(replica: Replica, change: Partial<JobSpec> = {}): void {
-  replica.jobs.set('j-1', { spec: sampleJob('j-1', change), at: 0, revision: 4 });
+  replica.jobs.set('j-1', { spec: sampleJob('j-1', change), acceptedAtMs: 0, acceptedRevision: 4 });
 }
 
 /** The job runs with one task on a machine; another is done. */
 function running({ ledger }: Replica): void {
   const machines: PlacementRecord['machines'] = [['n-1', 'large', 'east', false, 0, 0]];
-  ledger.apply('lead', { sequence: 1, at: 0, machines });
+  ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines });
   const starts: PlacementRecord['starts'] = [
     {
       job: 'j-1',
@@ -105,15 +105,15 @@
       ],
     },
   ];
-  ledger.apply(0, { sequence: 1, at: 1, starts });
-  ledger.apply(0, { sequence: 2, at: 2, ends: [['j-1', 1, 1024, 'done']] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 1, starts });
+  ledger.apply(0, { sequence: 2, recordedAtMs: 2, completions: [['j-1', 1, 1024, 'done']] });
 }
 
 const BODY = encodeSubmission(sampleJob('j-1'));
 
 test('a new job is accepted with 201, and stored under its name if that never was one before', async () => {
   const { users, commits } = userBench(EMPTY);
-  assert.equal(textOf(await users.submit(BODY)), '201 {"Uid":"j-1","Status":"pending"}');
+  assert.equal(textOf(await users.submitJob(BODY)), '201 {"Uid":"j-1","Status":"pending"}');
   assert.deepEqual(commits, [
     '{"Guards":[{"Path":"mw/now/job/j-1","Stamp":0},{"Path":"mw/over/j-1","Stamp":0}],' +
       '"Writes":[{"Set":"mw/now/job/j-1","V":{"At":1790000000123,"Job":{"id":"j-1","jobClass":"batch",' +
@@ -125,9 +125,9 @@
 
 test('a submission that is malformed gets 400 with the field', async () => {
   const { users } = userBench(EMPTY);
-  assert.equal(textOf(await users.submit('x')), '400 {"error":"invalid: body"}');
+  assert.equal(textOf(await users.submitJob('x')), '400 {"error":"invalid: body"}');
   for (const field of Object.keys(BODY)) {
-    const answer = await users.submit({ ...BODY, [field]: { odd: 1 } });
+    const answer = await users.submitJob({ ...BODY, [field]: { odd: 1 } });
     assert.equal(textOf(answer), `400 {"error":"invalid: ${field}"}`);
   }
 });
@@ -151,7 +151,7 @@
   ];
   const { users, commits } = userBench(EMPTY);
   for (const [change, error] of cases) {
-    const answer = await users.submit(encodeSubmission(sampleJob('j-1', change)));
+    const answer = await users.submitJob(encodeSubmission(sampleJob('j-1', change)));
     assert.equal(textOf(answer), `422 {"error":"${error}"}`);
   }
   assert.deepEqual(commits, []);
@@ -159,25 +159,25 @@
 
 test('a node that can not decide yet says why, and to come back after a second', async () => {
   const unready = userBench(EMPTY);
-  unready.replica.types.clear();
+  unready.replica.machineTypes.clear();
   assert.equal(
-    textOf(await unready.users.submit(BODY)),
+    textOf(await unready.users.submitJob(BODY)),
     '503 {"error":"machine types not known yet"}, after 1 s',
   );
   const old = userBench(EMPTY);
   const gang = encodeSubmission(sampleJob('j-1', { shape: 'gang' }));
   assert.equal(
-    textOf(await old.users.submit(gang)),
+    textOf(await old.users.submitJob(gang)),
     '503 {"error":"gangs are not served by all nodes yet"}, after 1 s',
   );
 });
 
 /** Each of them on a node of its own, since a node keeps what it knows to be over. */
-const ASKED: [string, (users: JobService) => Promise<Answer>][] = [
-  ['submitted again', (users) => users.submit(BODY)],
-  ['submitted again, malformed', (users) => users.submit({ ...BODY, Pieces: 0 })],
-  ['submitted again, for an unknown team', (users) => users.submit({ ...BODY, Crew: 'red' })],
-  ['shown', (users) => users.show('j-1')],
+const ASKED: [string, (users: JobService) => Promise<ServiceResponse>][] = [
+  ['submitted again', (users) => users.submitJob(BODY)],
+  ['submitted again, malformed', (users) => users.submitJob({ ...BODY, Pieces: 0 })],
+  ['submitted again, for an unknown team', (users) => users.submitJob({ ...BODY, Crew: 'red' })],
+  ['shown', (users) => users.getJob('j-1')],
 ];
 
 test('a known job is answered 200 with its state, whatever is asked', async () => {
@@ -204,55 +204,58 @@
       const text = `200 {"Uid":"j-1","Status":"${told}"}`;
       assert.equal(textOf(await ask(userBench(over(stored)).users)), text, what);
       const ended = userBench(REFUSING);
-      ended.replica.ended.set('j-1', { status: stored, revision: 4 });
+      ended.replica.terminalJobs.set('j-1', { status: stored, revision: 4 });
       assert.equal(textOf(await ask(ended.users)), text, what);
     }
   }
 });
 
 test('a node that does not reach the state sends its users to another', async () => {
-  for (const [what, ask] of [...ASKED, ['cancelled', (users: JobService) => users.cancel('j-1')] as const]) {
-    assert.equal(textOf(await ask(userBench(UNREACHED).users)), AWAY, what);
+  for (const [what, ask] of [
+    ...ASKED,
+    ['cancelled', (users: JobService) => users.cancelJob('j-1')] as const,
+  ]) {
+    assert.equal(textOf(await ask(userBench(UNREACHED).users)), STORE_UNREACHABLE, what);
   }
   for (const status of [429, 503, 500, 400]) {
     const { users } = userBench(committing({ status, body: {} }));
-    assert.equal(textOf(await users.submit(BODY)), AWAY, String(status));
+    assert.equal(textOf(await users.submitJob(BODY)), STORE_UNREACHABLE, String(status));
   }
   // It was accepted or over when the commit was refused, but what it is can't be read.
   const { users } = userBench((_method, path) =>
     path === '/commit' ? { status: 409, body: { failed: [], Epoch: 0 } } : null,
   );
-  assert.equal(textOf(await users.submit(BODY)), AWAY);
+  assert.equal(textOf(await users.submitJob(BODY)), STORE_UNREACHABLE);
 });
 
 test('a job that nobody submitted gets 404', async () => {
   for (const id of ['j-1', 'x-1', '', `j-${'1'.repeat(33)}`]) {
     const { users } = userBench(EMPTY);
-    assert.equal(textOf(await users.show(id)), '404 {"error":"no such job"}', id);
-    assert.equal(textOf(await users.cancel(id)), '404 {"error":"no such job"}', id);
+    assert.equal(textOf(await users.getJob(id)), '404 {"error":"no such job"}', id);
+    assert.equal(textOf(await users.cancelJob(id)), '404 {"error":"no such job"}', id);
   }
 });
 
 test('a cancelled job is withdrawn, one that is over stays what it is', async () => {
   const { users, replica, commits } = userBench(EMPTY);
   live(replica);
-  assert.equal(textOf(await users.cancel('j-1')), '200 {"Uid":"j-1","Status":"withdrawn"}');
+  assert.equal(textOf(await users.cancelJob('j-1')), '200 {"Uid":"j-1","Status":"withdrawn"}');
   assert.deepEqual(commits, [
     '{"Guards":[{"Path":"mw/now/job/j-1","Stamp":4},{"Path":"mw/over/j-1","Stamp":0}],' +
       '"Writes":[{"Set":"mw/now/job/j-1","V":{"Status":"cancelled"}}]}',
   ]);
   assert.equal(
-    textOf(await userBench(over('done')).users.cancel('j-1')),
+    textOf(await userBench(over('done')).users.cancelJob('j-1')),
     '200 {"Uid":"j-1","Status":"done"}',
   );
   assert.equal(
-    textOf(await userBench(over('cancelled')).users.cancel('j-1')),
+    textOf(await userBench(over('cancelled')).users.cancelJob('j-1')),
     '200 {"Uid":"j-1","Status":"withdrawn"}',
   );
   for (const status of [409, 429, 503]) {
     const refused = userBench(committing({ status, body: { failed: [], Epoch: 0 } }));
     live(refused.replica);
-    assert.equal(textOf(await refused.users.cancel('j-1')), AWAY, String(status));
+    assert.equal(textOf(await refused.users.cancelJob('j-1')), STORE_UNREACHABLE, String(status));
   }
 });
 
@@ -264,7 +267,7 @@
 }
 
 /** Rows that make node-0 own share 0; nobody owns share 2, node-1 leads and owns the others. */
-const ROWS: [path: string, value: Fields][] = [
+const ROWS: [path: string, value: WireFields][] = [
   ['mw/now/lead', { Member: 'node-1', Nonce: 'other.1' }],
   ['mw/now/token', { Token: 41 }],
   ['mw/now/share/0', { Member: 'node-0', Nonce: 'i1.1', Token: 41 }],
@@ -297,7 +300,7 @@
     },
   ],
 ];
-const RELEASE: [path: string, value: Fields] = [
+const RELEASE: [path: string, value: WireFields] = [
   'mw/now/log/1/0001',
   { sequence: 1, at: 1_790_000_000_002, releases: [['n-4', null]] },
 ];
@@ -325,7 +328,7 @@
   );
   const ask = async (body: unknown): Promise<string> => {
     let text = 'no answer';
-    void controller.report(body).then((answer) => (text = textOf(answer)));
+    void controller.handleHeartbeat(body).then((answer) => (text = textOf(answer)));
     await pass(clock, 3 * SECOND);
     return text;
   };
@@ -335,17 +338,17 @@
 function controllerOf(
   clock: SimClock,
   settings: Settings,
-  call: Caller,
+  call: HttpClient,
   tuning: Partial<Tuning>,
 ): Controller {
   return new Controller({
     settings,
-    tuning: { ...standardTuning(), ...tuning },
+    tuning: { ...defaultTuning(), ...tuning },
     clock: clock.view((step) => step(), 0, 0),
     random: () => 0.5,
     incarnation: 'i1',
-    call,
-    ping: () => Promise.resolve({ result: 'silent', word: null }),
+    httpClient: call,
+    ping: () => Promise.resolve({ result: 'silent', status: null }),
     log: SILENT,
   });
 }
@@ -355,7 +358,7 @@
   await clock.run(clock.time + duration, () => undefined);
 }
 
-function reportOf(host: string, sequence: number, change: object = {}): Fields {
+function reportOf(host: string, sequence: number, change: object = {}): WireFields {
   return {
     Host: host,
     Endpoint: '10.1.0.1:9000',
@@ -426,7 +429,7 @@
 });
 
 test('a worker that shows more than the state does is refused where lost state is noticed', async () => {
-  const { clock, controller, ask } = await nodeBench({ noticesLoss: true });
+  const { clock, controller, ask } = await nodeBench({ detectsDataLoss: true });
   controller.start();
   await pass(clock, 10 * SECOND);
   const pieces = [{ Piece: 'j-1/0', Try: 50 * 1024, Status: 'running' }];
@@ -444,7 +447,7 @@
   await pass(clock, 3 * SECOND);
   assert.equal(textOf(controller.health()), '200 {"Status":"ok"}');
   controller.stop();
-  const none: Caller = () => Promise.reject(new Error('no response'));
+  const none: HttpClient = () => Promise.reject(new Error('no response'));
   const alone = controllerOf(new SimClock(), sampleSettings(0, 2), none, {});
   assert.equal(textOf(alone.health()), '503 {"error":"cut off from the state service"}, after 1 s');
 });
--- a/packages/daemon/forecast.ts
+++ b/packages/daemon/forecast.ts
@@ -1,11 +1,11 @@
 /** What the leader foresees of the owners' next rounds, from the log alone. */
 import type { Replica } from '#cluster';
-import type { Coming, NeedRow } from '#fleet';
-import { type Amounts, take } from '#pricing';
+import type { PendingCapacity, UnmetDemand } from '#fleet';
+import { type Resources, subtractResources } from '#pricing';
 import type { Objective, Settings } from '#settings';
 import { fromSeconds, type JobSpec, type Micros, SECOND } from '#wire';
-import type { RoundInput } from './round-input.js';
-import type { RunTimes } from './run-times.js';
+import type { RoundInputBuilder } from './round-input.js';
+import type { RunTimeEstimator } from './run-times.js';
 import type { Scheduler } from './scheduler.js';
 
 /** A machine whose room comes free within this time counts as on its way. */
@@ -14,20 +14,20 @@
 /** What the leader foresees of one owner's next round. */
 export interface OwnerForecast {
   member: string;
-  shares: number[];
+  shards: number[];
   /** What will find no room, most urgent first. */
-  needs: NeedRow[];
+  unmetDemand: UnmetDemand[];
   /** Room that the round will leave on each of its machines. */
-  left: Map<string, Amounts>;
+  free: Map<string, Resources>;
   /** Machines that it keeps for tasks which need more room than they have yet. */
-  kept: ReadonlySet<string>;
+  reservedHosts: ReadonlySet<string>;
   /** Room that its running tasks are about to leave. */
-  soon: Coming[];
+  pendingCapacity: PendingCapacity[];
   price: number;
   /** CPUs that its teams lack of their guarantees, less those that are about to come free or on their way. */
-  owed: number;
+  guaranteeDeficit: number;
   /** CPUs that its teams use beyond their guarantees. */
-  borrowed: number;
+  usageAboveGuarantee: number;
 }
 
 export class Forecaster {
@@ -37,8 +37,8 @@
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly input: RoundInput,
-    private readonly runTimes: RunTimes,
+    private readonly input: RoundInputBuilder,
+    private readonly runTimes: RunTimeEstimator,
     private readonly scheduler: Scheduler,
   ) {
     for (const o of settings.objectives) {
@@ -51,30 +51,44 @@
   forecast(owners: ReadonlyMap<number, { member: string }>): OwnerForecast[] {
     const members = [...new Set([...owners.values()].map((o) => o.member))].sort();
     return members.map((member) => {
-      const shares = [...owners].filter(([, o]) => o.member === member).map(([share]) => share);
-      const mine = new Set(shares);
-      const machines = this.input.booked(mine);
-      const { needs, left, prices, kept } = this.scheduler.play(mine, machines, new Set());
+      const shards = [...owners].filter(([, o]) => o.member === member).map(([shard]) => shard);
+      const mine = new Set(shards);
+      const machines = this.input.recordedMachines(mine);
+      const {
+        needs: unmetDemand,
+        free,
+        prices,
+        reservedHosts,
+      } = this.scheduler.simulateRound(mine, machines, new Set());
       const price = Math.max(0, ...[...prices.values()].map((p) => p.cpu));
-      const soon = this.soon(mine);
-      return { member, shares, needs, left, kept, soon, price, ...this.balance(mine, needs, soon) };
+      const pendingCapacity = this.capacitySoonFree(mine);
+      return {
+        member,
+        shards,
+        unmetDemand,
+        free,
+        reservedHosts,
+        pendingCapacity,
+        price,
+        ...this.balance(mine, unmetDemand, pendingCapacity),
+      };
     });
   }
 
   /** Within what time the tasks of a class should have started; Infinity if its users say nothing of it. */
-  startAim(jobClass: string): Micros {
-    return this.input.startAim(jobClass);
+  startObjective(jobClass: string): Micros {
+    return this.input.startObjective(jobClass);
   }
 
   /**
    * How many machines' worth of a need is worth renting: where its users leave time, one slot serves several
    * short tasks in turn.
    */
-  worthRenting(need: NeedRow): NeedRow {
+  worthScalingOut(need: UnmetDemand): UnmetDemand {
     const { job, count } = need;
     const spec = this.replica.jobs.get(job.id)?.spec;
     // A gang's tasks run at the same time: none of them takes its turn after another.
-    if (!spec || job.gang) return need;
+    if (!spec || job.isGang) return need;
     const run = this.runTimes.expected(spec);
     const patience = Math.max(run, this.patience(spec, run));
     return { job, count: Math.ceil((count * run) / Math.max(patience, 1)) };
@@ -90,38 +104,43 @@
   }
 
   /** How an owner's teams stand to their guarantees. */
-  private balance(shares: ReadonlySet<number>, needs: readonly NeedRow[], soon: readonly Coming[]) {
-    const { ledger, types } = this.replica;
+  private balance(
+    shards: ReadonlySet<number>,
+    needs: readonly UnmetDemand[],
+    soon: readonly PendingCapacity[],
+  ) {
+    const { ledger, machineTypes: types } = this.replica;
     const waiting = new Map<string, number>();
     for (const { job, count } of needs) {
       waiting.set(job.team, (waiting.get(job.team) ?? 0) + count * job.need.cpus);
     }
-    let owed = 0;
-    let borrowed = 0;
+    let guaranteeDeficit = 0;
+    let usageAboveGuarantee = 0;
     for (const { name, cpus } of this.settings.teams) {
-      if (!shares.has(this.scheduler.shareOf(name))) continue;
-      const used = ledger.used(name).cpus;
-      owed += Math.min(waiting.get(name) ?? 0, Math.max(0, cpus - used));
-      borrowed += Math.max(0, used - cpus);
+      if (!shards.has(this.scheduler.shardOfTeam(name))) continue;
+      const used = ledger.teamUsage(name).cpus;
+      guaranteeDeficit += Math.min(waiting.get(name) ?? 0, Math.max(0, cpus - used));
+      usageAboveGuarantee += Math.max(0, used - cpus);
     }
-    if (owed === 0) return { owed, borrowed };
-    for (const { room } of soon) owed -= room.cpus;
-    for (const { destination, share, machineType } of ledger.hosts.values()) {
-      if (typeof destination === 'number' && destination !== share && shares.has(destination))
-        owed -= types.get(machineType)?.cpus ?? 0;
+    if (guaranteeDeficit === 0) return { guaranteeDeficit, usageAboveGuarantee };
+    for (const { free: room } of soon) guaranteeDeficit -= room.cpus;
+    for (const { destination, shard, machineType } of ledger.machines.values()) {
+      if (typeof destination === 'number' && destination !== shard && shards.has(destination))
+        guaranteeDeficit -= types.get(machineType)?.cpus ?? 0;
     }
-    return { owed: Math.max(0, owed), borrowed };
+    return { guaranteeDeficit: Math.max(0, guaranteeDeficit), usageAboveGuarantee };
   }
 
   /** Room that running tasks are about to leave on the machines of some shares. */
-  private soon(shares: ReadonlySet<number>): Coming[] {
+  private capacitySoonFree(shards: ReadonlySet<number>): PendingCapacity[] {
     const { ledger } = this.replica;
-    const out: Coming[] = [];
-    for (const { host, machineType, zone, spot, share, status } of ledger.hosts.values()) {
-      if (share === null || !shares.has(share) || status !== 'up') continue;
-      const room: Amounts = { cpus: 0, gpus: 0, memGb: 0 };
-      for (const p of ledger.placementsOn(host)) if (this.runTimes.remaining(p) < SOON) take(room, p, -1);
-      if (room.memGb > 0 || room.cpus > 0) out.push({ machineType, zone, spot, room });
+    const out: PendingCapacity[] = [];
+    for (const { host, machineType, zone, spot, shard, status } of ledger.machines.values()) {
+      if (shard === null || !shards.has(shard) || status !== 'up') continue;
+      const room: Resources = { cpus: 0, gpus: 0, memGb: 0 };
+      for (const p of ledger.placementsOn(host))
+        if (this.runTimes.remaining(p) < SOON) subtractResources(room, p, -1);
+      if (room.memGb > 0 || room.cpus > 0) out.push({ machineType, zone, spot, free: room });
     }
     return out;
   }
--- a/packages/daemon/hand-over.test.ts
+++ b/packages/daemon/hand-over.test.ts
@@ -1,12 +1,12 @@
 /** The reasons that operators are told when a duty is not handed over. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Member, Membership, Replica, ShareOwner } from '#cluster';
-import { type DutyHolder, type DutyName, DutyRegistry, FencedStore } from '#duties';
+import type { Member, Membership, Replica, ShardOwner } from '#cluster';
+import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#duties';
 import type { CommitResult } from '#store';
 import { type Clock, type Micros, SECOND } from '#wire';
 import type { StateFreshness } from './freshness.js';
-import { HandOver, type HandOverParts } from './hand-over.js';
+import { RoleHandover, type RoleHandoverOptions } from './hand-over.js';
 
 /** A clock on which whatever waits is done at once, and time has passed by then. */
 class LeapingClock implements Clock {
@@ -49,8 +49,8 @@
 
 interface Trial {
   clock: Clock;
-  handOver: HandOver;
-  duties: DutyRegistry;
+  handOver: RoleHandover;
+  duties: RoleRegistry;
   /** Names that this node has given to the others as resigned, in their order. */
   told: string[];
 }
@@ -58,49 +58,49 @@
 function trialOf(change: Partial<Standing> = {}): Trial {
   const standing = { ...WELL, ...change };
   const clock = new LeapingClock();
-  const holders = new Map<DutyName, DutyHolder>([
+  const holders = new Map<RoleName, RoleHolder>([
     ['lead', { member: 'node-1', nonce: 'ours', term: 41 }],
     [1, { member: 'node-1', nonce: 'ours', term: 40 }],
     [2, { member: 'node-2', nonce: 'other', term: 39 }],
   ]);
-  const duties = new DutyRegistry({
+  const roles = new RoleRegistry({
     source: { holders: () => holders, isOurs: (nonce) => nonce === 'ours' },
     clock,
-    keyOf: (duty) => `key of ${duty}`,
+    keyOf: (role) => `key of ${role}`,
     leaseLife: 600 * SECOND,
   });
-  duties.renewed(0);
+  roles.onLeaseRenewed(0);
   const told: string[] = [];
   const replica: Partial<Replica> = {
     members: new Map(standing.members.map((member) => [member, {} as Member])),
-    owners: new Map(standing.owned.map((share) => [share, {} as ShareOwner])),
+    shardOwners: new Map(standing.owned.map((shard) => [shard, {} as ShardOwner])),
     allSupport: () => standing.supportsHandOver,
   };
   const membership: Partial<Membership> = {
-    duties,
-    resignedShares: [],
-    shares: () => new Map(standing.kept.map((share) => [share, {} as ShareOwner])),
-    abstain: () => undefined,
-    tell: ({ resigned }) => {
+    roles,
+    resignedShards: [],
+    ownedShards: () => new Map(standing.kept.map((shard) => [shard, {} as ShardOwner])),
+    withdrawCandidacy: () => undefined,
+    publishStatus: ({ resignedShards: resigned }) => {
       told.push(String(resigned));
       return Promise.resolve();
     },
   };
-  const freshness: Partial<StateFreshness> = { isServed: () => standing.isServed };
-  const parts: HandOverParts = {
+  const freshness: Partial<StateFreshness> = { isFresh: () => standing.isServed };
+  const parts: RoleHandoverOptions = {
     clock,
     replica: replica as Replica,
     membership: membership as Membership,
-    store: new FencedStore({ commit: () => Promise.resolve(standing.commit) }, duties),
+    store: new FencedStore({ compareAndSwap: () => Promise.resolve(standing.commit) }, roles),
     freshness: freshness as StateFreshness,
     allNodes: ['node-1', 'node-2'],
   };
-  return { clock, handOver: new HandOver(parts), duties, told };
+  return { clock, handOver: new RoleHandover(parts), duties: roles, told };
 }
 
 /** The answer of a node to the request to hand a duty over, as text. */
-async function answerOf(duty: DutyName, change: Partial<Standing> = {}): Promise<string> {
-  return JSON.stringify(await trialOf(change).handOver.resign(duty));
+async function answerOf(role: RoleName, change: Partial<Standing> = {}): Promise<string> {
+  return JSON.stringify(await trialOf(change).handOver.resign(role));
 }
 
 function refusal(reason: string): string {
--- a/packages/daemon/hand-over.ts
+++ b/packages/daemon/hand-over.ts
@@ -1,10 +1,10 @@
 /** Hands duties over on purpose, as before a planned stop. */
-import { LEAD, type Membership, type Replica } from '#cluster';
-import { type DutyName, type FencedStore, formatDutyName, type TermProof } from '#duties';
+import { LEADER_KEY, type Membership, type Replica } from '#cluster';
+import { type RoleName, type FencedStore, formatRoleName, type TermProof } from '#duties';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 import type { StateFreshness } from './freshness.js';
 
-export type HandOverResult = { kind: 'handed_over' } | { kind: 'refused'; reason: string };
+export type HandoverResult = { kind: 'handed_over' } | { kind: 'refused'; reason: string };
 
 /** How long requests that are under way are waited for, and the leader's dealing of a share. */
 const PATIENCE: Micros = 6 * SECOND;
@@ -14,7 +14,7 @@
 /** The same for the lead: short, since a lead that nobody else takes must not stay vacant. */
 const LEAD_ABSTENTION: Micros = 3 * SECOND;
 
-export interface HandOverParts {
+export interface RoleHandoverOptions {
   clock: Clock;
   replica: Replica;
   membership: Membership;
@@ -24,19 +24,19 @@
   allNodes: readonly string[];
 }
 
-export class HandOver {
-  constructor(private readonly parts: HandOverParts) {}
+export class RoleHandover {
+  constructor(private readonly parts: RoleHandoverOptions) {}
 
   /** Gives the duty up once nothing of it is under way; refused where nobody could take it, or it isn't held here. */
-  async resign(duty: DutyName): Promise<HandOverResult> {
-    const reason = this.reasonAgainst(duty);
+  async resign(role: RoleName): Promise<HandoverResult> {
+    const reason = this.refusalReason(role);
     if (reason !== null) return refused(reason);
-    const { duties } = this.parts.membership;
-    const proof = duties.prove(duty);
-    if (!proof || !duties.resign(duty)) return refused(`${formatDutyName(duty)} is not held for certain`);
-    const isDone = duty === 'lead' ? await this.giveUpLead(proof) : await this.giveUpShare(duty);
+    const { roles } = this.parts.membership;
+    const termProof = roles.proveHeld(role);
+    if (!termProof || !roles.resign(role)) return refused(`${formatRoleName(role)} is not held for certain`);
+    const isDone = role === 'lead' ? await this.releaseLeadership(termProof) : await this.releaseShard(role);
     if (isDone) return { kind: 'handed_over' };
-    duties.resignationFailed(duty);
+    roles.resignationFailed(role);
     return refused('it could not be handed over in time; it is held as before');
   }
 
@@ -46,56 +46,61 @@
    */
   async retire(): Promise<void> {
     const { membership } = this.parts;
-    if (membership.duties.prove('lead')) await this.resign('lead');
+    if (membership.roles.proveHeld('lead')) await this.resign('lead');
     await membership.retire();
   }
 
-  private reasonAgainst(duty: DutyName): string | null {
+  private refusalReason(role: RoleName): string | null {
     const { membership, replica, freshness, allNodes } = this.parts;
-    const name = formatDutyName(duty);
-    if (!freshness.isServed()) return 'the state service does not serve this node';
-    if (!membership.duties.prove(duty)) {
-      const state = membership.duties.state(duty);
+    const name = formatRoleName(role);
+    if (!freshness.isFresh()) return 'the state service does not serve this node';
+    if (!membership.roles.proveHeld(role)) {
+      const state = membership.roles.state(role);
       const holder = 'holder' in state ? `${state.holder.member} holds it` : 'nobody is known to hold it';
       return state.name === 'resigning'
         ? `${name} is being handed over`
         : `${name} is not held here: ${holder}`;
     }
     if (replica.members.size < 2) return 'no other member is alive to take it';
-    if (duty !== 'lead' && !replica.allSupport(allNodes, 'handover')) {
+    if (role !== 'lead' && !replica.allSupport(allNodes, 'handover')) {
       return 'not every node has announced that it knows the hand-over of shares';
     }
     return null;
   }
 
-  private async giveUpLead(proof: TermProof): Promise<boolean> {
+  private async releaseLeadership(termProof: TermProof): Promise<boolean> {
     const { membership, store } = this.parts;
-    if (!(await this.waitUntil(() => membership.duties.actionsUnderWay('lead') === 0))) return false;
-    membership.abstain(LEAD_ABSTENTION);
-    const result = await store.commit([proof], 'hand over the lead', [], [{ remove: LEAD }]);
+    if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
+    membership.withdrawCandidacy(LEAD_ABSTENTION);
+    const result = await store.compareAndSwap(
+      [termProof],
+      'hand over the lead',
+      [],
+      [{ remove: LEADER_KEY }],
+    );
     if (result.kind === 'applied') return true;
     // It may land all the same: then the lead is vacant, and the others take it.
-    membership.abstain(0);
+    membership.withdrawCandidacy(0);
     return false;
   }
 
   /** The leader deals it to another member, which raises the token. */
-  private async giveUpShare(share: number): Promise<boolean> {
+  private async releaseShard(shard: number): Promise<boolean> {
     const { membership, replica, clock } = this.parts;
-    const isOurs = (): boolean => membership.shares().has(share);
-    this.tellResigned(share, true);
+    const isOurs = (): boolean => membership.ownedShards().has(shard);
+    this.publishResigned(shard, true);
     clock.after(SHARE_ABSTENTION, () => {
-      this.tellResigned(share, false);
+      this.publishResigned(shard, false);
     });
-    const isDealt = await this.waitUntil(() => !isOurs() && replica.owners.has(share));
-    if (!isDealt) this.tellResigned(share, false);
+    const isDealt = await this.waitUntil(() => !isOurs() && replica.shardOwners.has(shard));
+    if (!isDealt) this.publishResigned(shard, false);
     return isDealt;
   }
 
-  private tellResigned(share: number, isResigned: boolean): void {
+  private publishResigned(shard: number, isResigned: boolean): void {
     const { membership } = this.parts;
-    const others = membership.resignedShares.filter((other) => other !== share);
-    void membership.tell({ resigned: isResigned ? [...others, share] : others });
+    const others = membership.resignedShards.filter((other) => other !== shard);
+    void membership.publishStatus({ resignedShards: isResigned ? [...others, shard] : others });
   }
 
   private async waitUntil(isOver: () => boolean): Promise<boolean> {
@@ -108,6 +113,6 @@
   }
 }
 
-function refused(reason: string): HandOverResult {
+function refused(reason: string): HandoverResult {
   return { kind: 'refused', reason };
 }
