--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -1,7 +1,7 @@
 import {
-  TOKEN_KEY,
-  cutZones,
-  eligible,
+  FENCING_TOKEN_KEY,
+  partitionedZonePairs,
+  eligibleOwners,
   encodeMachineTypeRow,
   encodeOwner,
   encodeToken,
@@ -9,89 +9,90 @@
   type Logger,
   type LogWriter,
   type Membership,
-  planShares,
+  planShardAssignments,
   type RecordDraft,
   type Replica,
-  shareKey,
-  TYPES,
-  UNREADABLE_TOKEN,
+  shardKey,
+  MACHINE_TYPE_PREFIX,
+  UNREADABLE_FENCING_TOKEN,
   zonePair,
 } from '#cluster';
 import type { FencedCloud, FencedStore, TermProof } from '#duties';
 import { shapeOf } from '#pricing';
 import {
-  amountsOf,
-  type Drainable,
+  resourcesOf,
+  type DrainCandidate,
   type DrainOptions,
   FleetManager,
-  type MovableMachine,
+  type TransferCandidate,
   planDrains,
-  planMoves,
-  type ShareNeeds,
-  Standby,
-  usedPart,
+  planTransfers,
+  type ShardDemand,
+  WarmPool,
+  utilization,
 } from '#fleet';
 import type { Settings } from '#settings';
 import { isTooLarge, type Write, type WriteLimits } from '#store';
 import { type Clock, fromSeconds, type MachineType, type Micros, SECOND } from '#wire';
 import type { Forecaster, OwnerForecast } from './forecast.js';
-import type { RunTimes } from './run-times.js';
+import type { RunTimeEstimator } from './run-times.js';
 
-const TYPES_EVERY: Micros = 20 * SECOND;
+const MACHINE_TYPE_REFRESH_INTERVAL: Micros = 20 * SECOND;
 /** Least time between two changes of shares that nobody is waiting for. */
-const REBALANCE: Micros = 3 * SECOND;
+const REBALANCE_INTERVAL: Micros = 3 * SECOND;
 /** A moved machine stays where it is for so long. */
-const SETTLE: Micros = 6 * SECOND;
-const PRICE_GAP = 0.5;
-const MOST_OWED = 10;
+const TRANSFER_COOLDOWN: Micros = 6 * SECOND;
+const MIN_PRICE_GAP = 0.5;
+const MAX_DEFICIT_TRANSFERS = 10;
 /** Foreseeing every owner's round costs as much as all of them: what it took is left to the rest so many times. */
-const FORESIGHT_REST = 6;
-const DRAIN: DrainOptions = { poor: 0.6, patience: 6 * SECOND, spare: 2 };
+const FORECAST_REST_FACTOR = 6;
+const DRAIN: DrainOptions = { maxUtilization: 0.6, minUnderusedTime: 6 * SECOND, spareFactor: 2 };
 /** How often the log says how the fleet stands. */
-const LOG_EVERY: Micros = 10 * SECOND;
+const FLEET_LOG_INTERVAL: Micros = 10 * SECOND;
 
-export interface LeaderParts {
+export interface LeaderOptions {
   settings: Settings;
   clock: Clock;
   store: FencedStore;
   cloud: FencedCloud;
   replica: Replica;
   membership: Membership;
-  writer: LogWriter;
-  limits: WriteLimits;
+  logWriter: LogWriter;
+  writeLimits: WriteLimits;
   forecaster: Forecaster;
-  runTimes: RunTimes;
+  runTimeEstimator: RunTimeEstimator;
   log: Logger;
-  wake: () => void;
+  requestRound: () => void;
 }
 
 /** What the node that leads does besides owning shares: deals out shares, moves, rents and returns machines. */
 export class Leader {
   private readonly fleet: FleetManager;
   private term = 0;
-  private lastTypes: Micros = -Infinity;
-  private lastShares: Micros = -Infinity;
+  private machineTypesReadAt: Micros = -Infinity;
+  private shardsAssignedAt: Micros = -Infinity;
   private recording = false;
   private nextStep: Micros = -Infinity;
   private lastLogged: Micros = -Infinity;
   private assigning = false;
-  private readonly poorSince = new Map<string, Micros>();
-  private readonly standby = new Standby();
-  private readonly movedAt = new Map<string, Micros>();
+  private readonly underusedSince = new Map<string, Micros>();
+  private readonly warmPool = new WarmPool();
+  private readonly transferredAt = new Map<string, Micros>();
 
-  constructor(private readonly parts: LeaderParts) {
-    const { cloud, clock, log, wake } = parts;
+  constructor(private readonly parts: LeaderOptions) {
+    const { cloud, clock, log, requestRound: wake } = parts;
     this.fleet = new FleetManager(
       cloud,
       clock,
       () => ({
         ledger: parts.replica.ledger,
-        types: parts.replica.types,
-        lease: parts.settings.lease,
-        listLag: parts.settings.listLag,
-        shareFor: (zone) => this.shareFor(zone),
-        isStandby: (host) => this.standby.isHeld(host),
-        isCut: (zone) => [...this.cuts()].some((pair) => pair.split('|').includes(zone)),
+        machineTypes: parts.replica.machineTypes,
+        workerLease: parts.settings.workerLease,
+        machineListLag: parts.settings.machineListLag,
+        shardForZone: (zone) => this.shardForZone(zone),
+        isInWarmPool: (host) => this.warmPool.contains(host),
+        isPartitioned: (zone) =>
+          [...this.partitionedZonePairs()].some((pair) => pair.split('|').includes(zone)),
       }),
       log,
       wake,
@@ -100,54 +101,58 @@
 
   /** One step, taken after each of the node's rounds while it leads. `fresh`: the state is recent enough. */
   step(fresh: boolean): void {
-    const { membership, replica, clock, forecaster, writer } = this.parts;
-    const proof = membership.duties.prove('lead');
-    if (!proof) return;
-    if (proof.term !== this.term) this.begin(proof);
-    if (replica.types.size === 0 || clock.now() - this.lastTypes > TYPES_EVERY) void this.readTypes(proof);
-    void this.dealShares(proof);
+    const { membership, replica, clock, forecaster, logWriter: writer } = this.parts;
+    const termProof = membership.roles.proveHeld('lead');
+    if (!termProof) return;
+    if (termProof.term !== this.term) this.beginTerm(termProof);
+    if (
+      replica.machineTypes.size === 0 ||
+      clock.now() - this.machineTypesReadAt > MACHINE_TYPE_REFRESH_INTERVAL
+    )
+      void this.refreshMachineTypes(termProof);
+    void this.assignShards(termProof);
     if (!fresh || this.recording || clock.now() < this.nextStep) return;
     const began = clock.now();
-    this.leaveCutZones();
-    this.standby.observe(this.hostsOfPromptJobs(), clock.now());
-    const forecasts = forecaster.forecast(replica.owners);
-    const needs = this.move(forecasts);
-    if (needs.every((n) => n.needs.length === 0)) this.drain(forecasts);
+    this.evacuatePartitionedZones();
+    this.warmPool.observe(this.hostsOfLatencySensitiveJobs(), clock.now());
+    const forecasts = forecaster.forecast(replica.shardOwners);
+    const needs = this.planTransfers(forecasts);
+    if (needs.every((n) => n.unmetDemand.length === 0)) this.planDrains(forecasts);
     this.fleet.step(needs);
     this.logFleet();
-    this.nextStep = clock.now() + (clock.now() - began) * FORESIGHT_REST;
-    void this.record();
-    void writer.tidy();
+    this.nextStep = clock.now() + (clock.now() - began) * FORECAST_REST_FACTOR;
+    void this.recordFleetChanges();
+    void writer.maintain();
   }
 
   /** Writes what the fleet manager wants recorded. The node's own rounds go on meanwhile: their logs are others. */
-  private async record(): Promise<void> {
+  private async recordFleetChanges(): Promise<void> {
     const draft = this.fleet.draft();
     if (!isWorthARecord(draft)) return;
     this.recording = true;
     try {
-      const landed = await this.parts.writer.append(new Map<LogId, RecordDraft>([['lead', draft]]));
+      const landed = await this.parts.logWriter.append(new Map<LogId, RecordDraft>([['lead', draft]]));
       if (!landed) return;
-      this.fleet.landed(draft);
+      this.fleet.onRecordCommitted(draft);
       this.fleet.deleteNamed();
     } finally {
       this.recording = false;
     }
   }
 
-  private begin(proof: TermProof): void {
-    this.term = proof.term;
-    this.lastTypes = -Infinity;
-    this.lastShares = -Infinity;
+  private beginTerm(termProof: TermProof): void {
+    this.term = termProof.term;
+    this.machineTypesReadAt = -Infinity;
+    this.shardsAssignedAt = -Infinity;
     this.nextStep = -Infinity;
-    this.movedAt.clear();
-    this.poorSince.clear();
-    this.standby.clear();
-    this.fleet.begin(proof);
+    this.transferredAt.clear();
+    this.underusedSince.clear();
+    this.warmPool.clear();
+    this.fleet.beginTerm(termProof);
   }
 
-  private cuts(): Set<string> {
-    return cutZones([...this.parts.replica.members.values()]);
+  private partitionedZonePairs(): Set<string> {
+    return partitionedZonePairs([...this.parts.replica.members.values()]);
   }
 
   private reaches(member: string, zone: string, cuts: ReadonlySet<string>): boolean {
@@ -156,39 +161,42 @@
   }
 
   /** Gives shares without a living owner a new one, and evens out what members own. */
-  private async dealShares(proof: TermProof): Promise<void> {
-    const { replica, store, settings, limits, log, clock } = this.parts;
-    if (this.assigning || replica.token.value === UNREADABLE_TOKEN) return;
-    const members = eligible([...replica.members.values()]);
-    const plan = planShares(settings.initialSize, replica.owners, members, this.weights());
-    const orphaned = plan.some(({ share }) => {
-      const owner = replica.owners.get(share);
+  private async assignShards(termProof: TermProof): Promise<void> {
+    const { replica, store, settings, writeLimits: limits, log, clock } = this.parts;
+    if (this.assigning || replica.fencingToken.value === UNREADABLE_FENCING_TOKEN) return;
+    const members = eligibleOwners([...replica.members.values()]);
+    const plan = planShardAssignments(settings.initialSize, replica.shardOwners, members, this.weights());
+    const orphaned = plan.some(({ shard }) => {
+      const owner = replica.shardOwners.get(shard);
       const holder = members.find((m) => m.member === owner?.member && m.nonce === owner.nonce);
-      return !holder || holder.resigned.includes(share);
+      return !holder || holder.resignedShards.includes(shard);
     });
-    if (plan.length === 0 || (!orphaned && clock.now() - this.lastShares < REBALANCE)) return;
+    if (plan.length === 0 || (!orphaned && clock.now() - this.shardsAssignedAt < REBALANCE_INTERVAL)) return;
     this.assigning = true;
-    this.lastShares = clock.now();
-    const token = replica.token.value + 1;
+    this.shardsAssignedAt = clock.now();
+    const fencingToken = replica.fencingToken.value + 1;
     const some = plan.slice(0, limits.txnOps - 1);
     const guards = [
-      { path: TOKEN_KEY, revision: replica.token.revision },
-      ...some.map(({ share }) => ({
-        path: shareKey(share),
-        revision: replica.owners.get(share)?.revision ?? 0,
+      { path: FENCING_TOKEN_KEY, revision: replica.fencingToken.revision },
+      ...some.map(({ shard }) => ({
+        path: shardKey(shard),
+        revision: replica.shardOwners.get(shard)?.revision ?? 0,
       })),
     ];
-    const writes: Write[] = [{ set: TOKEN_KEY, value: encodeToken(token) }];
-    for (const { share, member } of some) {
+    const writes: Write[] = [{ set: FENCING_TOKEN_KEY, value: encodeToken(fencingToken) }];
+    for (const { shard, member } of some) {
       const memberRecord = replica.members.get(member);
       if (!memberRecord) continue;
-      const value = encodeOwner({ member, nonce: memberRecord.nonce, token });
-      writes.push({ set: shareKey(share), value, leaseId: memberRecord.leaseId });
+      const value = encodeOwner({ member, nonce: memberRecord.nonce, token: fencingToken });
+      writes.push({ set: shardKey(shard), value, leaseId: memberRecord.leaseId });
     }
-    const result = await store.commit([proof], 'deal shares', guards, writes);
+    const result = await store.compareAndSwap([termProof], 'deal shares', guards, writes);
     if (result.kind === 'applied') {
-      await replica.reach(result.epoch, SECOND);
-      log.info({ token, shares: Object.fromEntries(some.map((a) => [a.share, a.member])) }, 'shares dealt');
+      await replica.waitForRevision(result.epoch, SECOND);
+      log.info(
+        { token: fencingToken, shares: Object.fromEntries(some.map((a) => [a.shard, a.member])) },
+        'shares dealt',
+      );
     }
     if (isTooLarge(result)) limits.shrink();
     this.assigning = false;
@@ -197,12 +205,12 @@
   /** A member counts by the CPUs that it can reach, each shared with all others that reach them. */
   private weights(): Map<string, number> {
     const { replica } = this.parts;
-    const cuts = this.cuts();
+    const cuts = this.partitionedZonePairs();
     const members = [...replica.members.keys()];
     const weights = new Map<string, number>();
     if (cuts.size === 0) return weights;
-    for (const host of replica.ledger.hosts.values()) {
-      const cpus = replica.types.get(host.machineType)?.cpus ?? 1;
+    for (const host of replica.ledger.machines.values()) {
+      const cpus = replica.machineTypes.get(host.machineType)?.cpus ?? 1;
       const near = members.filter((m) => this.reaches(m, host.zone, cuts));
       for (const m of near) weights.set(m, (weights.get(m) ?? 0) + cpus / near.length);
     }
@@ -210,49 +218,49 @@
   }
 
   /** Machines whose owner is cut off from their zone go to one that their workers can reach. */
-  private leaveCutZones(): void {
+  private evacuatePartitionedZones(): void {
     const { replica } = this.parts;
-    const cuts = this.cuts();
+    const cuts = this.partitionedZonePairs();
     if (cuts.size === 0) return;
-    for (const host of replica.ledger.hosts.values()) {
-      const owner = replica.owners.get(
-        typeof host.destination === 'number' ? host.destination : (host.share ?? -1),
+    for (const host of replica.ledger.machines.values()) {
+      const owner = replica.shardOwners.get(
+        typeof host.destination === 'number' ? host.destination : (host.shard ?? -1),
       );
       if (!owner || host.destination === 'return' || this.reaches(owner.member, host.zone, cuts)) continue;
-      const share = this.shareFor(host.zone);
-      if (share !== host.share) this.fleet.move(host.host, share, 'cut');
+      const shard = this.shardForZone(host.zone);
+      if (shard !== host.shard) this.fleet.setTransferTarget(host.host, shard, 'cut');
     }
   }
 
   /** The share with the fewest machines among those whose owners reach the zone. */
-  private shareFor(zone: string): number {
+  private shardForZone(zone: string): number {
     const { replica, settings } = this.parts;
-    const cuts = this.cuts();
+    const cuts = this.partitionedZonePairs();
     const counts = new Map<number, number>();
-    for (let share = 0; share < settings.initialSize; share++) {
-      const owner = replica.owners.get(share);
-      if (!owner || this.reaches(owner.member, zone, cuts)) counts.set(share, 0);
+    for (let shard = 0; shard < settings.initialSize; shard++) {
+      const owner = replica.shardOwners.get(shard);
+      if (!owner || this.reaches(owner.member, zone, cuts)) counts.set(shard, 0);
     }
-    for (const { share, destination } of replica.ledger.hosts.values()) {
-      const at = typeof destination === 'number' ? destination : share;
+    for (const { shard, destination } of replica.ledger.machines.values()) {
+      const at = typeof destination === 'number' ? destination : shard;
       if (at !== null && counts.has(at)) counts.set(at, (counts.get(at) ?? 0) + 1);
     }
     return [...counts].sort((a, b) => a[1] - b[1])[0]?.[0] ?? 0;
   }
 
   /** Machines with tasks of jobs that should start sooner than a machine boots. */
-  private *hostsOfPromptJobs(): Generator<string> {
+  private *hostsOfLatencySensitiveJobs(): Generator<string> {
     const { replica, forecaster } = this.parts;
-    const boot = Math.min(...[...replica.types.values()].map((type) => fromSeconds(type.bootS)));
-    for (const [id, entry] of replica.ledger.jobEntries) {
+    const boot = Math.min(...[...replica.machineTypes.values()].map((type) => fromSeconds(type.bootS)));
+    for (const [id, entry] of replica.ledger.jobs) {
       const spec = replica.jobs.get(id)?.spec;
-      if (!spec || forecaster.startAim(spec.jobClass) >= boot) continue;
-      for (const placement of entry.placed.values()) yield placement.host;
+      if (!spec || forecaster.startObjective(spec.jobClass) >= boot) continue;
+      for (const placement of entry.placements.values()) yield placement.host;
     }
   }
 
   /** A gang on it is told what to do by the owner of all its machines as long as that can be had. */
-  private holdsGang(host: string): boolean {
+  private hasGangTask(host: string): boolean {
     for (const { gangSize } of this.parts.replica.ledger.placementsOn(host)) {
       if (gangSize !== null) return true;
     }
@@ -260,87 +268,95 @@
   }
 
   /** Names this round's moves and returns what they leave to be rented for. */
-  private move(forecasts: readonly OwnerForecast[]): ShareNeeds[] {
-    const { replica, clock, log, forecaster, runTimes } = this.parts;
+  private planTransfers(forecasts: readonly OwnerForecast[]): ShardDemand[] {
+    const { replica, clock, log, forecaster, runTimeEstimator: runTimes } = this.parts;
     const now = clock.now();
-    const cuts = this.cuts();
-    const machines: MovableMachine[] = [];
-    for (const { member, left, kept } of forecasts) {
+    const cuts = this.partitionedZonePairs();
+    const machines: TransferCandidate[] = [];
+    for (const { member, free: left, reservedHosts: kept } of forecasts) {
       for (const [host, room] of left) {
-        const entry = replica.ledger.hosts.get(host);
-        const type = entry && replica.types.get(entry.machineType);
+        const entry = replica.ledger.machines.get(host);
+        const type = entry && replica.machineTypes.get(entry.machineType);
         if (!type) continue;
         // One that is kept for a task is as good as taken.
-        const isMovedOn = now - (this.movedAt.get(host) ?? -Infinity) < SETTLE;
-        const settling = kept.has(host) || isMovedOn || this.holdsGang(host);
+        const isMovedOn = now - (this.transferredAt.get(host) ?? -Infinity) < TRANSFER_COOLDOWN;
+        const settling = kept.has(host) || isMovedOn || this.hasGangTask(host);
         const { machineType, zone: memberZone, spot } = entry;
         const busyFor = (): Micros => runTimes.busyFor(host);
-        const total = amountsOf(type);
+        const total = resourcesOf(type);
         machines.push({
           host,
           machineType,
           zone: memberZone,
           spot,
           owner: member,
-          room,
+          free: room,
           total,
-          settling,
+          isInCooldown: settling,
           busyFor,
         });
       }
     }
     const owners = forecasts.map((o) => ({ ...o, owner: o.member }));
     const reaches = (owner: string, zone: string): boolean => this.reaches(owner, zone, cuts);
-    const { moves, left } = planMoves({
+    const { transfers: moves, unmetDemand: left } = planTransfers({
       owners,
       machines,
       reaches,
-      priceGap: PRICE_GAP,
-      mostOwed: MOST_OWED,
+      minPriceGap: MIN_PRICE_GAP,
+      maxDeficitTransfers: MAX_DEFICIT_TRANSFERS,
     });
-    for (const { host, to: destination } of moves) {
-      const share = forecasts.find((o) => o.member === destination)?.shares[0];
-      if (share === undefined) continue;
-      this.movedAt.set(host, now);
-      this.fleet.move(host, share, 'needed');
+    for (const { host, owner: destination } of moves) {
+      const shard = forecasts.find((o) => o.member === destination)?.shards[0];
+      if (shard === undefined) continue;
+      this.transferredAt.set(host, now);
+      this.fleet.setTransferTarget(host, shard, 'needed');
     }
     if (moves.length > 0) log.debug({ moves }, 'moves');
     return forecasts.map((o) => ({
-      share: o.shares[0] ?? 0,
-      needs: (left.get(o.member) ?? []).map((need) => forecaster.worthRenting(need)),
-      soon: o.soon,
+      shard: o.shards[0] ?? 0,
+      unmetDemand: (left.get(o.member) ?? []).map((need) => forecaster.worthScalingOut(need)),
+      pendingCapacity: o.pendingCapacity,
       reaches: (zone) => this.reaches(o.member, zone, cuts),
     }));
   }
 
   /** Poorly used ordinary machines get no new tasks and go home once empty, while the rest has room to spare. */
-  private drain(forecasts: readonly OwnerForecast[]): void {
+  private planDrains(forecasts: readonly OwnerForecast[]): void {
     const { replica, clock } = this.parts;
     const now = clock.now();
-    const machines: Drainable[] = [];
-    for (const [host, left] of forecasts.flatMap((o) => [...o.left])) {
-      const entry = replica.ledger.hosts.get(host);
-      const type = entry && replica.types.get(entry.machineType);
-      if (!type || this.standby.isHeld(host)) continue;
-      const total = amountsOf(type);
-      if (usedPart({ total, left }) > DRAIN.poor) this.poorSince.delete(host);
-      else if (!this.poorSince.has(host)) this.poorSince.set(host, now);
-      const poorFor = now - (this.poorSince.get(host) ?? now);
+    const machines: DrainCandidate[] = [];
+    for (const [host, left] of forecasts.flatMap((o) => [...o.free])) {
+      const entry = replica.ledger.machines.get(host);
+      const type = entry && replica.machineTypes.get(entry.machineType);
+      if (!type || this.warmPool.contains(host)) continue;
+      const total = resourcesOf(type);
+      if (utilization({ total, free: left }) > DRAIN.maxUtilization) this.underusedSince.delete(host);
+      else if (!this.underusedSince.has(host)) this.underusedSince.set(host, now);
+      const poorFor = now - (this.underusedSince.get(host) ?? now);
       const { spot } = entry;
-      machines.push({ host, spot, price: spot ? type.spotPrice : type.price, total, left, poorFor });
+      machines.push({
+        host,
+        spot,
+        price: spot ? type.spotPrice : type.price,
+        total,
+        free: left,
+        underusedFor: poorFor,
+      });
     }
-    for (const host of this.poorSince.keys())
-      if (!replica.ledger.hosts.has(host)) this.poorSince.delete(host);
-    for (const host of planDrains(machines, DRAIN)) this.fleet.move(host, 'return', 'poorly used');
+    for (const host of this.underusedSince.keys())
+      if (!replica.ledger.machines.has(host)) this.underusedSince.delete(host);
+    for (const host of planDrains(machines, DRAIN))
+      this.fleet.setTransferTarget(host, 'return', 'poorly used');
   }
 
   /** How the fleet stands: CPUs up and placed, by shape. */
   private logFleet(): void {
     const { replica, clock, log } = this.parts;
-    if (clock.now() - this.lastLogged < LOG_EVERY) return;
+    if (clock.now() - this.lastLogged < FLEET_LOG_INTERVAL) return;
     this.lastLogged = clock.now();
     const shapes: Record<string, { machines: number; booting: number; cpus: number; placed: number }> = {};
-    for (const host of replica.ledger.hosts.values()) {
+    for (const host of replica.ledger.machines.values()) {
       const row = (shapes[shapeOf(host.machineType, host.spot)] ??= {
         machines: 0,
         booting: 0,
@@ -350,28 +366,28 @@
       if (host.status === 'new') row.booting++;
       else {
         row.machines++;
-        row.cpus += replica.types.get(host.machineType)?.cpus ?? 0;
+        row.cpus += replica.machineTypes.get(host.machineType)?.cpus ?? 0;
         for (const p of replica.ledger.placementsOn(host.host)) row.placed += p.cpus;
       }
     }
     log.info({ jobs: replica.jobs.size, shapes }, 'fleet');
   }
 
-  private async readTypes(proof: TermProof): Promise<void> {
-    const { cloud, clock, replica, limits, store } = this.parts;
-    this.lastTypes = clock.now();
-    const types = await cloud.machineTypes();
-    if (!types) this.lastTypes = clock.now() - TYPES_EVERY + SECOND;
+  private async refreshMachineTypes(termProof: TermProof): Promise<void> {
+    const { cloud, clock, replica, writeLimits: limits, store } = this.parts;
+    this.machineTypesReadAt = clock.now();
+    const types = await cloud.listMachineTypes();
+    if (!types) this.machineTypesReadAt = clock.now() - MACHINE_TYPE_REFRESH_INTERVAL + SECOND;
     // Read under an earlier term they may be older than what a successor has written.
-    if (!types || !proof.isCurrent()) return;
-    const changed = types.filter((t) => differs(t, replica.types.get(t.name)));
+    if (!types || !termProof.isCurrent()) return;
+    const changed = types.filter((t) => differs(t, replica.machineTypes.get(t.name)));
     const perTxn = limits.txnOps;
     for (let i = 0; i < changed.length; i += perTxn) {
       const writes: Write[] = changed.slice(i, i + perTxn).map((t) => ({
-        set: TYPES + t.name,
+        set: MACHINE_TYPE_PREFIX + t.name,
         value: encodeMachineTypeRow(t),
       }));
-      const result = await store.commit([proof], 'write machine types', [], writes);
+      const result = await store.compareAndSwap([termProof], 'write machine types', [], writes);
       if (isTooLarge(result)) limits.shrink();
     }
   }
--- a/packages/daemon/links.test.ts
+++ b/packages/daemon/links.test.ts
@@ -1,20 +1,30 @@
 import assert from 'node:assert/strict';
 import type { AddressInfo, Socket } from 'node:net';
 import { test } from 'node:test';
-import type { PeerWord } from '#cluster';
+import type { PeerStatus } from '#cluster';
 import { MS } from '#wire';
-import { pingOver, servePings } from './links.js';
+import { createPinger, servePeers } from './links.js';
 
 // The type of a ping and the names of its fields are checked by nothing but the sending of one.
 test('a ping over a real connection tells what the peer knows, and says when there is none', async () => {
-  const word: PeerWord = { token: 7, served: true, referred: { 'node-2': 3 }, memory: null };
-  const server = await servePings('127.0.0.1:0', () => word);
+  const status: PeerStatus = {
+    fencingToken: 7,
+    isStoreReachable: true,
+    redirectedWorkers: { 'node-2': 3 },
+    highWaterMark: null,
+  };
+  const server = await servePeers('127.0.0.1:0', () => status);
   const sockets: Socket[] = [];
   server.on('connection', (socket: Socket) => sockets.push(socket));
   const endpoint = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const ping = pingOver('node-1', () => ({ token: 1, served: false, referred: {}, memory: null }));
+  const ping = createPinger('node-1', () => ({
+    fencingToken: 1,
+    isStoreReachable: false,
+    redirectedWorkers: {},
+    highWaterMark: null,
+  }));
   for (let i = 0; i < 2; i++) {
-    assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'ok', word });
+    assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'ok', word: status });
   }
   assert.equal(sockets.length, 1, 'the connection is not kept');
   server.close();
--- a/packages/daemon/links.ts
+++ b/packages/daemon/links.ts
@@ -3,8 +3,8 @@
  * It only hastens what nodes do: nothing is decided by it.
  */
 import { createServer, type Server, Socket } from 'node:net';
-import type { PeerWord, Ping, PingAnswer, PingResult } from '#cluster';
-import { type Micros, MS, splitAddress } from '#wire';
+import type { PeerStatus, Ping, PingReply, PingResult } from '#cluster';
+import { type Micros, MS, parseEndpoint } from '#wire';
 import { decodePeerMessage, encodePeerMessage, type PeerMessage, PeerMessageSplitter } from './peer-codec.js';
 
 /** Passes every message that comes to `onMessage`; anything else ends the connection. */
@@ -27,14 +27,14 @@
  * Answers the pings of other nodes with this node's status. Resolves once it listens on the address (`host:port`);
  * rejects if it can't.
  */
-export function servePings(address: string, status: () => PeerWord): Promise<Server> {
+export function servePeers(address: string, status: () => PeerStatus): Promise<Server> {
   const server = createServer((socket) => {
     socket.on('error', () => socket.destroy());
     readMessages(socket, ({ sender, sequence }) => {
       socket.write(encodePeerMessage({ sender, sequence, status: status() }));
     });
   });
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseEndpoint(address);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
@@ -46,11 +46,11 @@
 /** A ping that was sent and not answered. */
 interface PendingPing {
   readonly sequence: number;
-  readonly finish: (answer: PingAnswer) => void;
+  readonly finish: (answer: PingReply) => void;
 }
 
 /** One kept connection to a peer, made anew when it has failed. A new ping takes the place of one without an answer. */
-class Link {
+class PeerLink {
   private socket: Socket | null = null;
   private lastSequence = 0;
   private pending: PendingPing | null = null;
@@ -58,13 +58,13 @@
   constructor(
     private readonly endpoint: string,
     private readonly member: string,
-    private readonly status: () => PeerWord,
+    private readonly status: () => PeerStatus,
   ) {}
 
-  ping(timeout: Micros): Promise<PingAnswer> {
+  ping(timeout: Micros): Promise<PingReply> {
     return new Promise((resolve) => {
       const sequence = ++this.lastSequence;
-      const finish = (answer: PingAnswer): void => {
+      const finish = (answer: PingReply): void => {
         if (this.pending?.sequence !== sequence) return;
         this.pending = null;
         clearTimeout(timer);
@@ -93,9 +93,9 @@
     socket.on('error', onLost);
     socket.on('close', onLost);
     readMessages(socket, ({ sequence, status }) => {
-      if (sequence === this.pending?.sequence) this.pending.finish({ result: 'ok', word: status });
+      if (sequence === this.pending?.sequence) this.pending.finish({ result: 'ok', status });
     });
-    socket.connect(splitAddress(this.endpoint));
+    socket.connect(parseEndpoint(this.endpoint));
     return socket;
   }
 
@@ -106,16 +106,16 @@
   }
 }
 
-function failed(result: Exclude<PingResult, 'ok'>): PingAnswer {
-  return { result, word: null };
+function failed(result: Exclude<PingResult, 'ok'>): PingReply {
+  return { result, status: null };
 }
 
 /** Pings peers in the name of this member, over one kept connection for each endpoint. */
-export function pingOver(member: string, status: () => PeerWord): Ping {
-  const links = new Map<string, Link>();
+export function createPinger(member: string, status: () => PeerStatus): Ping {
+  const links = new Map<string, PeerLink>();
   return (endpoint, timeout) => {
     let link = links.get(endpoint);
-    if (!link) links.set(endpoint, (link = new Link(endpoint, member, status)));
+    if (!link) links.set(endpoint, (link = new PeerLink(endpoint, member, status)));
     return link.ping(timeout);
   };
 }
--- a/packages/daemon/main.ts
+++ b/packages/daemon/main.ts
@@ -1,5 +1,5 @@
 /** The daemon as `deploy/service.toml` starts it. */
-import { loadSettings, loadTuning, SettingsError, standardTuning } from '#settings';
+import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
 import { runNode } from './run-node.js';
 
 const USAGE_ERROR = 2;
@@ -24,7 +24,7 @@
 
 try {
   const files = filesFrom(process.argv.slice(2));
-  const tuning = files.operator === null ? standardTuning() : await loadTuning(files.operator);
+  const tuning = files.operator === null ? defaultTuning() : await loadTuning(files.operator);
   await runNode(loadSettings(files.config), tuning);
 } catch (cause) {
   process.stderr.write(`micaworks: ${cause instanceof Error ? cause.message : String(cause)}\n`);
--- a/packages/daemon/peer-codec.ts
+++ b/packages/daemon/peer-codec.ts
@@ -4,7 +4,7 @@
  */
 import { Transform, type TransformCallback } from 'node:stream';
 import avsc from 'avsc';
-import type { PeerMemory, PeerWord } from '#cluster';
+import type { PeerHighWaterMark, PeerStatus } from '#cluster';
 
 /** A message of a node to a peer, and the peer's answer to it. */
 export interface PeerMessage {
@@ -13,7 +13,7 @@
   /** Raised with every message on a connection; an answer repeats it. */
   readonly sequence: number;
   /** What the sender of these bytes tells of itself. */
-  readonly status: PeerWord;
+  readonly status: PeerStatus;
 }
 
 /** Bytes that are not a message of a peer. */
@@ -71,22 +71,22 @@
   const ping: PingRecord = {
     member: sender,
     number: sequence,
-    token: status.token,
-    served: status.served,
-    referred: status.referred,
+    token: status.fencingToken,
+    served: status.isStoreReachable,
+    referred: status.redirectedWorkers,
   };
   const parts = [PING.toBuffer(ping)];
-  if (status.memory !== null) parts.push(encodeMemory(status.memory));
+  if (status.highWaterMark !== null) parts.push(encodeMemory(status.highWaterMark));
   const body = Buffer.concat(parts);
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(body.length);
   return Buffer.concat([length, body]);
 }
 
-function encodeMemory(memory: PeerMemory): Buffer {
+function encodeMemory(memory: PeerHighWaterMark): Buffer {
   const extension: PingExtensionRecord = {
-    epoch: memory.epoch,
-    isContradicted: memory.isContradicted,
+    epoch: memory.revision,
+    isContradicted: memory.isInconsistent,
   };
   return PING_EXTENSION.toBuffer(extension);
 }
@@ -98,18 +98,18 @@
 export function decodePeerMessage(bytes: Buffer): PeerMessage {
   const { value: ping, offset } = PING.decode(bytes, 0) as { value: PingRecord; offset: number };
   if (offset < 0) throw new MalformedPeerMessageError(`cut off after ${bytes.length} bytes`);
-  const status: PeerWord = {
-    token: ping.token,
-    served: ping.served,
-    referred: ping.referred,
-    memory: offset === bytes.length ? null : decodeMemory(bytes.subarray(offset)),
+  const status: PeerStatus = {
+    fencingToken: ping.token,
+    isStoreReachable: ping.served,
+    redirectedWorkers: ping.referred,
+    highWaterMark: offset === bytes.length ? null : decodeMemory(bytes.subarray(offset)),
   };
   return { sender: ping.member, sequence: ping.number, status };
 }
 
-function decodeMemory(bytes: Buffer): PeerMemory {
+function decodeMemory(bytes: Buffer): PeerHighWaterMark {
   const extension = PING_EXTENSION.fromBuffer(bytes) as PingExtensionRecord;
-  return { epoch: extension.epoch, isContradicted: extension.isContradicted };
+  return { revision: extension.epoch, isInconsistent: extension.isContradicted };
 }
 
 /** Cuts a stream of bytes into messages without their lengths. Fails on a message that is too long. */
--- a/packages/daemon/peer-format.test.ts
+++ b/packages/daemon/peer-format.test.ts
@@ -6,20 +6,30 @@
 import { once } from 'node:events';
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import { test, type TestContext } from 'node:test';
-import type { PeerWord, PingAnswer } from '#cluster';
+import type { PeerStatus, PingReply } from '#cluster';
 import { MS, SECOND } from '#wire';
-import { pingOver, servePings } from './links.js';
+import { createPinger, servePeers } from './links.js';
 
-const PLAIN: PeerWord = { token: 7, served: true, referred: { 'node-2': 3 }, memory: null };
-const EMPTY: PeerWord = { token: 0, served: false, referred: {}, memory: null };
-const FULL: PeerWord = {
+const PLAIN: PeerStatus = {
+  fencingToken: 7,
+  isStoreReachable: true,
+  redirectedWorkers: { 'node-2': 3 },
+  highWaterMark: null,
+};
+const EMPTY: PeerStatus = {
+  fencingToken: 0,
+  isStoreReachable: false,
+  redirectedWorkers: {},
+  highWaterMark: null,
+};
+const FULL: PeerStatus = {
   // The highest that fits.
-  token: 9_007_199_254_740_990,
-  served: false,
-  referred: { 'node-2': 300, 'node-3': 0 },
-  memory: { epoch: 431, isContradicted: true },
+  fencingToken: 9_007_199_254_740_990,
+  isStoreReachable: false,
+  redirectedWorkers: { 'node-2': 300, 'node-3': 0 },
+  highWaterMark: { revision: 431, isInconsistent: true },
 };
-const CALM: PeerWord = { ...EMPTY, memory: { epoch: 0, isContradicted: false } };
+const CALM: PeerStatus = { ...EMPTY, highWaterMark: { revision: 0, isInconsistent: false } };
 
 /** Each frame: its length, the sender's name, the number of the message, then what the sender tells. */
 const HEAD = '0c6e6f64652d31' + '02';
@@ -28,7 +38,7 @@
 const FULL_FRAME =
   '00000027' + HEAD + 'fcffffffffffff1f' + '00' + '040c6e6f64652d32d8040c6e6f64652d330000' + 'de06' + '01';
 const CALM_FRAME = '0000000d' + HEAD + '00' + '00' + '00' + '00' + '00';
-const CASES: [PeerWord, string][] = [
+const CASES: [PeerStatus, string][] = [
   [PLAIN, PLAIN_FRAME],
   [EMPTY, EMPTY_FRAME],
   [FULL, FULL_FRAME],
@@ -70,7 +80,7 @@
 test('a node that pings sends these bytes, with its memory behind them where it tells of it', async (t) => {
   for (const [word, frame] of CASES) {
     const { endpoint, came } = await rawPeer(t, EMPTY_FRAME);
-    await pingOver('node-1', () => word)(endpoint, 2 * SECOND);
+    await createPinger('node-1', () => word)(endpoint, 2 * SECOND);
     assert.deepEqual(came, [frame]);
   }
 });
@@ -78,7 +88,7 @@
 test('what a peer tells is read back, without a memory where it sends none, as older versions do', async (t) => {
   for (const [word, frame] of CASES) {
     const { endpoint } = await rawPeer(t, frame);
-    const answer = await pingOver('node-1', () => EMPTY)(endpoint, 2 * SECOND);
+    const answer = await createPinger('node-1', () => EMPTY)(endpoint, 2 * SECOND);
     // What is read may be of a class of its own; what it holds counts.
     assert.deepEqual(structuredClone(answer), { result: 'ok', word });
   }
@@ -87,7 +97,7 @@
 test('a node that is pinged answers under the name and number of the ping with what it tells itself', async (t) => {
   for (const [word, frame] of CASES) {
     for (const asked of [PLAIN_FRAME, FULL_FRAME]) {
-      const server = await servePings('127.0.0.1:0', () => word);
+      const server = await servePeers('127.0.0.1:0', () => word);
       closeAfter(t, server);
       const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
       // In two pieces, as the network may cut it.
@@ -103,8 +113,8 @@
 
 test('the number of a ping grows with each, and an answer to another one is passed over', async (t) => {
   const { endpoint, came } = await rawPeer(t, EMPTY_FRAME);
-  const ping = pingOver('node-1', () => EMPTY);
-  const answers: PingAnswer[] = [];
+  const ping = createPinger('node-1', () => EMPTY);
+  const answers: PingReply[] = [];
   answers.push(await ping(endpoint, 2 * SECOND));
   answers.push(await ping(endpoint, 200 * MS));
   assert.deepEqual(answers, [
@@ -123,7 +133,7 @@
   ];
   for (const bytes of broken) {
     const { endpoint } = await rawPeer(t, bytes);
-    const answer = await pingOver('node-1', () => EMPTY)(endpoint, 2 * SECOND);
+    const answer = await createPinger('node-1', () => EMPTY)(endpoint, 2 * SECOND);
     assert.deepEqual(answer, { result: 'refused', word: null }, bytes);
   }
 });
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -3,12 +3,12 @@
 import { randomBytes } from 'node:crypto';
 import { createApp, listen } from '#api';
 import type { Settings, Tuning } from '#settings';
-import { type Clock, httpCaller, type Micros, MS, SECOND } from '#wire';
+import { type Clock, createHttpClient, type Micros, MS, SECOND } from '#wire';
 import { pino, destination } from 'pino';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { createOperatorApp, listenForOperators, OPERATOR_SOCKETS } from '#operations';
 import { Controller } from './controller.js';
-import { pingOver, servePings } from './links.js';
+import { createPinger, servePeers } from './links.js';
 
 /** A planned stop takes no longer than this. */
 const RETIRE_PATIENCE: Micros = 10 * SECOND;
@@ -59,10 +59,10 @@
 ): Promise<void> {
   const app = createOperatorApp(
     {
-      dutyReport: () => controller.dutyReport(),
-      lossReport: () => controller.lossReport(),
+      dutyReport: () => controller.roleReport(),
+      lossReport: () => controller.dataLossReport(),
       snapshot: () => controller.snapshot(),
-      resign: (duty) => controller.resign(duty),
+      resign: (role) => controller.resignRole(role),
     },
     report,
   );
@@ -83,8 +83,8 @@
     clock: steadyClock(),
     random: uniform(randomBytes(4).readInt32LE()),
     incarnation,
-    call: httpCaller(callers(settings)),
-    ping: pingOver(settings.member, () => controller.word()),
+    httpClient: createHttpClient(callers(settings)),
+    ping: createPinger(settings.member, () => controller.peerStatus()),
     log,
   });
   const report = (cause: unknown): void => {
@@ -93,14 +93,14 @@
   // A fault in one exchange must not end the node: everything it holds can be read again.
   process.on('uncaughtException', report);
   process.on('unhandledRejection', report);
-  await servePings(settings.clusterListen, () => controller.word());
+  await servePeers(settings.clusterListen, () => controller.peerStatus());
   controller.start();
   const app = createApp(
     {
-      submit: (body) => controller.users.submit(body),
-      show: (id) => controller.users.show(id),
-      cancel: (id) => controller.users.cancel(id),
-      report: (body) => controller.report(body),
+      submitJob: (body) => controller.jobService.submitJob(body),
+      getJob: (id) => controller.jobService.getJob(id),
+      cancelJob: (id) => controller.jobService.cancelJob(id),
+      heartbeat: (body) => controller.handleHeartbeat(body),
       health: () => controller.health(),
     },
     report,
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -4,7 +4,15 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, type LiveJob, LOGS, Replica, SHARES, TOKEN_KEY, TYPES } from '#cluster';
+import {
+  JOB_PREFIX,
+  type LiveJob,
+  LOG_PREFIX,
+  Replica,
+  SHARD_PREFIX,
+  FENCING_TOKEN_KEY,
+  MACHINE_TYPE_PREFIX,
+} from '#cluster';
 import { StoreClient } from '#store';
 import {
   SAMPLE_TYPES,
@@ -16,7 +24,7 @@
   SimWorld,
   STATE,
 } from '#testkit';
-import { type Clock, encodeSubmission, type Fields, type JobSpec, MS, RANKS, SECOND } from '#wire';
+import { type Clock, encodeSubmission, type WireFields, type JobSpec, MS, RANKS, SECOND } from '#wire';
 import { JobService } from './job-service.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
@@ -62,7 +70,7 @@
   constructor(rows: Record<string, string>, valueBytes = 4096) {
     this.net.serve(STATE, null, this.store.handler);
     for (const [path, text] of Object.entries(rows)) {
-      this.store.spoil({ Set: path, V: JSON.parse(text) as Fields });
+      this.store.spoil({ Set: path, V: JSON.parse(text) as WireFields });
     }
     const call = this.net.caller('node-0', null, (step) => {
       step();
@@ -80,7 +88,7 @@
 
   async submit(job: JobSpec): Promise<number> {
     let status = 0;
-    void this.users.submit(encodeSubmission(job)).then((answer) => (status = answer.status));
+    void this.users.submitJob(encodeSubmission(job)).then((answer) => (status = answer.status));
     await this.pass();
     return status;
   }
@@ -131,15 +139,15 @@
     'mw/now/job/j-2':
       '{"At":1790000000123,"Job":{"id":"j-2","jobClass":"batch","team":"green","shape":"gang","rank":"best_effort","taskCount":2,"cpus":1,"gpus":1,"memGb":4,"image":"img-1","imageGb":1,"machineTypes":null,"zone":null,"singleZone":false,"spreadZones":true,"allowsSpot":false,"estimateS":10,"checkpointS":0,"saveS":0,"deadlineS":null}}',
   };
-  assert.deepEqual(textsOf(world.store, JOBS), rows);
+  assert.deepEqual(textsOf(world.store, JOB_PREFIX), rows);
 
   const reader = new UserWorld(rows);
   await reader.pass();
   assert.deepEqual<[string, LiveJob][]>(
     [...reader.replica.jobs],
     [
-      ['j-1', { spec: ARRAY_JOB, at: AT, revision: 1 }],
-      ['j-2', { spec: GANG_JOB, at: AT, revision: 2 }],
+      ['j-1', { spec: ARRAY_JOB, acceptedAtMs: AT, acceptedRevision: 1 }],
+      ['j-2', { spec: GANG_JOB, acceptedAtMs: AT, acceptedRevision: 2 }],
     ],
   );
 });
@@ -154,7 +162,7 @@
     'mw/now/job/j-1':
       '{"At":1790000000123,"Job":{"id":"j-1","jobClass":"batch","team":"blue","shape":"array","rank":"prod","taskCount":3,"cpus":2.5,"gpus":0,"memGb":4.25,"image":"img-1","imageGb":1.5,"machineTypes":["large","small"],"zone":"east","singleZone":true,"spreadZones":false,"allowsSpot":true,"estimateS":10.5,"checkpointS":60,"saveS":2,"deadlineS":900}}',
   };
-  assert.deepEqual(textsOf(world.store, JOBS), rows);
+  assert.deepEqual(textsOf(world.store, JOB_PREFIX), rows);
   const reader = new UserWorld(rows);
   await reader.pass();
   assert.deepEqual(reader.replica.jobs.get('j-1')?.spec, { ...ARRAY_JOB, machineTypes: ['large', 'small'] });
@@ -166,7 +174,7 @@
   for (const [i, rank] of RANKS.entries()) {
     assert.equal(await world.submit(sampleJob(`j-${i}`, { rank })), 201);
   }
-  const texts = textsOf(world.store, JOBS);
+  const texts = textsOf(world.store, JOB_PREFIX);
   assert.deepEqual(
     Object.values(texts).map((text) => /"rank":"[a-z_]*"/.exec(text)?.[0]),
     ['"rank":"best_effort"', '"rank":"normal"', '"rank":"urgent"', '"rank":"prod"'],
@@ -184,25 +192,25 @@
   await world.pass();
   assert.equal(await world.submit(ARRAY_JOB), 201);
   let status = 0;
-  void world.users.cancel('j-1').then((answer) => (status = answer.status));
+  void world.users.cancelJob('j-1').then((answer) => (status = answer.status));
   await world.pass();
   assert.equal(status, 200);
-  assert.deepEqual(textsOf(world.store, JOBS), { 'mw/now/job/j-1': '{"Status":"cancelled"}' });
+  assert.deepEqual(textsOf(world.store, JOB_PREFIX), { 'mw/now/job/j-1': '{"Status":"cancelled"}' });
 });
 
 test('rows of shares, of the token and of machine types, as a leader writes them', async () => {
   const world = new SimWorld({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
   await world.run(10 * SECOND);
   const { store } = world;
-  assert.deepEqual(textsOf(store, SHARES), {
+  assert.deepEqual(textsOf(store, SHARD_PREFIX), {
     'mw/now/share/0': '{"Member":"node-0","Nonce":"i1.1","Token":1}',
     'mw/now/share/1': '{"Member":"node-0","Nonce":"i1.1","Token":1}',
   });
-  assert.deepEqual(textsOf(store, TOKEN_KEY), { 'mw/now/token': '{"Token":1}' });
-  assert.deepEqual(textsOf(store, TYPES), TYPE_ROWS);
+  assert.deepEqual(textsOf(store, FENCING_TOKEN_KEY), { 'mw/now/token': '{"Token":1}' });
+  assert.deepEqual(textsOf(store, MACHINE_TYPE_PREFIX), TYPE_ROWS);
   const reader = new UserWorld(TYPE_ROWS);
   await reader.pass();
-  assert.deepEqual([...reader.replica.types.values()].reverse(), SAMPLE_TYPES);
+  assert.deepEqual([...reader.replica.machineTypes.values()].reverse(), SAMPLE_TYPES);
 });
 
 /** Fields of a record in the order in which they are stored. */
@@ -219,15 +227,15 @@
   world.store.afterApply = (writes) => {
     afterApply(writes);
     for (const { Set: path, V: value } of writes) {
-      if (!String(path).startsWith(LOGS)) continue;
-      const record = value as Fields;
+      if (!String(path).startsWith(LOG_PREFIX)) continue;
+      const record = value as WireFields;
       const fields = Object.keys(record);
       assert.deepEqual(
         fields,
         RECORD_FIELDS.filter((field) => fields.includes(field)),
       );
       for (const field of fields) seen.add(field);
-      for (const group of (record['starts'] ?? []) as Fields[]) groups.add(Object.keys(group).join());
+      for (const group of (record['starts'] ?? []) as WireFields[]) groups.add(Object.keys(group).join());
     }
   };
   await world.run(5 * SECOND);
--- a/packages/duties/duties.property.test.ts
+++ b/packages/duties/duties.property.test.ts
@@ -9,19 +9,19 @@
 import type { CommitResult, Guard, Write } from '#store';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
-  type DutyHolder,
-  type DutyName,
-  DutyRegistry,
+  type RoleHolder,
+  type RoleName,
+  RoleRegistry,
   FencedCloud,
   FencedStore,
-  RentalIntent,
+  ScaleOutIntent,
 } from './index.js';
 import type { TermProof } from './term-proof.js';
 
 const NODES = 3;
 const LIFE: Micros = 3 * SECOND;
 const KEY = 'lead';
-const INTENT = { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, number: 1 };
+const INTENT = { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, count: 1 };
 
 interface SentCommit {
   guards: readonly Guard[];
@@ -31,9 +31,9 @@
 }
 
 /** What the stand-in state service holds: the holder of the lead, and the effects that took place. */
-class Service {
+class NodeService {
   epoch = 0;
-  holder: DutyHolder | null = null;
+  holder: RoleHolder | null = null;
   readonly inFlight: SentCommit[] = [];
   readonly effects: number[] = [];
   refusals = 0;
@@ -66,26 +66,26 @@
 
 /** One node of the product: its duties, and what it believes. */
 class Node {
-  believed: DutyHolder | null = null;
+  believed: RoleHolder | null = null;
   kept: TermProof | null = null;
   rentals = 0;
-  readonly registry: DutyRegistry;
+  readonly registry: RoleRegistry;
   readonly store: FencedStore;
   readonly cloud: FencedCloud;
 
   constructor(
     readonly index: number,
-    service: Service,
+    service: NodeService,
     clock: Clock,
   ) {
-    const holders = (): Map<DutyName, DutyHolder> => new Map(this.believed ? [['lead', this.believed]] : []);
+    const holders = (): Map<RoleName, RoleHolder> => new Map(this.believed ? [['lead', this.believed]] : []);
     const isOurs = (nonce: string): boolean => nonce === `process-${index}`;
-    this.registry = new DutyRegistry({
+    this.registry = new RoleRegistry({
       ...{ source: { holders, isOurs }, clock, keyOf: () => KEY, leaseLife: LIFE },
     });
-    const commit = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
+    const compareAndSwap = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
       new Promise((answer) => service.inFlight.push({ guards, term: writes.length, answer }));
-    this.store = new FencedStore({ commit }, this.registry);
+    this.store = new FencedStore({ compareAndSwap }, this.registry);
     const rent = (): Promise<{ kind: 'no_capacity' }> => {
       this.rentals++;
       return Promise.resolve({ kind: 'no_capacity' });
@@ -94,9 +94,9 @@
   }
 
   /** Acts under a proof; the term travels as the number of writes, for the service to note. */
-  act(proof: TermProof): void {
-    const writes = [...Array(proof.term).keys()].map((i): Write => ({ remove: `key-${i}` }));
-    void this.store.commit([proof], 'test', [], writes);
+  act(termProof: TermProof): void {
+    const writes = [...Array(termProof.term).keys()].map((i): Write => ({ remove: `key-${i}` }));
+    void this.store.compareAndSwap([termProof], 'test', [], writes);
   }
 }
 
@@ -107,7 +107,7 @@
 }
 
 interface Real {
-  service: Service;
+  service: NodeService;
   nodes: Node[];
   time: { now: Micros };
 }
@@ -144,7 +144,7 @@
       const facts = model.nodes[index];
       assert.ok(facts);
       facts.renewedAt = model.now;
-      nodes[index]?.registry.renewed(time.now);
+      nodes[index]?.registry.onLeaseRenewed(time.now);
     }),
   (index) =>
     step(`node ${index} resigns`, (model, { nodes }) => {
@@ -161,7 +161,7 @@
       assert.equal(node.kept.isCurrent(), isCurrent);
       node.act(node.kept);
       const before = node.rentals;
-      await node.cloud.rent(node.kept, RentalIntent.fromRecord(INTENT));
+      await node.cloud.requestMachines(node.kept, ScaleOutIntent.fromRecord(INTENT));
       assert.equal(node.rentals > before, isCurrent && !isInDoubt(model, index));
     }),
   (index) =>
@@ -186,12 +186,12 @@
   (index) =>
     step(`node ${index} acts`, (model, { nodes }) => {
       const node = nodes[index];
-      const proof = node?.registry.prove('lead') ?? null;
-      assert.equal(proof !== null, mayAct(model, index));
-      if (!node || !proof) return;
-      assert.equal(proof.term, model.nodes[index]?.term);
-      node.kept ??= proof;
-      node.act(proof);
+      const termProof = node?.registry.proveHeld('lead') ?? null;
+      assert.equal(termProof !== null, mayAct(model, index));
+      if (!node || !termProof) return;
+      assert.equal(termProof.term, model.nodes[index]?.term);
+      node.kept ??= termProof;
+      node.act(termProof);
     }),
   (index) =>
     step(`commit ${index} arrives`, async (_model, { service }) => {
@@ -220,7 +220,7 @@
 async function play(steps: Iterable<Step>, ignoresGuards: boolean): Promise<[number, number]> {
   const time = { now: SECOND };
   const clock: Clock = { now: () => time.now, wall: () => 0, after: () => ({ cancel: () => undefined }) };
-  const service = new Service();
+  const service = new NodeService();
   service.ignoresGuards = ignoresGuards;
   const nodes = [...Array(NODES).keys()].map((index) => new Node(index, service, clock));
   const facts = nodes.map(() => ({ term: null, isOurs: false, isResigning: false, renewedAt: -Infinity }));
--- a/packages/duties/duties.test.ts
+++ b/packages/duties/duties.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ListedMachine } from '#wire';
-import { DutyMachine, formatDutyName, openIntents, parseDutyName, ReturnIntent } from './index.js';
+import { RoleStateMachine, formatRoleName, openIntents, parseRoleName, ScaleInIntent } from './index.js';
 
 const HOLDER = { member: 'node-1', nonce: 'p1', term: 7 };
 
 test('a duty goes through its states by one function for every change', () => {
-  const machine = new DutyMachine(0);
+  const machine = new RoleStateMachine(0);
   const name = (): string => machine.state.name;
   assert.equal(name(), 'vacant');
   machine.acquire(1);
@@ -35,7 +35,7 @@
 });
 
 test('changes that do not fit the present state have no effect', () => {
-  const machine = new DutyMachine(0);
+  const machine = new RoleStateMachine(0);
   machine.suspect(1);
   machine.confirm(2);
   machine.acquisitionFailed(3);
@@ -50,8 +50,8 @@
 });
 
 test('a machine may be deleted only once it is named for return, and released, stopped or gone', () => {
-  const intent = (share: number | null, destination: number | 'return' | null, listing: 'failed' | null) =>
-    ReturnIntent.fromRecord({ host: 'n-1', share, destination }, listing)?.reason ?? null;
+  const intent = (shard: number | null, destination: number | 'return' | null, listing: 'failed' | null) =>
+    ScaleInIntent.fromRecord({ host: 'n-1', shard, destination }, listing)?.reason ?? null;
   assert.equal(intent(0, null, 'failed'), null, 'not named');
   assert.equal(intent(null, 1, null), null, 'on its way to another share');
   assert.equal(intent(0, 'return', null), null, 'not released');
@@ -60,24 +60,27 @@
   const listed = (state: ListedMachine['state']): ListedMachine => ({
     ...{ host: 'n-2', address: '', machineType: 'small', zone: 'east', spot: false, ageS: 1, state },
   });
-  assert.equal(ReturnIntent.fromStoppedMachine(listed('running')), null);
-  assert.equal(ReturnIntent.fromStoppedMachine(listed('failed'))?.host, 'n-2');
+  assert.equal(ScaleInIntent.fromStoppedMachine(listed('running')), null);
+  assert.equal(ScaleInIntent.fromStoppedMachine(listed('failed'))?.host, 'n-2');
 });
 
 test('a successor finds every open intent in the ledger', () => {
-  const rental = { id: 'hire-1', machineType: 'small', zone: 'east', spot: true, number: 2 };
+  const scaleOut = { id: 'hire-1', machineType: 'small', zone: 'east', spot: true, count: 2 };
   const hosts = [
-    { host: 'n-1', share: 0, destination: 'return' as const },
-    { host: 'n-2', share: null, destination: 'return' as const },
-    { host: 'n-3', share: 1, destination: null },
+    { host: 'n-1', shard: 0, destination: 'return' as const },
+    { host: 'n-2', shard: null, destination: 'return' as const },
+    { host: 'n-3', shard: 1, destination: null },
   ];
-  const ledger = { rentals: new Map([[rental.id, rental]]), hosts: new Map(hosts.map((h) => [h.host, h])) };
-  assert.deepEqual(openIntents(ledger), { rentals: ['hire-1'], returns: ['n-1', 'n-2'] });
+  const ledger = {
+    pendingScaleOuts: new Map([[scaleOut.id, scaleOut]]),
+    machines: new Map(hosts.map((h) => [h.host, h])),
+  };
+  assert.deepEqual(openIntents(ledger), { pendingScaleOuts: ['hire-1'], returns: ['n-1', 'n-2'] });
 });
 
 test('names of duties are read as they are written', () => {
-  for (const duty of ['lead', 0, 17] as const) assert.equal(parseDutyName(formatDutyName(duty)), duty);
+  for (const role of ['lead', 0, 17] as const) assert.equal(parseRoleName(formatRoleName(role)), role);
   for (const text of ['', 'leader', 'share/', 'share/-1', 'share/1.5', 'share/x', 'share/12345678']) {
-    assert.equal(parseDutyName(text), null, text);
+    assert.equal(parseRoleName(text), null, text);
   }
 });
--- a/packages/duties/duty-state.ts
+++ b/packages/duties/duty-state.ts
@@ -4,32 +4,32 @@
  * nothing can guard (see docs/duties.md).
  */
 import type { Micros } from '#wire';
-import type { DutyHolder } from './duty.js';
+import type { RoleHolder } from './duty.js';
 
-export type DutyState =
+export type RoleState =
   /** Nobody holds it. */
   | { name: 'vacant'; since: Micros }
   /** This node has asked for it and does not know the outcome yet. */
   | { name: 'acquiring'; since: Micros }
   /** The holder is entitled to act. */
-  | { name: 'held'; since: Micros; holder: DutyHolder; isOurs: boolean }
+  | { name: 'held'; since: Micros; holder: RoleHolder; isOurs: boolean }
   /** This node holds it, as far as it knows, but its lease was not confirmed for so long that it may be over. */
-  | { name: 'suspected'; since: Micros; holder: DutyHolder }
+  | { name: 'suspected'; since: Micros; holder: RoleHolder }
   /** This node held it until it learnt that the term is over; nobody is known to hold it since. */
   | { name: 'lost'; since: Micros; term: number }
   /** This node hands it over on purpose: nothing new is begun, what is under way is waited for. */
-  | { name: 'resigning'; since: Micros; holder: DutyHolder };
+  | { name: 'resigning'; since: Micros; holder: RoleHolder };
 
-export type DutyStateName = DutyState['name'];
+export type RoleStateName = RoleState['name'];
 
-export class DutyMachine {
-  private current: DutyState;
+export class RoleStateMachine {
+  private current: RoleState;
 
   constructor(now: Micros) {
     this.current = { name: 'vacant', since: now };
   }
 
-  get state(): DutyState {
+  get state(): RoleState {
     return this.current;
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** The node's copy of the state names this holder, or none. */
-  observe(holder: DutyHolder | null, isOurs: boolean, now: Micros): void {
+  observe(holder: RoleHolder | null, isOurs: boolean, now: Micros): void {
     const { current } = this;
     if (!holder) this.observeVacancy(now);
     else if (!('holder' in current) || !isSameTerm(current, holder, isOurs)) {
@@ -100,9 +100,9 @@
   }
 }
 
-type HeldState = Extract<DutyState, { holder: DutyHolder }>;
+type HeldState = Extract<RoleState, { holder: RoleHolder }>;
 
-function isSameTerm(state: HeldState, holder: DutyHolder, isOurs: boolean): boolean {
+function isSameTerm(state: HeldState, holder: RoleHolder, isOurs: boolean): boolean {
   const wasOurs = state.name !== 'held' || state.isOurs;
   return state.holder.term === holder.term && state.holder.nonce === holder.nonce && wasOurs === isOurs;
 }
--- a/packages/duties/duty.ts
+++ b/packages/duties/duty.ts
@@ -6,27 +6,27 @@
 import type { Micros } from '#wire';
 
 /** `lead`, or the number of a share. */
-export type DutyName = 'lead' | number;
+export type RoleName = 'lead' | number;
 
 /** Who holds a duty. Its term is the revision of the duty's key: a new one each time that it changes hands. */
-export interface DutyHolder {
+export interface RoleHolder {
   member: string;
   /** Tells one process of a member from another. */
   nonce: string;
   term: number;
 }
 
-const SHARE_PREFIX = 'share/';
+const SHARD_ROLE_PREFIX = 'share/';
 
 /** The name that operators see: `lead` or `share/3`. */
-export function formatDutyName(duty: DutyName): string {
-  return duty === 'lead' ? 'lead' : `${SHARE_PREFIX}${duty}`;
+export function formatRoleName(role: RoleName): string {
+  return role === 'lead' ? 'lead' : `${SHARD_ROLE_PREFIX}${role}`;
 }
 
 /** The duty of this name, or null if there can be none. */
-export function parseDutyName(text: string): DutyName | null {
+export function parseRoleName(text: string): RoleName | null {
   if (text === 'lead') return 'lead';
-  const digits = text.startsWith(SHARE_PREFIX) ? text.slice(SHARE_PREFIX.length) : '';
+  const digits = text.startsWith(SHARD_ROLE_PREFIX) ? text.slice(SHARD_ROLE_PREFIX.length) : '';
   return /^\d{1,6}$/.test(digits) ? Number(digits) : null;
 }
 
--- a/packages/duties/intents.ts
+++ b/packages/duties/intents.ts
@@ -3,34 +3,34 @@
  * the leader's log first, and is final from then on: a machine named for return is never used again by any holder,
  * and the name of a rental is never used twice. Late or repeated, the request then harms nobody.
  */
-import type { ListedMachine, RentalRequest } from '#wire';
+import type { ListedMachine, ScaleOutRequest } from '#wire';
 
 /** What the ledger says of a machine, as far as its return is concerned. */
 export interface MachineRecord {
   host: string;
   /** The share it belongs to; null once its owner has let it go. */
-  share: number | null;
+  shard: number | null;
   destination: number | 'return' | null;
 }
 
 /** What the ledger says of a rental that was named and is not settled yet. */
-export interface RentalRecord {
+export interface ScaleOutRecord {
   id: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  number: number;
+  count: number;
 }
 
 /** A rental that is named in the log. */
-export class RentalIntent {
+export class ScaleOutIntent {
   readonly #recorded = true;
 
-  private constructor(readonly request: RentalRequest) {}
+  private constructor(readonly request: ScaleOutRequest) {}
 
   /** The intent that a record of the ledger stands for. */
-  static fromRecord({ id, machineType, zone, spot, number }: RentalRecord): RentalIntent {
-    return new RentalIntent({ id, machineType, zone, spot, count: number });
+  static fromRecord({ id, machineType, zone, spot, count: number }: ScaleOutRecord): ScaleOutIntent {
+    return new ScaleOutIntent({ id, machineType, zone, spot, count: number });
   }
 
   get isRecorded(): boolean {
@@ -39,27 +39,27 @@
 }
 
 /** Why a machine may be deleted: nobody uses it, and nobody ever will. */
-export type ReturnReason = 'released' | 'failed' | 'not listed';
+export type ScaleInReason = 'released' | 'failed' | 'not listed';
 
 /** A machine that may be deleted, now or at any later time. */
-export class ReturnIntent {
+export class ScaleInIntent {
   readonly #recorded = true;
 
   private constructor(
     readonly host: string,
-    readonly reason: ReturnReason,
+    readonly reason: ScaleInReason,
   ) {}
 
   /** Named for return and let go by its owner, or, once named, known by the cloud's list to have stopped or gone. */
-  static fromRecord(machine: MachineRecord, listing: 'failed' | 'not listed' | null): ReturnIntent | null {
+  static fromRecord(machine: MachineRecord, listing: 'failed' | 'not listed' | null): ScaleInIntent | null {
     if (machine.destination !== 'return') return null;
-    if (machine.share === null) return new ReturnIntent(machine.host, 'released');
-    return listing === null ? null : new ReturnIntent(machine.host, listing);
+    if (machine.shard === null) return new ScaleInIntent(machine.host, 'released');
+    return listing === null ? null : new ScaleInIntent(machine.host, listing);
   }
 
   /** In no record, and stopped by itself: the cloud never starts such a machine again. */
-  static fromStoppedMachine({ host, state }: ListedMachine): ReturnIntent | null {
-    return state === 'failed' ? new ReturnIntent(host, 'failed') : null;
+  static fromStoppedMachine({ host, state }: ListedMachine): ScaleInIntent | null {
+    return state === 'failed' ? new ScaleInIntent(host, 'failed') : null;
   }
 
   get isRecorded(): boolean {
@@ -69,8 +69,8 @@
 
 /** Where the open intents are found: the placement ledger. */
 export interface IntentLedger {
-  rentals: ReadonlyMap<string, RentalRecord>;
-  hosts: ReadonlyMap<string, MachineRecord>;
+  pendingScaleOuts: ReadonlyMap<string, ScaleOutRecord>;
+  machines: ReadonlyMap<string, MachineRecord>;
 }
 
 /** What was named and is not known to be carried out: a successor finds all of it here, and finishes it. */
@@ -81,6 +81,7 @@
 
 export function openIntents(ledger: IntentLedger): OpenIntents {
   const returns: string[] = [];
-  for (const { host, destination } of ledger.hosts.values()) if (destination === 'return') returns.push(host);
-  return { rentals: [...ledger.rentals.keys()], returns };
+  for (const { host, destination } of ledger.machines.values())
+    if (destination === 'return') returns.push(host);
+  return { rentals: [...ledger.pendingScaleOuts.keys()], returns };
 }
--- a/packages/duties/report.ts
+++ b/packages/duties/report.ts
@@ -1,9 +1,9 @@
 /** What a node knows of its cluster's duties, for operators. It proves nothing: see {@link DutyMachine}. */
 import { type Micros, SECOND } from '#wire';
-import { type DutyName, formatDutyName } from './duty.js';
-import type { DutyStateName } from './duty-state.js';
+import { type RoleName, formatRoleName } from './duty.js';
+import type { RoleStateName } from './duty-state.js';
 import { type IntentLedger, openIntents, type OpenIntents } from './intents.js';
-import type { DutyRegistry } from './registry.js';
+import type { RoleRegistry } from './registry.js';
 
 export interface RefusalReport {
   action: string;
@@ -13,9 +13,9 @@
   ageS: number;
 }
 
-export interface DutyReport {
+export interface RoleReport {
   duty: string;
-  state: DutyStateName;
+  state: RoleStateName;
   /** Member that holds it, as far as this node knows. */
   holder: string | null;
   term: number | null;
@@ -29,29 +29,29 @@
 }
 
 /** Every duty that this node knows of, at this steady time. */
-export function reportDuties(registry: DutyRegistry, ledger: IntentLedger, now: Micros): DutyReport[] {
+export function reportRoles(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleReport[] {
   registry.refresh();
-  return registry.known().map((duty) => reportDuty(registry, duty, ledger, now));
+  return registry.knownRoles().map((role) => reportRole(registry, role, ledger, now));
 }
 
-function reportDuty(registry: DutyRegistry, duty: DutyName, ledger: IntentLedger, now: Micros): DutyReport {
-  const state = registry.state(duty);
+function reportRole(registry: RoleRegistry, role: RoleName, ledger: IntentLedger, now: Micros): RoleReport {
+  const state = registry.state(role);
   const holder = 'holder' in state ? state.holder : null;
   const isOurs = state.name === 'held' ? state.isOurs : holder !== null;
   return {
-    duty: formatDutyName(duty),
+    duty: formatRoleName(role),
     state: state.name,
     holder: holder?.member ?? null,
     term: holder?.term ?? (state.name === 'lost' ? state.term : null),
     sinceS: inSeconds(now - state.since),
-    leaseLeftS: isOurs ? inSeconds(registry.leaseLeft()) : null,
-    openIntents: duty === 'lead' ? openIntents(ledger) : null,
-    lastRefused: reportRefusal(registry, duty, now),
+    leaseLeftS: isOurs ? inSeconds(registry.remainingLease()) : null,
+    openIntents: role === 'lead' ? openIntents(ledger) : null,
+    lastRefused: reportRefusal(registry, role, now),
   };
 }
 
-function reportRefusal(registry: DutyRegistry, duty: DutyName, now: Micros): RefusalReport | null {
-  const refusal = registry.lastRefusal(duty);
+function reportRefusal(registry: RoleRegistry, role: RoleName, now: Micros): RefusalReport | null {
+  const refusal = registry.lastRefusal(role);
   if (!refusal) return null;
   const { action, reason, term, at } = refusal;
   return { action, reason, term, ageS: inSeconds(now - at) };
--- a/packages/duties/term-proof.ts
+++ b/packages/duties/term-proof.ts
@@ -1,6 +1,6 @@
 /** The right to act under one term of a duty. Only the {@link DutyRegistry} gives it out. */
 import type { Guard } from '#store';
-import type { DutyName } from './duty.js';
+import type { RoleName } from './duty.js';
 
 /**
  * Every action of a duty takes one, so that the type checker finds a call that is not bound to a term. It stays bound
@@ -11,7 +11,7 @@
   readonly #issued = true;
 
   constructor(
-    readonly duty: DutyName,
+    readonly role: RoleName,
     readonly term: number,
     private readonly key: string,
     private readonly actingTerm: () => number | null,
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CloudClient } from '#cloud';
-import { type HostRow, Ledger } from '#cluster';
-import { DutyRegistry, FencedCloud } from '#duties';
+import { type MachineRow, Ledger } from '#cluster';
+import { RoleRegistry, FencedCloud } from '#duties';
 import { SimClock } from '#testkit';
 import { type ListedMachine, type Micros, SECOND } from '#wire';
 import { FleetManager } from './fleet-manager.js';
@@ -25,8 +25,8 @@
     const clock = this.clock.view((step) => step(), 0, 0);
     const holder = { member: 'node-0', nonce: 'ours', term: 1 };
     const source = { holders: () => new Map([['lead' as const, holder]]), isOurs: () => true };
-    const registry = new DutyRegistry({ source, clock, keyOf: () => 'lead', leaseLife: 3600 * SECOND });
-    registry.renewed(clock.now());
+    const registry = new RoleRegistry({ source, clock, keyOf: () => 'lead', leaseLife: 3600 * SECOND });
+    registry.onLeaseRenewed(clock.now());
     const cloud = {
       machines: () => Promise.resolve(this.listed),
       delete: (hosts: string[]) => {
@@ -35,15 +35,20 @@
       },
     } as unknown as CloudClient;
     const facts = {
-      ...{ ledger: this.ledger, types: new Map(), lease: 3600 * SECOND, listLag: LIST_LAG },
-      ...{ shareFor: () => 0, isStandby: () => false, isCut: () => false },
+      ...{
+        ledger: this.ledger,
+        machineTypes: new Map(),
+        workerLease: 3600 * SECOND,
+        machineListLag: LIST_LAG,
+      },
+      ...{ shardForZone: () => 0, isInWarmPool: () => false, isPartitioned: () => false },
     };
     this.manager = new FleetManager(
       ...([new FencedCloud(cloud, registry), clock, () => facts, SILENT, () => undefined] as const),
     );
-    const proof = registry.prove('lead');
-    assert.ok(proof);
-    this.manager.begin(proof);
+    const termProof = registry.proveHeld('lead');
+    assert.ok(termProof);
+    this.manager.beginTerm(termProof);
   }
 
   /** Plays steps for so long, and records what the manager wants recorded. */
@@ -53,18 +58,18 @@
       await this.clock.run(this.clock.time + SECOND, () => undefined);
       const draft = this.manager.draft();
       if (!Object.values(draft).some((rows) => Array.isArray(rows) && rows.length > 0)) continue;
-      this.ledger.apply('lead', { ...draft, sequence: ++this.records, at: 0 });
-      this.manager.landed(draft);
+      this.ledger.apply('lead', { ...draft, sequence: ++this.records, recordedAtMs: 0 });
+      this.manager.onRecordCommitted(draft);
     }
   }
 
   rent(host: string): void {
-    const row: HostRow = [host, 'small', 'east', false, 0, 0];
-    this.ledger.apply('lead', { sequence: ++this.records, at: 0, machines: [row] });
+    const row: MachineRow = [host, 'small', 'east', false, 0, 0];
+    this.ledger.apply('lead', { sequence: ++this.records, recordedAtMs: 0, machines: [row] });
   }
 
   destination(host: string): unknown {
-    return this.ledger.hosts.get(host)?.destination;
+    return this.ledger.machines.get(host)?.destination;
   }
 }
 
@@ -87,7 +92,7 @@
   const fleet = new Fleet();
   fleet.rent('n-1');
   await fleet.play(LONG_LISTED + 10 * SECOND);
-  assert.equal(fleet.ledger.hosts.has('n-1'), false);
+  assert.equal(fleet.ledger.machines.has('n-1'), false);
   assert.deepEqual(fleet.deleted, ['n-1'], 'deleted once');
 });
 
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -1,47 +1,49 @@
 import type { Destination, MachineEntry, Ledger, Logger, RecordDraft } from '#cluster';
-import { MAX_DELETE, MAX_RENT } from '#cloud';
-import { type FencedCloud, RentalIntent, ReturnIntent, type TermProof } from '#duties';
+import { MAX_MACHINES_PER_DELETE, MAX_MACHINES_PER_REQUEST } from '#cloud';
+import { type FencedCloud, ScaleOutIntent, ScaleInIntent, type TermProof } from '#duties';
 import { type Clock, fromSeconds, type MachineType, type Micros, MS, SECOND } from '#wire';
 import { MachineList } from './machine-list.js';
 import {
-  amountsOf,
-  type Coming,
-  type NeedRow,
+  resourcesOf,
+  type PendingCapacity,
+  type UnmetDemand,
   type Offer,
   offerKey,
-  planRentals,
-  planReturns,
+  planScaleOut,
+  planScaleIn,
 } from './planner.js';
 
-export interface FleetFacts {
+export interface FleetState {
   ledger: Ledger;
-  types: ReadonlyMap<string, MachineType>;
-  lease: Micros;
-  listLag: Micros;
+  machineTypes: ReadonlyMap<string, MachineType>;
+  workerLease: Micros;
+  machineListLag: Micros;
   /** The share that a machine found in this zone should belong to. */
-  shareFor: (zone: string) => number;
+  shardForZone: (zone: string) => number;
   /** Workers in this zone may be up and unheard. */
-  isCut: (zone: string) => boolean;
+  isPartitioned: (zone: string) => boolean;
   /** The machine is held ready for jobs that can't wait for one to boot. */
-  isStandby: (host: string) => boolean;
+  isInWarmPool: (host: string) => boolean;
 }
 
 /** What the leader knows to be wanted by the owner of a share. */
-export interface ShareNeeds {
-  share: number;
-  needs: readonly NeedRow[];
+export interface ShardDemand {
+  shard: number;
+  unmetDemand: readonly UnmetDemand[];
   /** Room that its running tasks are about to leave. */
-  soon: readonly Coming[];
+  pendingCapacity: readonly PendingCapacity[];
   reaches: (zone: string) => boolean;
 }
 
-const HIRE_RETRY: Micros = 2 * SECOND;
-const HIRE_PATIENCE: Micros = 20 * SECOND;
-const REFUSAL: Micros = 10 * SECOND;
-const MOST_REFUSAL: Micros = 40 * SECOND;
-const GONE_KEPT: Micros = 120 * SECOND;
+const SCALE_OUT_RETRY: Micros = 2 * SECOND;
+const SCALE_OUT_TIMEOUT: Micros = 20 * SECOND;
+const INITIAL_BACKOFF: Micros = 10 * SECOND;
+const MAX_BACKOFF: Micros = 40 * SECOND;
+const DELETED_MACHINE_RETENTION: Micros = 120 * SECOND;
 
-type Pending = Required<Pick<RecordDraft, 'machines' | 'removed' | 'rentals' | 'settledRentals' | 'moves'>>;
+type Pending = Required<
+  Pick<RecordDraft, 'machines' | 'removed' | 'scaleOuts' | 'settledScaleOuts' | 'transferTargets'>
+>;
 
 /**
  * Rents and returns machines for the leader. What it wants written into the leader's log it gathers in
@@ -51,46 +53,53 @@
  */
 export class FleetManager {
   private pending: Pending = empty();
-  private readonly asking = new Map<string, Micros>();
-  private readonly refusals = new Map<string, { until: Micros; pause: Micros }>();
-  private readonly gone = new Map<string, Micros>();
+  private readonly nextRequestAt = new Map<string, Micros>();
+  private readonly capacityBackoff = new Map<string, { until: Micros; pause: Micros }>();
+  private readonly recentlyDeleted = new Map<string, Micros>();
   private readonly idleSince = new Map<string, Micros>();
-  private readonly list: MachineList;
+  private readonly machineList: MachineList;
   private deleting = false;
-  private rentals = 0;
-  private since: Micros = 0;
+  private scaleOutCount = 0;
+  private termStartedAt: Micros = 0;
   /** The term of the lead under which everything is asked. */
   private proof: TermProof | null = null;
 
   constructor(
     private readonly cloud: FencedCloud,
     private readonly clock: Clock,
-    private readonly facts: () => FleetFacts,
+    private readonly state: () => FleetState,
     private readonly log: Logger,
-    private readonly wake: () => void,
+    private readonly requestRound: () => void,
   ) {
-    this.list = new MachineList(cloud, clock, () => facts().listLag);
+    this.machineList = new MachineList(cloud, clock, () => state().machineListLag);
   }
 
   /** A new term starts from what the log says. */
-  begin(proof: TermProof): void {
-    this.proof = proof;
+  beginTerm(termProof: TermProof): void {
+    this.proof = termProof;
     this.pending = empty();
-    for (const map of [this.asking, this.refusals, this.gone, this.idleSince]) map.clear();
-    this.list.begin();
-    this.since = this.clock.now();
+    for (const map of [this.nextRequestAt, this.capacityBackoff, this.recentlyDeleted, this.idleSince])
+      map.clear();
+    this.machineList.beginTerm();
+    this.termStartedAt = this.clock.now();
   }
 
-  /** What is to go into the next record; it stays pending until {@link landed} is told of it. */
+  /** What is to go into the next record; it stays pending until {@link onRecordCommitted} is told of it. */
   draft(): RecordDraft {
     this.dropRecorded();
-    const { machines, removed, rentals, settledRentals, moves } = this.pending;
+    const {
+      machines,
+      removed,
+      scaleOuts,
+      settledScaleOuts: settledRentals,
+      transferTargets: moves,
+    } = this.pending;
     return {
       machines: [...machines],
       removed: [...removed],
-      rentals: [...rentals],
-      settledRentals: [...settledRentals],
-      moves: [...moves],
+      scaleOuts: [...scaleOuts],
+      settledScaleOuts: [...settledRentals],
+      transferTargets: [...moves],
     };
   }
 
@@ -99,199 +108,207 @@
    * of a rental that is settled in between would be used twice.
    */
   private dropRecorded(): void {
-    const { ledger } = this.facts();
+    const { ledger } = this.state();
     const { pending } = this;
-    pending.rentals = pending.rentals.filter(([id]) => !ledger.rentals.has(id));
-    pending.settledRentals = pending.settledRentals.filter((id) => ledger.rentals.has(id));
-    pending.machines = pending.machines.filter(([host]) => !ledger.hosts.has(host));
-    pending.removed = pending.removed.filter((host) => ledger.hosts.has(host));
+    pending.scaleOuts = pending.scaleOuts.filter(([id]) => !ledger.pendingScaleOuts.has(id));
+    pending.settledScaleOuts = pending.settledScaleOuts.filter((id) => ledger.pendingScaleOuts.has(id));
+    pending.machines = pending.machines.filter(([host]) => !ledger.machines.has(host));
+    pending.removed = pending.removed.filter((host) => ledger.machines.has(host));
   }
 
-  landed(draft: RecordDraft): void {
+  onRecordCommitted(draft: RecordDraft): void {
     const p = this.pending;
     p.machines = p.machines.filter((r) => !draft.machines?.includes(r));
     p.removed = p.removed.filter((r) => !draft.removed?.includes(r));
-    p.rentals = p.rentals.filter((r) => !draft.rentals?.includes(r));
-    p.settledRentals = p.settledRentals.filter((r) => !draft.settledRentals?.includes(r));
-    p.moves = p.moves.filter((r) => !draft.moves?.includes(r));
+    p.scaleOuts = p.scaleOuts.filter((r) => !draft.scaleOuts?.includes(r));
+    p.settledScaleOuts = p.settledScaleOuts.filter((r) => !draft.settledScaleOuts?.includes(r));
+    p.transferTargets = p.transferTargets.filter((r) => !draft.transferTargets?.includes(r));
   }
 
-  move(host: string, to: Destination, why: string): void {
-    const entry = this.facts().ledger.hosts.get(host);
+  setTransferTarget(host: string, to: Destination, why: string): void {
+    const entry = this.state().ledger.machines.get(host);
     if (!entry || entry.destination === to || entry.destination === 'return') return;
-    if (this.pending.moves.some(([other]) => other === host)) return;
-    this.pending.moves.push([host, to]);
-    this.log.debug({ host, from: entry.share, to, why }, 'move');
+    if (this.pending.transferTargets.some(([other]) => other === host)) return;
+    this.pending.transferTargets.push([host, to]);
+    this.log.debug({ host, from: entry.shard, to, why }, 'move');
   }
 
   /** One step: rents for the given needs, returns what idles, and talks to the cloud. */
-  step(shares: readonly ShareNeeds[]): void {
-    const { proof } = this;
-    if (!proof) return;
-    const { ledger } = this.facts();
-    this.list.noteMachines(ledger);
-    for (const share of shares) this.rent(share, proof);
-    for (const rental of ledger.rentals.keys()) void this.ask(rental, proof);
-    void this.adoptListed(proof);
-    this.sendBack(shares.some((s) => s.needs.length > 0));
-    this.giveUp();
-    void this.deleteReturned(proof);
-    if (isFilled(this.pending)) this.wake();
+  step(shards: readonly ShardDemand[]): void {
+    const { proof: termProof } = this;
+    if (!termProof) return;
+    const { ledger } = this.state();
+    this.machineList.noteMachines(ledger);
+    for (const shard of shards) this.planShardScaleOut(shard, termProof);
+    for (const scaleOut of ledger.pendingScaleOuts.keys()) void this.sendScaleOut(scaleOut, termProof);
+    void this.adoptListed(termProof);
+    this.scaleInIdle(shards.some((s) => s.unmetDemand.length > 0));
+    this.scaleInUnusable();
+    void this.deleteScaledIn(termProof);
+    if (isFilled(this.pending)) this.requestRound();
   }
 
   private age(host: MachineEntry): Micros {
-    return Math.max(0, this.clock.wall() - host.since * MS);
+    return Math.max(0, this.clock.wall() - host.acquiredAtMs * MS);
   }
 
   private isBooting(host: MachineEntry): boolean {
-    const boot = fromSeconds(this.facts().types.get(host.machineType)?.bootS ?? 60);
+    const boot = fromSeconds(this.state().machineTypes.get(host.machineType)?.bootS ?? 60);
     return host.status === 'new' && this.age(host) <= boot * 2.2 + 5 * SECOND;
   }
 
-  private rent({ share, needs, soon, reaches }: ShareNeeds, { term }: TermProof): void {
-    const { ledger, types } = this.facts();
+  private planShardScaleOut(
+    { shard, unmetDemand: needs, pendingCapacity: soon, reaches }: ShardDemand,
+    { term }: TermProof,
+  ): void {
+    const { ledger, machineTypes: types } = this.state();
     if (needs.length === 0) return;
-    const coming: Coming[] = [...soon];
+    const coming: PendingCapacity[] = [...soon];
     const machinesPerZone = new Map<string, number>();
-    for (const host of ledger.hosts.values()) {
+    for (const host of ledger.machines.values()) {
       machinesPerZone.set(host.zone, (machinesPerZone.get(host.zone) ?? 0) + 1);
       const type = types.get(host.machineType);
-      if (type && host.share === share && this.isBooting(host))
-        coming.push({ ...host, room: amountsOf(type) });
+      if (type && host.shard === shard && this.isBooting(host))
+        coming.push({ ...host, free: resourcesOf(type) });
     }
-    const asked = [...ledger.rentals.values()].map((h) => ({ ...h }));
-    for (const [, machineType, zone, spot, number, to] of this.pending.rentals) {
-      asked.push({ id: '', machineType, zone, spot, number, share: to, at: 0 });
+    const asked = [...ledger.pendingScaleOuts.values()].map((h) => ({ ...h }));
+    for (const [, machineType, zone, spot, number, to] of this.pending.scaleOuts) {
+      asked.push({ id: '', machineType, zone, spot, count: number, shard: to, requestedAtMs: 0 });
     }
-    for (const { machineType, zone, spot, number, share: to } of asked) {
+    for (const { machineType, zone, spot, count: number, shard: to } of asked) {
       const type = types.get(machineType);
-      for (let i = 0; type && to === share && i < number; i++) {
-        coming.push({ machineType, zone, spot, room: amountsOf(type) });
+      for (let i = 0; type && to === shard && i < number; i++) {
+        coming.push({ machineType, zone, spot, free: resourcesOf(type) });
       }
     }
-    const plans = planRentals({
+    const plans = planScaleOut({
       types: [...types.values()],
-      needs,
-      coming,
+      unmetDemand: needs,
+      pendingCapacity: coming,
       machinesPerZone,
-      refused: (offer) => this.isRefused(offer) || !reaches(offer.zone),
+      isBackedOff: (offer) => this.isBackedOff(offer) || !reaches(offer.zone),
     });
-    for (const { machineType, zone, spot, number: wanted } of plans) {
+    for (const { machineType, zone, spot, count: wanted } of plans) {
       // A request takes only so many; going on with a dearer kind instead would cost money every hour.
-      for (let left = wanted; left > 0; left -= MAX_RENT) {
-        const number = Math.min(left, MAX_RENT);
+      for (let left = wanted; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
+        const number = Math.min(left, MAX_MACHINES_PER_REQUEST);
         // Unique by the term, which no other holder has, and the count of this process; the time is for readers.
-        const rental = `hire-${Math.floor(this.clock.wall() / SECOND)}-${term}-${++this.rentals}`;
-        this.pending.rentals.push([rental, machineType, zone, spot, number, share]);
-        this.log.info({ hire: rental, machineType, zone, spot, number, share }, 'renting');
+        const scaleOut = `hire-${Math.floor(this.clock.wall() / SECOND)}-${term}-${++this.scaleOutCount}`;
+        this.pending.scaleOuts.push([scaleOut, machineType, zone, spot, number, shard]);
+        this.log.info({ hire: scaleOut, machineType, zone, spot, number, share: shard }, 'renting');
       }
     }
   }
 
-  private isRefused(offer: Offer): boolean {
-    const refusal = this.refusals.get(offerKey(offer));
+  private isBackedOff(offer: Offer): boolean {
+    const refusal = this.capacityBackoff.get(offerKey(offer));
     return refusal !== undefined && refusal.until > this.clock.now();
   }
 
-  private refuse(offer: Offer): void {
+  private backOff(offer: Offer): void {
     const key = offerKey(offer);
-    const pause = Math.min(MOST_REFUSAL, (this.refusals.get(key)?.pause ?? REFUSAL / 2) * 2);
-    this.refusals.set(key, { until: this.clock.now() + pause, pause });
+    const pause = Math.min(MAX_BACKOFF, (this.capacityBackoff.get(key)?.pause ?? INITIAL_BACKOFF / 2) * 2);
+    this.capacityBackoff.set(key, { until: this.clock.now() + pause, pause });
   }
 
-  private async ask(name: string, proof: TermProof): Promise<void> {
-    const rental = this.facts().ledger.rentals.get(name);
+  private async sendScaleOut(name: string, termProof: TermProof): Promise<void> {
+    const scaleOut = this.state().ledger.pendingScaleOuts.get(name);
     const now = this.clock.now();
-    if (!rental || (this.asking.get(name) ?? -Infinity) > now || this.pending.settledRentals.includes(name))
+    if (
+      !scaleOut ||
+      (this.nextRequestAt.get(name) ?? -Infinity) > now ||
+      this.pending.settledScaleOuts.includes(name)
+    )
       return;
-    this.asking.set(name, now + HIRE_RETRY + 5 * SECOND);
-    const { number } = rental;
-    const result = await this.cloud.rent(proof, RentalIntent.fromRecord(rental));
-    if (result.kind === 'superseded' || this.facts().ledger.rentals.get(name) === undefined) return;
-    this.asking.set(name, this.clock.now() + HIRE_RETRY);
+    this.nextRequestAt.set(name, now + SCALE_OUT_RETRY + 5 * SECOND);
+    const { count: number } = scaleOut;
+    const result = await this.cloud.requestMachines(termProof, ScaleOutIntent.fromRecord(scaleOut));
+    if (result.kind === 'superseded' || this.state().ledger.pendingScaleOuts.get(name) === undefined) return;
+    this.nextRequestAt.set(name, this.clock.now() + SCALE_OUT_RETRY);
     if (result.kind === 'rented') {
-      for (const host of result.hosts) this.adopt(host, rental, rental.share, 0);
-      if (result.hosts.length < number) this.refuse(rental);
-      else this.refusals.delete(offerKey(rental));
+      for (const host of result.hosts) this.adopt(host, scaleOut, scaleOut.shard, 0);
+      if (result.hosts.length < number) this.backOff(scaleOut);
+      else this.capacityBackoff.delete(offerKey(scaleOut));
     } else if (result.kind === 'no_capacity') {
-      this.refuse(rental);
-    } else if (this.clock.wall() - rental.at * MS < HIRE_PATIENCE) {
+      this.backOff(scaleOut);
+    } else if (this.clock.wall() - scaleOut.requestedAtMs * MS < SCALE_OUT_TIMEOUT) {
       return;
     }
     // An answer that never came may still have rented machines: the list shows them, and they are adopted.
-    this.pending.settledRentals.push(name);
-    this.asking.delete(name);
+    this.pending.settledScaleOuts.push(name);
+    this.nextRequestAt.delete(name);
     this.log.info({ hire: name, result }, 'rental answered');
-    this.wake();
+    this.requestRound();
   }
 
-  private adopt(host: string, { machineType, zone, spot }: Offer, share: number, ageS: number): void {
-    if (!this.isUnknown(host)) return;
+  private adopt(host: string, { machineType, zone, spot }: Offer, shard: number, ageS: number): void {
+    if (!this.isUnknownMachine(host)) return;
     const since = Math.floor(this.clock.wall() / MS - ageS * 1000);
-    this.pending.machines.push([host, machineType, zone, spot, since, share]);
+    this.pending.machines.push([host, machineType, zone, spot, since, shard]);
   }
 
-  private isUnknown(host: string): boolean {
-    if (this.facts().ledger.hosts.has(host) || this.gone.has(host)) return false;
+  private isUnknownMachine(host: string): boolean {
+    if (this.state().ledger.machines.has(host) || this.recentlyDeleted.has(host)) return false;
     return !this.pending.machines.some(([other]) => other === host);
   }
 
   /** Machines that the list shows and no record knows come into a share. */
-  private async adoptListed(proof: TermProof): Promise<void> {
-    const rows = await this.list.refresh(proof, this.facts().ledger);
+  private async adoptListed(termProof: TermProof): Promise<void> {
+    const rows = await this.machineList.refresh(termProof, this.state().ledger);
     if (!rows) return;
-    const { shareFor } = this.facts();
+    const { shardForZone: shareFor } = this.state();
     for (const { host, machineType, zone, spot, ageS } of rows) {
-      const isOpen = !this.list.stopped.has(host) && this.isUnknown(host);
+      const isOpen = !this.machineList.stoppedMachines.has(host) && this.isUnknownMachine(host);
       if (isOpen) this.adopt(host, { machineType, zone, spot }, shareFor(zone), ageS);
     }
     const now = this.clock.now();
-    for (const [host, until] of this.gone) if (until < now) this.gone.delete(host);
+    for (const [host, until] of this.recentlyDeleted) if (until < now) this.recentlyDeleted.delete(host);
   }
 
   /** Machines that idle, were called back or fail their tasks go home, each once its owner has let it go. */
-  private sendBack(short: boolean): void {
-    const { ledger } = this.facts();
+  private scaleInIdle(short: boolean): void {
+    const { ledger } = this.state();
     const now = this.clock.now();
     const idle = [];
-    for (const host of ledger.hosts.values()) {
-      const isEmpty = !ledger.onHost.has(host.host);
+    for (const host of ledger.machines.values()) {
+      const isEmpty = !ledger.placementsByHost.has(host.host);
       if (!isEmpty || host.status !== 'up') this.idleSince.delete(host.host);
       if (!isEmpty) continue;
-      if (host.status === 'recalled' || host.status === 'faulty') this.move(host.host, 'return', host.status);
+      if (host.status === 'recalled' || host.status === 'faulty')
+        this.setTransferTarget(host.host, 'return', host.status);
       if (host.status !== 'up') continue;
       const since = this.idleSince.get(host.host) ?? now;
       this.idleSince.set(host.host, since);
-      if (!short && !this.facts().isStandby(host.host))
-        idle.push({ host: host.host, idle: now - since, age: this.age(host), spot: host.spot });
+      if (!short && !this.state().isInWarmPool(host.host))
+        idle.push({ host: host.host, idleFor: now - since, age: this.age(host), spot: host.spot });
     }
     const keep = { ordinary: 15 * SECOND, spot: 40 * SECOND, least: 55 * SECOND };
-    for (const host of planReturns(idle, keep)) this.move(host, 'return', 'idle');
+    for (const host of planScaleIn(idle, keep)) this.setTransferTarget(host, 'return', 'idle');
   }
 
   /** Machines that are of no more use are named for return: from then on nobody can use them again. */
-  private giveUp(): void {
-    for (const host of this.facts().ledger.hosts.values()) {
-      const why = host.destination === 'return' ? null : this.reasonToGiveUp(host);
-      if (why !== null) this.move(host.host, 'return', why);
+  private scaleInUnusable(): void {
+    for (const host of this.state().ledger.machines.values()) {
+      const why = host.destination === 'return' ? null : this.unusableReason(host);
+      if (why !== null) this.setTransferTarget(host.host, 'return', why);
     }
   }
 
-  private reasonToGiveUp(host: MachineEntry): string | null {
+  private unusableReason(host: MachineEntry): string | null {
     if (host.status === 'lost') return 'lost';
-    const listing = this.list.verdict(host);
+    const listing = this.machineList.missingReason(host);
     if (listing !== null) return listing;
-    const { lease, isCut } = this.facts();
+    const { workerLease: lease, isPartitioned: isCut } = this.state();
     // A worker may have come up while its owner could not be reached: a new leader gives it time.
-    const patient = this.clock.now() - this.since < lease || isCut(host.zone);
+    const patient = this.clock.now() - this.termStartedAt < lease || isCut(host.zone);
     return host.status === 'new' && !this.isBooting(host) && !patient ? 'late' : null;
   }
 
-  private returnIntents(): Map<string, ReturnIntent> {
-    const intents = new Map(this.list.stopped);
-    for (const host of this.facts().ledger.hosts.values()) {
+  private scaleInIntents(): Map<string, ScaleInIntent> {
+    const intents = new Map(this.machineList.stoppedMachines);
+    for (const host of this.state().ledger.machines.values()) {
       if (this.pending.removed.includes(host.host)) continue;
-      const intent = ReturnIntent.fromRecord(host, this.list.verdict(host));
+      const intent = ScaleInIntent.fromRecord(host, this.machineList.missingReason(host));
       if (intent) intents.set(host.host, intent);
     }
     return intents;
@@ -302,30 +319,30 @@
    * seconds away, and tasks on machines that are gone start elsewhere only once the deletion is answered.
    */
   deleteNamed(): void {
-    if (this.proof) void this.deleteReturned(this.proof);
+    if (this.proof) void this.deleteScaledIn(this.proof);
   }
 
-  private async deleteReturned(proof: TermProof): Promise<void> {
+  private async deleteScaledIn(termProof: TermProof): Promise<void> {
     if (this.deleting) return;
-    const intents = [...this.returnIntents().values()].slice(0, MAX_DELETE);
+    const intents = [...this.scaleInIntents().values()].slice(0, MAX_MACHINES_PER_DELETE);
     if (intents.length === 0) return;
     this.deleting = true;
-    const isGone = await this.cloud.delete(proof, intents);
+    const isGone = await this.cloud.deleteMachines(termProof, intents);
     this.deleting = false;
     if (!isGone) return;
     const reasons = intents.map(({ host, reason }) => [host, reason]);
     this.log.info({ hosts: Object.fromEntries(reasons) }, 'machines returned');
     for (const { host } of intents) {
-      this.gone.set(host, this.clock.now() + GONE_KEPT);
-      this.list.stopped.delete(host);
-      if (this.facts().ledger.hosts.has(host)) this.pending.removed.push(host);
+      this.recentlyDeleted.set(host, this.clock.now() + DELETED_MACHINE_RETENTION);
+      this.machineList.stoppedMachines.delete(host);
+      if (this.state().ledger.machines.has(host)) this.pending.removed.push(host);
     }
-    this.wake();
+    this.requestRound();
   }
 }
 
 function empty(): Pending {
-  return { machines: [], removed: [], rentals: [], settledRentals: [], moves: [] };
+  return { machines: [], removed: [], scaleOuts: [], settledScaleOuts: [], transferTargets: [] };
 }
 
 function isFilled(pending: Pending): boolean {
--- a/packages/fleet/machine-list.ts
+++ b/packages/fleet/machine-list.ts
@@ -1,6 +1,6 @@
 /** What the cloud's list, which lags and may go back, proves of the machines that the ledger knows. */
 import type { Ledger, MachineEntry } from '#cluster';
-import { type FencedCloud, ReturnIntent, type TermProof } from '#duties';
+import { type FencedCloud, ScaleInIntent, type TermProof } from '#duties';
 import { type Clock, type ListedMachine, type Micros, SECOND } from '#wire';
 
 const LIST_EVERY: Micros = 4 * SECOND;
@@ -9,7 +9,7 @@
 
 export class MachineList {
   /** Listed machines that stopped by themselves and are in no record. */
-  readonly stopped = new Map<string, ReturnIntent>();
+  readonly stoppedMachines = new Map<string, ScaleInIntent>();
   /** Since when this holder has known each machine, by its own steady clock. */
   private readonly knownSince = new Map<string, Micros>();
   private listed: ReadonlyMap<string, ListedMachine> | null = null;
@@ -26,8 +26,8 @@
   ) {}
 
   /** A new term of the lead relies on nothing that was read before it. */
-  begin(): void {
-    this.stopped.clear();
+  beginTerm(): void {
+    this.stoppedMachines.clear();
     this.knownSince.clear();
     this.listed = null;
     this.listedAt = -Infinity;
@@ -35,7 +35,7 @@
   }
 
   /** Notes which machines the ledger knows by now. */
-  noteMachines({ hosts }: Ledger): void {
+  noteMachines({ machines: hosts }: Ledger): void {
     const now = this.clock.now();
     for (const host of hosts.keys()) if (!this.knownSince.has(host)) this.knownSince.set(host, now);
     if (this.knownSince.size === hosts.size) return;
@@ -43,26 +43,26 @@
   }
 
   /** Reads the list if it is due; null if it isn't, or could not be read under this term. */
-  async refresh(proof: TermProof, { hosts }: Ledger): Promise<ListedMachine[] | null> {
+  async refresh(termProof: TermProof, { machines: hosts }: Ledger): Promise<ListedMachine[] | null> {
     const now = this.clock.now();
     if (this.isAsking || now - this.lastAsked < LIST_EVERY) return null;
     this.isAsking = true;
     this.lastAsked = now;
-    const rows = await this.cloud.machines();
+    const rows = await this.cloud.listMachines();
     this.isAsking = false;
     // One that was asked for under an earlier term may be older than what this term relies on.
-    if (!rows || !proof.isCurrent()) return null;
+    if (!rows || !termProof.isCurrent()) return null;
     this.listed = new Map(rows.map((row) => [row.host, row]));
     this.listedAt = now;
     for (const row of rows) {
-      const intent = hosts.has(row.host) ? null : ReturnIntent.fromStoppedMachine(row);
-      if (intent) this.stopped.set(row.host, intent);
+      const intent = hosts.has(row.host) ? null : ScaleInIntent.fromStoppedMachine(row);
+      if (intent) this.stoppedMachines.set(row.host, intent);
     }
     return rows;
   }
 
   /** What the list says of a machine that is not up: it stopped by itself, or is gone. */
-  verdict({ host, status }: MachineEntry): 'failed' | 'not listed' | null {
+  missingReason({ host, status }: MachineEntry): 'failed' | 'not listed' | null {
     const row = this.listed?.get(host);
     if (row?.state === 'failed') return 'failed';
     if (status === 'up' || row || !this.listed) return null;
--- a/packages/fleet/planner.ts
+++ b/packages/fleet/planner.ts
@@ -1,4 +1,4 @@
-import { type Amounts, fits, slots, take, type WaitingJob } from '#pricing';
+import { type Resources, fits, countFitting, subtractResources, type PendingJob } from '#pricing';
 import { type MachineType, type Micros } from '#wire';
 
 /** A choice the cloud offers: a type in a zone, ordinary or spot. */
@@ -8,38 +8,38 @@
   spot: boolean;
 }
 
-export interface Coming extends Offer {
-  room: Amounts;
+export interface PendingCapacity extends Offer {
+  free: Resources;
 }
 
-export interface NeedRow {
+export interface UnmetDemand {
   /** For a gang that has to lie in one zone: with the zone in which it is being gathered. */
-  job: WaitingJob;
+  job: PendingJob;
   count: number;
   /** The zone is not the job's own wish: where nothing can be rented there, another one serves as well. */
   zoneIsOpen?: boolean;
 }
 
-export interface PlanInput {
+export interface ScaleOutInput {
   types: readonly MachineType[];
   /** What waits and found no room, most urgent first. */
-  needs: readonly NeedRow[];
+  unmetDemand: readonly UnmetDemand[];
   /** Machines that were rented and are not up yet, and room that is about to be free. */
-  coming: Coming[];
+  pendingCapacity: PendingCapacity[];
   /** Machines per zone at present, so that new ones go where fewer are. */
   machinesPerZone: ReadonlyMap<string, number>;
-  refused: (offer: Offer) => boolean;
+  isBackedOff: (offer: Offer) => boolean;
 }
 
-export interface RentPlan extends Offer {
-  number: number;
+export interface ScaleOutPlan extends Offer {
+  count: number;
 }
 
 export function offerKey(offer: Offer): string {
   return `${offer.machineType}/${offer.zone}/${offer.spot ? 'spot' : 'ordinary'}`;
 }
 
-export function amountsOf(type: MachineType): Amounts {
+export function resourcesOf(type: MachineType): Resources {
   return { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
 }
 
@@ -47,27 +47,27 @@
  * What to rent for the tasks that neither present room nor machines on their way will take: per task the
  * cheapest offer open to it, spread over the zones.
  */
-export function planRentals(input: PlanInput): RentPlan[] {
-  const plans = new Map<string, RentPlan>();
+export function planScaleOut(input: ScaleOutInput): ScaleOutPlan[] {
+  const plans = new Map<string, ScaleOutPlan>();
   const machinesPerZone = new Map(input.machinesPerZone);
-  const coming = input.coming.map((c) => ({ ...c, room: { ...c.room } }));
-  for (const need of input.needs) {
+  const coming = input.pendingCapacity.map((c) => ({ ...c, free: { ...c.free } }));
+  for (const need of input.unmetDemand) {
     const { job, count } = settleZone(input, need, coming, machinesPerZone);
-    let left = count - serve(coming, job, count);
+    let left = count - allocatePending(coming, job, count);
     while (left > 0) {
       const offer = cheapest(input, job, left, machinesPerZone);
       if (!offer) break;
       const key = offerKey(offer);
-      const plan = plans.get(key) ?? { ...offer, number: 0 };
+      const plan = plans.get(key) ?? { ...offer, count: 0 };
       plans.set(key, plan);
-      plan.number++;
+      plan.count++;
       machinesPerZone.set(offer.zone, (machinesPerZone.get(offer.zone) ?? 0) + 1);
       const type = input.types.find((t) => t.name === offer.machineType) as MachineType;
-      const room = amountsOf(type);
-      const n = Math.min(left, slots(job.need, room));
-      take(room, job.need, n);
+      const free = resourcesOf(type);
+      const n = Math.min(left, countFitting(job.need, free));
+      subtractResources(free, job.need, n);
       left -= n;
-      coming.push({ ...offer, room });
+      coming.push({ ...offer, free });
     }
   }
   return [...plans.values()];
@@ -78,47 +78,47 @@
  * machine for it can be had there, where most room for the whole gang is on its way.
  */
 function settleZone(
-  input: PlanInput,
-  need: NeedRow,
-  coming: readonly Coming[],
+  input: ScaleOutInput,
+  need: UnmetDemand,
+  coming: readonly PendingCapacity[],
   machinesPerZone: ReadonlyMap<string, number>,
-): NeedRow {
+): UnmetDemand {
   const { job, count, zoneIsOpen } = need;
-  if (!job.gang || !job.singleZone || (job.zone !== null && zoneIsOpen !== true)) return need;
-  const isServed = job.zone !== null && slotsComing(coming, job) >= count;
+  if (!job.isGang || !job.singleZone || (job.zone !== null && zoneIsOpen !== true)) return need;
+  const isServed = job.zone !== null && countFittingPending(coming, job) >= count;
   if (job.zone !== null && (isServed || cheapest(input, job, count, machinesPerZone))) return need;
   const zones = new Set(input.types.flatMap((type) => type.zones));
   const choices = [...zones]
     .map((zone) => ({ ...job, zone }))
-    .filter((choice) => cheapest(input, choice, choice.waiting, machinesPerZone) !== null)
-    .map((choice) => ({ choice, slots: slotsComing(coming, choice) }))
+    .filter((choice) => cheapest(input, choice, choice.pendingTasks, machinesPerZone) !== null)
+    .map((choice) => ({ choice, slots: countFittingPending(coming, choice) }))
     .sort((a, b) => b.slots - a.slots);
   const best = choices[0]?.choice;
-  return best ? { job: best, count: best.waiting } : need;
+  return best ? { job: best, count: best.pendingTasks } : need;
 }
 
-function slotsComing(coming: readonly Coming[], job: WaitingJob): number {
+function countFittingPending(coming: readonly PendingCapacity[], job: PendingJob): number {
   let sum = 0;
-  for (const machine of coming) if (suits(job, machine)) sum += slots(job.need, machine.room);
+  for (const machine of coming) if (isFeasible(job, machine)) sum += countFitting(job.need, machine.free);
   return sum;
 }
 
 /** How many of a job's tasks the room that is coming will take; it is taken from that room. */
-export function serve(coming: readonly Coming[], job: WaitingJob, count: number): number {
+export function allocatePending(coming: readonly PendingCapacity[], job: PendingJob, count: number): number {
   let left = count;
   for (const machine of coming) {
     if (left === 0) break;
-    if (!suits(job, machine)) continue;
-    const n = Math.min(left, slots(job.need, machine.room));
-    take(machine.room, job.need, n);
+    if (!isFeasible(job, machine)) continue;
+    const n = Math.min(left, countFitting(job.need, machine.free));
+    subtractResources(machine.free, job.need, n);
     left -= n;
   }
   return count - left;
 }
 
-export function suits(job: WaitingJob, offer: Offer): boolean {
+export function isFeasible(job: PendingJob, offer: Offer): boolean {
   return (
-    (job.spot || !offer.spot) &&
+    (job.allowsSpot || !offer.spot) &&
     (job.machineTypes?.includes(offer.machineType) ?? true) &&
     (job.zone === null || job.zone === offer.zone)
   );
@@ -126,21 +126,21 @@
 
 /** Price per task that would really be placed; zones with fewer machines win among equals. */
 function cheapest(
-  input: PlanInput,
-  job: WaitingJob,
+  input: ScaleOutInput,
+  job: PendingJob,
   count: number,
   machinesPerZone: ReadonlyMap<string, number>,
 ): Offer | null {
   let best: Offer | null = null;
   let bestScore: [number, number] = [Infinity, Infinity];
   for (const type of input.types) {
-    const room = amountsOf(type);
+    const room = resourcesOf(type);
     if (!fits(job.need, room)) continue;
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
         const offer = { machineType: type.name, zone, spot };
-        if (!suits(job, offer) || input.refused(offer)) continue;
-        const price = (spot ? type.spotPrice : type.price) / Math.min(count, slots(job.need, room));
+        if (!isFeasible(job, offer) || input.isBackedOff(offer)) continue;
+        const price = (spot ? type.spotPrice : type.price) / Math.min(count, countFitting(job.need, room));
         const score: [number, number] = [price, machinesPerZone.get(zone) ?? 0];
         if (score[0] < bestScore[0] - 1e-9 || (score[0] < bestScore[0] + 1e-9 && score[1] < bestScore[1])) {
           best = offer;
@@ -152,14 +152,14 @@
   return best;
 }
 
-export interface Idle {
+export interface IdleMachine {
   host: string;
-  idle: Micros;
+  idleFor: Micros;
   age: Micros;
   spot: boolean;
 }
 
-export interface KeepOptions {
+export interface ScaleInOptions {
   /** How long an idle machine is kept, ordinary and spot. */
   ordinary: Micros;
   spot: Micros;
@@ -168,34 +168,34 @@
 }
 
 /** Which idle machines to give back. */
-export function planReturns(idle: readonly Idle[], keep: KeepOptions): string[] {
+export function planScaleIn(idle: readonly IdleMachine[], keep: ScaleInOptions): string[] {
   return idle
-    .filter((m) => m.idle > (m.spot ? keep.spot : keep.ordinary) && m.age > keep.least)
+    .filter((m) => m.idleFor > (m.spot ? keep.spot : keep.ordinary) && m.age > keep.least)
     .map((m) => m.host);
 }
 
-export interface Drainable {
+export interface DrainCandidate {
   host: string;
   spot: boolean;
   /** Price per hour. */
   price: number;
-  total: Amounts;
+  total: Resources;
   /** Room that its owner's next round will leave on it. */
-  left: Amounts;
+  free: Resources;
   /** For how long it has been poorly used. */
-  poorFor: Micros;
+  underusedFor: Micros;
 }
 
 export interface DrainOptions {
   /** Up to this part in use counts as poorly used. */
-  poor: number;
+  maxUtilization: number;
   /** How long it must have been so. */
-  patience: Micros;
+  minUnderusedTime: Micros;
   /** Free CPUs that must stay elsewhere, as a multiple of what is to be drained. */
-  spare: number;
+  spareFactor: number;
 }
 
-export function usedPart({ total, left }: Pick<Drainable, 'total' | 'left'>): number {
+export function utilization({ total, free: left }: Pick<DrainCandidate, 'total' | 'free'>): number {
   return total.cpus > 0 ? 1 - left.cpus / total.cpus : 0;
 }
 
@@ -203,17 +203,20 @@
  * Which poorly used machines get no new tasks, to go home once theirs have ended: those that waste most, as
  * long as the others keep room for more than what they run. Spot machines are cheap enough to keep.
  */
-export function planDrains(machines: readonly Drainable[], options: DrainOptions): string[] {
+export function planDrains(machines: readonly DrainCandidate[], options: DrainOptions): string[] {
   const drains: string[] = [];
-  let free = machines.reduce((sum, m) => sum + Math.max(0, m.left.cpus), 0);
-  const waste = (m: Drainable): number => m.price * (1 - usedPart(m));
+  let free = machines.reduce((sum, m) => sum + Math.max(0, m.free.cpus), 0);
+  const waste = (m: DrainCandidate): number => m.price * (1 - utilization(m));
   const poor = machines
-    .filter((m) => !m.spot && usedPart(m) <= options.poor && m.poorFor >= options.patience)
+    .filter(
+      (m) =>
+        !m.spot && utilization(m) <= options.maxUtilization && m.underusedFor >= options.minUnderusedTime,
+    )
     .sort((a, b) => waste(b) - waste(a));
   for (const m of poor) {
-    const used = m.total.cpus - m.left.cpus;
-    const elsewhere = free - m.left.cpus;
-    if (elsewhere < options.spare * Math.max(used, m.total.cpus * 0.1)) continue;
+    const used = m.total.cpus - m.free.cpus;
+    const elsewhere = free - m.free.cpus;
+    if (elsewhere < options.spareFactor * Math.max(used, m.total.cpus * 0.1)) continue;
     free = elsewhere - used;
     drains.push(m.host);
   }
--- a/packages/fleet/standby.ts
+++ b/packages/fleet/standby.ts
@@ -7,7 +7,7 @@
 /** How long a machine is held ready after it last had such a task. */
 const HELD_FOR: Micros = 90 * SECOND;
 
-export class Standby {
+export class WarmPool {
   /** By machine: when it last had such a task. */
   private readonly lastUse = new Map<string, Micros>();
 
@@ -17,7 +17,7 @@
     for (const [host, at] of this.lastUse) if (now - at > HELD_FOR) this.lastUse.delete(host);
   }
 
-  isHeld(host: string): boolean {
+  contains(host: string): boolean {
     return this.lastUse.has(host);
   }
 
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -2,8 +2,8 @@
  * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
  * read them, so their names don't follow the names in the code. What a node tells is mapped to them here, field by field.
  */
-import type { DutyReport, OpenIntents, RefusalReport } from '#duties';
-import type { Contradiction, Evidence, LossReport, SeenNumbers } from '#recovery';
+import type { RoleReport, OpenIntents, RefusalReport } from '#duties';
+import type { Inconsistency, Evidence, DataLossReport, PartialHighWaterMarks } from '#recovery';
 import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
 
 /** Of `GET /duties`. */
@@ -123,16 +123,16 @@
   }
 }
 
-function encodeDuty(duty: DutyReport): DutyAnswer {
+function encodeDuty(role: RoleReport): DutyAnswer {
   return {
-    duty: duty.duty,
-    state: duty.state,
-    holder: duty.holder,
-    term: duty.term,
-    sinceS: duty.sinceS,
-    leaseLeftS: duty.leaseLeftS,
-    openIntents: duty.openIntents === null ? null : encodeOpenIntents(duty.openIntents),
-    lastRefused: duty.lastRefused === null ? null : encodeRefusal(duty.lastRefused),
+    duty: role.duty,
+    state: role.state,
+    holder: role.holder,
+    term: role.term,
+    sinceS: role.sinceS,
+    leaseLeftS: role.leaseLeftS,
+    openIntents: role.openIntents === null ? null : encodeOpenIntents(role.openIntents),
+    lastRefused: role.lastRefused === null ? null : encodeRefusal(role.lastRefused),
   };
 }
 
@@ -144,7 +144,7 @@
   return { action: refusal.action, reason: refusal.reason, term: refusal.term, ageS: refusal.ageS };
 }
 
-function encodeLoss(loss: LossReport): LossAnswer {
+function encodeLoss(loss: DataLossReport): LossAnswer {
   return {
     state: loss.state,
     sinceS: loss.sinceS,
@@ -162,7 +162,7 @@
   };
 }
 
-function encodeContradiction(found: Contradiction): ContradictionAnswer {
+function encodeContradiction(found: Inconsistency): ContradictionAnswer {
   switch (found.kind) {
     case 'epoch_went_back':
       return { kind: 'epoch_went_back', known: found.known, shown: found.shown };
@@ -186,6 +186,6 @@
 }
 
 /** What nobody has seen is undefined, and thereby absent from the JSON. */
-function encodeSeen(seen: SeenNumbers): SeenAnswer {
-  return { epoch: seen.epoch, token: seen.token, positions: seen.positions };
+function encodeSeen(seen: PartialHighWaterMarks): SeenAnswer {
+  return { epoch: seen.revision, token: seen.fencingToken, positions: seen.positions };
 }
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -5,15 +5,15 @@
 import { test } from 'node:test';
 import type { Logger, Membership, StateReading } from '#cluster';
 import {
-  type DutyHolder,
-  type DutyName,
-  DutyRegistry,
+  type RoleHolder,
+  type RoleName,
+  RoleRegistry,
   type IntentLedger,
   type MachineRecord,
-  type RentalRecord,
-  reportDuties,
+  type ScaleOutRecord,
+  reportRoles,
 } from '#duties';
-import { LossWatch, type LossReport } from '#recovery';
+import { DataLossDetector, type DataLossReport } from '#recovery';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
   askDuties,
@@ -45,29 +45,29 @@
 
 const SILENT_LOG: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-const NO_INTENTS: IntentLedger = { rentals: new Map(), hosts: new Map() };
+const NO_INTENTS: IntentLedger = { pendingScaleOuts: new Map(), machines: new Map() };
 
-const RENTALS: readonly RentalRecord[] = [
-  { id: 'hire-1-41-1', machineType: 'small', zone: 'east', spot: true, number: 2 },
+const RENTALS: readonly ScaleOutRecord[] = [
+  { id: 'hire-1-41-1', machineType: 'small', zone: 'east', spot: true, count: 2 },
 ];
 
 const MACHINES: readonly MachineRecord[] = [
-  { host: 'n-000003', share: 0, destination: 'return' },
-  { host: 'n-000004', share: null, destination: 'return' },
-  { host: 'n-000005', share: 0, destination: 1 },
+  { host: 'n-000003', shard: 0, destination: 'return' },
+  { host: 'n-000004', shard: null, destination: 'return' },
+  { host: 'n-000005', shard: 0, destination: 1 },
 ];
 
 const INTENTS: IntentLedger = {
-  rentals: new Map(RENTALS.map((rental) => [rental.id, rental])),
-  hosts: new Map(MACHINES.map((machine) => [machine.host, machine])),
+  pendingScaleOuts: new Map(RENTALS.map((scaleOut) => [scaleOut.id, scaleOut])),
+  machines: new Map(MACHINES.map((machine) => [machine.host, machine])),
 };
 
 /** A registry over holders that a test sets; what it holds itself has the nonce `ours`. */
-function registryOver(clock: Clock, holders: ReadonlyMap<DutyName, DutyHolder>): DutyRegistry {
-  return new DutyRegistry({
+function registryOver(clock: Clock, holders: ReadonlyMap<RoleName, RoleHolder>): RoleRegistry {
+  return new RoleRegistry({
     source: { holders: () => holders, isOurs: (nonce) => nonce === 'ours' },
     clock,
-    keyOf: (duty) => `key of ${duty}`,
+    keyOf: (role) => `key of ${role}`,
     leaseLife: 3 * SECOND,
   });
 }
@@ -131,35 +131,35 @@
 
 test('the duties are told in these words, in every state', async () => {
   const clock = new StillClock();
-  const holders = new Map<DutyName, DutyHolder>([
+  const holders = new Map<RoleName, RoleHolder>([
     ['lead', { ...OURS, term: 41 }],
     [0, { ...OTHERS, term: 40 }],
     [3, { ...OURS, term: 38 }],
     [4, { ...OURS, term: 39 }],
   ]);
   const registry = registryOver(clock, holders);
-  registry.renewed(0);
+  registry.onLeaseRenewed(0);
   registry.state(1);
-  registry.acquiring(2);
-  const proof = registry.prove(3);
-  assert.ok(proof);
-  registry.refused(proof, 'place tasks', 'the state service: the duty has changed hands');
+  registry.beginAcquisition(2);
+  const termProof = registry.proveHeld(3);
+  assert.ok(termProof);
+  registry.recordRefusal(termProof, 'place tasks', 'the state service: the duty has changed hands');
   assert.ok(registry.resign(4));
   clock.time = 1.25 * SECOND;
   holders.delete(3);
-  const duties = (): OperatedNode['dutyReport'] => () => ({
+  const roles = (): OperatedNode['dutyReport'] => () => ({
     member: 'node-1',
     membership: 'member',
     knowledgeAgeS: 0.4,
-    duties: reportDuties(registry, INTENTS, clock.now()),
+    duties: reportRoles(registry, INTENTS, clock.now()),
   });
   assert.equal(
-    await answerOf({ dutyReport: duties() }, '/duties'),
+    await answerOf({ dutyReport: roles() }, '/duties'),
     '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"held","holder":"node-1","term":41,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":0,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":1.3}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":null,"lastRefused":null}]}',
   );
   clock.time = 60 * SECOND;
   assert.equal(
-    await answerOf({ dutyReport: duties() }, '/duties'),
+    await answerOf({ dutyReport: roles() }, '/duties'),
     '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"suspected","holder":"node-1","term":41,"sinceS":0,"leaseLeftS":0,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":58.8,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":60}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":60,"leaseLeftS":0,"openIntents":null,"lastRefused":null}]}',
   );
 });
@@ -172,7 +172,7 @@
     member: 'node-3',
     membership: 'joining',
     knowledgeAgeS: null,
-    duties: reportDuties(registry, NO_INTENTS, clock.now()),
+    duties: reportRoles(registry, NO_INTENTS, clock.now()),
   };
   assert.equal(
     await answerOf({ dutyReport: () => report }, '/duties'),
@@ -197,16 +197,16 @@
 });
 
 /** A watch for lost state that has believed one reading. */
-function watchOf(clock: StillClock): LossWatch {
-  const watch = new LossWatch({
+function watchOf(clock: StillClock): DataLossDetector {
+  const watch = new DataLossDetector({
     clock,
     log: SILENT_LOG,
-    claimLife: 600 * SECOND,
+    observationLifetime: 600 * SECOND,
     peerCount: 2,
-    reportInterval: 3 * SECOND,
+    heartbeatInterval: 3 * SECOND,
   });
   clock.time += SECOND;
-  assert.ok(watch.judge(readingOf(clock)));
+  assert.ok(watch.judgeReading(readingOf(clock)));
   return watch;
 }
 
@@ -214,14 +214,14 @@
 function readingOf(clock: Clock, change: Partial<StateReading> = {}): StateReading {
   return {
     sentAt: clock.now(),
-    shown: { epoch: 431, token: 7, positions: { lead: 3, '0': 12 } },
+    shown: { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } },
     known: null,
-    differences: { forked: [], wentBack: [], absent: [] },
+    differences: { forked: [], regressed: [], absent: [] },
     ...change,
   };
 }
 
-function recoveryOf(loss: LossReport | null): Promise<string> {
+function recoveryOf(loss: DataLossReport | null): Promise<string> {
   return answerOf({ lossReport: () => ({ member: 'node-2', loss }) }, '/recovery');
 }
 
@@ -240,22 +240,22 @@
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":13.3,"evidence":[],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
-  watch.heardWorker({
+  watch.observeHeartbeat({
     host: 'n-000001',
     address: '10.0.0.9:9000',
     machineType: 'small',
     zone: 'east',
     spot: false,
-    session: 1,
+    incarnation: 1,
     sequence: 4,
-    token: 6,
+    fencingToken: 6,
     tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
   });
-  watch.heardPeer('node-3', {
-    token: 7,
-    served: true,
-    referred: {},
-    memory: { epoch: 430, isContradicted: false },
+  watch.observePeer('node-3', {
+    fencingToken: 7,
+    isStoreReachable: true,
+    redirectedWorkers: {},
+    highWaterMark: { revision: 430, isInconsistent: false },
   });
   assert.equal(
     await recoveryOf(watch.report()),
@@ -272,7 +272,7 @@
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0.5,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own requests: epoch 9 is shown, 431 was seen"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
-  assert.ok(watch.judge(readingOf(clock)));
+  assert.ok(watch.judgeReading(readingOf(clock)));
   assert.equal(
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":0,"evidence":[],"falseAlarms":1,"seen":{"epoch":431}}}',
@@ -282,34 +282,34 @@
 test('a frozen node tells each way in which the state contradicts what was seen', async () => {
   const clock = new StillClock();
   const watch = watchOf(clock);
-  watch.heardWorker({
+  watch.observeHeartbeat({
     host: 'n-000001',
     address: '10.0.0.9:9000',
     machineType: 'small',
     zone: 'east',
     spot: false,
-    session: 1,
+    incarnation: 1,
     sequence: 4,
-    token: 6,
+    fencingToken: 6,
     tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
   });
-  watch.heardPeer('node-3', {
-    token: 7,
-    served: true,
-    referred: {},
-    memory: { epoch: 440, isContradicted: true },
+  watch.observePeer('node-3', {
+    fencingToken: 7,
+    isStoreReachable: true,
+    redirectedWorkers: {},
+    highWaterMark: { revision: 440, isInconsistent: true },
   });
   clock.time += SECOND;
-  assert.ok(watch.refuses(['mw/now/token']));
+  assert.ok(watch.reportLostKeys(['mw/now/token']));
   clock.time += SECOND;
-  const shown = { epoch: 9, token: 1, positions: { lead: 1 } };
-  const known = { epoch: 431, token: 7, positions: { lead: 3, '0': 12 } };
+  const shown = { revision: 9, fencingToken: 1, positions: { lead: 1 } };
+  const known = { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } };
   const differences = {
     forked: ['mw/now/logs/lead/3'],
-    wentBack: ['mw/now/checkpoint'],
+    regressed: ['mw/now/checkpoint'],
     absent: ['mw/now/jobs/j-000001'],
   };
-  assert.equal(watch.judge(readingOf(clock, { shown, known, differences })), false);
+  assert.equal(watch.judgeReading(readingOf(clock, { shown, known, differences })), false);
   assert.equal(
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own copy","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own copy: epoch 9 is shown, 431 was seen"},{"source":"own copy","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"own copy: token 1 is shown, 7 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"own copy: log 0 ends at 0, record 12 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"lead","known":3,"shown":1},"text":"own copy: log lead ends at 1, record 3 was seen"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/token"},"text":"own copy: mw/now/token is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/jobs/j-000001"},"text":"own copy: mw/now/jobs/j-000001 is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_went_back","key":"mw/now/checkpoint"},"text":"own copy: mw/now/checkpoint is older than it was"},{"source":"own copy","contradiction":{"kind":"history_forked","key":"mw/now/logs/lead/3"},"text":"own copy: mw/now/logs/lead/3 holds another record of the same number: this is another history"},{"source":"worker n-000001","contradiction":{"kind":"token_went_back","known":6,"shown":1},"text":"worker n-000001: token 1 is shown, 6 was seen"},{"source":"worker n-000001","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"worker n-000001: log 0 ends at 0, record 12 was seen"},{"source":"peer node-3","contradiction":{"kind":"epoch_went_back","known":440,"shown":9},"text":"peer node-3: epoch 9 is shown, 440 was seen"},{"source":"peer node-3","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"peer node-3: token 1 is shown, 7 was seen"},{"source":"peer node-3","contradiction":{"kind":"peer_objects","known":440},"text":"peer node-3: it has seen epoch 440, and finds the state to contradict it"}],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
@@ -319,13 +319,13 @@
 test('a commit under an epoch that was seen, and a state that can not be read whole, are told', async () => {
   const clock = new StillClock();
   const watch = watchOf(clock);
-  assert.equal(watch.acceptsNew(431, 431), false);
+  assert.equal(watch.acceptsCommitted(431, 431), false);
   assert.equal(
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_reused","epoch":431},"text":"own requests: a commit is said to have made epoch 431, which was seen before it"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
   clock.time += SECOND;
-  for (let i = 0; i < 3; i++) watch.incomplete('a part of the checkpoint is missing');
+  for (let i = 0; i < 3; i++) watch.reportIncompleteRead('a part of the checkpoint is missing');
   assert.equal(
     await recoveryOf(watch.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own reading","contradiction":{"kind":"state_incomplete","reason":"a part of the checkpoint is missing"},"text":"own reading: the state can not be read whole: a part of the checkpoint is missing"}],"falseAlarms":0,"seen":{"epoch":431}}}',
@@ -333,11 +333,11 @@
 });
 
 test('resigning a duty is answered in these words', async () => {
-  const asked: DutyName[] = [];
-  const resign: OperatedNode['resign'] = (duty) => {
-    asked.push(duty);
+  const asked: RoleName[] = [];
+  const resign: OperatedNode['resign'] = (role) => {
+    asked.push(role);
     const reason = 'share/1 is not held here: node-2 holds it';
-    return Promise.resolve(duty === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
+    return Promise.resolve(role === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
   };
   await withListener({ resign }, async (address) => {
     const post = (body: string): Promise<string> => exchange(address, 'POST', '/duties/resign', body);
--- a/packages/operations/client.ts
+++ b/packages/operations/client.ts
@@ -1,6 +1,6 @@
 /** A client of the operators' listeners. */
 import { type ClientRequest, type IncomingMessage, request } from 'node:http';
-import { splitAddress } from '#wire';
+import { parseEndpoint } from '#wire';
 import type { DutiesAnswer, RecoveryAnswer, ResignAnswer } from './answer-codec.js';
 
 /** What became of a request to one node: its answer, or the reason why there is none. */
@@ -40,12 +40,12 @@
 }
 
 /** Asks a node to hand over the duty of this name. */
-export function askToResign(node: string, duty: string): Promise<NodeAnswer<ResignAnswer>> {
+export function askToResign(node: string, role: string): Promise<NodeAnswer<ResignAnswer>> {
   return ask<ResignAnswer>({
     node,
     method: 'POST',
     path: '/duties/resign',
-    body: { duty },
+    body: { duty: role },
     timeoutMs: RESIGN_TIMEOUT_MS,
   });
 }
@@ -53,7 +53,7 @@
 /** The lines of a node's snapshot; fails with {@link NodeRequestError} and what the node says if it has none. */
 export async function openSnapshot(node: string): Promise<IncomingMessage> {
   const response = await new Promise<IncomingMessage>((resolve, reject) => {
-    const call = request({ ...splitAddress(node), path: '/snapshot', timeout: TIMEOUT_MS }, resolve);
+    const call = request({ ...parseEndpoint(node), path: '/snapshot', timeout: TIMEOUT_MS }, resolve);
     call.on('timeout', () => call.destroy(new NodeRequestError('no answer in time')));
     call.on('error', reject);
     call.end();
@@ -85,7 +85,7 @@
 /** The bytes that a node answers. */
 function exchange({ node, method, path, body, timeoutMs }: NodeRequest): Promise<Buffer> {
   return new Promise((resolve, reject) => {
-    const call = request({ ...splitAddress(node), method, path, timeout: timeoutMs }, (response) => {
+    const call = request({ ...parseEndpoint(node), method, path, timeout: timeoutMs }, (response) => {
       response.on('end', () => {
         clearTimeout(deadline);
       });
--- a/packages/operations/listener.ts
+++ b/packages/operations/listener.ts
@@ -4,7 +4,7 @@
  */
 import { createServer, type Server } from 'node:http';
 import Koa from 'koa';
-import { splitAddress } from '#wire';
+import { parseEndpoint } from '#wire';
 import type { ErrorAnswer } from './answer-codec.js';
 import type { OperatedNode } from './messages.js';
 import { OperatorRequestError } from './request-error.js';
@@ -41,7 +41,7 @@
   server.requestTimeout = IDLE_MS;
   server.headersTimeout = IDLE_MS;
   server.setTimeout(IDLE_MS);
-  const { host, port } = splitAddress(address);
+  const { host, port } = parseEndpoint(address);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,6 +1,6 @@
 /** What the operators' listener asks its node for, in the terms of the code; `answer-codec.ts` writes it as JSON. */
-import type { DutyName, DutyReport } from '#duties';
-import type { LossReport } from '#recovery';
+import type { RoleName, RoleReport } from '#duties';
+import type { DataLossReport } from '#recovery';
 
 /** A node's view of the duties; it counts as proof for nothing. */
 export interface NodeDutyReport {
@@ -9,14 +9,14 @@
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
   /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
-  readonly duties: readonly DutyReport[];
+  readonly duties: readonly RoleReport[];
 }
 
 /** What a node knows of lost state. */
 export interface NodeLossReport {
   readonly member: string;
   /** Null where the operators' settings don't switch it on. */
-  readonly loss: LossReport | null;
+  readonly loss: DataLossReport | null;
 }
 
 /** What became of the request to hand a duty over. */
@@ -29,5 +29,5 @@
   lossReport(): NodeLossReport;
   /** The lines of a snapshot, as text; null while the node holds no copy of the state. */
   snapshot(): AsyncIterable<string> | null;
-  resign(duty: DutyName): Promise<ResignResult>;
+  resign(role: RoleName): Promise<ResignResult>;
 }
--- a/packages/operations/routes.ts
+++ b/packages/operations/routes.ts
@@ -1,7 +1,7 @@
 /** The paths of the operators' listener, and what each answers. */
 import type { IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
-import { type DutyName, parseDutyName } from '#duties';
+import { type RoleName, parseRoleName } from '#duties';
 import { encodeDuties, encodeRecovery, encodeResignResult } from './answer-codec.js';
 import type { OperatedNode } from './messages.js';
 import { readJsonBody } from './request-body.js';
@@ -54,14 +54,14 @@
 }
 
 async function resignDuty(node: OperatedNode, request: IncomingMessage): Promise<OperatorResponse> {
-  const duty = dutyNamedBy(await readJsonBody(request));
-  if (duty === null) throw new OperatorRequestError(400, 'duty: must be lead or share/N');
-  const answer = encodeResignResult(await node.resign(duty));
+  const role = dutyNamedBy(await readJsonBody(request));
+  if (role === null) throw new OperatorRequestError(400, 'duty: must be lead or share/N');
+  const answer = encodeResignResult(await node.resign(role));
   return { status: answer.kind === 'handed_over' ? 200 : 409, body: answer };
 }
 
 /** The duty that the body of a request names; null if it names none. */
-function dutyNamedBy(body: unknown): DutyName | null {
+function dutyNamedBy(body: unknown): RoleName | null {
   if (typeof body !== 'object' || body === null || !('duty' in body)) return null;
-  return typeof body.duty === 'string' ? parseDutyName(body.duty) : null;
+  return typeof body.duty === 'string' ? parseRoleName(body.duty) : null;
 }
--- a/packages/pricing/amounts.ts
+++ b/packages/pricing/amounts.ts
@@ -1,28 +1,32 @@
 /** Sums of what tasks need and machines have. */
-import type { Amounts } from './types.js';
+import type { Resources } from './types.js';
 
 /** Tolerance for sums of decimal amounts. */
-export const EPS = 1e-6;
+export const RESOURCE_TOLERANCE = 1e-6;
 
-export function fits(need: Amounts, room: Amounts): boolean {
-  return need.cpus <= room.cpus + EPS && need.gpus <= room.gpus + EPS && need.memGb <= room.memGb + EPS;
+export function fits(need: Resources, room: Resources): boolean {
+  return (
+    need.cpus <= room.cpus + RESOURCE_TOLERANCE &&
+    need.gpus <= room.gpus + RESOURCE_TOLERANCE &&
+    need.memGb <= room.memGb + RESOURCE_TOLERANCE
+  );
 }
 
 /** How many tasks of this need fit into the room. */
-export function slots(need: Amounts, room: Amounts): number {
+export function countFitting(need: Resources, room: Resources): number {
   let count = Infinity;
-  if (need.cpus > 0) count = Math.min(count, (room.cpus + EPS) / need.cpus);
-  if (need.gpus > 0) count = Math.min(count, (room.gpus + EPS) / need.gpus);
-  if (need.memGb > 0) count = Math.min(count, (room.memGb + EPS) / need.memGb);
+  if (need.cpus > 0) count = Math.min(count, (room.cpus + RESOURCE_TOLERANCE) / need.cpus);
+  if (need.gpus > 0) count = Math.min(count, (room.gpus + RESOURCE_TOLERANCE) / need.gpus);
+  if (need.memGb > 0) count = Math.min(count, (room.memGb + RESOURCE_TOLERANCE) / need.memGb);
   return Math.max(0, Math.floor(count));
 }
 
-export function take(room: Amounts, need: Amounts, times: number): void {
+export function subtractResources(room: Resources, need: Resources, times: number): void {
   room.cpus -= need.cpus * times;
   room.gpus -= need.gpus * times;
   room.memGb -= need.memGb * times;
 }
 
-export function nothing(): Amounts {
+export function noResources(): Resources {
   return { cpus: 0, gpus: 0, memGb: 0 };
 }
--- a/packages/pricing/fill.ts
+++ b/packages/pricing/fill.ts
@@ -1,10 +1,10 @@
 /** Puts tasks of one job on random roomy machines, in the order of its shapes. */
-import { fits, take } from './amounts.js';
-import type { Pool } from './pools.js';
-import type { RoomyMachine, WaitingJob } from './types.js';
-import type { ZoneRule } from './zone-rule.js';
+import { fits, subtractResources } from './amounts.js';
+import type { ShapePool } from './pools.js';
+import type { CandidateMachine, PendingJob } from './types.js';
+import type { ZoneConstraint } from './zone-rule.js';
 
-export interface FillOptions {
+export interface BinPackingOptions {
   /** Random roomy machines that are looked at for each task; the fullest of them gets it. */
   choices: number;
   /** Uniform in [0, 1). */
@@ -15,31 +15,31 @@
  * Places up to `count` tasks, the best shape first, and takes the room of each. Returns the machine of every task
  * that found one.
  */
-export function fill(
-  job: WaitingJob,
-  pools: readonly Pool[],
-  rule: ZoneRule,
+export function packTasks(
+  job: PendingJob,
+  pools: readonly ShapePool[],
+  rule: ZoneConstraint,
   count: number,
-  options: FillOptions,
-): RoomyMachine[] {
-  const chosen: RoomyMachine[] = [];
+  options: BinPackingOptions,
+): CandidateMachine[] {
+  const chosen: CandidateMachine[] = [];
   for (const pool of pools) {
     if (chosen.length >= count) break;
-    const roomy = pool.machines.filter((m) => rule.open(m.zone) && fits(job.need, m.room));
+    const roomy = pool.machines.filter((m) => rule.allows(m.zone) && fits(job.need, m.free));
     // A machine that has the image starts the task at once: the random choice is among those first.
-    const warm = roomy.filter((m) => m.warm.includes(job.image));
-    const cold = roomy.filter((m) => !m.warm.includes(job.image));
+    const warm = roomy.filter((m) => m.cachedImages.includes(job.image));
+    const cold = roomy.filter((m) => !m.cachedImages.includes(job.image));
     for (const group of [warm, cold]) {
       while (chosen.length < count && group.length > 0) {
         const at = tightest(group, options);
-        const machine = group[at] as RoomyMachine;
-        if (!rule.open(machine.zone) || !fits(job.need, machine.room)) {
-          group[at] = group[group.length - 1] as RoomyMachine;
+        const machine = group[at] as CandidateMachine;
+        if (!rule.allows(machine.zone) || !fits(job.need, machine.free)) {
+          group[at] = group[group.length - 1] as CandidateMachine;
           group.pop();
           continue;
         }
-        take(machine.room, job.need, 1);
-        rule.placed(machine.zone);
+        subtractResources(machine.free, job.need, 1);
+        rule.onTaskPlaced(machine.zone);
         chosen.push(machine);
       }
     }
@@ -51,7 +51,7 @@
  * Of some random roomy machines the one with least room left: whole machines stay free for large tasks, and
  * idle ones can be returned.
  */
-function tightest(group: readonly RoomyMachine[], { choices, random }: FillOptions): number {
+function tightest(group: readonly CandidateMachine[], { choices, random }: BinPackingOptions): number {
   let best = Math.floor(random() * group.length);
   for (let i = 1; i < choices; i++) {
     const other = Math.floor(random() * group.length);
@@ -60,6 +60,6 @@
   return best;
 }
 
-function filled(machine: RoomyMachine | undefined): number {
-  return machine && machine.total.cpus > 0 ? 1 - machine.room.cpus / machine.total.cpus : 0;
+function filled(machine: CandidateMachine | undefined): number {
+  return machine && machine.total.cpus > 0 ? 1 - machine.free.cpus / machine.total.cpus : 0;
 }
--- a/packages/pricing/gang.test.ts
+++ b/packages/pricing/gang.test.ts
@@ -3,49 +3,70 @@
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { SECOND } from '#wire';
-import { planStops, type Victim } from './preempt.js';
-import { playRound } from './round.js';
-import type { RoomyMachine, RoundInput, RoundOptions, RoundResult, WaitingJob } from './types.js';
+import { planPreemptions, type Victim } from './preempt.js';
+import { runPricingRound } from './round.js';
+import type {
+  CandidateMachine,
+  PricingRoundInput,
+  PricingOptions,
+  PricingRoundResult,
+  PendingJob,
+} from './types.js';
 
-const OPTIONS: RoundOptions = {
+const OPTIONS: PricingOptions = {
   ...{ passes: 30, step: 0.1, gpuShapeCost: 0.5, gpuTaskWeight: 0.5, guaranteeWeight: 0.5 },
-  ...{ mostStarts: 1000, choices: 4 },
+  ...{ maxStarts: 1000, choices: 4 },
 };
 
-function gang(id: string, size: number, change: Partial<WaitingJob> = {}): WaitingJob {
+function gang(id: string, size: number, change: Partial<PendingJob> = {}): PendingJob {
   return {
-    ...{ id, team: 'blue', need: { cpus: 2, gpus: 0, memGb: 4 }, priority: 2, order: 1 },
-    ...{ waiting: size, taskCount: size, gang: true, machineTypes: null, zone: null, singleZone: true },
-    ...{ spreadZones: false, spot: true, image: 'img-1', placedByZone: new Map() },
+    ...{ id, team: 'blue', need: { cpus: 2, gpus: 0, memGb: 4 }, priority: 2, acceptanceOrder: 1 },
+    ...{
+      pendingTasks: size,
+      taskCount: size,
+      isGang: true,
+      machineTypes: null,
+      zone: null,
+      singleZone: true,
+    },
+    ...{ spreadZones: false, allowsSpot: true, image: 'img-1', placedByZone: new Map() },
     ...change,
   };
 }
 
-function machine(host: string, zone: string, freeCpus: number, busyS = 1000): RoomyMachine {
+function machine(host: string, zone: string, freeCpus: number, busyS = 1000): CandidateMachine {
   return {
-    ...{ host, machineType: 'small', zone, spot: false, warm: [], toldIn: 0, upkeep: 1 },
+    ...{
+      host,
+      machineType: 'small',
+      zone,
+      spot: false,
+      cachedImages: [],
+      nextHeartbeatIn: 0,
+      hourlyCostPerCpu: 1,
+    },
     total: { cpus: 4, gpus: 0, memGb: 16 },
-    room: { cpus: freeCpus, gpus: 0, memGb: 4 * freeCpus },
+    free: { cpus: freeCpus, gpus: 0, memGb: 4 * freeCpus },
     busyFor: () => busyS * SECOND,
   };
 }
 
-function play(jobs: WaitingJob[], machines: RoomyMachine[], most = 1000, seed = 1): RoundResult {
+function play(jobs: PendingJob[], machines: CandidateMachine[], most = 1000, seed = 1): PricingRoundResult {
   const generator = xoroshiro128plus(seed);
-  const input: RoundInput = {
+  const input: PricingRoundInput = {
     ...{ jobs, machines, prices: new Map(), options: OPTIONS },
     teams: [
       {
         ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 0, gpus: 0 } },
-        most: { cpus: most, gpus: 0 },
+        limit: { cpus: most, gpus: 0 },
       },
     ],
     random: () => (generator.next() >>> 0) / 4294967296,
   };
-  return playRound(input);
+  return runPricingRound(input);
 }
 
-const startsOf = (result: RoundResult, id: string): string[] =>
+const startsOf = (result: PricingRoundResult, id: string): string[] =>
   result.starts.filter((start) => start.job === id).map((start) => start.host);
 
 test('of a gang all tasks are placed or none, in one zone where it has to be, and room is put back', () => {
@@ -53,7 +74,7 @@
   const anyMachine = fc.record({ zone: fc.constantFrom('east', 'west'), free: fc.constantFrom(0, 2, 4) });
   fc.assert(
     fc.property(fc.array(anyGang, { maxLength: 6 }), fc.array(anyMachine, { maxLength: 12 }), (gs, ms) => {
-      const jobs = gs.map((g, i) => gang(`j-${i}`, g.size, { singleZone: g.singleZone, order: i }));
+      const jobs = gs.map((g, i) => gang(`j-${i}`, g.size, { singleZone: g.singleZone, acceptanceOrder: i }));
       const machines = ms.map((m, i) => machine(`n-${i}`, m.zone, m.free));
       const result = play(jobs, machines);
       const used = new Map<string, number>();
@@ -65,9 +86,12 @@
         for (const host of hosts) used.set(host, (used.get(host) ?? 0) + job.need.cpus);
       }
       for (const m of machines) {
-        const left = result.left.get(m.host)?.cpus ?? 0;
-        const expected = m.room.cpus - (used.get(m.host) ?? 0);
-        assert.ok(result.kept.has(m.host) ? left <= expected : left === expected, `room of ${m.host}`);
+        const left = result.free.get(m.host)?.cpus ?? 0;
+        const expected = m.free.cpus - (used.get(m.host) ?? 0);
+        assert.ok(
+          result.reservedHosts.has(m.host) ? left <= expected : left === expected,
+          `room of ${m.host}`,
+        );
       }
     }),
     { seed: 4, numRuns: 400 },
@@ -95,7 +119,13 @@
 });
 
 test('room is kept for a gang only where the rest comes free soon, and what ranks lower does not take it', () => {
-  const small = gang('j-2', 1, { gang: false, singleZone: false, waiting: 4, taskCount: 4, priority: 1 });
+  const small = gang('j-2', 1, {
+    isGang: false,
+    singleZone: false,
+    pendingTasks: 4,
+    taskCount: 4,
+    priority: 1,
+  });
   const soon = [machine('a', 'east', 2, 10), machine('b', 'east', 2, 10)];
   const gathering = play([gang('j-1', 4), small], soon);
   assert.deepEqual(gathering.starts, []);
@@ -108,7 +138,13 @@
 test('a gang that has to be spread and finds room in one zone only is released, and its room put back', () => {
   const machines = ['a', 'b'].map((name) => machine(name, 'east', 4));
   const spread = gang('j-1', 4, { singleZone: false, spreadZones: true });
-  const small = gang('j-2', 1, { gang: false, singleZone: false, waiting: 4, taskCount: 4, priority: 1 });
+  const small = gang('j-2', 1, {
+    isGang: false,
+    singleZone: false,
+    pendingTasks: 4,
+    taskCount: 4,
+    priority: 1,
+  });
   const result = play([spread, small], machines);
   assert.deepEqual(startsOf(result, 'j-1'), []);
   assert.equal(startsOf(result, 'j-2').length, 4);
@@ -118,13 +154,22 @@
 
 test('of two gangs that each could have half, one gets all', () => {
   const machines = [machine('a', 'east', 4), machine('b', 'east', 4)];
-  const result = play([gang('j-1', 3, { order: 1 }), gang('j-2', 3, { order: 2 })], machines);
+  const result = play(
+    [gang('j-1', 3, { acceptanceOrder: 1 }), gang('j-2', 3, { acceptanceOrder: 2 })],
+    machines,
+  );
   assert.equal(result.starts.length, 3);
 });
 
 test('small tasks of its team do not keep a gang from the room that the limit leaves', () => {
   const machines = ['a', 'b', 'c', 'd'].map((name) => machine(name, 'east', 4));
-  const small = gang('j-2', 1, { gang: false, singleZone: false, waiting: 8, taskCount: 8, priority: 1 });
+  const small = gang('j-2', 1, {
+    isGang: false,
+    singleZone: false,
+    pendingTasks: 8,
+    taskCount: 8,
+    priority: 1,
+  });
   // A limit of 6 CPUs leaves no room for four tasks of two: until it does, nothing of lower rank begins.
   assert.deepEqual(play([gang('j-1', 4), small], machines, 6).starts, []);
   assert.equal(startsOf(play([gang('j-1', 4), small], machines, 8), 'j-1').length, 4);
@@ -132,10 +177,19 @@
 
 test('for a gang as many tasks are stopped as it needs, or none', () => {
   const victim = (host: string, cpus: number): Victim => ({
-    ...{ taskName: `v/${host}`, host, rank: 0, beyond: false, saves: true, cpus, gpus: 0, memGb: 4 },
+    ...{
+      taskName: `v/${host}`,
+      host,
+      rank: 0,
+      isAboveGuarantee: false,
+      canCheckpoint: true,
+      cpus,
+      gpus: 0,
+      memGb: 4,
+    },
   });
   const stopsFor = (count: number): number =>
-    planStops({
+    planPreemptions({
       requests: [{ job: gang('j-1', 4), count, rank: 2, guaranteed: false }],
       machines: ['a', 'b'].map((host) => ({
         host,
@@ -143,7 +197,7 @@
         allowed: () => true,
       })),
       victims: [victim('a', 2), victim('b', 2)],
-      most: 6,
+      maxPreemptions: 6,
     }).length;
   assert.equal(stopsFor(2), 2);
   assert.equal(stopsFor(3), 0);
--- a/packages/pricing/gang.ts
+++ b/packages/pricing/gang.ts
@@ -2,34 +2,38 @@
  * Gangs in a round: one candidate each, placed as a whole or not at all. Room that is not enough yet is kept for the
  * next rounds, where the rest of it is about to come free.
  */
-import { slots, take } from './amounts.js';
-import { fill, type FillOptions } from './fill.js';
-import type { Pool } from './pools.js';
-import { KEPT_FOR } from './reserve.js';
-import type { RoomyMachine, WaitingJob } from './types.js';
-import { ZoneRule } from './zone-rule.js';
+import { countFitting, subtractResources } from './amounts.js';
+import { packTasks, type BinPackingOptions } from './fill.js';
+import type { ShapePool } from './pools.js';
+import { MAX_RESERVATION_TIME } from './reserve.js';
+import type { CandidateMachine, PendingJob } from './types.js';
+import { ZoneConstraint } from './zone-rule.js';
 
 export type GangPlacement =
-  | { kind: 'placed'; machines: RoomyMachine[] }
+  | { kind: 'placed'; machines: CandidateMachine[] }
   /** `missing`: tasks for which there is no room in the zone that serves it best (null: in any zones). */
   | { kind: 'released'; missing: number; zone: string | null; kept: string[] };
 
 /** A zone that may take a gang (null: its tasks may lie in different zones), with the machines open to it there. */
 interface Site {
   zone: string | null;
-  machines: RoomyMachine[];
+  machines: CandidateMachine[];
   free: number;
 }
 
 /** Places all tasks of a gang, or none: whatever was taken is put back. */
-export function placeGang(job: WaitingJob, pools: readonly Pool[], options: FillOptions): GangPlacement {
+export function placeGang(
+  job: PendingJob,
+  pools: readonly ShapePool[],
+  options: BinPackingOptions,
+): GangPlacement {
   const sites = sitesOf(job, pools);
   for (const site of sites) {
-    if (site.free < job.waiting) break;
-    const rule = new ZoneRule(inZone(job, site.zone), []);
-    const machines = fill(job, soonestTold(job, pools, rule), rule, job.waiting, options);
-    if (machines.length === job.waiting) return { kind: 'placed', machines };
-    for (const machine of machines) take(machine.room, job.need, -1);
+    if (site.free < job.pendingTasks) break;
+    const rule = new ZoneConstraint(inZone(job, site.zone), []);
+    const machines = packTasks(job, soonestTold(job, pools, rule), rule, job.pendingTasks, options);
+    if (machines.length === job.pendingTasks) return { kind: 'placed', machines };
+    for (const machine of machines) subtractResources(machine.free, job.need, -1);
   }
   return gather(job, sites);
 }
@@ -41,15 +45,15 @@
  * The shapes that a gang needs, best first; of the last one only the machines that have the image and are told soonest.
  * A gang starts with its last task, so that the slowest of its machines to hear of it holds up all others.
  */
-function soonestTold(job: WaitingJob, pools: readonly Pool[], rule: ZoneRule): Pool[] {
-  const chosen: Pool[] = [];
-  let left = job.waiting;
+function soonestTold(job: PendingJob, pools: readonly ShapePool[], rule: ZoneConstraint): ShapePool[] {
+  const chosen: ShapePool[] = [];
+  let left = job.pendingTasks;
   for (const pool of pools) {
-    const open = pool.machines.filter((m) => rule.open(m.zone) && slots(job.need, m.room) > 0);
-    const free = open.reduce((sum, m) => sum + slots(job.need, m.room), 0);
+    const open = pool.machines.filter((m) => rule.allows(m.zone) && countFitting(job.need, m.free) > 0);
+    const free = open.reduce((sum, m) => sum + countFitting(job.need, m.free), 0);
     if (free >= left) {
-      const isCold = (m: RoomyMachine): number => (m.warm.includes(job.image) ? 0 : 1);
-      open.sort((a, b) => isCold(a) - isCold(b) || a.toldIn - b.toldIn);
+      const isCold = (m: CandidateMachine): number => (m.cachedImages.includes(job.image) ? 0 : 1);
+      open.sort((a, b) => isCold(a) - isCold(b) || a.nextHeartbeatIn - b.nextHeartbeatIn);
       return [...chosen, { ...pool, machines: firstWithRoom(job, open, Math.ceil(left * CHOICE)) }];
     }
     left -= free;
@@ -58,14 +62,18 @@
   return chosen;
 }
 
-function firstWithRoom(job: WaitingJob, machines: readonly RoomyMachine[], count: number): RoomyMachine[] {
+function firstWithRoom(
+  job: PendingJob,
+  machines: readonly CandidateMachine[],
+  count: number,
+): CandidateMachine[] {
   let room = 0;
-  const end = machines.findIndex((m) => (room += slots(job.need, m.room)) >= count);
+  const end = machines.findIndex((m) => (room += countFitting(job.need, m.free)) >= count);
   return end < 0 ? [...machines] : machines.slice(0, end + 1);
 }
 
 /** The sites of a gang, the one with most room first; of several that have enough, the one that has its image. */
-function sitesOf(job: WaitingJob, pools: readonly Pool[]): Site[] {
+function sitesOf(job: PendingJob, pools: readonly ShapePool[]): Site[] {
   const sites = new Map<string | null, Site>();
   for (const pool of pools) {
     for (const machine of pool.machines) {
@@ -74,15 +82,15 @@
       let site = sites.get(zone);
       if (!site) sites.set(zone, (site = { zone, machines: [], free: 0 }));
       site.machines.push(machine);
-      site.free += slots(job.need, machine.room);
+      site.free += countFitting(job.need, machine.free);
     }
   }
   const warmth = (site: Site): number => {
-    if (site.free < job.waiting) return 0;
-    const warm = site.machines.filter((m) => m.warm.includes(job.image));
+    if (site.free < job.pendingTasks) return 0;
+    const warm = site.machines.filter((m) => m.cachedImages.includes(job.image));
     return Math.min(
-      job.waiting,
-      warm.reduce((sum, m) => sum + slots(job.need, m.room), 0),
+      job.pendingTasks,
+      warm.reduce((sum, m) => sum + countFitting(job.need, m.free), 0),
     );
   };
   const ranked = [...sites.values()].map((site) => ({ site, warmth: warmth(site) }));
@@ -94,18 +102,18 @@
  * Keeps what room there is for a gang where the rest comes free soon. Nothing is allotted by it: each round decides
  * anew, the gang of highest rank first, so that two gangs never wait for each other's half.
  */
-function gather(job: WaitingJob, sites: readonly Site[]): GangPlacement {
+function gather(job: PendingJob, sites: readonly Site[]): GangPlacement {
   const best = sites[0];
-  if (!best) return { kind: 'released', missing: job.waiting, zone: null, kept: [] };
-  const missing = Math.max(1, job.waiting - best.free);
+  if (!best) return { kind: 'released', missing: job.pendingTasks, zone: null, kept: [] };
+  const missing = Math.max(1, job.pendingTasks - best.free);
   const result: GangPlacement = { kind: 'released', missing, zone: best.zone, kept: [] };
   // For one that has to be spread, room in one zone says nothing of when the gang can start.
   if (job.spreadZones || !comesFree(job, best)) return result;
-  let left = job.waiting;
+  let left = job.pendingTasks;
   for (const machine of best.machines) {
-    const count = Math.min(left, slots(job.need, machine.room));
+    const count = Math.min(left, countFitting(job.need, machine.free));
     if (count === 0) continue;
-    take(machine.room, job.need, count);
+    subtractResources(machine.free, job.need, count);
     left -= count;
     result.kept.push(machine.host);
   }
@@ -113,16 +121,16 @@
 }
 
 /** The running tasks of the site leave enough room within the time for which any is kept. */
-function comesFree(job: WaitingJob, site: Site): boolean {
+function comesFree(job: PendingJob, site: Site): boolean {
   let room = site.free;
   for (const machine of site.machines) {
-    if (room >= job.waiting) return true;
-    const later = slots(job.need, machine.total) - slots(job.need, machine.room);
-    if (later > 0 && machine.busyFor() <= KEPT_FOR) room += later;
+    if (room >= job.pendingTasks) return true;
+    const later = countFitting(job.need, machine.total) - countFitting(job.need, machine.free);
+    if (later > 0 && machine.busyFor() <= MAX_RESERVATION_TIME) room += later;
   }
-  return room >= job.waiting;
+  return room >= job.pendingTasks;
 }
 
-function inZone(job: WaitingJob, zone: string | null): WaitingJob {
+function inZone(job: PendingJob, zone: string | null): PendingJob {
   return zone === null ? job : { ...job, zone, singleZone: false };
 }
--- a/packages/pricing/preempt.test.ts
+++ b/packages/pricing/preempt.test.ts
@@ -1,27 +1,43 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { planStops, type Victim } from './preempt.js';
-import type { WaitingJob } from './types.js';
+import { planPreemptions, type Victim } from './preempt.js';
+import type { PendingJob } from './types.js';
 
 const NEED = { cpus: 4, gpus: 0, memGb: 8 };
-const JOB: WaitingJob = {
+const JOB: PendingJob = {
   ...{
     id: 'j-1',
     team: 'blue',
     need: NEED,
     priority: 4,
-    order: 1,
-    waiting: 1,
+    acceptanceOrder: 1,
+    pendingTasks: 1,
     taskCount: 1,
-    gang: false,
+    isGang: false,
     machineTypes: null,
   },
-  ...{ zone: null, singleZone: false, spreadZones: false, spot: true, image: 'i', placedByZone: new Map() },
+  ...{
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    allowsSpot: true,
+    image: 'i',
+    placedByZone: new Map(),
+  },
 };
 
 function victim(taskName: string, change: Partial<Victim> = {}): Victim {
   return {
-    ...{ taskName, host: 'n-1', rank: 0, beyond: false, saves: true, cpus: 2, gpus: 0, memGb: 4 },
+    ...{
+      taskName,
+      host: 'n-1',
+      rank: 0,
+      isAboveGuarantee: false,
+      canCheckpoint: true,
+      cpus: 2,
+      gpus: 0,
+      memGb: 4,
+    },
     ...change,
   };
 }
@@ -30,7 +46,7 @@
   const left = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, left, allowed: () => true }));
   const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...claim }];
-  return planStops({ requests, machines, victims, most: 5 }).map((v) => v.taskName);
+  return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map((v) => v.taskName);
 }
 
 test('work of lower rank makes room, on the machine where the fewest tasks have to', () => {
@@ -41,11 +57,14 @@
 
 test('equal or higher rank stays, and so does what would lose its work', () => {
   assert.deepEqual(stopped([victim('a/0', { rank: 2 }), victim('a/1', { rank: 3 })]), []);
-  assert.deepEqual(stopped([victim('a/0', { saves: false }), victim('a/1')]), []);
+  assert.deepEqual(stopped([victim('a/0', { canCheckpoint: false }), victim('a/1')]), []);
 });
 
 test('for a team within its guarantee, what runs beyond another guarantee makes room at any rank', () => {
-  const high = [victim('a/0', { rank: 3, beyond: true }), victim('a/1', { rank: 3, beyond: true })];
+  const high = [
+    victim('a/0', { rank: 3, isAboveGuarantee: true }),
+    victim('a/1', { rank: 3, isAboveGuarantee: true }),
+  ];
   assert.deepEqual(stopped(high, { rank: 1 }), []);
   assert.deepEqual(stopped(high, { rank: 1, guaranteed: true }), ['a/0', 'a/1']);
 });
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preempt.ts
@@ -1,45 +1,50 @@
-import { fits, take } from './amounts.js';
-import type { Amounts, WaitingJob } from './types.js';
+import { fits, subtractResources } from './amounts.js';
+import type { Resources, PendingJob } from './types.js';
 
 /** A running task as one that may have to make room. */
-export interface Victim extends Amounts {
+export interface Victim extends Resources {
   taskName: string;
   host: string;
   rank: number;
   /** Its team runs more than its guarantee. */
-  beyond: boolean;
+  isAboveGuarantee: boolean;
   /** Its progress can be saved. */
-  saves: boolean;
+  canCheckpoint: boolean;
 }
 
 export interface PreemptionRequest {
-  job: WaitingJob;
+  job: PendingJob;
   count: number;
   rank: number;
   /** It lies within its team's guarantee. */
   guaranteed: boolean;
 }
 
-export interface PreemptInput {
+export interface PreemptionInput {
   /** Tasks that found no room and have waited long enough to stop others for, most urgent first. */
   requests: readonly PreemptionRequest[];
-  machines: readonly { host: string; left: Amounts; allowed: (job: WaitingJob) => boolean }[];
+  machines: readonly { host: string; left: Resources; allowed: (job: PendingJob) => boolean }[];
   /** Tasks that may be stopped at all. */
   victims: readonly Victim[];
-  most: number;
+  maxPreemptions: number;
 }
 
 /**
  * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
-export function planStops({ requests, machines, victims, most }: PreemptInput): Victim[] {
+export function planPreemptions({
+  requests,
+  machines,
+  victims,
+  maxPreemptions: most,
+}: PreemptionInput): Victim[] {
   const stops: Victim[] = [];
   const used = new Set<string>();
   // Found by machine once: machines times tasks would be looked at for every claim otherwise.
   const onHost = new Map<string, Victim[]>();
   for (const victim of victims) {
-    if (!victim.saves) continue;
+    if (!victim.canCheckpoint) continue;
     const there = onHost.get(victim.host);
     if (there) there.push(victim);
     else onHost.set(victim.host, [victim]);
@@ -61,8 +66,8 @@
         const chosen: Victim[] = [];
         for (const v of machine.open) {
           if (fits(job.need, room)) break;
-          if (v.rank >= rank && !(guaranteed && v.beyond)) continue;
-          take(room, v, -1);
+          if (v.rank >= rank && !(guaranteed && v.isAboveGuarantee)) continue;
+          subtractResources(room, v, -1);
           chosen.push(v);
         }
         if (fits(job.need, room) && (!best || chosen.length < best.chosen.length))
@@ -73,7 +78,7 @@
       hosts.push(best.host);
       stops.push(...best.chosen);
     }
-    if (!job.gang || found === count) continue;
+    if (!job.isGang || found === count) continue;
     // Room for a part of a gang is of no use to it.
     stops.length = chosenBefore;
     for (const host of hosts) used.delete(host);
--- a/packages/pricing/reserve.ts
+++ b/packages/pricing/reserve.ts
@@ -1,32 +1,36 @@
 /** Keeps room for tasks that need more than comes free at a time. */
 import { type Micros, SECOND } from '#wire';
-import { EPS, fits, nothing } from './amounts.js';
-import type { RoomyMachine, WaitingJob } from './types.js';
-import type { ZoneRule } from './zone-rule.js';
+import { RESOURCE_TOLERANCE, fits, noResources } from './amounts.js';
+import type { CandidateMachine, PendingJob } from './types.js';
+import type { ZoneConstraint } from './zone-rule.js';
 
 /** Part of a machine stands idle for a larger task, or for a gang, no longer than this. */
-export const KEPT_FOR: Micros = 30 * SECOND;
+export const MAX_RESERVATION_TIME: Micros = 30 * SECOND;
 
 /**
  * Machines that could hold one of the tasks, and already have part of the room, take nothing of lower rank until
  * the rest is free, too. Otherwise small tasks would fill each half as it comes, and a task that needs a whole
  * machine would wait for ever on a full fleet. Those that are free soonest come first.
  */
-export function reserve(
-  machines: readonly RoomyMachine[],
-  job: WaitingJob,
-  rule: ZoneRule,
+export function reserveMachines(
+  machines: readonly CandidateMachine[],
+  job: PendingJob,
+  rule: ZoneConstraint,
   count: number,
 ): string[] {
   if (count <= 0) return [];
   const partly = machines.filter(
-    (m) => m.room.cpus > EPS && !fits(job.need, m.room) && fits(job.need, m.total) && rule.open(m.zone),
+    (m) =>
+      m.free.cpus > RESOURCE_TOLERANCE &&
+      !fits(job.need, m.free) &&
+      fits(job.need, m.total) &&
+      rule.allows(m.zone),
   );
   const soonest = partly
     .map((machine) => ({ machine, busyFor: machine.busyFor() }))
-    .filter(({ busyFor }) => busyFor <= KEPT_FOR)
+    .filter(({ busyFor }) => busyFor <= MAX_RESERVATION_TIME)
     .sort((a, b) => a.busyFor - b.busyFor)
     .slice(0, count);
-  for (const { machine } of soonest) machine.room = nothing();
+  for (const { machine } of soonest) machine.free = noResources();
   return soonest.map(({ machine }) => machine.host);
 }
--- a/packages/pricing/round.test.ts
+++ b/packages/pricing/round.test.ts
@@ -3,19 +3,19 @@
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { SECOND } from '#wire';
-import { fits, take } from './amounts.js';
+import { fits, subtractResources } from './amounts.js';
 import { shapeOf } from './pools.js';
-import { playRound } from './round.js';
-import type { RoomyMachine, RoundInput, RoundOptions, WaitingJob } from './types.js';
+import { runPricingRound } from './round.js';
+import type { CandidateMachine, PricingRoundInput, PricingOptions, PendingJob } from './types.js';
 
-const OPTIONS: RoundOptions = {
+const OPTIONS: PricingOptions = {
   ...{
     passes: 30,
     step: 0.1,
     gpuShapeCost: 0.5,
     gpuTaskWeight: 0.5,
     guaranteeWeight: 0.5,
-    mostStarts: 1000,
+    maxStarts: 1000,
     choices: 4,
   },
 };
@@ -25,25 +25,32 @@
   return () => (g.next() >>> 0) / 4294967296;
 }
 
-function job(id: string, change: Partial<WaitingJob> = {}): WaitingJob {
+function job(id: string, change: Partial<PendingJob> = {}): PendingJob {
   return {
     ...{
       id,
       team: 'blue',
       need: { cpus: 2, gpus: 0, memGb: 4 },
       priority: 2,
-      order: 1,
-      waiting: 1,
+      acceptanceOrder: 1,
+      pendingTasks: 1,
       taskCount: 1,
-      gang: false,
+      isGang: false,
+    },
+    ...{
+      machineTypes: null,
+      zone: null,
+      singleZone: false,
+      spreadZones: false,
+      allowsSpot: true,
+      image: 'img-1',
     },
-    ...{ machineTypes: null, zone: null, singleZone: false, spreadZones: false, spot: true, image: 'img-1' },
     placedByZone: new Map(),
     ...change,
   };
 }
 
-function machine(host: string, change: Partial<RoomyMachine> = {}): RoomyMachine {
+function machine(host: string, change: Partial<CandidateMachine> = {}): CandidateMachine {
   const total = { cpus: 4, gpus: 0, memGb: 16 };
   return {
     ...{
@@ -52,22 +59,26 @@
       zone: 'east',
       spot: false,
       total,
-      room: { ...total },
-      warm: [],
+      free: { ...total },
+      cachedImages: [],
       busyFor: () => Infinity,
-      toldIn: 0,
-      upkeep: 1,
+      nextHeartbeatIn: 0,
+      hourlyCostPerCpu: 1,
     },
     ...change,
   };
 }
 
-function input(jobs: WaitingJob[], machines: RoomyMachine[], change: Partial<RoundInput> = {}): RoundInput {
-  const team = (name: string): RoundInput['teams'][number] => ({
+function input(
+  jobs: PendingJob[],
+  machines: CandidateMachine[],
+  change: Partial<PricingRoundInput> = {},
+): PricingRoundInput {
+  const team = (name: string): PricingRoundInput['teams'][number] => ({
     name,
     used: { cpus: 0, gpus: 0, memGb: 0 },
     guaranteed: { cpus: 4, gpus: 0 },
-    most: { cpus: 12, gpus: 1 },
+    limit: { cpus: 12, gpus: 1 },
   });
   const teams = [team('blue'), team('green')];
   return { jobs, machines, teams, prices: new Map(), options: OPTIONS, random: random(1), ...change };
@@ -98,30 +109,35 @@
     fc.property(fc.array(anyJob, { maxLength: 12 }), fc.array(anyMachine, { maxLength: 12 }), (js, ms) => {
       const jobs = js.map((j, i) =>
         job(`j-${i}`, {
-          ...{ ...j, need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb }, order: i, taskCount: j.waiting },
+          ...{
+            ...j,
+            need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb },
+            acceptanceOrder: i,
+            taskCount: j.waiting,
+          },
         }),
       );
       const machines = ms.map((m, i) => {
         const total = m.large ? { cpus: 8, gpus: 1, memGb: 64 } : { cpus: 4, gpus: 0, memGb: 16 };
         const room = { ...total, cpus: total.cpus - m.used };
-        return machine(`n-${i}`, { ...m, machineType: m.large ? 'large' : 'small', total, room });
+        return machine(`n-${i}`, { ...m, machineType: m.large ? 'large' : 'small', total, free: room });
       });
-      const result = playRound(input(jobs, machines));
-      const room = new Map(machines.map((m) => [m.host, { ...m.room }]));
+      const result = runPricingRound(input(jobs, machines));
+      const room = new Map(machines.map((m) => [m.host, { ...m.free }]));
       const used = new Map<string, { cpus: number; gpus: number; memGb: number }>();
       const zones = new Map<string, string[]>();
       const count = new Map<string, number>();
       for (const { job: id, host } of result.starts) {
-        const j = jobs.find((x) => x.id === id) as WaitingJob;
-        const m = machines.find((x) => x.host === host) as RoomyMachine;
+        const j = jobs.find((x) => x.id === id) as PendingJob;
+        const m = machines.find((x) => x.host === host) as CandidateMachine;
         const left = room.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
         assert.ok(fits(j.need, left), 'room');
-        take(left, j.need, 1);
+        subtractResources(left, j.need, 1);
         assert.ok(j.machineTypes?.includes(m.machineType) ?? true, 'type');
         assert.ok(j.zone === null || j.zone === m.zone, 'zone');
-        assert.ok(j.spot || !m.spot, 'kind');
+        assert.ok(j.allowsSpot || !m.spot, 'kind');
         const u = used.get(j.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
-        take(u, j.need, -1);
+        subtractResources(u, j.need, -1);
         used.set(j.team, u);
         zones.set(id, [...(zones.get(id) ?? []), m.zone]);
         count.set(id, (count.get(id) ?? 0) + 1);
@@ -135,7 +151,7 @@
             assert.ok(where.filter((x) => x === h).length <= Math.ceil(j.taskCount / 2), 'scattered');
           }
         }
-        assert.ok((count.get(j.id) ?? 0) + (result.unmet.get(j.id) ?? 0) <= j.waiting, 'count');
+        assert.ok((count.get(j.id) ?? 0) + (result.unmet.get(j.id) ?? 0) <= j.pendingTasks, 'count');
       }
       for (const p of result.prices.values()) assert.ok(p.cpu >= 0 && p.mem >= 0 && p.gpu >= 0, 'price');
     }),
@@ -144,14 +160,16 @@
 });
 
 test('prices start from the last round, rise where more is asked than there is, and fall back to zero', () => {
-  const crowd = [job('j-1', { waiting: 6, taskCount: 6, priority: 5 })];
-  const first = playRound(input(crowd, [machine('n-1')])).prices.get('small');
+  const crowd = [job('j-1', { pendingTasks: 6, taskCount: 6, priority: 5 })];
+  const first = runPricingRound(input(crowd, [machine('n-1')])).prices.get('small');
   assert.ok(first && first.cpu > 0);
   const prices = new Map([['small', first]]);
-  const next = playRound(input(crowd, [machine('n-1')], { prices, options: { ...OPTIONS, passes: 1 } }));
+  const next = runPricingRound(
+    input(crowd, [machine('n-1')], { prices, options: { ...OPTIONS, passes: 1 } }),
+  );
   assert.ok(Math.abs((next.prices.get('small')?.cpu ?? 0) - first.cpu) < 1);
-  let idle: RoundInput['prices'] = prices;
-  for (let i = 0; i < 4; i++) idle = playRound(input([], [machine('n-1')], { prices: idle })).prices;
+  let idle: PricingRoundInput['prices'] = prices;
+  for (let i = 0; i < 4; i++) idle = runPricingRound(input([], [machine('n-1')], { prices: idle })).prices;
   assert.equal(idle.get('small')?.cpu, 0);
 });
 
@@ -159,50 +177,53 @@
   const dear = new Map([[shapeOf('small', false), { cpu: 50, gpu: 0, mem: 0 }]]);
   const options = { ...OPTIONS, passes: 0 };
   const large = machine('n-2', { machineType: 'large' });
-  const both = playRound(input([job('j-1')], [machine('n-1'), large], { prices: dear, options }));
+  const both = runPricingRound(input([job('j-1')], [machine('n-1'), large], { prices: dear, options }));
   assert.deepEqual(both.starts, [{ job: 'j-1', host: 'n-2' }]);
-  const only = playRound(input([job('j-1')], [machine('n-1')], { prices: dear, options }));
+  const only = runPricingRound(input([job('j-1')], [machine('n-1')], { prices: dear, options }));
   assert.deepEqual(only.starts, [{ job: 'j-1', host: 'n-1' }]);
 });
 
 test('of two teams the one within its guarantee goes first, and rank decides within a team', () => {
-  const one = [machine('n-1', { room: { cpus: 2, gpus: 0, memGb: 16 } })];
+  const one = [machine('n-1', { free: { cpus: 2, gpus: 0, memGb: 16 } })];
   const teams = input([], []).teams.map((t) => ({
     ...t,
     used: { ...t.used, cpus: t.name === 'blue' ? 4 : 0 },
   }));
-  const jobs = [job('j-1', { order: 1 }), job('j-2', { team: 'green', order: 2 })];
-  assert.equal(playRound(input(jobs, one, { teams })).starts[0]?.job, 'j-2');
-  const ranks = [job('j-1', { order: 1 }), job('j-2', { order: 2, priority: 4 })];
-  assert.equal(playRound(input(ranks, one)).starts[0]?.job, 'j-2');
+  const jobs = [job('j-1', { acceptanceOrder: 1 }), job('j-2', { team: 'green', acceptanceOrder: 2 })];
+  assert.equal(runPricingRound(input(jobs, one, { teams })).starts[0]?.job, 'j-2');
+  const ranks = [job('j-1', { acceptanceOrder: 1 }), job('j-2', { acceptanceOrder: 2, priority: 4 })];
+  assert.equal(runPricingRound(input(ranks, one)).starts[0]?.job, 'j-2');
 });
 
 test('of shapes of equal utility the cheaper to keep is taken', () => {
-  const machines = [machine('n-1', { upkeep: 3 }), machine('n-2', { spot: true, upkeep: 1 })];
+  const machines = [
+    machine('n-1', { hourlyCostPerCpu: 3 }),
+    machine('n-2', { spot: true, hourlyCostPerCpu: 1 }),
+  ];
   for (const order of [machines, [...machines].reverse()]) {
-    assert.equal(playRound(input([job('j-1')], order)).starts[0]?.host, 'n-2');
+    assert.equal(runPricingRound(input([job('j-1')], order)).starts[0]?.host, 'n-2');
   }
 });
 
 test('a task that needs a whole machine gets the half that is free soonest kept, and no smaller task takes it', () => {
   const half = { cpus: 2, gpus: 0, memGb: 8 };
   const machines = [
-    machine('n-1', { room: { ...half }, busyFor: () => 20 * SECOND }),
-    machine('n-2', { room: { ...half }, busyFor: () => 5 * SECOND }),
-    machine('n-3', { room: { ...half }, busyFor: () => 300 * SECOND }),
+    machine('n-1', { free: { ...half }, busyFor: () => 20 * SECOND }),
+    machine('n-2', { free: { ...half }, busyFor: () => 5 * SECOND }),
+    machine('n-3', { free: { ...half }, busyFor: () => 300 * SECOND }),
   ];
   const whole = job('j-1', { priority: 4, need: { cpus: 4, gpus: 0, memGb: 14 } });
-  const small = job('j-2', { waiting: 3 });
-  const hosts = (jobs: WaitingJob[]): string[] =>
-    playRound(input(jobs, machines))
+  const small = job('j-2', { pendingTasks: 3 });
+  const hosts = (jobs: PendingJob[]): string[] =>
+    runPricingRound(input(jobs, machines))
       .starts.map((s) => `${s.job} ${s.host}`)
       .sort();
   assert.deepEqual(hosts([whole, small]), ['j-2 n-1', 'j-2 n-3']);
   // None is kept longer than is worth it, nor for what ranks lower.
   assert.deepEqual(
     hosts([
-      { ...whole, waiting: 2 },
-      { ...small, waiting: 1 },
+      { ...whole, pendingTasks: 2 },
+      { ...small, pendingTasks: 1 },
     ]),
     ['j-2 n-3'],
   );
@@ -210,18 +231,18 @@
 });
 
 /** A round of an owner whose machines have just come up one by one, while far more waits. */
-function afterBoot(jobs: WaitingJob[]) {
-  let prices: RoundInput['prices'] = new Map();
+function afterBoot(jobs: PendingJob[]) {
+  let prices: PricingRoundInput['prices'] = new Map();
   const teams = [
     {
       ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 0, gpus: 0 } },
-      most: { cpus: 1e4, gpus: 0 },
+      limit: { cpus: 1e4, gpus: 0 },
     },
   ];
-  const play = (machines: RoomyMachine[]) =>
-    playRound({ jobs, machines, teams, prices, options: OPTIONS, random: random(3) });
+  const play = (machines: CandidateMachine[]) =>
+    runPricingRound({ jobs, machines, teams, prices, options: OPTIONS, random: random(3) });
   for (let up = 1; up <= 20; up++) {
-    const busy = { room: { cpus: 0, gpus: 0, memGb: 0 } };
+    const busy = { free: { cpus: 0, gpus: 0, memGb: 0 } };
     prices = play([...Array(up).keys()].map((i) => machine(`n-${i}`, i < up - 1 ? busy : {}))).prices;
   }
   return { prices, play };
@@ -230,8 +251,14 @@
 // Once prices stood at 171 while nobody would pay more than 12, and urgent tasks waited longest for minutes.
 test('prices stay near what tasks would pay while a fleet boots, so that rank decides and not size', () => {
   const whole = { cpus: 4, gpus: 0, memGb: 14 };
-  const urgent = job('j-2', { need: whole, priority: 8, waiting: 40, taskCount: 40, order: 2 });
-  const normal = job('j-1', { waiting: 400, taskCount: 400, order: 1 });
+  const urgent = job('j-2', {
+    need: whole,
+    priority: 8,
+    pendingTasks: 40,
+    taskCount: 40,
+    acceptanceOrder: 2,
+  });
+  const normal = job('j-1', { pendingTasks: 400, taskCount: 400, acceptanceOrder: 1 });
   const { prices, play } = afterBoot([normal, urgent]);
   const cpu = prices.get('small')?.cpu ?? 0;
   assert.ok(cpu < 3, `${cpu} a CPU, where 2 is the most that anyone pays`);
@@ -242,13 +269,13 @@
 // minutes, while small machines stood idle beside a best-effort job: docs/incidents/upgrade-132.md.
 test('a job that no machine suits holds its team back only for as long as a machine takes to come', () => {
   const play = (isOverdue: boolean): string[] => {
-    const waitsForLarge = job('j-1', { priority: 24, waiting: 8, machineTypes: ['large'], isOverdue });
-    const runsAnywhere = job('j-2', { priority: 1, order: 2, waiting: 2 });
+    const waitsForLarge = job('j-1', { priority: 24, pendingTasks: 8, machineTypes: ['large'], isOverdue });
+    const runsAnywhere = job('j-2', { priority: 1, acceptanceOrder: 2, pendingTasks: 2 });
     const team = {
       ...{ name: 'blue', used: { cpus: 0, gpus: 0, memGb: 0 }, guaranteed: { cpus: 8, gpus: 0 } },
-      most: { cpus: 16, gpus: 0 },
+      limit: { cpus: 16, gpus: 0 },
     };
-    const result = playRound({
+    const result = runPricingRound({
       ...{ jobs: [waitsForLarge, runsAnywhere], machines: [machine('m-1')], teams: [team] },
       ...{ prices: new Map(), options: OPTIONS, random: random(1) },
     });
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -1,6 +1,6 @@
 import type { Micros } from '#wire';
 
-export interface Amounts {
+export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
@@ -13,56 +13,56 @@
 }
 
 /** What of a job waits for machines. */
-export interface WaitingJob {
+export interface PendingJob {
   id: string;
   team: string;
-  need: Amounts;
+  need: Resources;
   /** Rank and waiting time as one number; the higher, the sooner. */
   priority: number;
   /** Order of acceptance, for ties. */
-  order: number;
-  waiting: number;
+  acceptanceOrder: number;
+  pendingTasks: number;
   taskCount: number;
   /** All that waits is placed in one round, or nothing is. */
-  gang: boolean;
+  isGang: boolean;
   /** It has waited for longer than a machine takes to come up. */
   isOverdue?: boolean;
   machineTypes: readonly string[] | null;
   zone: string | null;
   singleZone: boolean;
   spreadZones: boolean;
-  spot: boolean;
+  allowsSpot: boolean;
   image: string;
   /** Tasks of the job that are on machines now, by zone. */
   placedByZone: ReadonlyMap<string, number>;
 }
 
-export interface RoomyMachine {
+export interface CandidateMachine {
   host: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  total: Amounts;
+  total: Resources;
   /** Room as last reported, less starts sent since. */
-  room: Amounts;
+  free: Resources;
   /** Images that it has. */
-  warm: readonly string[];
+  cachedImages: readonly string[];
   /** Time until all that is on it should have ended. */
   busyFor: () => Micros;
   /** Time until its worker is likely to report next, and so to be told of a start. */
-  toldIn: Micros;
+  nextHeartbeatIn: Micros;
   /** What the machine costs per hour and CPU; decides only between shapes of equal utility. */
-  upkeep: number;
+  hourlyCostPerCpu: number;
 }
 
-export interface TeamBooks {
+export interface TeamUsage {
   name: string;
-  used: Amounts;
+  used: Resources;
   guaranteed: { cpus: number; gpus: number };
-  most: { cpus: number; gpus: number };
+  limit: { cpus: number; gpus: number };
 }
 
-export interface RoundOptions {
+export interface PricingOptions {
   passes: number;
   /** Step for a whole machine's worth of a resource at full gap, as a part of top priority. */
   step: number;
@@ -72,22 +72,22 @@
   gpuTaskWeight: number;
   /** Raise for what lies within a team's guarantee, as a part of top priority. */
   guaranteeWeight: number;
-  mostStarts: number;
+  maxStarts: number;
   /** Random roomy machines that are looked at for each task; the fullest of them gets it. */
   choices: number;
 }
 
-export interface RoundInput {
-  jobs: readonly WaitingJob[];
-  machines: readonly RoomyMachine[];
-  teams: readonly TeamBooks[];
+export interface PricingRoundInput {
+  jobs: readonly PendingJob[];
+  machines: readonly CandidateMachine[];
+  teams: readonly TeamUsage[];
   prices: ReadonlyMap<string, Price>;
-  options: RoundOptions;
+  options: PricingOptions;
   /** Uniform in [0, 1). */
   random: () => number;
 }
 
-export interface RoundResult {
+export interface PricingRoundResult {
   starts: { job: string; host: string }[];
   prices: Map<string, Price>;
   /** Tasks within their team's limit that found no roomy machine. */
@@ -95,7 +95,7 @@
   /** By gang that found no room and has to lie in one zone: the zone that serves it best. */
   gatheringZones: Map<string, string>;
   /** Room left on each machine. */
-  left: Map<string, Amounts>;
+  free: Map<string, Resources>;
   /** Machines that are kept for tasks which need more room than they have yet. */
-  kept: ReadonlySet<string>;
+  reservedHosts: ReadonlySet<string>;
 }
--- a/packages/recovery/contradictions.ts
+++ b/packages/recovery/contradictions.ts
@@ -1,8 +1,8 @@
 /** Compares what is known of the state with what the state service shows: pure, and the same on every node. */
-import type { StateSummary } from '#cluster';
+import type { HighWaterMarks } from '#cluster';
 
 /** One way in which what is shown falls short of what is known. */
-export type Contradiction =
+export type Inconsistency =
   | { kind: 'epoch_went_back'; known: number; shown: number }
   | { kind: 'epoch_reused'; epoch: number }
   | { kind: 'token_went_back'; known: number; shown: number }
@@ -14,16 +14,19 @@
   | { kind: 'state_incomplete'; reason: string };
 
 /** Numbers that somebody has seen; absent ones say nothing. */
-export type SeenNumbers = Partial<StateSummary>;
+export type PartialHighWaterMarks = Partial<HighWaterMarks>;
 
 /** Where the state that is shown lacks what has been seen before: nothing once it has reached all of it. */
-export function findContradictions(seen: SeenNumbers, shown: SeenNumbers): Contradiction[] {
-  const found: Contradiction[] = [];
-  if (isBehind(seen.epoch, shown.epoch)) {
-    found.push({ kind: 'epoch_went_back', known: seen.epoch ?? 0, shown: shown.epoch ?? 0 });
+export function findInconsistencies(
+  seen: PartialHighWaterMarks,
+  shown: PartialHighWaterMarks,
+): Inconsistency[] {
+  const found: Inconsistency[] = [];
+  if (isBehind(seen.revision, shown.revision)) {
+    found.push({ kind: 'epoch_went_back', known: seen.revision ?? 0, shown: shown.revision ?? 0 });
   }
-  if (isBehind(seen.token, shown.token)) {
-    found.push({ kind: 'token_went_back', known: seen.token ?? 0, shown: shown.token ?? 0 });
+  if (isBehind(seen.fencingToken, shown.fencingToken)) {
+    found.push({ kind: 'token_went_back', known: seen.fencingToken ?? 0, shown: shown.fencingToken ?? 0 });
   }
   for (const [log, known] of Object.entries(seen.positions ?? {})) {
     const position = shown.positions?.[log] ?? 0;
@@ -34,38 +37,41 @@
 }
 
 /** The highest of what either has seen. */
-export function joinSeen(a: SeenNumbers, b: SeenNumbers): SeenNumbers {
+export function mergeHighWaterMarks(
+  a: PartialHighWaterMarks,
+  b: PartialHighWaterMarks,
+): PartialHighWaterMarks {
   const positions: Record<string, number> = { ...a.positions };
   for (const [log, position] of Object.entries(b.positions ?? {})) {
     positions[log] = Math.max(positions[log] ?? 0, position);
   }
   return {
-    epoch: Math.max(a.epoch ?? 0, b.epoch ?? 0),
-    token: Math.max(a.token ?? 0, b.token ?? 0),
+    revision: Math.max(a.revision ?? 0, b.revision ?? 0),
+    fencingToken: Math.max(a.fencingToken ?? 0, b.fencingToken ?? 0),
     positions,
   };
 }
 
-export function describeContradiction(contradiction: Contradiction): string {
-  switch (contradiction.kind) {
+export function describeInconsistency(inconsistency: Inconsistency): string {
+  switch (inconsistency.kind) {
     case 'epoch_went_back':
-      return `epoch ${contradiction.shown} is shown, ${contradiction.known} was seen`;
+      return `epoch ${inconsistency.shown} is shown, ${inconsistency.known} was seen`;
     case 'epoch_reused':
-      return `a commit is said to have made epoch ${contradiction.epoch}, which was seen before it`;
+      return `a commit is said to have made epoch ${inconsistency.epoch}, which was seen before it`;
     case 'token_went_back':
-      return `token ${contradiction.shown} is shown, ${contradiction.known} was seen`;
+      return `token ${inconsistency.shown} is shown, ${inconsistency.known} was seen`;
     case 'log_went_back':
-      return `log ${contradiction.log} ends at ${contradiction.shown}, record ${contradiction.known} was seen`;
+      return `log ${inconsistency.log} ends at ${inconsistency.shown}, record ${inconsistency.known} was seen`;
     case 'key_missing':
-      return `${contradiction.key} is gone, and no node removes it`;
+      return `${inconsistency.key} is gone, and no node removes it`;
     case 'key_went_back':
-      return `${contradiction.key} is older than it was`;
+      return `${inconsistency.key} is older than it was`;
     case 'history_forked':
-      return `${contradiction.key} holds another record of the same number: this is another history`;
+      return `${inconsistency.key} holds another record of the same number: this is another history`;
     case 'peer_objects':
-      return `it has seen epoch ${contradiction.known}, and finds the state to contradict it`;
+      return `it has seen epoch ${inconsistency.known}, and finds the state to contradict it`;
     case 'state_incomplete':
-      return `the state can not be read whole: ${contradiction.reason}`;
+      return `the state can not be read whole: ${inconsistency.reason}`;
   }
 }
 
