--- a/packages/recovery/loss-watch.ts
+++ b/packages/recovery/loss-watch.ts
@@ -3,12 +3,19 @@
  * seen before. From the first contradiction on the node treats the state service as one that refuses it, so that all
  * bounds of an outage hold; it goes on as soon as a reading bears out all that was ever seen.
  */
-import type { Logger, PeerMemory, PeerWord, StateCheck, StateReading, StateSummary } from '#cluster';
-import type { EpochCheck } from '#store';
-import { type Clock, type Micros, SECOND, type WorkerReport } from '#wire';
-import { type Claim, Claims, seenByWorker } from './claims.js';
-import { type Contradiction, describeContradiction, findContradictions } from './contradictions.js';
-import type { Evidence, LossReport, LossState } from './report.js';
+import type {
+  Logger,
+  PeerHighWaterMark,
+  PeerStatus,
+  StateIntegrityCheck,
+  StateReading,
+  HighWaterMarks,
+} from '#cluster';
+import type { RevisionCheck } from '#store';
+import { type Clock, type Micros, SECOND, type Heartbeat } from '#wire';
+import { type Observation, Observations, marksOfHeartbeat } from './claims.js';
+import { type Inconsistency, describeInconsistency, findInconsistencies } from './contradictions.js';
+import type { Evidence, DataLossReport, DataLossState } from './report.js';
 
 /** Readings in a row that lack parts: fewer may be due to changes while they were made. */
 const INCOMPLETE_READINGS = 3;
@@ -22,18 +29,18 @@
 /** Contradictions that are kept and shown. */
 const EVIDENCE_KEPT = 20;
 
-export interface LossWatchParts {
+export interface DataLossDetectorOptions {
   clock: Clock;
   log: Logger;
   /** How long a claim holds that its source doesn't repeat. */
-  claimLife: Micros;
+  observationLifetime: Micros;
   /** The other nodes of the cluster, and how often each worker reports. */
   peerCount: number;
-  reportInterval: Micros;
+  heartbeatInterval: Micros;
 }
 
-export class LossWatch implements EpochCheck, StateCheck {
-  private state: LossState = 'serving';
+export class DataLossDetector implements RevisionCheck, StateIntegrityCheck {
+  private state: DataLossState = 'serving';
   private since: Micros;
   /** The highest epoch that any answer has shown. */
   private highest = 0;
@@ -45,15 +52,15 @@
   private readonly explained = new Set<string>();
   private incompleteReadings = 0;
   private falseAlarms = 0;
-  private readonly claims: Claims;
+  private readonly observations: Observations;
   private readonly rememberingPeers = new Set<string>();
   private readonly startedAt: Micros;
   private readonly closeListeners: (() => void)[] = [];
 
-  constructor(private readonly parts: LossWatchParts) {
+  constructor(private readonly parts: DataLossDetectorOptions) {
     this.startedAt = parts.clock.now();
     this.since = this.startedAt;
-    this.claims = new Claims(parts.claimLife);
+    this.observations = new Observations(parts.observationLifetime);
   }
 
   isOpen(): boolean {
@@ -65,7 +72,7 @@
    * just started themselves, gives the workers the time to report.
    */
   isReady(): boolean {
-    const { clock, peerCount, reportInterval } = this.parts;
+    const { clock, peerCount, heartbeatInterval: reportInterval } = this.parts;
     if (peerCount > 0 && this.rememberingPeers.size === peerCount) return true;
     return clock.now() - this.startedAt > reportInterval + LISTEN_MARGIN;
   }
@@ -74,40 +81,42 @@
     this.closeListeners.push(listener);
   }
 
-  floor(): number {
+  minimumRevision(): number {
     return this.highest;
   }
 
   accepts(floor: number, epoch: number): boolean {
-    return this.take(epoch, findContradictions({ epoch: floor }, { epoch }));
+    return this.checkRevision(epoch, findInconsistencies({ revision: floor }, { revision: epoch }));
   }
 
-  acceptsNew(floor: number, epoch: number): boolean {
-    return this.take(
+  acceptsCommitted(floor: number, epoch: number): boolean {
+    return this.checkRevision(
       epoch,
-      epoch === floor ? [{ kind: 'epoch_reused', epoch }] : findContradictions({ epoch: floor }, { epoch }),
+      epoch === floor
+        ? [{ kind: 'epoch_reused', epoch }]
+        : findInconsistencies({ revision: floor }, { revision: epoch }),
     );
   }
 
   /** Takes in an epoch that an answer shows. One that arrives after an alarm, as from an old watch, may be of any history. */
-  private take(epoch: number, found: readonly Contradiction[]): boolean {
+  private checkRevision(epoch: number, found: readonly Inconsistency[]): boolean {
     if (!this.isOpen()) return false;
-    if (found.length > 0) this.notice(evidenceOf(`${OWN} requests`, found));
+    if (found.length > 0) this.raiseAlarm(evidenceOf(`${OWN} requests`, found));
     else this.highest = Math.max(this.highest, epoch);
     return found.length === 0;
   }
 
-  judge(reading: StateReading): boolean {
+  judgeReading(reading: StateReading): boolean {
     const { sentAt, shown, known } = reading;
     // One that was begun before the alarm can neither end nor confirm it.
     if (this.state !== 'serving' && sentAt <= this.since) return false;
     this.incompleteReadings = 0;
     const found = [
-      ...evidenceOf(`${OWN} copy`, [...findContradictions(known ?? {}, shown), ...this.compared(reading)]),
-      ...this.contradictedClaims(sentAt, shown),
+      ...evidenceOf(`${OWN} copy`, [...findInconsistencies(known ?? {}, shown), ...this.compared(reading)]),
+      ...this.inconsistentObservations(sentAt, shown),
     ];
     if (found.length === 0) this.accept(shown);
-    else this.contradicted(found);
+    else this.escalate(found);
     return found.length === 0;
   }
 
@@ -115,28 +124,28 @@
    * What the rows of a reading contradict. Keys that are absent count only after an alarm, until they or what follows
    * them are found: without one, a copy that was cut off for long may lack any number of jobs that have ended meanwhile.
    */
-  private compared({ differences }: StateReading): Contradiction[] {
+  private compared({ differences }: StateReading): Inconsistency[] {
     if (this.state !== 'serving') {
       for (const key of differences.absent) if (!this.explained.has(key)) this.missing.add(key);
     }
     return [
-      ...[...this.missing].map((key): Contradiction => ({ kind: 'key_missing', key })),
-      ...differences.wentBack.map((key): Contradiction => ({ kind: 'key_went_back', key })),
-      ...differences.forked.map((key): Contradiction => ({ kind: 'history_forked', key })),
+      ...[...this.missing].map((key): Inconsistency => ({ kind: 'key_missing', key })),
+      ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_went_back', key })),
+      ...differences.forked.map((key): Inconsistency => ({ kind: 'history_forked', key })),
     ];
   }
 
-  confirm(sentAt: Micros, copy: StateSummary): boolean {
+  confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean {
     if (this.state !== 'serving') return false;
-    const found = this.contradictedClaims(sentAt, copy);
-    if (found.length > 0) this.notice(found);
+    const found = this.inconsistentObservations(sentAt, copy);
+    if (found.length > 0) this.raiseAlarm(found);
     return found.length === 0;
   }
 
-  refuses(lostKeys: readonly string[]): boolean {
+  reportLostKeys(lostKeys: readonly string[]): boolean {
     for (const key of lostKeys) this.missing.add(key);
-    const lost = lostKeys.map((key): Contradiction => ({ kind: 'key_missing', key }));
-    this.notice(evidenceOf(`${OWN} watch`, lost));
+    const lost = lostKeys.map((key): Inconsistency => ({ kind: 'key_missing', key }));
+    this.raiseAlarm(evidenceOf(`${OWN} watch`, lost));
     return true;
   }
 
@@ -144,110 +153,114 @@
     return [...this.missing];
   }
 
-  found(key: string): void {
+  reportFoundKey(key: string): void {
     this.missing.delete(key);
     this.explained.add(key);
   }
 
-  incomplete(reason: string): void {
+  reportIncompleteRead(reason: string): void {
     this.incompleteReadings++;
     if (this.incompleteReadings < INCOMPLETE_READINGS) return;
     this.incompleteReadings = 0;
-    this.contradicted(evidenceOf(`${OWN} reading`, [{ kind: 'state_incomplete', reason }]));
+    this.escalate(evidenceOf(`${OWN} reading`, [{ kind: 'state_incomplete', reason }]));
   }
 
   /**
    * For peers; null while this node remembers nothing that could tell of a loss. What it has from a peer only is not told
    * on: two peers would keep each other in alarm.
    */
-  memory(): PeerMemory | null {
+  publishedHighWaterMark(): PeerHighWaterMark | null {
     const isContradicted = this.evidence.some(({ source }) => !source.startsWith(PEER));
-    return this.remembers || isContradicted ? { epoch: this.highest, isContradicted } : null;
+    return this.remembers || isContradicted
+      ? { revision: this.highest, isInconsistent: isContradicted }
+      : null;
   }
 
   /** The token that peers are told: in an alarm also one that only workers have seen. */
-  toldToken(token: number): number {
-    return this.isOpen() ? token : Math.max(token, this.claims.joined().token ?? 0);
+  publishedFencingToken(fencingToken: number): number {
+    return this.isOpen()
+      ? fencingToken
+      : Math.max(fencingToken, this.observations.combined().fencingToken ?? 0);
   }
 
   /** Takes in what a worker's report shows of the state that it was started under. */
-  heardWorker(report: WorkerReport): void {
-    this.claims.note(`worker ${report.host}`, seenByWorker(report), this.parts.clock.now());
+  observeHeartbeat(heartbeat: Heartbeat): void {
+    this.observations.note(`worker ${heartbeat.host}`, marksOfHeartbeat(heartbeat), this.parts.clock.now());
   }
 
   /** Takes in what a peer tells of the state that it has seen. */
-  heardPeer(member: string, { token, memory }: PeerWord): void {
+  observePeer(member: string, { fencingToken, highWaterMark: memory }: PeerStatus): void {
     const source = `${PEER} ${member}`;
     const now = this.parts.clock.now();
     if (memory === null) {
-      this.claims.note(source, { token }, now);
+      this.observations.note(source, { fencingToken }, now);
       return;
     }
     this.rememberingPeers.add(member);
-    const seen = { token, epoch: memory.epoch };
-    if (!memory.isContradicted) {
-      this.claims.note(source, seen, now);
+    const seen = { token: fencingToken, revision: memory.revision };
+    if (!memory.isInconsistent) {
+      this.observations.note(source, seen, now);
       return;
     }
     const known = this.remembers ? this.highest : NOTHING_KNOWN;
-    const objections = this.objectionsOf(this.claims.noteObjection(source, seen, now, known));
-    if (objections.length > 0) this.notice(evidenceOf(source, objections));
+    const objections = this.objectionsOf(this.observations.noteObjection(source, seen, now, known));
+    if (objections.length > 0) this.raiseAlarm(evidenceOf(source, objections));
   }
 
   /** The worker runs tasks that no record of this copy has started: it is told nothing that could end them. */
-  isAheadOf(copy: StateSummary, report: WorkerReport): boolean {
-    return findContradictions({ positions: seenByWorker(report).positions ?? {} }, copy).length > 0;
+  isWorkerAheadOf(copy: HighWaterMarks, heartbeat: Heartbeat): boolean {
+    return findInconsistencies({ positions: marksOfHeartbeat(heartbeat).positions ?? {} }, copy).length > 0;
   }
 
-  report(): LossReport {
+  report(): DataLossReport {
     return {
       state: this.state,
       sinceS: Math.round((this.parts.clock.now() - this.since) / 1e5) / 10,
       evidence: this.evidence,
       falseAlarms: this.falseAlarms,
-      seen: { ...this.claims.joined(), epoch: this.highest },
+      seen: { ...this.observations.combined(), revision: this.highest },
     };
   }
 
-  private contradictedClaims(sentAt: Micros, shown: StateSummary): Evidence[] {
-    const claims = this.claims.madeBefore(sentAt, this.parts.clock.now());
-    return claims.flatMap((claim) => {
-      const found = findContradictions(claim.seen, shown);
-      return evidenceOf(claim.source, [...found, ...this.objectionsOf(claim)]);
+  private inconsistentObservations(sentAt: Micros, shown: HighWaterMarks): Evidence[] {
+    const claims = this.observations.madeBefore(sentAt, this.parts.clock.now());
+    return claims.flatMap((observation) => {
+      const found = findInconsistencies(observation.marks, shown);
+      return evidenceOf(observation.source, [...found, ...this.objectionsOf(observation)]);
     });
   }
 
   /** A peer that remembers more than this node did is believed: another history may have grown beyond what it has seen. */
-  private objectionsOf(claim: Claim): Contradiction[] {
-    const { seen, objectedAt } = claim;
-    const known = seen.epoch ?? 0;
-    if (objectedAt === null || known <= objectedAt || this.claims.isOverruled(claim)) return [];
+  private objectionsOf(observation: Observation): Inconsistency[] {
+    const { marks: seen, objectedAt } = observation;
+    const known = seen.revision ?? 0;
+    if (objectedAt === null || known <= objectedAt || this.observations.isOverruled(observation)) return [];
     return [{ kind: 'peer_objects', known }];
   }
 
-  private notice(found: Evidence[]): void {
+  private raiseAlarm(found: Evidence[]): void {
     if (this.state !== 'serving') return;
-    this.enter('noticed', found);
+    this.transitionTo('noticed', found);
     for (const listener of this.closeListeners) listener();
   }
 
   /** Whole readings contradict what was seen: the first raises the alarm, the next confirms it. */
-  private contradicted(found: Evidence[]): void {
-    if (this.state === 'serving') this.notice(found);
-    else if (this.state === 'noticed') this.enter('frozen', found);
+  private escalate(found: Evidence[]): void {
+    if (this.state === 'serving') this.raiseAlarm(found);
+    else if (this.state === 'noticed') this.transitionTo('frozen', found);
     else this.evidence = found.slice(0, EVIDENCE_KEPT);
   }
 
-  private accept({ epoch }: StateSummary): void {
+  private accept({ revision: epoch }: HighWaterMarks): void {
     this.remembers = true;
     this.highest = Math.max(this.highest, epoch);
     if (this.state === 'serving') return;
     if (this.state === 'noticed') this.falseAlarms++;
     this.explained.clear();
-    this.enter('serving', []);
+    this.transitionTo('serving', []);
   }
 
-  private enter(state: LossState, found: Evidence[]): void {
+  private transitionTo(state: DataLossState, found: Evidence[]): void {
     const { clock, log } = this.parts;
     const evidence = found.slice(0, EVIDENCE_KEPT);
     const entry = { from: this.state, to: state, evidence: evidence.map(({ text }) => text) };
@@ -259,10 +272,10 @@
   }
 }
 
-function evidenceOf(source: string, found: readonly Contradiction[]): Evidence[] {
-  return found.map((contradiction) => ({
+function evidenceOf(source: string, found: readonly Inconsistency[]): Evidence[] {
+  return found.map((inconsistency) => ({
     source,
-    contradiction,
-    text: `${source}: ${describeContradiction(contradiction)}`,
+    contradiction: inconsistency,
+    text: `${source}: ${describeInconsistency(inconsistency)}`,
   }));
 }
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -2,33 +2,33 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { StateSummary } from '#cluster';
+import type { HighWaterMarks } from '#cluster';
 import { SimClock } from '#testkit';
 import { SECOND } from '#wire';
-import { findContradictions, joinSeen, type SeenNumbers } from './contradictions.js';
-import { LossWatch } from './loss-watch.js';
+import { findInconsistencies, mergeHighWaterMarks, type PartialHighWaterMarks } from './contradictions.js';
+import { DataLossDetector } from './loss-watch.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
-const NO_DIFFERENCES = { forked: [], wentBack: [], absent: [] };
+const NO_DIFFERENCES = { forked: [], regressed: [], absent: [] };
 
 const small = fc.nat({ max: 20 });
-const summaries: fc.Arbitrary<StateSummary> = fc.record({
-  epoch: small,
-  token: small,
+const summaries: fc.Arbitrary<HighWaterMarks> = fc.record({
+  revision: small,
+  fencingToken: small,
   positions: fc.dictionary(fc.constantFrom('lead', '0', '1'), small),
 });
 
-function reaches(shown: StateSummary, seen: SeenNumbers): boolean {
-  return findContradictions(seen, shown).length === 0;
+function reaches(shown: HighWaterMarks, seen: PartialHighWaterMarks): boolean {
+  return findInconsistencies(seen, shown).length === 0;
 }
 
 test('what several have seen can be joined in any order, and repeated, and is reached if each part is', () => {
   fc.assert(
     fc.property(summaries, summaries, summaries, summaries, (a, b, c, shown) => {
-      const left = joinSeen(joinSeen(a, b), c);
-      const right = joinSeen(c, joinSeen(b, a));
+      const left = mergeHighWaterMarks(mergeHighWaterMarks(a, b), c);
+      const right = mergeHighWaterMarks(c, mergeHighWaterMarks(b, a));
       assert.equal(reaches(shown, left), reaches(shown, right));
-      assert.deepEqual(joinSeen(left, a), left);
+      assert.deepEqual(mergeHighWaterMarks(left, a), left);
       assert.equal(
         reaches(shown, left),
         [a, b, c].every((part) => reaches(shown, part)),
@@ -40,8 +40,8 @@
 test('a state that only grows never contradicts what was seen of it', () => {
   fc.assert(
     fc.property(summaries, summaries, (earlier, growth) => {
-      const later = joinSeen(earlier, growth) as StateSummary;
-      assert.deepEqual(findContradictions(earlier, later), []);
+      const later = mergeHighWaterMarks(earlier, growth) as HighWaterMarks;
+      assert.deepEqual(findInconsistencies(earlier, later), []);
     }),
   );
 });
@@ -81,16 +81,22 @@
         0,
         0,
       );
-      const watch = new LossWatch({
-        ...{ clock: view, log: SILENT, claimLife: 60 * SECOND, peerCount: 0, reportInterval: -2 * SECOND },
+      const watch = new DataLossDetector({
+        ...{
+          clock: view,
+          log: SILENT,
+          observationLifetime: 60 * SECOND,
+          peerCount: 0,
+          heartbeatInterval: -2 * SECOND,
+        },
       });
       const store = new ModelStore();
       let seen = 0;
       const read = (): void => {
         clock.time += SECOND;
-        const shown = { epoch: store.epoch, token: 0, positions: {} };
-        const known = seen > 0 ? { ...shown, epoch: watch.floor() } : null;
-        watch.judge({ sentAt: view.now(), shown, known, differences: NO_DIFFERENCES });
+        const shown = { revision: store.epoch, fencingToken: 0, positions: {} };
+        const known = seen > 0 ? { ...shown, revision: watch.minimumRevision() } : null;
+        watch.judgeReading({ sentAt: view.now(), shown, known, differences: NO_DIFFERENCES });
         if (store.epoch >= seen) seen = store.epoch;
         assert.equal(watch.isOpen(), store.epoch >= seen, JSON.stringify(watch.report()));
       };
--- a/packages/recovery/snapshot-codec.ts
+++ b/packages/recovery/snapshot-codec.ts
@@ -2,9 +2,9 @@
  * Maps the state to the lines of a snapshot, field by field, and lines to text and back. Where a value of the state is
  * given a word of its own here, the line's type holds that word, so that another one in the code doesn't compile.
  */
-import type { CheckpointRow, Final, LiveJob, StateSummary } from '#cluster';
+import type { CheckpointRow, TerminalStatus, LiveJob, HighWaterMarks } from '#cluster';
 import type { JobSpec, MachineType } from '#wire';
-import type { LossState } from './report.js';
+import type { DataLossState } from './report.js';
 import {
   type FinalLine,
   type JobLine,
@@ -27,11 +27,11 @@
   /** Time of day, in milliseconds. */
   readonly takenAt: number;
   /** What the node finds of lost state; null where it doesn't watch. */
-  readonly loss: LossState | null;
+  readonly loss: DataLossState | null;
 }
 
 /** The first line of a snapshot that is taken of a copy with this summary. */
-export function encodeHeader(origin: SnapshotOrigin, summary: StateSummary): SnapshotHeader {
+export function encodeHeader(origin: SnapshotOrigin, summary: HighWaterMarks): SnapshotHeader {
   return {
     kind: 'header',
     format: SNAPSHOT_FORMAT,
@@ -40,8 +40,8 @@
     nodes: origin.nodes,
     takenAt: origin.takenAt,
     loss: origin.loss,
-    epoch: summary.epoch,
-    token: summary.token,
+    epoch: summary.revision,
+    token: summary.fencingToken,
     positions: summary.positions,
   };
 }
@@ -53,11 +53,11 @@
 
 /** The line of a job that lies among the live ones. */
 export function encodeJob(id: string, job: LiveJob): JobLine {
-  return { kind: 'job', id, at: job.at, spec: jobSpecFields(job.spec) };
+  return { kind: 'job', id, at: job.acceptedAtMs, spec: jobSpecFields(job.spec) };
 }
 
 /** The line of a job that is over. */
-export function encodeTerminalStatus(id: string, status: Final): FinalLine {
+export function encodeTerminalStatus(id: string, status: TerminalStatus): FinalLine {
   return { kind: 'final', id, status };
 }
 
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -17,7 +17,7 @@
   const ledger = new Ledger();
   ledger.apply('lead', {
     sequence: 1,
-    at: 1_000,
+    recordedAtMs: 1_000,
     machines: [
       ['n-000001', 'small', 'east', false, 1_000, 0],
       ['n-000002', 'large', 'west', true, 2_500, 0],
@@ -28,8 +28,8 @@
       ['n-000007', 'small', 'west', false, 1_600, 1],
       ['n-000008', 'small', 'west', false, 1_700, 1],
     ],
-    rentals: [['hire-1-41-1', 'large', 'west', true, 4, 1]],
-    moves: [
+    scaleOuts: [['hire-1-41-1', 'large', 'west', true, 4, 1]],
+    transferTargets: [
       ['n-000003', 'return'],
       ['n-000004', 1],
       ['n-000005', 0],
@@ -37,7 +37,7 @@
   });
   ledger.apply(0, {
     sequence: 1,
-    at: 3_000,
+    recordedAtMs: 3_000,
     statuses: [
       ['n-000001', 'up'],
       ['n-000002', 'up'],
@@ -74,16 +74,16 @@
   });
   ledger.apply(0, {
     sequence: 2,
-    at: 4_000,
-    ends: [
+    recordedAtMs: 4_000,
+    completions: [
       ['j-000001', 0, 1_024, 'done'],
       ['j-000001', 1, 1_024, 'failed'],
     ],
   });
   ledger.apply(1, {
     sequence: 1,
-    at: 4_500,
-    takes: ['n-000004'],
+    recordedAtMs: 4_500,
+    acquisitions: ['n-000004'],
     statuses: [
       ['n-000005', 'silent'],
       ['n-000006', 'recalled'],
@@ -125,14 +125,14 @@
   // Its own summary is used, but no state service to follow.
   const copy = Object.create(Replica.prototype) as Writable<Replica>;
   copy.ledger = sampleLedger();
-  copy.applied = 431;
-  copy.token = { value: 7, revision: 1 };
-  copy.types = new Map([[LARGE.name, LARGE]]);
+  copy.appliedRevision = 431;
+  copy.fencingToken = { value: 7, revision: 1 };
+  copy.machineTypes = new Map([[LARGE.name, LARGE]]);
   copy.jobs = new Map([
-    ['j-000001', { spec: sampleJob('j-000001'), at: 900, revision: 5 }],
-    ['j-000002', { spec: gang, at: 950, revision: 6 }],
+    ['j-000001', { spec: sampleJob('j-000001'), acceptedAtMs: 900, acceptedRevision: 5 }],
+    ['j-000002', { spec: gang, acceptedAtMs: 950, acceptedRevision: 6 }],
   ]);
-  copy.ended = new Map([
+  copy.terminalJobs = new Map([
     ['j-000003', { status: 'done', revision: 7 }],
     ['j-000004', { status: 'cancelled', revision: 8 }],
   ]);
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -22,24 +22,27 @@
   const ledger = new Ledger();
   const host = (i: number): string => `n-${String(i).padStart(6, '0')}`;
   ledger.apply('lead', {
-    ...{ sequence: 1, at: 0 },
+    ...{ sequence: 1, recordedAtMs: 0 },
     machines: [...Array(MACHINES).keys()].map((i) => [host(i), 'small', 'east', false, i, 0]),
   });
   const starts: StartGroup[] = [...Array(JOBS).keys()].map((job) => ({
     ...{ job: `j-${job}`, team: 'blue', image: 'img', need: [1, 0, 1] },
     tasks: [...Array(TASKS / JOBS).keys()].map((i) => [i, host((job * 8 + i) % MACHINES), 1]),
   }));
-  ledger.apply(0, { sequence: 1, at: 1, starts });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 1, starts });
   const jobs = new Map(
-    [...Array(JOBS).keys()].map((i) => [`j-${i}`, { spec: sampleJob(`j-${i}`), at: i, revision: i }]),
+    [...Array(JOBS).keys()].map((i) => [
+      `j-${i}`,
+      { spec: sampleJob(`j-${i}`), acceptedAtMs: i, acceptedRevision: i },
+    ]),
   );
   const copy = Object.create(Replica.prototype) as Writable<Replica>;
   copy.ledger = ledger;
-  copy.applied = 9;
-  copy.token = { value: 3, revision: 1 };
+  copy.appliedRevision = 9;
+  copy.fencingToken = { value: 3, revision: 1 };
   copy.jobs = jobs;
-  copy.ended = new Map();
-  copy.types = new Map();
+  copy.terminalJobs = new Map();
+  copy.machineTypes = new Map();
   return copy as Replica;
 }
 
@@ -66,7 +69,7 @@
   compressed.on('data', (chunk: Buffer) => (bytes += chunk.length));
   const restored = new Ledger();
   const summary = await readSnapshot(compressed, (line: SnapshotLine) => {
-    if (line.kind === 'ledger' && line.row[0] === 's') restored.jobEntry(line.row[1]);
+    if (line.kind === 'ledger' && line.row[0] === 's') restored.jobProgress(line.row[1]);
   });
   t.diagnostic(
     `taken at once in ${captured.toFixed(0)} ms, ${(performance.now() - began).toFixed(0)} ms in all, ${bytes} bytes`,
@@ -74,7 +77,7 @@
   assert.equal(summary.tasks, TASKS);
   assert.equal(summary.machines, MACHINES);
   assert.equal(summary.finals, FINALS);
-  assert.equal(restored.jobEntries.size, JOBS);
+  assert.equal(restored.jobs.size, JOBS);
   assert.ok(summary.hasAllFinals);
 });
 
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -1,6 +1,6 @@
 /** Writes the state as one node's copy holds it at one revision of the state service. */
 import { createHash } from 'node:crypto';
-import { checkpointRows, type Final, type Replica } from '#cluster';
+import { checkpointRows, type TerminalStatus, type Replica } from '#cluster';
 import {
   encodeCheckpointRow,
   encodeHeader,
@@ -13,7 +13,7 @@
 import type { SnapshotLine } from './snapshot-format.js';
 
 /** Final answers after the given job, in the order of their names; ends with an empty page. */
-export type FinalPages = (after: string) => Promise<readonly { id: string; status: Final }[]>;
+export type FinalPages = (after: string) => Promise<readonly { id: string; status: TerminalStatus }[]>;
 
 /**
  * The lines of a snapshot as text. All that may change is taken at once, as references and short rows; it is written out
@@ -30,10 +30,10 @@
 
 /** What the copy holds at this moment, but for its final answers of long ago. */
 function captureLines(replica: Replica, origin: SnapshotOrigin): SnapshotLine[] {
-  const lines: SnapshotLine[] = [encodeHeader(origin, replica.summary())];
-  for (const type of replica.types.values()) lines.push(encodeMachineType(type));
+  const lines: SnapshotLine[] = [encodeHeader(origin, replica.highWaterMarks())];
+  for (const type of replica.machineTypes.values()) lines.push(encodeMachineType(type));
   for (const [id, job] of replica.jobs) lines.push(encodeJob(id, job));
-  for (const [id, { status }] of replica.ended) lines.push(encodeTerminalStatus(id, status));
+  for (const [id, { status }] of replica.terminalJobs) lines.push(encodeTerminalStatus(id, status));
   const rows = checkpointRows(replica.ledger, (job) => replica.jobs.has(job));
   for (const row of rows) lines.push(encodeCheckpointRow(row));
   return lines;
@@ -64,7 +64,7 @@
 }
 
 /** Every final answer, page after page. */
-async function* readFinals(finalPages: FinalPages): AsyncGenerator<{ id: string; status: Final }> {
+async function* readFinals(finalPages: FinalPages): AsyncGenerator<{ id: string; status: TerminalStatus }> {
   let page = await finalPages('');
   for (let last = page.at(-1); last !== undefined; last = page.at(-1)) {
     yield* page;
--- a/packages/settings/operator.ts
+++ b/packages/settings/operator.ts
@@ -21,7 +21,7 @@
   /** Raise for what lies within a team's guarantee, as a part of top priority. */
   guaranteeWeight: number;
   /** Waiting this long doubles a job's priority. */
-  waitDoubles: Micros;
+  priorityDoublingTime: Micros;
   /** Random machines with free capacity that are looked at for each task. */
   choices: number;
   /** Where the operators' listener is to be had; null: nowhere. */
@@ -29,11 +29,11 @@
   /** Duties are handed over when the process is asked to end (SIGTERM). */
   handsOverOnStop: boolean;
   /** What the state service shows is compared with what was seen before; nothing is done while it has lost some. */
-  noticesLoss: boolean;
+  detectsDataLoss: boolean;
 }
 
 /** An element of the file that holds a number. */
-export interface Knob {
+export interface TuningParameter {
   /** Path of the element in the file; the unit is a part of the name. */
   readonly path: string;
   readonly minimum: number;
@@ -44,8 +44,8 @@
   readonly apply: (value: number) => Partial<Tuning>;
 }
 
-/** Every element with a number that the file may hold, with its range; {@link standardTuning} holds the defaults. */
-export const KNOBS: readonly Knob[] = [
+/** Every element with a number that the file may hold, with its range; {@link defaultTuning} holds the defaults. */
+export const TUNING_PARAMETERS: readonly TuningParameter[] = [
   {
     path: 'round/gapMs',
     minimum: 20,
@@ -100,7 +100,7 @@
     minimum: 1,
     maximum: 86_400,
     isInteger: false,
-    apply: (value) => ({ waitDoubles: fromSeconds(value) }),
+    apply: (value) => ({ priorityDoublingTime: fromSeconds(value) }),
   },
   {
     path: 'placement/choices',
@@ -116,7 +116,7 @@
 const MAX_PORT = 65_535;
 
 /** What holds without an operators' file, and for every element that a file leaves out. */
-export function standardTuning(): Tuning {
+export function defaultTuning(): Tuning {
   return {
     roundGap: 250 * MS,
     roundIdle: SECOND,
@@ -125,11 +125,11 @@
     gpuShapeCost: 0.5,
     gpuTaskWeight: 0.5,
     guaranteeWeight: 0.5,
-    waitDoubles: 60 * SECOND,
+    priorityDoublingTime: 60 * SECOND,
     choices: 6,
     operatorListen: null,
     handsOverOnStop: false,
-    noticesLoss: false,
+    detectsDataLoss: false,
   };
 }
 
@@ -139,14 +139,14 @@
  */
 export async function parseTuning(xml: string): Promise<Tuning> {
   const root = await parseXml(xml);
-  const tuning = standardTuning();
-  for (const knob of KNOBS) {
+  const tuning = defaultTuning();
+  for (const knob of TUNING_PARAMETERS) {
     const value = numberAt(root, knob);
     if (value !== null) Object.assign(tuning, knob.apply(value));
   }
   tuning.operatorListen = addressAt(root, 'operations/listen');
   tuning.handsOverOnStop = flagAt(root, 'operations/handOverOnStop');
-  tuning.noticesLoss = flagAt(root, 'recovery/noticeLoss');
+  tuning.detectsDataLoss = flagAt(root, 'recovery/noticeLoss');
   return tuning;
 }
 
@@ -177,7 +177,7 @@
 }
 
 /** The number that an element holds; null if the file doesn't have it. */
-function numberAt(root: unknown, { path, minimum, maximum, isInteger }: Knob): number | null {
+function numberAt(root: unknown, { path, minimum, maximum, isInteger }: TuningParameter): number | null {
   const text = elementAt(root, path);
   if (text === undefined) return null;
   const value = typeof text === 'string' && text.trim() !== '' ? Number(text) : NaN;
--- a/packages/settings/platform.ts
+++ b/packages/settings/platform.ts
@@ -57,11 +57,11 @@
   teams: Team[];
   objectives: Objective[];
   /** Time between two reports of a worker. */
-  report: Micros;
+  heartbeatInterval: Micros;
   /** A worker ends its tasks once the last report that was answered was sent longer ago than this. */
-  lease: Micros;
+  workerLease: Micros;
   /** Within what time after its user was told so a cancelled job's tasks must be off their machines. */
-  cancel: Micros;
+  cancellationDeadline: Micros;
   /** For how long a gang's tasks wait for each other. */
   gangWait: Micros;
   /** Within what time a gang's tasks notice that one of them is gone, and all of them must be told to stop. */
@@ -74,13 +74,16 @@
   /** Requests a second that the cloud takes. */
   cloudRps: number;
   /** By how much the cloud's list of machines lags; sometimes by twice that. */
-  listLag: Micros;
+  machineListLag: Micros;
   /** Connections that a node may have open. */
   sockets: number;
 }
 
 type StateSettings = Pick<Settings, 'stateRps' | 'stateWriteRps' | 'valueBytes' | 'txnOps'>;
-type WorkerSettings = Pick<Settings, 'report' | 'lease' | 'cancel' | 'gangWait' | 'gangPeer'>;
+type WorkerSettings = Pick<
+  Settings,
+  'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'gangWait' | 'gangPeer'
+>;
 
 /** Reads the text of a platform's file; fails with {@link SettingsError} that names the first field that is wrong. */
 export function parseSettings(toml: string): Settings {
@@ -101,7 +104,7 @@
     ...workerSettingsOf(facts.workers),
     ...stateSettingsOf(facts.state),
     cloudRps: facts.cloud.rps,
-    listLag: fromSeconds(facts.cloud.list_lag_s),
+    machineListLag: fromSeconds(facts.cloud.list_lag_s),
     sockets: facts.machine_limits.sockets,
   };
 }
@@ -156,9 +159,9 @@
 
 function workerSettingsOf(workers: PlatformFacts['workers']): WorkerSettings {
   return {
-    report: fromSeconds(workers.report_s),
-    lease: fromSeconds(workers.lease_s),
-    cancel: fromSeconds(workers.cancel_s),
+    heartbeatInterval: fromSeconds(workers.report_s),
+    workerLease: fromSeconds(workers.lease_s),
+    cancellationDeadline: fromSeconds(workers.cancel_s),
     gangWait: fromSeconds(workers.gang_wait_s),
     gangPeer: fromSeconds(workers.gang_peer_s),
   };
--- a/packages/settings/settings-format.test.ts
+++ b/packages/settings/settings-format.test.ts
@@ -3,14 +3,14 @@
 import { test } from 'node:test';
 import { SECOND } from '#wire';
 import {
-  KNOBS,
+  TUNING_PARAMETERS,
   loadSettings,
   loadTuning,
   parseSettings,
   parseTuning,
   type Settings,
   SettingsError,
-  standardTuning,
+  defaultTuning,
   type Tuning,
 } from './index.js';
 
@@ -80,9 +80,9 @@
   timeBound: 25_000,
   teams: [{ name: 'pricing', cpus: 32, cpusMax: 104, gpus: 2, gpusMax: 8 }],
   objectives: [{ kind: 'start', jobClass: 'quotes', within: 90 * SECOND }],
-  report: 3 * SECOND,
-  lease: 22 * SECOND,
-  cancel: 47 * SECOND,
+  heartbeatInterval: 3 * SECOND,
+  workerLease: 22 * SECOND,
+  cancellationDeadline: 47 * SECOND,
   gangWait: 45 * SECOND,
   gangPeer: 4 * SECOND,
   stateRps: 70,
@@ -90,7 +90,7 @@
   valueBytes: 2048,
   txnOps: 6,
   cloudRps: 10,
-  listLag: 6 * SECOND,
+  machineListLag: 6 * SECOND,
   sockets: 2500,
 };
 
@@ -327,7 +327,7 @@
 
 test("the operators' file has these numbers, in these ranges", async () => {
   assert.deepEqual(
-    KNOBS.map(({ path }) => path),
+    TUNING_PARAMETERS.map(({ path }) => path),
     NUMBERS.map(([path]) => path),
   );
   for (const [path, least, most, whole] of NUMBERS) {
@@ -353,18 +353,18 @@
     ['pricing/gpuShapeCost', '1', { gpuShapeCost: 1 }],
     ['pricing/gpuTaskWeight', '2', { gpuTaskWeight: 2 }],
     ['pricing/guaranteeWeight', '3', { guaranteeWeight: 3 }],
-    ['pricing/waitDoublesS', '1.5', { waitDoubles: 1.5 * SECOND }],
+    ['pricing/waitDoublesS', '1.5', { priorityDoublingTime: 1.5 * SECOND }],
     ['placement/choices', '64', { choices: 64 }],
     ['operations/listen', ' 127.0.0.1:07070 ', { operatorListen: '127.0.0.1:7070' }],
     ['operations/handOverOnStop', 'true', { handsOverOnStop: true }],
     ['operations/handOverOnStop', 'false', {}],
-    ['recovery/noticeLoss', 'true', { noticesLoss: true }],
+    ['recovery/noticeLoss', 'true', { detectsDataLoss: true }],
     ['recovery/noticeLoss', 'false', {}],
     ['round/later', '7', {}],
     ['later/gapMs', '7', {}],
   ];
   for (const [path, text, change] of cases) {
-    assert.deepEqual(await parseTuning(fileWith(path, text)), { ...standardTuning(), ...change }, path);
+    assert.deepEqual(await parseTuning(fileWith(path, text)), { ...defaultTuning(), ...change }, path);
   }
 });
 
@@ -372,7 +372,7 @@
   const expected: Tuning = {
     operatorListen: null,
     handsOverOnStop: false,
-    noticesLoss: false,
+    detectsDataLoss: false,
     roundGap: 250_000,
     roundIdle: SECOND,
     passes: 30,
@@ -380,10 +380,10 @@
     gpuShapeCost: 0.5,
     gpuTaskWeight: 0.5,
     guaranteeWeight: 0.5,
-    waitDoubles: 60 * SECOND,
+    priorityDoublingTime: 60 * SECOND,
     choices: 6,
   };
-  assert.deepEqual(standardTuning(), expected);
+  assert.deepEqual(defaultTuning(), expected);
 });
 
 test("what is wrong in the operators' file is named in these words", async () => {
--- a/packages/settings/settings.test.ts
+++ b/packages/settings/settings.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { parseSettings, parseTuning, SettingsError, standardTuning } from './index.js';
+import { parseSettings, parseTuning, SettingsError, defaultTuning } from './index.js';
 
 const TOML = `
 member = "hive-0"
@@ -45,7 +45,7 @@
 
 test('the platform file is read into whole microseconds and bytes, unknown fields are ignored', () => {
   const settings = parseSettings(TOML);
-  assert.equal(settings.lease, 22 * SECOND);
+  assert.equal(settings.workerLease, 22 * SECOND);
   assert.equal(settings.valueBytes, 4096);
   assert.deepEqual(settings.teams[0], { name: 'pricing', cpus: 32, cpusMax: 104, gpus: 0, gpusMax: 0 });
 });
@@ -112,7 +112,7 @@
 
 test("the operators' example is the defaults", async () => {
   const example = readFileSync(new URL('../../deploy/operator.example.xml', import.meta.url), 'utf8');
-  assert.deepEqual(await parseTuning(example), standardTuning());
+  assert.deepEqual(await parseTuning(example), defaultTuning());
 });
 
 test("a wrong value in the operators' file is named, an unknown element ignored", async () => {
@@ -127,18 +127,18 @@
   }
   await assert.rejects(parseTuning('<micaworks><pricing>'), SettingsError);
   await assert.rejects(parseTuning('<other/>'), /micaworks/);
-  assert.deepEqual(await parseTuning('<micaworks><later>1</later></micaworks>'), standardTuning());
+  assert.deepEqual(await parseTuning('<micaworks><later>1</later></micaworks>'), defaultTuning());
 });
 
 test('what is new is off by default, and the files under deploy switch it on', async () => {
   const read = (name: string): string =>
     readFileSync(new URL(`../../deploy/${name}`, import.meta.url), 'utf8');
-  const { operatorListen, handsOverOnStop, noticesLoss } = standardTuning();
+  const { operatorListen, handsOverOnStop, detectsDataLoss: noticesLoss } = defaultTuning();
   assert.deepEqual([operatorListen, handsOverOnStop, noticesLoss], [null, false, false]);
-  const duties = await parseTuning(read('operator.listener.xml'));
-  assert.deepEqual([duties.operatorListen, duties.handsOverOnStop], ['127.0.0.1:7070', true]);
+  const roles = await parseTuning(read('operator.listener.xml'));
+  assert.deepEqual([roles.operatorListen, roles.handsOverOnStop], ['127.0.0.1:7070', true]);
   const recovery = await parseTuning(read('operator.recovery.xml'));
-  assert.deepEqual([recovery.operatorListen, recovery.noticesLoss], ['127.0.0.1:7070', true]);
+  assert.deepEqual([recovery.operatorListen, recovery.detectsDataLoss], ['127.0.0.1:7070', true]);
   const wrong = '<micaworks><recovery><noticeLoss>yes</noticeLoss></recovery></micaworks>';
   await assert.rejects(parseTuning(wrong), /recovery\/noticeLoss: must be true or false/);
 });
--- a/packages/store/pace.ts
+++ b/packages/store/pace.ts
@@ -5,7 +5,7 @@
 const WINDOW: Micros = 3 * SECOND;
 
 /** How much there has been a second, over the last few. */
-export class Meter {
+export class RateMeter {
   private readonly counts: { at: Micros; count: number }[] = [];
   private sum = 0;
 
@@ -40,38 +40,38 @@
  * Keeps a kind of request within its part of what the state service allows: tokens come at a rate, and up to a
  * second's worth of them is saved for a burst. A large commit may run into debt that the next one waits for.
  */
-export class Pace {
+export class RateLimiter {
   private tokens: number;
   private at: Micros;
   /** When a request of this kind was last refused for coming too fast, and by how much that slowed it. */
   private slowed: { at: Micros; factor: number } = { at: -Infinity, factor: 1 };
-  private readonly taken: Meter;
+  private readonly taken: RateMeter;
 
   constructor(
     private readonly clock: Clock,
     /** Tokens a second at present, given what was taken a second lately. */
     private readonly rateFor: (used: number) => number,
   ) {
-    this.taken = new Meter(clock);
+    this.taken = new RateMeter(clock);
     this.tokens = this.rate();
     this.at = clock.now();
   }
 
   /** Takes tokens, also more than there are. */
-  take(count: number): void {
+  consume(count: number): void {
     this.fill();
     this.tokens -= count;
     this.taken.add(count);
   }
 
   /** Time until a token is to be had. */
-  wait(): Micros {
+  delay(): Micros {
     this.fill();
     return this.tokens >= 1 ? 0 : Math.ceil(((1 - this.tokens) / this.rate()) * SECOND);
   }
 
   /** One came too fast although it kept to its part: the limit has fallen, or others take more than theirs. */
-  refused(): void {
+  onRejected(): void {
     this.slowed = { at: this.clock.now(), factor: Math.max(LEAST_FACTOR, this.factor() * SLOWER) };
   }
 
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -1,8 +1,15 @@
 /** The requests to the state service and how its answers are read, as literals: they change only with the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Caller, Fields, Reply } from '#wire';
-import { type EpochCheck, isTooFast, isTooLarge, NEVER_WRITTEN, StoreClient, StoreError } from './index.js';
+import type { HttpClient, WireFields, HttpReply } from '#wire';
+import {
+  type RevisionCheck,
+  isRateLimited,
+  isTooLarge,
+  UNUSED_KEY,
+  StoreClient,
+  StoreError,
+} from './index.js';
 
 interface Bench {
   client: StoreClient;
@@ -11,10 +18,10 @@
 }
 
 /** A state service that gives these answers in their order, null for none, and notes what it was asked. */
-function storeOf(replies: readonly (Reply | null)[], check?: EpochCheck): Bench {
+function storeOf(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Bench {
   const asked: string[] = [];
   const left = [...replies];
-  const call: Caller = (endpoint, method, path, body, timeout) => {
+  const call: HttpClient = (endpoint, method, path, body, timeout) => {
     assert.equal(endpoint, '10.2.0.1:2379');
     const parts = [
       method,
@@ -29,8 +36,8 @@
   return { client: new StoreClient('10.2.0.1:2379', call, check), asked };
 }
 
-function answer(status: number, json = '{}'): Reply {
-  return { status, body: JSON.parse(json) as Fields };
+function answer(status: number, json = '{}'): HttpReply {
+  return { status, body: JSON.parse(json) as WireFields };
 }
 
 const isError =
@@ -100,13 +107,13 @@
     { path: 'a/b', revision: 0 },
     { path: 'a/c', revision: 412 },
   ];
-  const result = await client.commit(guards, [
+  const result = await client.compareAndSwap(guards, [
     { set: 'a/b', value: { N: 1 }, leaseId: 7 },
     { set: 'a/c', value: {} },
     { remove: 'c/d' },
   ]);
   assert.deepEqual(result, { kind: 'applied', epoch: 432 });
-  assert.deepEqual(await client.commit([], []), { kind: 'applied', epoch: 433 });
+  assert.deepEqual(await client.compareAndSwap([], []), { kind: 'applied', epoch: 433 });
   assert.deepEqual(asked, [
     'POST /commit {"Guards":[{"Path":"a/b","Stamp":0},{"Path":"a/c","Stamp":412}],' +
       '"Writes":[{"Set":"a/b","V":{"N":1},"Permit":7},{"Set":"a/c","V":{}},{"Remove":"c/d"}]} 1500 ms',
@@ -127,7 +134,7 @@
   ];
   const { client } = storeOf(replies);
   const results = [];
-  for (let i = 0; i < replies.length; i++) results.push(await client.commit([], [{ remove: 'a/b' }]));
+  for (let i = 0; i < replies.length; i++) results.push(await client.compareAndSwap([], [{ remove: 'a/b' }]));
   assert.deepEqual(results, [
     { kind: 'refused', failed: ['a/b'], epoch: 431 },
     { kind: 'refused', failed: [], epoch: 431 },
@@ -139,7 +146,7 @@
     { kind: 'unknown' },
   ]);
   assert.deepEqual(results.map(isTooLarge), [false, false, false, true, false, false, false, false]);
-  assert.deepEqual(results.map(isTooFast), [false, false, false, false, true, false, false, false]);
+  assert.deepEqual(results.map(isRateLimited), [false, false, false, false, true, false, false, false]);
 });
 
 test('leases are made, renewed and ended by their numbers, up to 2^64 - 1', async () => {
@@ -158,12 +165,12 @@
   assert.equal(await client.createLease(3_000_000), 7);
   assert.equal(await client.createLease(2_999_600), most);
   await assert.rejects(client.createLease(3_000_000), isError(503));
-  assert.equal(await client.renew(7), true);
-  assert.equal(await client.renew(most), false);
-  await assert.rejects(client.renew(7), isError(503));
-  await client.revoke(most);
-  await client.revoke(7);
-  await assert.rejects(client.revoke(7), isError(0));
+  assert.equal(await client.renewLease(7), true);
+  assert.equal(await client.renewLease(most), false);
+  await assert.rejects(client.renewLease(7), isError(503));
+  await client.revokeLease(most);
+  await client.revokeLease(7);
+  await assert.rejects(client.revokeLease(7), isError(0));
   assert.deepEqual(asked, [
     'POST /grants {"LifeMs":3000} 1500 ms',
     'POST /grants {"LifeMs":3000} 1500 ms',
@@ -189,7 +196,7 @@
     answer(503),
     null,
   ]);
-  const follow = () => client.follow('c/', 431, 10_000_000);
+  const follow = () => client.watch('c/', 431, 10_000_000);
   assert.deepEqual(await follow(), {
     epoch: 433,
     news: [
@@ -206,35 +213,35 @@
 });
 
 test('a lease that is gone is confirmed by a read of the present epoch where epochs are checked', async () => {
-  const check: EpochCheck = {
+  const check: RevisionCheck = {
     isOpen: () => true,
-    floor: () => 400,
+    minimumRevision: () => 400,
     accepts: (floor, epoch) => epoch >= floor,
-    acceptsNew: (floor, epoch) => epoch > floor,
+    acceptsCommitted: (floor, epoch) => epoch > floor,
   };
   const whole = storeOf([answer(404), answer(404, '{"Epoch":400}')], check);
-  assert.equal(await whole.client.renew(7), false);
+  assert.equal(await whole.client.renewLease(7), false);
   const lost = storeOf([answer(404), answer(404, '{"Epoch":399}')], check);
-  await assert.rejects(lost.client.renew(7), isError(503));
+  await assert.rejects(lost.client.renewLease(7), isError(503));
   for (const { asked } of [whole, lost]) {
     assert.deepEqual(asked, ['POST /grants/7/renew 1500 ms', 'GET /store/mw/nothing 1500 ms']);
   }
-  assert.equal(NEVER_WRITTEN, 'mw/nothing');
+  assert.equal(UNUSED_KEY, 'mw/nothing');
 });
 
 test('while the state is not believed nothing is asked, and all is refused as in an outage', async () => {
-  const closed: EpochCheck = {
+  const closed: RevisionCheck = {
     isOpen: () => false,
-    floor: () => 400,
+    minimumRevision: () => 400,
     accepts: () => true,
-    acceptsNew: () => true,
+    acceptsCommitted: () => true,
   };
   const { client, asked } = storeOf([], closed);
   await assert.rejects(client.get('a/b'), isError(503));
   await assert.rejects(client.createLease(3_000_000), isError(503));
-  await assert.rejects(client.renew(7), isError(503));
-  await assert.rejects(client.follow('c/', 431, 10_000_000), isError(503));
-  const result = await client.commit([], [{ remove: 'a/b' }]);
+  await assert.rejects(client.renewLease(7), isError(503));
+  await assert.rejects(client.watch('c/', 431, 10_000_000), isError(503));
+  const result = await client.compareAndSwap([], [{ remove: 'a/b' }]);
   assert.deepEqual(result, { kind: 'not_executed', status: 503 });
   assert.deepEqual(asked, []);
 });
--- a/packages/store/rows.ts
+++ b/packages/store/rows.ts
@@ -1,10 +1,10 @@
 /** Rows of the key-value store, and the guarded writes that change them. */
-import type { Count, Fields } from '#wire';
+import type { Count, WireFields } from '#wire';
 
 /** A key with its value. The state service's own page calls them `Path`, `V`, `Stamp`, `Permit`, `Epoch`. */
 export interface Row {
   path: string;
-  value: Fields;
+  value: WireFields;
   /** The epoch of the commit that wrote it. */
   revision: number;
 }
@@ -13,7 +13,7 @@
 export interface Change {
   path: string;
   revision: number;
-  value: Fields | null;
+  value: WireFields | null;
 }
 
 /** A condition of a compare-and-swap: the key has this revision still. */
@@ -24,7 +24,7 @@
 }
 
 /** One operation of a commit. A row that is set under a lease goes when the lease expires. */
-export type Write = { set: string; value: Fields; leaseId?: Count } | { remove: string };
+export type Write = { set: string; value: WireFields; leaseId?: Count } | { remove: string };
 
 /**
  * What became of a commit. `unknown`: no answer, so it may have been applied or may yet be; whoever sent it
@@ -47,6 +47,6 @@
 }
 
 /** Changes come faster than the state service takes them. */
-export function isTooFast(result: CommitResult): boolean {
+export function isRateLimited(result: CommitResult): boolean {
   return result.kind === 'not_executed' && result.status === TOO_MANY_REQUESTS;
 }
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -1,6 +1,6 @@
 /** Requests to the key-value store. */
-import { type Caller, type Count, type Method, type Micros, MS, type Reply, SECOND } from '#wire';
-import { type EpochCheck, TRUSTING_EPOCH_CHECK } from './epoch-check.js';
+import { type HttpClient, type Count, type HttpMethod, type Micros, MS, type HttpReply, SECOND } from '#wire';
+import { type RevisionCheck, NO_REVISION_CHECK } from './epoch-check.js';
 import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
 import { StoreError } from './store-error.js';
 import {
@@ -19,7 +19,7 @@
 /** What a node that is not to use the state service gets instead of an answer: the same as one that it refuses. */
 const UNAVAILABLE = 503;
 /** Never written: reading it costs one request and tells the present epoch. */
-export const NEVER_WRITTEN = 'mw/nothing';
+export const UNUSED_KEY = 'mw/nothing';
 
 /** What a request carries beside its method and path. */
 interface RequestOptions {
@@ -34,8 +34,8 @@
 export class StoreClient {
   constructor(
     private readonly endpoint: string,
-    private readonly call: Caller,
-    private readonly check: EpochCheck = TRUSTING_EPOCH_CHECK,
+    private readonly httpClient: HttpClient,
+    private readonly revisionCheck: RevisionCheck = NO_REVISION_CHECK,
   ) {}
 
   /** The row, or null with the epoch at which the key did not exist. */
@@ -58,11 +58,11 @@
   }
 
   /** Applies all of the writes if all of the guards hold, or none. Never rejects. */
-  async commit(guards: Guard[], writes: Write[]): Promise<CommitResult> {
+  async compareAndSwap(guards: Guard[], writes: Write[]): Promise<CommitResult> {
     const body = encodeCommit(guards, writes);
-    if (!this.check.isOpen()) return { kind: 'not_executed', status: UNAVAILABLE };
-    const floor = this.check.floor();
-    let reply: Reply;
+    if (!this.revisionCheck.isOpen()) return { kind: 'not_executed', status: UNAVAILABLE };
+    const floor = this.revisionCheck.minimumRevision();
+    let reply: HttpReply;
     try {
       reply = await this.send('POST', '/commit', { body });
     } catch {
@@ -80,7 +80,7 @@
   }
 
   /** False: the lease has expired. */
-  async renew(leaseId: Count): Promise<boolean> {
+  async renewLease(leaseId: Count): Promise<boolean> {
     this.openFloor();
     const { status } = await this.send('POST', `/grants/${leaseId}/renew`);
     if (status === 404) return this.confirmEnd();
@@ -89,12 +89,12 @@
   }
 
   /** Ends a lease, and so removes the rows under it. */
-  async revoke(leaseId: Count): Promise<void> {
+  async revokeLease(leaseId: Count): Promise<void> {
     await this.send('DELETE', `/grants/${leaseId}`);
   }
 
   /** Blocks for `block` at most; null when `after` is too old and the keys have to be read again. */
-  async follow(
+  async watch(
     prefix: string,
     after: number,
     block: Micros,
@@ -109,11 +109,11 @@
   }
 
   /** Whether the answer to a commit belongs to the history that this node knows; else anything may have become of it. */
-  private isOfKnownHistory({ status, body }: Reply, writes: readonly Write[], floor: number): boolean {
+  private isOfKnownHistory({ status, body }: HttpReply, writes: readonly Write[], floor: number): boolean {
     const epoch = decodeEpoch(body);
     const makesEpoch = status === 200 && writes.some((write) => 'set' in write);
-    if (makesEpoch && !this.check.acceptsNew(floor, epoch)) return false;
-    return status !== 409 || this.check.accepts(floor, epoch);
+    if (makesEpoch && !this.revisionCheck.acceptsCommitted(floor, epoch)) return false;
+    return status !== 409 || this.revisionCheck.accepts(floor, epoch);
   }
 
   /**
@@ -121,24 +121,24 @@
    * present epoch tells the two apart.
    */
   private async confirmEnd(): Promise<false> {
-    if (this.check !== TRUSTING_EPOCH_CHECK) await this.get(NEVER_WRITTEN);
+    if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
     return false;
   }
 
   /** The floor that an answer to a request sent now has to reach; throws while the state service isn't to be asked. */
   private openFloor(): number {
-    if (!this.check.isOpen()) throw new StoreError(UNAVAILABLE);
-    return this.check.floor();
+    if (!this.revisionCheck.isOpen()) throw new StoreError(UNAVAILABLE);
+    return this.revisionCheck.minimumRevision();
   }
 
   private accepted(floor: number, epoch: number): number {
-    if (!this.check.accepts(floor, epoch)) throw new StoreError(UNAVAILABLE);
+    if (!this.revisionCheck.accepts(floor, epoch)) throw new StoreError(UNAVAILABLE);
     return epoch;
   }
 
-  private async send(method: Method, path: string, options: RequestOptions = {}): Promise<Reply> {
+  private async send(method: HttpMethod, path: string, options: RequestOptions = {}): Promise<HttpReply> {
     try {
-      return await this.call(this.endpoint, method, path, options.body, options.timeout ?? TIMEOUT);
+      return await this.httpClient(this.endpoint, method, path, options.body, options.timeout ?? TIMEOUT);
     } catch (cause) {
       throw new StoreError(0, { cause });
     }
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/agreement.ts
@@ -4,13 +4,13 @@
   type Destination,
   Ledger,
   type LogId,
-  logOfKey,
-  LOGS,
+  logIdOfKey,
+  LOG_PREFIX,
   type MachineStatus,
   type PlacementRecord,
   type ReplicaState,
 } from '#cluster';
-import { type Count, type Fields, isFields } from '#wire';
+import { type Count, type WireFields, isWireFields } from '#wire';
 import { BrokenRule } from './rules.js';
 
 /** A machine as a ledger holds it, as far as copies are compared. */
@@ -57,11 +57,11 @@
   private readonly reference = new Ledger();
 
   /** Takes in a transaction that the state service has just applied. */
-  applied(writes: readonly Fields[]): void {
+  applied(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
-      if (!path.startsWith(LOGS) || !isFields(write['V'])) continue;
-      this.take(logOfKey(path), decodeRecord(write['V']));
+      if (!path.startsWith(LOG_PREFIX) || !isWireFields(write['V'])) continue;
+      this.take(logIdOfKey(path), decodeRecord(write['V']));
     }
   }
 
@@ -81,7 +81,7 @@
     if (!this.reference.apply(log, record)) {
       throw new BrokenRule(
         'agreement',
-        `record ${record.sequence} of log ${log} follows ${this.reference.seq(log)}`,
+        `record ${record.sequence} of log ${log} follows ${this.reference.position(log)}`,
       );
     }
   }
@@ -89,23 +89,23 @@
 
 /** What is compared of a ledger of the present version. */
 export function factsOfLedger(ledger: Ledger): LedgerFacts {
-  const machines = [...ledger.hosts.values()].map((machine) => ({
+  const machines = [...ledger.machines.values()].map((machine) => ({
     host: machine.host,
-    share: machine.share,
+    share: machine.shard,
     destination: machine.destination,
     ownershipCount: machine.ownershipCount,
     status: machine.status,
-    lastReport: machine.lastReport && {
-      incarnation: machine.lastReport[0],
-      sequence: machine.lastReport[1],
+    lastReport: machine.lastHeartbeat && {
+      incarnation: machine.lastHeartbeat[0],
+      sequence: machine.lastHeartbeat[1],
     },
   }));
-  const placements = [...ledger.onHost.values()].flatMap((tasks) =>
+  const placements = [...ledger.placementsByHost.values()].flatMap((tasks) =>
     [...tasks.values()].map((placement) => ({
       taskName: placement.taskName,
       host: placement.host,
       attempt: placement.attempt,
-      session: placement.session,
+      session: placement.workerIncarnation,
     })),
   );
   return { machines, placements };
@@ -114,8 +114,8 @@
 /** Machines with their shares, and placements, in an order that does not depend on how the ledger came about. */
 function describe({ machines, placements }: LedgerFacts): string[] {
   const machineLines = machines.map((machine) => {
-    const { host, share, destination, ownershipCount, status, lastReport } = machine;
-    return [host, share, destination, ownershipCount, status, JSON.stringify(lastReport)].join(' ');
+    const { host, share: shard, destination, ownershipCount, status, lastReport: lastHeartbeat } = machine;
+    return [host, shard, destination, ownershipCount, status, JSON.stringify(lastHeartbeat)].join(' ');
   });
   const placementLines = placements.map(
     ({ taskName, host, attempt, session }) => `${taskName} on ${host} attempt ${attempt} session ${session}`,
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TOKEN_KEY, LEAD } from '#cluster';
-import { encodeSubmission, type Fields, isFields, type Micros, SECOND, type JobSpec } from '#wire';
+import { FENCING_TOKEN_KEY, LEADER_KEY } from '#cluster';
+import { encodeSubmission, type WireFields, isWireFields, type Micros, SECOND, type JobSpec } from '#wire';
 import { BrokenRule, sampleJob } from './rules.js';
 import { SAMPLE_TYPES, SimWorld, type WorldOptions } from './sim-world.js';
 
@@ -32,7 +32,7 @@
 
 /** The leader, and a job that runs on machines whose workers report to it. */
 function leading(world: SimWorld): { leader: number; job: string } {
-  const leader = holderOf(world, LEAD);
+  const leader = holderOf(world, LEADER_KEY);
   const job = ['j-0', 'j-1', 'j-2'].find((id) =>
     world.rules.on(id).some(({ host }) => world.workers.get(host)?.reportsTo === leader),
   );
@@ -90,7 +90,7 @@
 
 test('with a wider bound of renewal the same combination breaks the rule', async () => {
   // The controllers are told of ten seconds more than users are promised: what they add to the bound.
-  const widened = { settings: { cancel: 35 * SECOND }, promisedCancel: 25 * SECOND };
+  const widened = { settings: { cancellationDeadline: 35 * SECOND }, promisedCancel: 25 * SECOND };
   await assert.rejects(
     gap(72, 1, widened),
     (cause) => cause instanceof BrokenRule && cause.rule === 'ran_cancelled',
@@ -138,7 +138,7 @@
 
 async function untilLed(world: SimWorld, notBy: number): Promise<number> {
   for (let i = 0; i < 40; i++) {
-    const leader = world.store.rows.has(LEAD) ? holderOf(world, LEAD) : notBy;
+    const leader = world.store.rows.has(LEADER_KEY) ? holderOf(world, LEADER_KEY) : notBy;
     if (leader !== notBy) return leader;
     await world.run(SECOND / 4);
   }
@@ -152,7 +152,7 @@
   ] as const) {
     const world = newWorld({ seed });
     const jobs = await shortWork(world, { estimateS: 60 });
-    const leader = holderOf(world, LEAD);
+    const leader = holderOf(world, LEADER_KEY);
     const hosts = machinesOf(world, jobs);
     for (const host of hosts.slice(0, 2)) {
       if (unreachable) world.net.mute.add(host);
@@ -222,7 +222,7 @@
         await world.run(SECOND / 2);
       }
       left = -1;
-      await killFor(world, [holderOf(world, LEAD)], 0.3 * SECOND);
+      await killFor(world, [holderOf(world, LEADER_KEY)], 0.3 * SECOND);
       await world.run(5 * SECOND);
     }
     await untilOver(world, jobs);
@@ -242,7 +242,7 @@
     assert.ok(mute !== undefined && away !== undefined);
     world.net.mute.add(mute);
     refuseAll(world, away, true);
-    const leader = holderOf(world, LEAD);
+    const leader = holderOf(world, LEADER_KEY);
     world.killNode(leader);
     await untilLed(world, leader);
     await confirmWithdrawal(world, 'j-10', otherThan(world, leader));
@@ -263,7 +263,7 @@
   ] as const) {
     const world = newWorld({ seed });
     const jobs = await shortWork(world, { estimateS: 60 });
-    const leader = holderOf(world, LEAD);
+    const leader = holderOf(world, LEADER_KEY);
     const hosts = machinesOf(world, jobs);
     for (const host of hosts) world.net.hold(host);
     world.killNode(leader);
@@ -322,10 +322,10 @@
     for (let i = 0; i < 10; i++) {
       if (outage && i === 4) world.store.setOutage(true);
       if (outage && i === 6) world.store.setOutage(false);
-      const leader = world.store.rows.has(LEAD) ? holderOf(world, LEAD) : i % 3;
+      const leader = world.store.rows.has(LEADER_KEY) ? holderOf(world, LEADER_KEY) : i % 3;
       await killFor(world, [leader], (i % 2 === 0 ? 0.2 : 3.5) * SECOND);
       await world.run(8 * SECOND);
-      tokens.push(Number(world.store.rows.get(TOKEN_KEY)?.value['Token']));
+      tokens.push(Number(world.store.rows.get(FENCING_TOKEN_KEY)?.value['Token']));
     }
     assert.ok(changes >= (outage ? 7 : 10), `the lead changed ${changes} times`);
     assert.deepEqual(
@@ -342,7 +342,7 @@
 test('the state service is slow, then refuses the leader alone, then all, while users cancel and ask', async () => {
   const world = newWorld({ seed: 94 });
   const jobs = await shortWork(world, { estimateS: 80 });
-  const leader = holderOf(world, LEAD);
+  const leader = holderOf(world, LEADER_KEY);
   world.net.slow.set('10.2.0.1:2379', 60);
   await world.run(5 * SECOND);
   void world.withdraw('j-10', leader);
@@ -516,7 +516,7 @@
     await world.run(12 * SECOND);
     for (const host of hosts) refuseAll(world, host, false);
     await world.run(10 * SECOND);
-    await killFor(world, [holderOf(world, LEAD)], 4 * SECOND);
+    await killFor(world, [holderOf(world, LEADER_KEY)], 4 * SECOND);
     await world.run(30 * SECOND);
     world.net.weather = { trouble: 0, hold: 0 };
     await untilOver(world, jobs);
@@ -531,7 +531,7 @@
   ] as const) {
     const world = newWorld({ seed });
     const jobs = await shortWork(world, { estimateS: 60 });
-    const first = holderOf(world, LEAD);
+    const first = holderOf(world, LEADER_KEY);
     world.killNode(first);
     const second = await untilLed(world, first);
     world.startNode(first);
@@ -542,16 +542,18 @@
     // Alone, without state of its own, with all the workers.
     world.startNode(second);
     await world.run(10 * SECOND);
-    assert.equal(holderOf(world, LEAD), second);
+    assert.equal(holderOf(world, LEADER_KEY), second);
     for (let i = 0; i < 3; i++) world.startNode(i);
     await untilOver(world, jobs);
   }
 });
 
 /** Machines whose release a transaction holds. */
-function releasedIn(writes: readonly Fields[]): string[] {
+function releasedIn(writes: readonly WireFields[]): string[] {
   return writes.flatMap(({ V: record }) => {
-    const releases = isFields(record) ? (record['releases'] as [string, unknown][] | undefined) : undefined;
+    const releases = isWireFields(record)
+      ? (record['releases'] as [string, unknown][] | undefined)
+      : undefined;
     return (releases ?? []).map(([host]) => host);
   });
 }
--- a/packages/testkit/durations.ts
+++ b/packages/testkit/durations.ts
@@ -27,8 +27,8 @@
 
   /** The longest of those whose name begins so, in milliseconds. */
   longest(prefix: string): number {
-    const ours = [...this.histograms].filter(([name]) => name.startsWith(prefix));
-    return Math.max(0, ...ours.map(([, histogram]) => histogram.maxValue));
+    const owned = [...this.histograms].filter(([name]) => name.startsWith(prefix));
+    return Math.max(0, ...owned.map(([, histogram]) => histogram.maxValue));
   }
 
   get count(): number {
--- a/packages/testkit/duty-hard-cases.test.ts
+++ b/packages/testkit/duty-hard-cases.test.ts
@@ -5,8 +5,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEAD, LOGS } from '#cluster';
-import { type Fields, isFields, SECOND } from '#wire';
+import { LEADER_KEY, LOG_PREFIX } from '#cluster';
+import { type WireFields, isWireFields, SECOND } from '#wire';
 import { loadProductionVersion } from './production-version.js';
 import { randomArray } from './random-jobs.js';
 import { trouble } from './random-troubles.js';
@@ -34,23 +34,23 @@
 }
 
 function leaderOf(world: SimWorld): number {
-  const row = world.store.rows.get(LEAD);
+  const row = world.store.rows.get(LEADER_KEY);
   return row ? Number(String(row.value['Member']).slice('node-'.length)) : -1;
 }
 
 function termOf(world: SimWorld): number {
-  return world.store.rows.get(LEAD)?.revision ?? 0;
+  return world.store.rows.get(LEADER_KEY)?.revision ?? 0;
 }
 
 /** Calls once, when the leader's log takes a record with one of these fields. */
-function onceRecorded(world: SimWorld, field: keyof Fields, act: () => void): void {
+function onceRecorded(world: SimWorld, field: keyof WireFields, act: () => void): void {
   const { afterApply } = world.store;
   let isOver = false;
   world.store.afterApply = (writes) => {
     afterApply(writes);
-    const isIt = (write: Fields): boolean => {
-      const isLeaders = String(write['Set'] ?? '').startsWith(`${LOGS}lead/`);
-      return isLeaders && isFields(write['V']) && write['V'][field] !== undefined;
+    const isIt = (write: WireFields): boolean => {
+      const isLeaders = String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
+      return isLeaders && isWireFields(write['V']) && write['V'][field] !== undefined;
     };
     if (isOver || world.clock.time < 25 * SECOND || !writes.some(isIt)) return;
     isOver = true;
@@ -112,7 +112,7 @@
     assert.ok(frozen >= 0, `no ${field} were recorded`);
     assert.notEqual(termOf(world), term, 'nobody took over');
     await finish(world);
-    const open = world.controller(leaderOf(world))?.dutyReport().duties[0]?.openIntents;
+    const open = world.controller(leaderOf(world))?.roleReport().duties[0]?.openIntents;
     assert.deepEqual(open?.rentals, [], 'a rental was left open');
   }
 });
@@ -199,7 +199,8 @@
     const world = busyWorld({ seed });
     await world.run(30 * SECOND);
     const old = leaderOf(world);
-    const isLeaders = (write: Fields): boolean => String(write['Set'] ?? '').startsWith(`${LOGS}lead/`);
+    const isLeaders = (write: WireFields): boolean =>
+      String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
     let delayed = 0;
     world.store.isLate = (writes) => {
       if (!writes.some(isLeaders)) return false;
@@ -278,7 +279,7 @@
   const results: string[] = [];
   void world
     .controller(old)
-    ?.resign('lead')
+    ?.resignRole('lead')
     .then((result) => results.push(result.kind));
   await world.run(6 * SECOND);
   assert.deepEqual(results, ['handed_over']);
@@ -290,20 +291,20 @@
 test('a share is handed over on purpose: the leader deals it to another node, under a higher token', async () => {
   const world = busyWorld({ seed: 292 });
   await world.run(30 * SECOND);
-  const ownerOf = (share: number): unknown => world.store.rows.get(`mw/now/share/${share}`)?.value['Member'];
+  const ownerOf = (shard: number): unknown => world.store.rows.get(`mw/now/share/${shard}`)?.value['Member'];
   const tokenOf = (): number => Number(world.store.rows.get('mw/now/token')?.value['Token']);
   const owner = ownerOf(1);
-  const token = tokenOf();
+  const fencingToken = tokenOf();
   const node = Number(String(owner).slice('node-'.length));
   const results: string[] = [];
   void world
     .controller(node)
-    ?.resign(1)
+    ?.resignRole(1)
     .then((result) => results.push(result.kind));
   await world.run(7 * SECOND);
   assert.deepEqual(results, ['handed_over']);
   assert.notEqual(ownerOf(1), owner);
-  assert.ok(tokenOf() > token);
+  assert.ok(tokenOf() > fencingToken);
   await finish(world);
 });
 
@@ -314,7 +315,7 @@
     const old = leaderOf(world);
     const ownedBy = (node: number): number[] =>
       [0, 1, 2].filter(
-        (share) => world.store.rows.get(`mw/now/share/${share}`)?.value['Member'] === `node-${node}`,
+        (shard) => world.store.rows.get(`mw/now/share/${shard}`)?.value['Member'] === `node-${node}`,
       );
     void world.controller(old)?.retire();
     // Half of what a grant lives after its last renewal.
@@ -332,11 +333,11 @@
 
 test('a hand-over is refused with the reason where it can not be done safely', async () => {
   const reasons: string[] = [];
-  const ask = async (world: SimWorld, node: number, duty: 'lead' | number): Promise<string> => {
+  const ask = async (world: SimWorld, node: number, role: 'lead' | number): Promise<string> => {
     let reason = '';
     void world
       .controller(node)
-      ?.resign(duty)
+      ?.resignRole(role)
       .then((result) => (reason = result.kind === 'refused' ? result.reason : result.kind));
     await world.run(7 * SECOND);
     reasons.push(reason);
@@ -366,14 +367,14 @@
   const world = busyWorld({ seed: 294, production: { version } });
   for (const node of [0, 1]) world.upgradeNode(node, SECOND);
   await world.run(40 * SECOND);
-  const share = [0, 1, 2].find(
+  const shard = [0, 1, 2].find(
     (s) => world.store.rows.get(`mw/now/share/${s}`)?.value['Member'] === 'node-0',
   );
-  assert.ok(share !== undefined, 'node-0 owns nothing');
+  assert.ok(shard !== undefined, 'node-0 owns nothing');
   let reason = '';
   void world
     .controller(0)
-    ?.resign(share)
+    ?.resignRole(shard)
     .then((result) => (reason = result.kind === 'refused' ? result.reason : result.kind));
   await world.run(2 * SECOND);
   assert.match(reason, /not every node has announced/);
@@ -393,17 +394,17 @@
   const world = busyWorld({ seed: 295, log });
   await world.run(30 * SECOND);
   const leader = leaderOf(world);
-  const spoil = (path: string, value: Fields): void => {
+  const spoil = (path: string, value: WireFields): void => {
     // As if a foreign hand had written it, with the grant that the row had.
     const Permit = world.store.rows.get(path)?.leaseId ?? null;
     world.store.spoil({ Set: path, V: value, Permit });
   };
-  spoil(LEAD, { Member: 7 });
+  spoil(LEADER_KEY, { Member: 7 });
   spoil('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
   await world.run(5 * SECOND);
-  assert.ok(errors.includes(LEAD) && errors.includes('mw/now/share/1'), errors.join(' '));
+  assert.ok(errors.includes(LEADER_KEY) && errors.includes('mw/now/share/1'), errors.join(' '));
   for (let i = 0; i < world.nodeCount; i++) {
-    assert.equal(world.controller(i)?.leadTerm(), null, 'somebody leads under a row that nobody can read');
+    assert.equal(world.controller(i)?.leaderTerm(), null, 'somebody leads under a row that nobody can read');
     assert.equal(world.health(i), 200);
   }
   // Its grant ends with the process that wrote it before: then the lead is free again.
@@ -443,7 +444,7 @@
     for (let round = 0; round < 6; round++) {
       await world.run((8 + random() * 8) * SECOND);
       const leader = leaderOf(world);
-      void world.controller(leader)?.resign(random() < 0.5 ? 'lead' : Math.floor(random() * 3));
+      void world.controller(leader)?.resignRole(random() < 0.5 ? 'lead' : Math.floor(random() * 3));
       const pair = [leader, (leader + 1 + Math.floor(random() * 2)) % world.nodeCount];
       for (const node of pair) {
         clock.at(random() * 0.4 * SECOND, () => {
--- a/packages/testkit/duty-history.ts
+++ b/packages/testkit/duty-history.ts
@@ -4,22 +4,22 @@
  * or the rental was named for it in the leader's log first, and nobody may use it otherwise any more.
  */
 import {
-  CHECKPOINT_HEAD,
-  CHUNKS,
+  CHECKPOINT_HEAD_KEY,
+  CHECKPOINT_CHUNK_PREFIX,
   decodeRecord,
-  JOBS,
-  LEAD,
+  JOB_PREFIX,
+  LEADER_KEY,
   Ledger,
-  logOfKey,
-  LOGS,
-  OVER,
+  logIdOfKey,
+  LOG_PREFIX,
+  TERMINAL_PREFIX,
   ownershipKey,
   type PlacementRecord,
-  SHARES,
-  TOKEN_KEY,
-  TYPES,
+  SHARD_PREFIX,
+  FENCING_TOKEN_KEY,
+  MACHINE_TYPE_PREFIX,
 } from '#cluster';
-import { type Fields, isFields, parseTaskName } from '#wire';
+import { type WireFields, isWireFields, parseTaskName } from '#wire';
 import { BrokenRule } from './rules.js';
 
 /** Whose effects are judged: the version in production knows neither terms nor the record rule. */
@@ -44,13 +44,15 @@
 }
 
 /** What a transaction has to guard: the duties under which each of its writes may be made. */
-function dutyKeysOf(write: Fields): string[] {
+function dutyKeysOf(write: WireFields): string[] {
   const path = String(write['Set'] ?? write['Remove']);
-  if (path.startsWith(LOGS)) return [ownershipKey(logOfKey(path))];
-  const isLeaders = [SHARES, TYPES, CHUNKS, OVER].some((prefix) => path.startsWith(prefix));
-  if (isLeaders || path === TOKEN_KEY || path === CHECKPOINT_HEAD) return [LEAD];
+  if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
+  const isLeaders = [SHARD_PREFIX, MACHINE_TYPE_PREFIX, CHECKPOINT_CHUNK_PREFIX, TERMINAL_PREFIX].some(
+    (prefix) => path.startsWith(prefix),
+  );
+  if (isLeaders || path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
   // Ended jobs are put away by the leader.
-  return path.startsWith(JOBS) && write['Remove'] !== undefined ? [LEAD] : [];
+  return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
 
 export class DutyHistory {
@@ -74,37 +76,37 @@
   constructor(private readonly revisionOf: (path: string) => number) {}
 
   /** The state service is about to apply this transaction. */
-  beforeCommit(guards: readonly Fields[], writes: readonly Fields[]): void {
+  beforeCommit(guards: readonly WireFields[], writes: readonly WireFields[]): void {
     this.counts.commits++;
     for (const write of writes) {
       for (const key of dutyKeysOf(write)) this.checkGuard(key, guards, write);
-      const isEnd = isFields(write['V']) && write['V']['Status'] === 'done';
-      if (isEnd && String(write['Set']).startsWith(JOBS)) this.checkShareGuard(guards, write);
+      const isEnd = isWireFields(write['V']) && write['V']['Status'] === 'done';
+      if (isEnd && String(write['Set']).startsWith(JOB_PREFIX)) this.checkShareGuard(guards, write);
     }
   }
 
   /** The state service has applied this transaction at the given epoch. */
-  afterCommit(writes: readonly Fields[], epoch: number): void {
+  afterCommit(writes: readonly WireFields[], epoch: number): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
-      if (path === LEAD) this.term = epoch;
-      if (path === TOKEN_KEY) this.takeToken(write['V']);
-      if (path.startsWith(LOGS)) this.takeRecord(path, decodeRecord(write['V'] as Fields));
+      if (path === LEADER_KEY) this.term = epoch;
+      if (path === FENCING_TOKEN_KEY) this.takeToken(write['V']);
+      if (path.startsWith(LOG_PREFIX)) this.takeRecord(path, decodeRecord(write['V'] as WireFields));
     }
   }
 
   /** A worker starts a task: its start must be in a record, and not have ended. */
-  launched(taskName: string, attempt: number, host: string, token: number): void {
+  launched(taskName: string, attempt: number, host: string, fencingToken: number): void {
     this.counts.launches++;
     const at = parseTaskName(taskName);
     const placement = at ? this.ledger.placement(at.job, at.index) : undefined;
-    if (token > this.token) {
+    if (fencingToken > this.token) {
       throw new BrokenRule(
         'unrecorded',
-        `${taskName} starts under token ${token}, the highest is ${this.token}`,
+        `${taskName} starts under token ${fencingToken}, the highest is ${this.token}`,
       );
     }
-    if (token < this.token) this.counts.lateLaunches++;
+    if (fencingToken < this.token) this.counts.lateLaunches++;
     if (placement?.attempt === attempt && placement.host === host) return;
     throw new BrokenRule(
       'unrecorded',
@@ -124,11 +126,11 @@
     this.counts.deletions++;
     if (this.isOver(sender)) this.counts.lateDeletions++;
     if (!works) return;
-    const entry = this.ledger.hosts.get(host);
-    if (entry?.destination === 'return' && entry.share === null) return;
+    const entry = this.ledger.machines.get(host);
+    if (entry?.destination === 'return' && entry.shard === null) return;
     if (sender.isOld) this.counts.unrecordedByOld++;
     else {
-      const state = entry ? `share ${entry.share}, destination ${entry.destination}` : 'in no record';
+      const state = entry ? `share ${entry.shard}, destination ${entry.destination}` : 'in no record';
       throw new BrokenRule(
         'unrecorded',
         `${host} is deleted in term ${sender.term} of ${this.term}: ${state}`,
@@ -140,28 +142,29 @@
     return term !== null && term !== this.term;
   }
 
-  private checkGuard(key: string, guards: readonly Fields[], write: Fields): void {
+  private checkGuard(key: string, guards: readonly WireFields[], write: WireFields): void {
     const revision = this.revisionOf(key);
     if (revision > 0 && guards.some((g) => g['Path'] === key && Number(g['Stamp']) === revision)) return;
     throw new BrokenRule('ownership', `${String(write['Set'] ?? write['Remove'])} landed without ${key}`);
   }
 
-  private checkShareGuard(guards: readonly Fields[], write: Fields): void {
-    if (guards.some((g) => String(g['Path']).startsWith(SHARES))) return;
+  private checkShareGuard(guards: readonly WireFields[], write: WireFields): void {
+    if (guards.some((g) => String(g['Path']).startsWith(SHARD_PREFIX))) return;
     throw new BrokenRule('ownership', `${String(write['Set'])} was ended by no owner of a share`);
   }
 
   private takeToken(value: unknown): void {
-    const token = isFields(value) ? Number(value['Token']) : NaN;
-    if (!(token > this.token)) throw new BrokenRule('token', `${this.token} is followed by ${token}`);
-    this.token = token;
+    const fencingToken = isWireFields(value) ? Number(value['Token']) : NaN;
+    if (!(fencingToken > this.token))
+      throw new BrokenRule('token', `${this.token} is followed by ${fencingToken}`);
+    this.token = fencingToken;
   }
 
   private takeRecord(path: string, record: PlacementRecord): void {
-    for (const [name] of record.rentals ?? []) {
+    for (const [name] of record.scaleOuts ?? []) {
       if (this.recordedRentals.has(name)) throw new BrokenRule('unrecorded', `rental ${name} is named twice`);
       this.recordedRentals.add(name);
     }
-    this.ledger.apply(logOfKey(path), record);
+    this.ledger.apply(logIdOfKey(path), record);
   }
 }
--- a/packages/testkit/duty-vacancy.test.ts
+++ b/packages/testkit/duty-vacancy.test.ts
@@ -1,9 +1,9 @@
 /** How long the lead and the shares are without a holder that can act, after freeze, crash and cut of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEAD, SHARES } from '#cluster';
-import { formatDutyName } from '#duties';
-import { type Fields, SECOND } from '#wire';
+import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
+import { formatRoleName } from '#duties';
+import { type WireFields, SECOND } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld, STATE } from './sim-world.js';
 import { type VacancyCause, VacancyMeter } from './vacancy.js';
@@ -25,21 +25,21 @@
   const { clock, store, net } = world;
   world.submit(sampleJob('j-1', { taskCount: 6, estimateS: 60 }));
   await world.run((20 + world.random() * 5) * SECOND);
-  const leader = holderOf(world, LEAD);
+  const leader = holderOf(world, LEADER_KEY);
   const { afterApply } = store;
-  store.afterApply = (writes: Fields[]) => {
+  store.afterApply = (writes: WireFields[]) => {
     afterApply(writes);
     for (const { Set: path } of writes) {
-      if (path === LEAD) meter.ended('lead', clock.time);
-      else if (String(path).startsWith(SHARES)) {
-        meter.ended(formatDutyName(Number(String(path).slice(SHARES.length))), clock.time);
+      if (path === LEADER_KEY) meter.ended('lead', clock.time);
+      else if (String(path).startsWith(SHARD_PREFIX)) {
+        meter.ended(formatRoleName(Number(String(path).slice(SHARD_PREFIX.length))), clock.time);
       }
     }
   };
   meter.began('lead', cause, clock.time);
-  for (let share = 0; share < world.nodeCount; share++) {
-    if (holderOf(world, SHARES + String(share)) === leader) {
-      meter.began(formatDutyName(share), cause, clock.time);
+  for (let shard = 0; shard < world.nodeCount; shard++) {
+    if (holderOf(world, SHARD_PREFIX + String(shard)) === leader) {
+      meter.began(formatRoleName(shard), cause, clock.time);
     }
   }
   const link = `node-${leader}>${STATE}`;
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -24,7 +24,7 @@
   const { random, clock } = world;
   let jobs = 0;
   const nextId = (): string => `j-${String(jobs++).padStart(6, '0')}`;
-  const cancelAfter = (share: number): number | null => (random() < share ? random() * 20 * SECOND : null);
+  const cancelAfter = (shard: number): number | null => (random() < shard ? random() * 20 * SECOND : null);
   const guests = (): void => {
     if (clock.time > TROUBLES.until) return;
     const change = {
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -1,7 +1,7 @@
 /** Gangs through the whole service: what is asked for, what fails under them, and what comes of it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LOGS } from '#cluster';
+import { LOG_PREFIX } from '#cluster';
 import { encodeSubmission, type JobSpec, SECOND } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld } from './sim-world.js';
@@ -89,7 +89,7 @@
     const world = new SimWorld({ seed, settings: { valueBytes: 560, txnOps: 4 } });
     let cuts = 0;
     const isPart = (write: Record<string, unknown>): boolean =>
-      String(write['Set']).startsWith(LOGS) && JSON.stringify(write['V']).includes('"gang"');
+      String(write['Set']).startsWith(LOG_PREFIX) && JSON.stringify(write['V']).includes('"gang"');
     // The commit that completes the start gets lost with its owner: it lands late, if it lands at all.
     world.store.isLate = (writes) => {
       const isCut = cuts === 0 && writes.some(isPart);
--- a/packages/testkit/known-red.ts
+++ b/packages/testkit/known-red.ts
@@ -37,9 +37,9 @@
   let passed = results.length > 0;
   if (!passed) lines.push('no test was run');
   for (const { test, cause, issue } of known) {
-    const ours = results.filter((r) => r.name === test);
-    if (ours.length === 0) passed = false;
-    const state = ours.length === 0 ? 'names no test' : ours.some((r) => !r.passed) ? 'failed' : 'passed';
+    const owned = results.filter((r) => r.name === test);
+    if (owned.length === 0) passed = false;
+    const state = owned.length === 0 ? 'names no test' : owned.some((r) => !r.passed) ? 'failed' : 'passed';
     lines.push(`known red, ${state}: ${test} (${cause}; ${issue})`);
   }
   const listed = new Set(known.map((k) => k.test));
--- a/packages/testkit/loopback-server.ts
+++ b/packages/testkit/loopback-server.ts
@@ -1,7 +1,7 @@
 /** Serves a stand-in over real HTTP on loopback. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { decode, encode, type Method } from '#wire';
+import { decode, encode, type HttpMethod } from '#wire';
 import type { Handler } from './sim-net.js';
 
 export interface LoopbackServer {
@@ -12,7 +12,12 @@
 export async function serveOnLoopback(handler: Handler): Promise<LoopbackServer> {
   const server: Server = createServer((request, response) => {
     void readBody(request).then(async (body) => {
-      const { status, body: answer } = await handler('', request.method as Method, request.url ?? '/', body);
+      const { status, body: answer } = await handler(
+        '',
+        request.method as HttpMethod,
+        request.url ?? '/',
+        body,
+      );
       response.statusCode = status;
       response.end(encode(answer));
     });
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -7,13 +7,13 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { LEAD, SHARES } from '#cluster';
-import { formatDutyName } from '#duties';
+import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
+import { formatRoleName } from '#duties';
 import {
   decodeJobStatus,
   encodeSubmission,
-  type Fields,
-  httpCaller,
+  type WireFields,
+  createHttpClient,
   type JobSpec,
   type MachineType,
   MS,
@@ -193,7 +193,7 @@
 
   /** The node that leads, as the state service has it. */
   get leader(): LoopbackNode | undefined {
-    const member = this.store.rows.get(LEAD)?.value['Member'];
+    const member = this.store.rows.get(LEADER_KEY)?.value['Member'];
     return this.nodes.find((node) => node.addresses.member === member);
   }
 
@@ -238,7 +238,7 @@
     node.freeze();
     await this.pause(300 + this.random() * 7000);
     node.thaw();
-    for (const duty of this.dutiesOf(node)) this.vacancies.recovered(duty);
+    for (const role of this.dutiesOf(node)) this.vacancies.recovered(role);
   }
 
   private async kill(node: LoopbackNode): Promise<void> {
@@ -252,21 +252,21 @@
   private dutiesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
       this.store.rows.get(path)?.value['Member'] === node.addresses.member;
-    const shares = [...Array(NODES).keys()].filter((share) => holds(SHARES + String(share)));
-    return [...(holds(LEAD) ? ['lead'] : []), ...shares.map((share) => formatDutyName(share))];
+    const shards = [...Array(NODES).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
+    return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
 
   private noteVacant(node: LoopbackNode, cause: 'freeze' | 'crash'): void {
-    for (const duty of this.dutiesOf(node)) this.vacancies.began(duty, cause, this.clock.time);
+    for (const role of this.dutiesOf(node)) this.vacancies.began(role, cause, this.clock.time);
   }
 
-  private noteHolders(writes: readonly Fields[]): void {
+  private noteHolders(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
-      if (path === LEAD) this.counts.terms++;
-      if (path === LEAD) this.vacancies.ended('lead', this.clock.time);
-      else if (path.startsWith(SHARES)) {
-        this.vacancies.ended(formatDutyName(Number(path.slice(SHARES.length))), this.clock.time);
+      if (path === LEADER_KEY) this.counts.terms++;
+      if (path === LEADER_KEY) this.vacancies.ended('lead', this.clock.time);
+      else if (path.startsWith(SHARD_PREFIX)) {
+        this.vacancies.ended(formatRoleName(Number(path.slice(SHARD_PREFIX.length))), this.clock.time);
       }
     }
   }
@@ -277,7 +277,7 @@
       job: (id) => this.specs.get(id),
       nodes: this.nodes.map(({ addresses: { member, users } }) => ({ member, endpoint: users })),
       caller: (gate) => {
-        const call = httpCaller(1);
+        const call = createHttpClient(1);
         return async (...args) => {
           const reply = await call(...args);
           return new Promise((resolve) => {
@@ -287,7 +287,7 @@
           });
         };
       },
-      limits: { report: SECOND, lease: 6 * SECOND },
+      limits: { heartbeatInterval: SECOND, workerLease: 6 * SECOND },
       capacity: { cpus: 4, gpus: 0, memGb: 16 },
       faulty: false,
       onLaunch: (...launch) => {
@@ -330,13 +330,13 @@
   private async ask(
     id: string,
     method: 'GET' | 'POST',
-    body?: Fields,
+    body?: WireFields,
   ): Promise<{ status: number; state: string | null }> {
     const node = this.nodes[Math.floor(this.random() * NODES)];
     const path = method === 'POST' ? '/submissions' : `/submissions/${id}`;
     const sentAt = this.clock.time;
     const address = node?.addresses.users ?? '';
-    const reply = await httpCaller(1)(address, method, path, body, 2 * SECOND).catch(() => null);
+    const reply = await createHttpClient(1)(address, method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return { status: 0, state: null };
     const state = decodeJobStatus(reply.body);
     this.failure.guard(() => {
--- a/packages/testkit/loopback.test.ts
+++ b/packages/testkit/loopback.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { askLoss } from '#operations';
-import type { LossState } from '#recovery';
+import type { DataLossState } from '#recovery';
 import { LoopbackTrial } from './loopback-trial.js';
 
 const SEED = Number(process.env['LOOPBACK_SEED'] ?? 1);
@@ -43,7 +43,7 @@
 test('state that is deleted under real controllers stops them, also one that is killed meanwhile, and every job ends once it is back', async () => {
   const trial = new LoopbackTrial({ seed: SEED, durationMs: 0 });
   const nodes = (): string[] => trial.nodes.map(({ addresses }) => addresses.operators);
-  const untilAll = async (state: LossState): Promise<boolean> => {
+  const untilAll = async (state: DataLossState): Promise<boolean> => {
     for (const end = Date.now() + LOSS_PATIENCE_MS; Date.now() < end; await pause(200)) {
       const answers = await askLoss(nodes());
       if (answers.every((a) => a.kind === 'answered' && a.value.loss?.state === state)) return true;
--- a/packages/testkit/loss-timing.test.ts
+++ b/packages/testkit/loss-timing.test.ts
@@ -1,8 +1,8 @@
 /** How long nodes take to notice that state was lost, to be sure of it, and to serve again once it is back. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TOKEN_KEY } from '#cluster';
-import type { LossState } from '#recovery';
+import { FENCING_TOKEN_KEY } from '#cluster';
+import type { DataLossState } from '#recovery';
 import { type Micros, MS, SECOND } from '#wire';
 import { DurationMeter } from './durations.js';
 import type { SimWorld } from './sim-world.js';
@@ -19,7 +19,7 @@
 async function measure(
   world: SimWorld,
   name: string,
-  states: readonly LossState[],
+  states: readonly DataLossState[],
   meter: DurationMeter,
 ): Promise<void> {
   const began = world.clock.time;
@@ -45,7 +45,7 @@
   },
   'one key': (world: SimWorld) => {
     const whole = world.store.backup();
-    const lost = world.store.lose((path) => path === TOKEN_KEY, true);
+    const lost = world.store.lose((path) => path === FENCING_TOKEN_KEY, true);
     return () => {
       world.store.bringBack(whole, lost);
     };
--- a/packages/testkit/lost-state.test.ts
+++ b/packages/testkit/lost-state.test.ts
@@ -4,7 +4,13 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CHUNKS, JOBS, LOGS, OVER, TOKEN_KEY } from '#cluster';
+import {
+  CHECKPOINT_CHUNK_PREFIX,
+  JOB_PREFIX,
+  LOG_PREFIX,
+  TERMINAL_PREFIX,
+  FENCING_TOKEN_KEY,
+} from '#cluster';
 import { SECOND } from '#wire';
 import { loadProductionVersion } from './production-version.js';
 import { sampleJob } from './rules.js';
@@ -111,10 +117,14 @@
 
 test('keys that no node removes are missed, and all goes on once they are there again', async () => {
   const cases: [number, string, (path: string) => boolean][] = [
-    [641, 'token', (path) => path === TOKEN_KEY],
-    [642, 'the middle of a log', (path) => path.startsWith(`${LOGS}0/`) && Number(path.slice(-4)) % 5 === 2],
-    [643, 'jobs', (path) => path.startsWith(JOBS)],
-    [644, 'what became of jobs', (path) => path.startsWith(OVER)],
+    [641, 'token', (path) => path === FENCING_TOKEN_KEY],
+    [
+      642,
+      'the middle of a log',
+      (path) => path.startsWith(`${LOG_PREFIX}0/`) && Number(path.slice(-4)) % 5 === 2,
+    ],
+    [643, 'jobs', (path) => path.startsWith(JOB_PREFIX)],
+    [644, 'what became of jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
   ];
   for (const [seed, what, isLost] of cases) {
     const world = watchfulWorld({ seed });
@@ -156,7 +166,7 @@
     const world = watchfulWorld({ seed });
     await world.run(90 * SECOND);
     const whole = world.store.backup();
-    const lost = world.store.lose((path) => path.startsWith(CHUNKS), false);
+    const lost = world.store.lose((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
     assert.ok(lost.length > 0, 'there is no checkpoint');
     world.killNode(1);
     await world.run(SECOND);
@@ -175,7 +185,7 @@
 test('a node of the version in production, which does not watch, starts nothing after a total loss, as little as the others', async () => {
   const version = await loadProductionVersion();
   // Only jobs that are known and last: the old node would take repeated submissions for new ones (docs/recovery.md).
-  const world = new SimWorld({ seed: 661, production: { version }, tuning: { noticesLoss: true } });
+  const world = new SimWorld({ seed: 661, production: { version }, tuning: { detectsDataLoss: true } });
   for (const node of [0, 1]) world.upgradeNode(node, SECOND);
   for (let i = 0; i < 8; i++) world.submit(sampleJob(`j-${i}`, { taskCount: 4, estimateS: 400 }));
   await world.run(50 * SECOND);
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -3,18 +3,21 @@
  * `fixtures/` as that version's own build made it; see `fixtures/README.md`. This module alone knows the names that
  * version gives to its settings, its methods and its state, and maps them onto those of the present version.
  */
-import type { Answer } from '#api';
+import type { ServiceResponse } from '#api';
 import type { Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
-import type { ControllerParts } from '#daemon';
+import type { ControllerOptions } from '#daemon';
 import type { Settings, Tuning } from '#settings';
-import type { Caller, Clock, Count, Micros } from '#wire';
+import type { HttpClient, Clock, Count, Micros } from '#wire';
 import type { LedgerFacts, ReplicaFacts } from './agreement.js';
 import type { SimulatedController } from './simulated-controller.js';
 
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
 
 /** Settings under the names of the production version; all others have kept their names. */
-interface ProductionSettings extends Omit<Settings, 'report' | 'lease' | 'cancel' | 'listLag'> {
+interface ProductionSettings extends Omit<
+  Settings,
+  'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'machineListLag'
+> {
   readonly report: Micros;
   readonly lease: Micros;
   readonly cancel: Micros;
@@ -22,7 +25,7 @@
 }
 
 /** Operators' settings under the names of the production version. */
-interface ProductionTuning extends Omit<Tuning, 'waitDoubles' | 'noticesLoss'> {
+interface ProductionTuning extends Omit<Tuning, 'priorityDoublingTime' | 'detectsDataLoss'> {
   readonly waitDoubles: Micros;
 }
 
@@ -44,7 +47,7 @@
   readonly clock: Clock;
   readonly random: () => number;
   readonly incarnation: string;
-  readonly call: Caller;
+  readonly call: HttpClient;
   readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingAnswer>;
   readonly log: Logger;
 }
@@ -80,20 +83,20 @@
 /** The controller class of the production version, as far as a simulated cluster uses it. */
 interface ProductionController {
   start(): void;
-  report(body: unknown): Promise<Answer>;
-  health(): Answer;
+  report(body: unknown): Promise<ServiceResponse>;
+  health(): ServiceResponse;
   word(): ProductionPeerWord;
   stateCopy(): ProductionStateCopy;
   readonly users: {
-    submit(body: unknown): Promise<Answer>;
-    show(id: string): Promise<Answer>;
-    cancel(id: string): Promise<Answer>;
+    submit(body: unknown): Promise<ServiceResponse>;
+    show(id: string): Promise<ServiceResponse>;
+    cancel(id: string): Promise<ServiceResponse>;
   };
 }
 
 /** Makes controllers of the production version. */
 export interface ProductionVersion {
-  createController(options: ControllerParts): SimulatedController;
+  createController(options: ControllerOptions): SimulatedController;
 }
 
 export async function loadProductionVersion(): Promise<ProductionVersion> {
@@ -115,29 +118,29 @@
     cancel: (id) => users.cancel(id),
     health: () => controller.health(),
     word: () => {
-      const { token, served, referred } = controller.word();
-      return { token, served, referred, memory: null };
+      const { token: fencingToken, served, referred } = controller.word();
+      return { fencingToken, isStoreReachable: served, redirectedWorkers: referred, highWaterMark: null };
     },
     replicaFacts: () => replicaFactsOf(controller.stateCopy()),
   };
 }
 
-function partsOf(options: ControllerParts): ProductionParts {
+function partsOf(options: ControllerOptions): ProductionParts {
   return {
     settings: settingsOf(options.settings),
     tuning: tuningOf(options.tuning),
     clock: options.clock,
     random: options.random,
     incarnation: options.incarnation,
-    call: options.call,
+    call: options.httpClient,
     ping: pingOf(options.ping),
     log: options.log,
   };
 }
 
 function settingsOf(settings: Settings): ProductionSettings {
-  const { report: heartbeatInterval, lease: workerLease, cancel: cancellationDeadline, ...others } = settings;
-  const { listLag: machineListLag, ...unchanged } = others;
+  const { heartbeatInterval, workerLease, cancellationDeadline, ...others } = settings;
+  const { machineListLag, ...unchanged } = others;
   return {
     ...unchanged,
     report: heartbeatInterval,
@@ -147,18 +150,18 @@
   };
 }
 
-function tuningOf({ waitDoubles: priorityDoublingTime, ...others }: Tuning): ProductionTuning {
+function tuningOf({ priorityDoublingTime, ...others }: Tuning): ProductionTuning {
   return { ...others, waitDoubles: priorityDoublingTime };
 }
 
 function pingOf(ping: Ping): ProductionParts['ping'] {
   return async (endpoint, timeout) => {
     const answer = await ping(endpoint, timeout);
-    if (answer.word === null) return { result: answer.result, word: null };
-    const { word } = answer;
+    if (answer.status === null) return { result: answer.result, word: null };
+    const { status: word } = answer;
     return {
       result: answer.result,
-      word: { token: word.token, served: word.served, referred: word.referred },
+      word: { token: word.fencingToken, served: word.isStoreReachable, referred: word.redirectedWorkers },
     };
   };
 }
--- a/packages/testkit/rules.ts
+++ b/packages/testkit/rules.ts
@@ -156,8 +156,8 @@
 
   /** Tasks of the job that are on machines: name and machine of each. */
   on(id: string): { taskName: string; host: string }[] {
-    const ours = [...this.running.values()].filter((r) => r.job === id);
-    return ours.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
+    const owned = [...this.running.values()].filter((r) => r.job === id);
+    return owned.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
   }
 
   /**
@@ -322,8 +322,8 @@
   }
 
   private tasksOf(team: string): string {
-    const ours = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === team);
-    return ours.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
+    const owned = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === team);
+    return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
 
   private charge(spec: JobSpec, sign: 1 | -1): void {
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobKey, overKey } from '#cluster';
+import { jobKey, terminalKey } from '#cluster';
 import { SECOND } from '#wire';
 import { sampleJob } from './rules.js';
 import { SAMPLE_TYPES, SimWorld } from './sim-world.js';
@@ -75,7 +75,11 @@
 
 // A machine that came up used to be told of its first task a whole time between two reports later.
 test('a machine that comes up while tasks wait gets one with the answer to its first report', async () => {
-  const settings = { report: 6 * SECOND, lease: 20 * SECOND, cancel: 45 * SECOND };
+  const settings = {
+    heartbeatInterval: 6 * SECOND,
+    workerLease: 20 * SECOND,
+    cancellationDeadline: 45 * SECOND,
+  };
   const world = new SimWorld({ seed: 80, settings, types: SAMPLE_TYPES.filter((t) => t.name === 'small') });
   world.clock.at(2 * SECOND, () => {
     world.submit(sampleJob('j-1', { team: 'blue', taskCount: 10, estimateS: 60 }));
@@ -114,7 +118,7 @@
     });
   });
   const isOver = (id: string): boolean =>
-    world.store.rows.get(jobKey(id))?.value['Status'] !== undefined || world.store.rows.has(overKey(id));
+    world.store.rows.get(jobKey(id))?.value['Status'] !== undefined || world.store.rows.has(terminalKey(id));
   const endedAt = new Map<string, number>();
   const lags = new Map<string, number>();
   while (lags.size < ids.length && world.clock.time < 120 * SECOND) {
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -1,4 +1,4 @@
-import { type Fields, isFields, type MachineType, type Micros, SECOND } from '#wire';
+import { type WireFields, isWireFields, type MachineType, type Micros, SECOND } from '#wire';
 import type { Sender } from './duty-history.js';
 import type { MachineFacts } from './rules.js';
 import type { WorldClock } from './sim-clock.js';
@@ -11,16 +11,16 @@
 
 interface Snapshot {
   at: Micros;
-  rows: Fields[];
+  rows: WireFields[];
 }
 
 /** Who sent a request, as the simulated world notes it beside the protocol's own fields. */
-function senderOf(body: Fields): Sender {
+function senderOf(body: WireFields): Sender {
   const term = body['SenderTerm'];
   return { term: typeof term === 'number' ? term : null, isOld: body['SenderIsOld'] === true };
 }
 
-function encodeType(type: MachineType): Fields {
+function encodeType(type: MachineType): WireFields {
   return {
     Sku: type.name,
     Cpus: type.cpus,
@@ -67,7 +67,7 @@
   readonly handler: Handler = (_from, method, path, body) => {
     if (this.outage) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(path, 'http://cloud');
-    const fields = isFields(body) ? body : {};
+    const fields = isWireFields(body) ? body : {};
     if (url.pathname === '/machine_types')
       return { status: 200, body: { Builds: this.types.map(encodeType) } };
     if (method !== 'POST') return this.list(url.searchParams);
@@ -93,7 +93,7 @@
     this.hosts.delete(host.host);
   }
 
-  private rent(body: Fields): Served {
+  private rent(body: WireFields): Served {
     const request = String(body['Hire']);
     const known = this.answers.get(request);
     if (known) return { status: 200, body: { Hosts: known } };
@@ -128,7 +128,7 @@
     return { status: 200, body: { Hosts } };
   }
 
-  private remove(names: string[], body: Fields): Served {
+  private remove(names: string[], body: WireFields): Served {
     for (const name of names) {
       const host = this.hosts.get(name);
       if (!host) continue;
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -1,13 +1,13 @@
 import {
-  type Caller,
+  type HttpClient,
   decode,
   encode,
-  type Fields,
-  isFields,
-  type Method,
+  type WireFields,
+  isWireFields,
+  type HttpMethod,
   type Micros,
   MS,
-  type Reply,
+  type HttpReply,
   SECOND,
 } from '#wire';
 import type { Gate, SimClock } from './sim-clock.js';
@@ -17,7 +17,12 @@
   body: unknown;
 }
 /** Answers now, later, or never (a promise that stays open). */
-export type Handler = (from: string, method: Method, path: string, body: unknown) => Promise<Served> | Served;
+export type Handler = (
+  from: string,
+  method: HttpMethod,
+  path: string,
+  body: unknown,
+) => Promise<Served> | Served;
 
 export interface Weather {
   /** Chance that a request or an answer is lost or held back. */
@@ -94,9 +99,9 @@
   }
 
   /** A caller for one party; what comes back reaches it through the gate. */
-  caller(from: string, place: string | null, gate: Gate): Caller {
+  caller(from: string, place: string | null, gate: Gate): HttpClient {
     return (endpoint, method, path, body, timeout) =>
-      new Promise<Reply>((resolve, reject) => {
+      new Promise<HttpReply>((resolve, reject) => {
         let over = false;
         const finish = (act: () => void): void => {
           if (over) return;
@@ -114,7 +119,7 @@
             if (!served) reject(new Error('refused'));
             else {
               const answer = decode(encode(served.body));
-              resolve({ status: served.status, body: isFields(answer) ? answer : ({} as Fields) });
+              resolve({ status: served.status, body: isWireFields(answer) ? answer : ({} as WireFields) });
             }
           });
         });
@@ -125,7 +130,7 @@
     from: string,
     place: string | null,
     endpoint: string,
-    method: Method,
+    method: HttpMethod,
     path: string,
     body: unknown,
     answer: (served: Served | null) => void,
@@ -170,7 +175,7 @@
   }
 
   /** A copy of a report comes long after it, whoever has the machine by then; nobody hears the answer. */
-  private copy(from: string, endpoint: string, method: Method, path: string, body: unknown): void {
+  private copy(from: string, endpoint: string, method: HttpMethod, path: string, body: unknown): void {
     const { copies = 0, copyAfter = 0 } = this.weather;
     if (path !== '/v1/report' || copies === 0 || this.random() >= copies) return;
     this.clock.at(this.random() * copyAfter, () => {
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,9 +1,9 @@
-import { type Fields, isFields, jsonBytes, type Method, type Micros, MS, SECOND } from '#wire';
+import { type WireFields, isWireFields, jsonBytes, type HttpMethod, type Micros, MS, SECOND } from '#wire';
 import type { WorldClock } from './sim-clock.js';
 import type { Handler, Served } from './sim-net.js';
 
 interface Row {
-  value: Fields;
+  value: WireFields;
   revision: number;
   leaseId: number | null;
 }
@@ -20,7 +20,7 @@
 
 interface StoredChange {
   path: string;
-  value: Fields | null;
+  value: WireFields | null;
   revision: number;
 }
 
@@ -62,13 +62,13 @@
   /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
   lateWrites = 0;
   /** Whether this very transaction gets no answer and is carried out late, too. */
-  isLate: (writes: readonly Fields[]) => boolean = () => false;
+  isLate: (writes: readonly WireFields[]) => boolean = () => false;
   /** Transactions that came to their turn late, and how many of those still changed something. */
   late = { came: 0, applied: 0 };
   /** Called with every transaction that is applied, before it is. */
-  beforeApply: (guards: Fields[], writes: Fields[]) => void = () => undefined;
+  beforeApply: (guards: WireFields[], writes: WireFields[]) => void = () => undefined;
   /** Called with every transaction that was applied. */
-  afterApply: (writes: Fields[]) => void = () => undefined;
+  afterApply: (writes: WireFields[]) => void = () => undefined;
   /** What it shows is not what was committed: see {@link restore}. */
   hasLost = false;
   private newest = 0;
@@ -108,8 +108,8 @@
     this.asked++;
     if (!this.admit(this.requests, this.limits.rps, 1)) return { status: 429, body: {} };
     if (this.outage || this.refusedNodes.has(from)) return { status: 503, body: {} };
-    if (path === '/commit' && isFields(body)) {
-      const writes = (body['Writes'] as Fields[] | undefined) ?? [];
+    if (path === '/commit' && isWireFields(body)) {
+      const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
       const isUnlucky = this.lateWrites > 0 && this.random() < this.lateWrites;
       if (isUnlucky || this.isLate(writes)) return this.commitLate(body);
     }
@@ -117,10 +117,10 @@
   };
 
   /** Writes a row without asking anybody, as a foreign hand might. */
-  spoil(write: Fields): void {
+  spoil(write: WireFields): void {
     this.epoch++;
     const leaseId = typeof write['Permit'] === 'number' ? write['Permit'] : null;
-    this.put(String(write['Set']), write['V'] as Fields, leaseId);
+    this.put(String(write['Set']), write['V'] as WireFields, leaseId);
     this.wakeWatches();
   }
 
@@ -166,9 +166,9 @@
     }
   }
 
-  private route(from: string, method: Method, path: string, body: unknown): Served | Promise<Served> {
+  private route(from: string, method: HttpMethod, path: string, body: unknown): Served | Promise<Served> {
     const url = new URL(path, 'http://state');
-    const fields = isFields(body) ? body : {};
+    const fields = isWireFields(body) ? body : {};
     if (method === 'GET' && url.pathname === '/store') return this.list(url.searchParams);
     if (method === 'GET' && url.pathname === '/follow') return this.follow(from, url.searchParams);
     if (method === 'GET' && url.pathname.startsWith('/store/')) return this.get(url.pathname.slice(7));
@@ -184,7 +184,7 @@
     return { status: 400, body: {} };
   }
 
-  private grant(id: number, method: Method): Served {
+  private grant(id: number, method: HttpMethod): Served {
     const grant = this.grants.get(id);
     if (!grant) return { status: 404, body: {} };
     if (method === 'DELETE') this.expire(id);
@@ -206,7 +206,7 @@
     const after = query.get('After') ?? '';
     const limit = Math.min(this.limits.pageRows, Number(query.get('Limit') ?? this.limits.pageRows));
     const keys = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    const Rows: Fields[] = [];
+    const Rows: WireFields[] = [];
     let bytes = 0;
     for (const key of keys.slice(0, limit)) {
       const row = this.rows.get(key) as Row;
@@ -217,9 +217,9 @@
     return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.epoch } };
   }
 
-  private commit(body: Fields): Served {
-    const guards = (body['Guards'] as Fields[] | undefined) ?? [];
-    const writes = (body['Writes'] as Fields[] | undefined) ?? [];
+  private commit(body: WireFields): Served {
+    const guards = (body['Guards'] as WireFields[] | undefined) ?? [];
+    const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
     if (writes.length > this.limits.txnOps || guards.length > 4 * this.limits.txnOps)
       return this.tooManyWrites();
     if (!this.admit(this.changes, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
@@ -247,7 +247,7 @@
           const leaseId = w['Permit'];
           this.put(
             String(w['Set']),
-            w['V'] as Fields,
+            w['V'] as WireFields,
             leaseId === undefined || leaseId === null ? null : Number(leaseId),
           );
         } else this.drop(String(w['Remove']));
@@ -263,7 +263,7 @@
     return { status: 400, body: {} };
   }
 
-  private commitLate(body: Fields): Promise<Served> {
+  private commitLate(body: WireFields): Promise<Served> {
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
       const before = this.epoch;
       this.commit(body);
@@ -273,7 +273,7 @@
     return new Promise(() => undefined);
   }
 
-  private put(path: string, value: Fields, leaseId: number | null): void {
+  private put(path: string, value: WireFields, leaseId: number | null): void {
     this.rows.set(path, { value, revision: this.epoch, leaseId });
     this.remember({ path, value, revision: this.epoch });
   }
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -1,8 +1,8 @@
 import {
-  type Caller,
-  type Fields,
+  type HttpClient,
+  type WireFields,
   fromSeconds,
-  isFields,
+  isWireFields,
   type Micros,
   MS,
   SECOND,
@@ -23,8 +23,8 @@
 }
 
 export interface WorkerLimits {
-  report: Micros;
-  lease: Micros;
+  heartbeatInterval: Micros;
+  workerLease: Micros;
 }
 
 export interface WorkerWorld {
@@ -35,13 +35,13 @@
   job: (id: string) => JobSpec | undefined;
   /** Addresses of the controller nodes by name. */
   nodes: { member: string; endpoint: string }[];
-  caller: (gate: Gate) => Caller;
+  caller: (gate: Gate) => HttpClient;
   limits: WorkerLimits;
   capacity: { cpus: number; gpus: number; memGb: number };
   /** Every task fails here. */
   faulty: boolean;
   /** Told of every start that the worker executes, with the token of the answer that carried it. */
-  onLaunch: (task: string, attempt: number, host: string, token: number) => void;
+  onLaunch: (task: string, attempt: number, host: string, fencingToken: number) => void;
 }
 
 /** A machine's worker, as the protocol describes it. */
@@ -62,7 +62,7 @@
   private inFlight = false;
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
-  private readonly call: Caller;
+  private readonly call: HttpClient;
 
   constructor(
     readonly machine: MachineFacts,
@@ -100,11 +100,11 @@
     if (!this.alive) return;
     const { clock, limits, random } = this.world;
     if (!this.hanging) {
-      if (clock.time - this.leaseFrom > limits.lease) this.loseLease();
-      const due = this.lastReport + limits.report * (0.75 + random() * 0.5);
+      if (clock.time - this.leaseFrom > limits.workerLease) this.loseLease();
+      const due = this.lastReport + limits.heartbeatInterval * (0.75 + random() * 0.5);
       const early = this.changed && clock.time - this.lastReport >= 500 * MS;
       if (!this.inFlight && (clock.time >= due || early)) void this.report();
-    } else if (clock.time - this.leaseFrom > limits.lease) {
+    } else if (clock.time - this.leaseFrom > limits.workerLease) {
       this.loseLease();
     }
     clock.at(100 * MS, () => {
@@ -162,23 +162,23 @@
     }
     if (reply?.status !== 200) {
       this.node = (this.node + 1) % nodes.length;
-      this.lastReport = clock.time - this.world.limits.report + SECOND;
+      this.lastReport = clock.time - this.world.limits.heartbeatInterval + SECOND;
       return;
     }
     this.obey(reply.body, sentAt, shift);
   }
 
-  private obey(answer: Fields, sentAt: Micros, shift: number): void {
-    const token = Number(answer['Baton'] ?? 0);
-    if (token < this.baton || shift !== this.shift || this.hanging) return;
-    if (token > this.baton) this.changed = true;
-    this.baton = token;
+  private obey(answer: WireFields, sentAt: Micros, shift: number): void {
+    const fencingToken = Number(answer['Baton'] ?? 0);
+    if (fencingToken < this.baton || shift !== this.shift || this.hanging) return;
+    if (fencingToken > this.baton) this.changed = true;
+    this.baton = fencingToken;
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-    const orders = Array.isArray(answer['Orders']) ? answer['Orders'].filter(isFields) : [];
+    const orders = Array.isArray(answer['Orders']) ? answer['Orders'].filter(isWireFields) : [];
     for (const o of orders) this.execute(String(o['Verb']), String(o['Piece']), Number(o['Try']), o);
   }
 
-  private execute(verb: string, piece: string, attempt: number, order: Fields): void {
+  private execute(verb: string, piece: string, attempt: number, order: WireFields): void {
     const key = `${piece}#${attempt}`;
     const task = this.tasks.get(key);
     if (verb === 'launch') {
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-world.ts
@@ -1,21 +1,21 @@
-import { Controller, type ControllerParts } from '#daemon';
+import { Controller, type ControllerOptions } from '#daemon';
 import {
-  CHECKPOINT_HEAD,
-  chunkKey,
-  CHUNKS,
-  LEAD,
+  CHECKPOINT_HEAD_KEY,
+  checkpointChunkKey,
+  CHECKPOINT_CHUNK_PREFIX,
+  LEADER_KEY,
   type Logger,
-  LOGS,
-  type PeerMemory,
+  LOG_PREFIX,
+  type PeerHighWaterMark,
   type Ping,
 } from '#cluster';
-import { type Settings, standardTuning, type Tuning } from '#settings';
+import { type Settings, defaultTuning, type Tuning } from '#settings';
 import {
-  type Caller,
+  type HttpClient,
   decodeJobStatus,
   encodeSubmission,
-  type Fields,
-  isFields,
+  type WireFields,
+  isWireFields,
   type JobStatus,
   type MachineType,
   type Micros,
@@ -61,9 +61,9 @@
       { name: 'green', cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 2 },
     ],
     objectives: [{ kind: 'finished', jobClass: 'batch', within: 60 * SECOND }],
-    report: 2 * SECOND,
-    lease: 9 * SECOND,
-    cancel: 25 * SECOND,
+    heartbeatInterval: 2 * SECOND,
+    workerLease: 9 * SECOND,
+    cancellationDeadline: 25 * SECOND,
     gangWait: 20 * SECOND,
     gangPeer: 3 * SECOND,
     stateRps: 100,
@@ -71,7 +71,7 @@
     valueBytes: 2048,
     txnOps: 6,
     cloudRps: 10,
-    listLag: 3 * SECOND,
+    machineListLag: 3 * SECOND,
     sockets: 500,
     ...change,
   };
@@ -195,7 +195,7 @@
       this.tellOf(writes);
     };
     const limits = new Map(settings.teams.map((t) => [t.name, { cpus: t.cpusMax, gpus: t.gpusMax }]));
-    this.rules = new RuleChecker(limits, options.promisedCancel ?? settings.cancel);
+    this.rules = new RuleChecker(limits, options.promisedCancel ?? settings.cancellationDeadline);
     this.gangs = new SimGangs(this.clock, this.random, { wait: settings.gangWait, peer: settings.gangPeer });
     this.rules.onEvent = (event) => {
       this.onEvent(event);
@@ -205,7 +205,7 @@
       this.random,
       this.types,
       options.capacity ?? 4,
-      settings.listLag,
+      settings.machineListLag,
       (host) => {
         this.bootWorker(host);
       },
@@ -258,8 +258,8 @@
     return sampleSettings(index, this.options.nodes ?? 3, this.options.settings);
   }
 
-  setFaulty(share: number): void {
-    this.faultyShare = share;
+  setFaulty(shard: number): void {
+    this.faultyShare = shard;
   }
 
   startNode(index: number): void {
@@ -275,13 +275,13 @@
       wallOff: Math.floor((this.random() - 0.5) * 100 * MS),
     };
     const { drift, wallOff } = this.options.clockError?.(index) ?? allowed;
-    const options: ControllerParts = {
+    const options: ControllerOptions = {
       settings: old ? { ...settings, ...old.settings } : settings,
-      tuning: { ...standardTuning(), ...this.options.tuning },
+      tuning: { ...defaultTuning(), ...this.options.tuning },
       clock: this.clock.view(gate, drift, wallOff),
       random: this.random,
       incarnation: `i${++this.starts}`,
-      call: this.callerOf(node, this.net.caller(settings.member, settings.domain, gate)),
+      httpClient: this.callerOf(node, this.net.caller(settings.member, settings.domain, gate)),
       ping: this.pingFrom(settings.member, settings.domain, gate),
       log: this.options.log ?? SILENT,
     };
@@ -293,8 +293,16 @@
     const awake = (): Promise<void> => new Promise(gate);
     this.net.serve(settings.clusterListen, settings.domain, async () => {
       await awake();
-      const { token, served, referred, memory } = controller.word();
-      return { status: 200, body: { Token: token, Served: served, Referred: referred, Memory: memory } };
+      const {
+        fencingToken,
+        isStoreReachable: served,
+        redirectedWorkers: referred,
+        highWaterMark: memory,
+      } = controller.word();
+      return {
+        status: 200,
+        body: { Token: fencingToken, Served: served, Referred: referred, Memory: memory },
+      };
     });
     this.net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
       await awake();
@@ -308,16 +316,16 @@
               : await controller.show(path.split('/')[2] ?? '');
       if (path === '/v1/report') {
         if (answer.status === 200) this.renewals.set(index, this.workerReports(index) + 1);
-        this.onReport(isFields(body) ? String(body['Host']) : '', index, answer.status);
+        this.onReport(isWireFields(body) ? String(body['Host']) : '', index, answer.status);
       }
       return life.on ? answer : await new Promise(() => undefined);
     });
   }
 
   /** Notes beside each request to the cloud who sends it, and under which term. */
-  private callerOf(node: Node, call: Caller): Caller {
+  private callerOf(node: Node, call: HttpClient): HttpClient {
     return (endpoint, method, path, body, timeout) => {
-      if (endpoint !== CLOUD || !isFields(body)) return call(endpoint, method, path, body, timeout);
+      if (endpoint !== CLOUD || !isWireFields(body)) return call(endpoint, method, path, body, timeout);
       const sender = { SenderTerm: leadTermOf(node), SenderIsOld: node.isOld };
       return call(endpoint, method, path, { ...body, ...sender }, timeout);
     };
@@ -485,36 +493,37 @@
       call(endpoint, 'GET', '/', undefined, timeout).then(
         (reply) => ({
           result: 'ok',
-          word: {
-            token: Number(reply.body['Token']),
-            served: reply.body['Served'] === true,
-            referred: (reply.body['Referred'] ?? {}) as Record<string, number>,
-            memory: (reply.body['Memory'] ?? null) as PeerMemory | null,
+          status: {
+            fencingToken: Number(reply.body['Token']),
+            isStoreReachable: reply.body['Served'] === true,
+            redirectedWorkers: (reply.body['Referred'] ?? {}) as Record<string, number>,
+            highWaterMark: (reply.body['Memory'] ?? null) as PeerHighWaterMark | null,
           },
         }),
         (cause: unknown) => ({
           result: String(cause).includes('refused') ? 'refused' : 'silent',
-          word: null,
+          status: null,
         }),
       );
   }
 
-  private tellOf(writes: Fields[]): void {
+  private tellOf(writes: WireFields[]): void {
     for (const w of writes) {
       const path = String(w['Set'] ?? '');
-      if (path === LEAD) this.onEvent('lead');
-      else if (path.startsWith(LOGS) && isFields(w['V']) && w['V']['releases'] !== undefined)
+      if (path === LEADER_KEY) this.onEvent('lead');
+      else if (path.startsWith(LOG_PREFIX) && isWireFields(w['V']) && w['V']['releases'] !== undefined)
         this.onEvent('release');
     }
   }
 
   /** The present checkpoint can be read whole at every moment. */
-  private checkCheckpoint(writes: Fields[]): void {
+  private checkCheckpoint(writes: WireFields[]): void {
     const paths = writes.map((w) => String(w['Set'] ?? w['Remove']));
-    if (!paths.some((path) => path === CHECKPOINT_HEAD || path.startsWith(CHUNKS))) return;
-    const head = this.store.rows.get(CHECKPOINT_HEAD)?.value;
+    if (!paths.some((path) => path === CHECKPOINT_HEAD_KEY || path.startsWith(CHECKPOINT_CHUNK_PREFIX)))
+      return;
+    const head = this.store.rows.get(CHECKPOINT_HEAD_KEY)?.value;
     for (let i = 0; i < Number(head?.['Chunks'] ?? 0); i++) {
-      const key = chunkKey(String(head?.['Id']), i);
+      const key = checkpointChunkKey(String(head?.['Id']), i);
       if (!this.store.rows.has(key)) throw new BrokenRule('checkpoint', `${key} is missing`);
     }
   }
@@ -522,7 +531,7 @@
 
 /** The term of the lead that a node of the present version believes to hold; null if it believes in none. */
 function leadTermOf(node: Node): number | null {
-  return node.present?.leadTerm() ?? null;
+  return node.present?.leaderTerm() ?? null;
 }
 
 export { sampleJob };
--- a/packages/testkit/troubles.test.ts
+++ b/packages/testkit/troubles.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEAD, SHARES } from '#cluster';
+import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
 import { encodeSubmission, type Micros, SECOND, type JobSpec } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld, type WorldOptions } from './sim-world.js';
@@ -22,11 +22,11 @@
 }
 
 function leaderOf(world: SimWorld): number {
-  return indexOf(world.store.rows.get(LEAD)?.value['Member']);
+  return indexOf(world.store.rows.get(LEADER_KEY)?.value['Member']);
 }
 
 function ownersOf(world: SimWorld): Set<number> {
-  const rows = [...world.store.rows].filter(([path]) => path.startsWith(SHARES));
+  const rows = [...world.store.rows].filter(([path]) => path.startsWith(SHARD_PREFIX));
   return new Set(rows.map(([, row]) => indexOf(row.value['Member'])));
 }
 
--- a/packages/testkit/vacancy.ts
+++ b/packages/testkit/vacancy.ts
@@ -9,21 +9,21 @@
   private readonly open = new Map<string, { since: Micros; cause: VacancyCause }>();
 
   /** The holder of this duty can't act from now on. */
-  began(duty: string, cause: VacancyCause, now: Micros): void {
-    if (!this.open.has(duty)) this.open.set(duty, { since: now, cause });
+  began(role: string, cause: VacancyCause, now: Micros): void {
+    if (!this.open.has(role)) this.open.set(role, { since: now, cause });
   }
 
   /** The holder can act again, under the term that it had: nothing was vacant. */
-  recovered(duty: string): void {
-    this.open.delete(duty);
+  recovered(role: string): void {
+    this.open.delete(role);
   }
 
   /** The duty has a new holder. */
-  ended(duty: string, now: Micros): void {
-    const vacancy = this.open.get(duty);
+  ended(role: string, now: Micros): void {
+    const vacancy = this.open.get(role);
     if (!vacancy) return;
-    this.open.delete(duty);
-    const kind = duty === 'lead' ? 'lead' : 'share';
+    this.open.delete(role);
+    const kind = role === 'lead' ? 'lead' : 'share';
     this.durations.record(`${kind} after ${vacancy.cause}`, now - vacancy.since);
   }
 
--- a/packages/testkit/watchful-world.ts
+++ b/packages/testkit/watchful-world.ts
@@ -1,13 +1,13 @@
 /** What the tests of lost state share. */
 import assert from 'node:assert/strict';
-import type { LossReport } from '#recovery';
+import type { DataLossReport } from '#recovery';
 import { SECOND } from '#wire';
 import { randomJob } from './random-jobs.js';
 import { SimWorld, type WorldOptions } from './sim-world.js';
 
 /** A world whose nodes watch for lost state, with jobs that come for 100 s. */
 export function watchfulWorld(options: WorldOptions): SimWorld {
-  const world = new SimWorld({ ...options, tuning: { noticesLoss: true, ...options.tuning } });
+  const world = new SimWorld({ ...options, tuning: { detectsDataLoss: true, ...options.tuning } });
   const { random, clock } = world;
   let jobs = 0;
   const arrive = (): void => {
@@ -19,13 +19,13 @@
   return world;
 }
 
-export function lossOf(world: SimWorld, node: number): LossReport {
-  const loss = world.controller(node)?.lossReport().loss;
+export function lossOf(world: SimWorld, node: number): DataLossReport {
+  const loss = world.controller(node)?.dataLossReport().loss;
   assert.ok(loss, `node ${node} is down, or does not watch`);
   return loss;
 }
 
-export function assertStates(world: SimWorld, state: LossReport['state']): void {
+export function assertStates(world: SimWorld, state: DataLossReport['state']): void {
   for (let i = 0; i < world.nodeCount; i++) {
     const loss = lossOf(world, i);
     assert.equal(loss.state, state, `node ${i}: ${JSON.stringify(loss)}`);
--- a/packages/wire/codec.ts
+++ b/packages/wire/codec.ts
@@ -14,7 +14,7 @@
 export type Count = number | bigint;
 
 /** A map with text keys whose values have not been checked. */
-export type Fields = Record<string, unknown>;
+export type WireFields = Record<string, unknown>;
 
 /** The MessagePack bytes of a value; undefined becomes null. */
 export function encode(value: unknown): Buffer {
@@ -30,7 +30,7 @@
  * Whether a decoded value is a plain map. The decoder makes objects of classes of its own from bytes that are no valid
  * value (0xc1) and from extensions.
  */
-export function isFields(value: unknown): value is Fields {
+export function isWireFields(value: unknown): value is WireFields {
   return typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype;
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** Whether two counts are the same integer, whichever of the two types carries them. */
-export function sameCount(a: Count, b: Count): boolean {
+export function countsEqual(a: Count, b: Count): boolean {
   return typeof a === typeof b ? a === b : BigInt(a) === BigInt(b);
 }
 
--- a/packages/wire/http.ts
+++ b/packages/wire/http.ts
@@ -1,6 +1,6 @@
 /** The HTTP client that the service and its clients share: HTTP/1.1 with MessagePack bodies. */
 import { Agent, type IncomingMessage, request, type RequestOptions } from 'node:http';
-import { decode, encode, type Fields, isFields } from './codec.js';
+import { decode, encode, type WireFields, isWireFields } from './codec.js';
 import { type Micros, MS } from './time.js';
 
 /** The largest body of a request, and of an answer to a user or worker, in bytes. */
@@ -10,26 +10,26 @@
 const FIRST_ERROR_STATUS = 400;
 
 /** The methods that the protocol uses. */
-export type Method = 'GET' | 'POST' | 'DELETE';
+export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
 /** A server's response. */
-export interface Reply {
+export interface HttpReply {
   readonly status: number;
   /** Empty if the body was empty or no map. */
-  readonly body: Fields;
+  readonly body: WireFields;
 }
 
 /**
  * One exchange with a server. Rejects when no response came in time, the connection failed, or the body of a response
  * that isn't an error can't be decoded. Without a body (undefined) the request has none.
  */
-export type Caller = (
+export type HttpClient = (
   endpoint: string,
-  method: Method,
+  method: HttpMethod,
   path: string,
   body: unknown,
   timeout: Micros,
-) => Promise<Reply>;
+) => Promise<HttpReply>;
 
 /** No response came in time: whether the request was carried out is unknown. */
 export class RequestTimeoutError extends Error {
@@ -48,18 +48,18 @@
 }
 
 /** Host and port of an address that the settings give as `host:port`. */
-export function splitAddress(address: string): { host: string; port: number } {
+export function parseEndpoint(address: string): { host: string; port: number } {
   const separator = address.lastIndexOf(':');
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-/** The {@link Caller} for real servers. Connections are kept open and reused, with at most `maxSockets` per endpoint. */
-export function httpCaller(maxSockets: number): Caller {
+/** The {@link HttpClient} for real servers. Connections are kept open and reused, with at most `maxSockets` per endpoint. */
+export function createHttpClient(maxSockets: number): HttpClient {
   const agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: MAX_IDLE_CONNECTIONS });
   return (endpoint, method, path, body, timeout) => {
     const payload = body === undefined ? null : encode(body);
     const headers = payload ? payloadHeaders(payload) : {};
-    const options = { ...splitAddress(endpoint), method, path, agent, headers };
+    const options = { ...parseEndpoint(endpoint), method, path, agent, headers };
     return exchange({ endpoint, options, payload, timeout });
   };
 }
@@ -75,7 +75,7 @@
   return { 'Content-Type': 'application/msgpack', 'Content-Length': payload.length };
 }
 
-function exchange({ endpoint, options, payload, timeout }: Exchange): Promise<Reply> {
+function exchange({ endpoint, options, payload, timeout }: Exchange): Promise<HttpReply> {
   return new Promise((resolve, reject) => {
     const fail = (cause: Error): void => {
       clearTimeout(timer);
@@ -96,7 +96,7 @@
   });
 }
 
-function readReply(response: IncomingMessage, endpoint: string): Promise<Reply> {
+function readReply(response: IncomingMessage, endpoint: string): Promise<HttpReply> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     response.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -114,11 +114,11 @@
   });
 }
 
-function decodeReply(status: number, bytes: Buffer): Reply {
+function decodeReply(status: number, bytes: Buffer): HttpReply {
   if (bytes.length === 0) return { status, body: {} };
   try {
     const value = decode(bytes);
-    return { status, body: isFields(value) ? value : {} };
+    return { status, body: isWireFields(value) ? value : {} };
   } catch (cause) {
     // An error page need not be MessagePack; its status still counts.
     if (status >= FIRST_ERROR_STATUS) return { status, body: {} };
--- a/packages/wire/job-state.ts
+++ b/packages/wire/job-state.ts
@@ -1,5 +1,5 @@
 /** Codec of the answers that tell a user the state of a job. */
-import type { Fields } from './codec.js';
+import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
 const STATUS_NAMES: Readonly<Record<JobStatus, string>> = {
@@ -12,14 +12,14 @@
 const STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
 
 /** The body that tells a user the state of a job. Task counts are left out where the state has none. */
-export function encodeJobState(state: JobState): Fields {
-  const fields: Fields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
+export function encodeJobState(state: JobState): WireFields {
+  const fields: WireFields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
   if (state.done !== undefined) fields['done'] = state.done;
   if (state.running !== undefined) fields['running'] = state.running;
   return fields;
 }
 
 /** The status in an answer's body, or null if the body holds none, as that of an error does. */
-export function decodeJobStatus(body: Fields): JobStatus | null {
+export function decodeJobStatus(body: WireFields): JobStatus | null {
   return STATUSES.find((status) => STATUS_NAMES[status] === body['Status']) ?? null;
 }
--- a/packages/wire/machines.ts
+++ b/packages/wire/machines.ts
@@ -22,7 +22,7 @@
 }
 
 /** A request for machines of one type, zone and kind. */
-export interface RentalRequest {
+export interface ScaleOutRequest {
   /** Never used twice, not even by another node: the cloud answers a repetition with the same machines. */
   readonly id: string;
   readonly machineType: string;
--- a/packages/wire/report.ts
+++ b/packages/wire/report.ts
@@ -1,7 +1,7 @@
 /** Codec of the workers' reports and of the answers to them. */
-import { type Count, type Fields, isCount, isFields } from './codec.js';
-import type { ExitCause, TaskReport, TaskState } from './tasks.js';
-import type { Command, ReportAnswer, WorkerReport } from './workers.js';
+import { type Count, type WireFields, isCount, isWireFields } from './codec.js';
+import type { ExitCause, TaskStatus, TaskState } from './tasks.js';
+import type { Command, HeartbeatResponse, Heartbeat } from './workers.js';
 
 const TASK_STATES: ReadonlyMap<unknown, TaskState> = new Map<unknown, TaskState>([
   ['pulling', 'fetching'],
@@ -23,8 +23,8 @@
 ]);
 
 /** Reads a worker's report from a decoded body; null if a field that matters is missing or invalid. */
-export function parseReport(body: unknown): WorkerReport | null {
-  if (!isFields(body) || !Array.isArray(body['Pieces'])) return null;
+export function parseHeartbeat(body: unknown): Heartbeat | null {
+  if (!isWireFields(body) || !Array.isArray(body['Pieces'])) return null;
   const { Host, Endpoint, Build, Hall, Loaners, Shift, Tally, Baton, RecallS } = body;
   const areTexts = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
   const areCounts = [Shift, Tally, Baton].every(isCount);
@@ -39,16 +39,16 @@
     machineType: Build as string,
     zone: Hall as string,
     spot: Loaners,
-    session: Shift as Count,
+    incarnation: Shift as Count,
     sequence: Tally as Count,
-    token: Baton as Count,
+    fencingToken: Baton as Count,
     spotNoticeS,
     tasks,
   };
 }
 
-function parseTasks(pieces: readonly unknown[]): TaskReport[] | null {
-  const tasks: TaskReport[] = [];
+function parseTasks(pieces: readonly unknown[]): TaskStatus[] | null {
+  const tasks: TaskStatus[] = [];
   for (const piece of pieces) {
     const task = parseTask(piece);
     if (!task) return null;
@@ -57,8 +57,8 @@
   return tasks;
 }
 
-function parseTask(piece: unknown): TaskReport | null {
-  if (!isFields(piece)) return null;
+function parseTask(piece: unknown): TaskStatus | null {
+  if (!isWireFields(piece)) return null;
   const { Piece, Try, Status, Cause } = piece;
   if (typeof Piece !== 'string' || !isCount(Try) || typeof Status !== 'string') return null;
   // A task in a state that this version doesn't know is on its machine all the same.
@@ -67,11 +67,11 @@
 }
 
 /** The body of the answer that renews a worker's lease and carries its commands. */
-export function encodeReportAnswer({ token, commands }: ReportAnswer): Fields {
-  return { Baton: token, Orders: commands.map(encodeCommand) };
+export function encodeHeartbeatResponse({ fencingToken, commands }: HeartbeatResponse): WireFields {
+  return { Baton: fencingToken, Orders: commands.map(encodeCommand) };
 }
 
-function encodeCommand(command: Command): Fields {
+function encodeCommand(command: Command): WireFields {
   const { task, attempt } = command;
   switch (command.kind) {
     case 'start':
@@ -84,6 +84,6 @@
 }
 
 /** The body that tells a worker which node acts for its machine. */
-export function encodeRedirect(member: string): Fields {
+export function encodeRedirect(member: string): WireFields {
   return { Foreman: member };
 }
--- a/packages/wire/submission.ts
+++ b/packages/wire/submission.ts
@@ -1,5 +1,5 @@
 /** Codec of the jobs that users submit. */
-import { type Fields, isFields } from './codec.js';
+import { type WireFields, isWireFields } from './codec.js';
 import { isJobId, type JobShape, type JobSpec, MAX_TASKS, type Rank, RANKS } from './jobs.js';
 
 const MAX_TEXT_LENGTH = 200;
@@ -61,7 +61,7 @@
 
 /** Checks a submission and reads it from a decoded body. Fields that the protocol doesn't name are dropped. */
 export function parseSubmission(body: unknown): ParsedSubmission {
-  if (!isFields(body)) return { invalid: 'body' };
+  if (!isWireFields(body)) return { invalid: 'body' };
   for (const [field, isValid] of Object.entries(FIELD_CHECKS)) {
     if (!isValid(body[field])) return { invalid: field };
   }
@@ -69,7 +69,7 @@
 }
 
 /** Reads a job from fields that were found valid. */
-function decodeJob(body: Fields): JobSpec {
+function decodeJob(body: WireFields): JobSpec {
   return {
     id: body['Uid'] as string,
     jobClass: body['Lane'] as string,
@@ -95,7 +95,7 @@
 }
 
 /** The body of a submission: what {@link parseSubmission} reads back. */
-export function encodeSubmission(job: JobSpec): Fields {
+export function encodeSubmission(job: JobSpec): WireFields {
   return {
     Uid: job.id,
     Lane: job.jobClass,
@@ -122,6 +122,6 @@
 
 /** The id under which a body was submitted, whatever else is wrong with it; null if it has no valid one. */
 export function submittedId(body: unknown): string | null {
-  const id = isFields(body) ? body['Uid'] : null;
+  const id = isWireFields(body) ? body['Uid'] : null;
   return isJobId(id) ? id : null;
 }
--- a/packages/wire/tasks.ts
+++ b/packages/wire/tasks.ts
@@ -12,7 +12,7 @@
   'done' | 'stopped' | 'failed' | 'peer_gone' | 'gang_incomplete' | 'no_room' | 'duplicate' | 'unknown_task';
 
 /** One task on a machine, as its worker reports it. */
-export interface TaskReport {
+export interface TaskStatus {
   /** Its name, see {@link formatTaskName}. */
   readonly task: string;
   readonly attempt: Count;
--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -13,21 +13,21 @@
   encode,
   encodeJobState,
   encodeRedirect,
-  encodeReportAnswer,
+  encodeHeartbeatResponse,
   encodeSubmission,
   type ExitCause,
   formatTaskName,
-  httpCaller,
+  createHttpClient,
   type JobSpec,
   type JobState,
-  type Method,
-  parseReport,
+  type HttpMethod,
+  parseHeartbeat,
   parseSubmission,
   parseTaskName,
   SECOND,
   submittedId,
   type TaskState,
-  type WorkerReport,
+  type Heartbeat,
 } from './index.js';
 
 const hex = (value: unknown): string => encode(value).toString('hex');
@@ -110,20 +110,23 @@
   ];
   const [start, stop, , forget] = commands as [Command, Command, Command, Command];
   assert.equal(
-    JSON.stringify(encodeReportAnswer({ token: 41, commands: [start, stop, forget] })),
+    JSON.stringify(encodeHeartbeatResponse({ fencingToken: 41, commands: [start, stop, forget] })),
     '{"Baton":41,"Orders":[{"Verb":"launch","Piece":"j-000412/4","Try":2},' +
       '{"Verb":"halt","Piece":"j-000377/1","Try":1,"WindDownS":10},' +
       '{"Verb":"reap","Piece":"j-000398/0","Try":1}]}',
   );
   assert.equal(
-    hex(encodeReportAnswer({ token: 18_446_744_073_709_551_615n, commands })),
+    hex(encodeHeartbeatResponse({ fencingToken: 18_446_744_073_709_551_615n, commands })),
     '82a54261746f6ecfffffffffffffffffa64f726465727394' +
       '83a456657262a66c61756e6368a55069656365aa6a2d3030303431322f34a354727902' +
       '84a456657262a468616c74a55069656365aa6a2d3030303337372f31a354727901a957696e64446f776e530a' +
       '84a456657262a468616c74a55069656365aa6a2d3030303337372f32a3547279cfffffffffffffffffa957696e64446f776e5300' +
       '83a456657262a472656170a55069656365aa6a2d3030303339382f30a354727901',
   );
-  assert.equal(hex(encodeReportAnswer({ token: 0, commands: [] })), '82a54261746f6e00a64f726465727390');
+  assert.equal(
+    hex(encodeHeartbeatResponse({ fencingToken: 0, commands: [] })),
+    '82a54261746f6e00a64f726465727390',
+  );
   assert.equal(JSON.stringify(encodeRedirect('hive-2')), '{"Foreman":"hive-2"}');
   assert.equal(hex(encodeRedirect('hive-2')), '81a7466f72656d616ea6686976652d32');
 });
@@ -150,7 +153,7 @@
   ];
   const pieces = states.map(([Status], i) => ({ Piece: `j-1/${i}`, Try: i, Status }));
   const tasks = states.map(([, state], i) => ({ task: `j-1/${i}`, attempt: i, state, cause: null }));
-  assert.deepEqual(parseReport(reportWith({ Pieces: pieces }))?.tasks, tasks);
+  assert.deepEqual(parseHeartbeat(reportWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
 test('each cause of an end in a report is read as what it says', () => {
@@ -170,28 +173,28 @@
   ];
   const pieces = causes.map(([Cause], i) => ({ Piece: `j-1/${i}`, Try: 1, Status: 'exited', Cause }));
   const tasks = causes.map(([, cause], i) => ({ task: `j-1/${i}`, attempt: 1, state: 'exited', cause }));
-  assert.deepEqual(parseReport(reportWith({ Pieces: pieces }))?.tasks, tasks);
+  assert.deepEqual(parseHeartbeat(reportWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
 test('each field of a report is read as what it says, unknown ones are passed over', () => {
-  const expected: WorkerReport = {
+  const expected: Heartbeat = {
     host: 'n-000231',
     address: '10.1.0.232:9000',
     machineType: 'g8',
     zone: 'a',
     spot: true,
-    session: 1,
+    incarnation: 1,
     sequence: 88,
-    token: 41,
+    fencingToken: 41,
     spotNoticeS: null,
     tasks: [],
   };
-  assert.deepEqual(parseReport(reportWith({})), expected);
-  assert.deepEqual(parseReport(reportWith({ Later: 1, Stored: true })), expected);
-  assert.deepEqual(parseReport(reportWith({ RecallS: 27.5 })), { ...expected, spotNoticeS: 27.5 });
-  assert.deepEqual(parseReport(reportWith({ Loaners: false })), { ...expected, spot: false });
+  assert.deepEqual(parseHeartbeat(reportWith({})), expected);
+  assert.deepEqual(parseHeartbeat(reportWith({ Later: 1, Stored: true })), expected);
+  assert.deepEqual(parseHeartbeat(reportWith({ RecallS: 27.5 })), { ...expected, spotNoticeS: 27.5 });
+  assert.deepEqual(parseHeartbeat(reportWith({ Loaners: false })), { ...expected, spot: false });
   const most = 18_446_744_073_709_551_615n;
-  assert.deepEqual(parseReport(reportWith({ Shift: most, Tally: most, Baton: most })), {
+  assert.deepEqual(parseHeartbeat(reportWith({ Shift: most, Tally: most, Baton: most })), {
     ...expected,
     session: most,
     sequence: most,
@@ -199,17 +202,17 @@
   });
   const { RecallS, ...rest } = JSON.parse(REPORT_JSON) as Record<string, unknown>;
   assert.equal(RecallS, null);
-  assert.deepEqual(parseReport(rest), expected);
+  assert.deepEqual(parseHeartbeat(rest), expected);
 });
 
 test('a report with a field missing or of another kind is not read', () => {
   for (const field of ['Host', 'Endpoint', 'Build', 'Hall', 'Loaners', 'Shift', 'Tally', 'Baton', 'Pieces']) {
-    assert.equal(parseReport(reportWith({ [field]: null })), null, field);
-    assert.equal(parseReport(reportWith({ [field]: { odd: 1 } })), null, field);
+    assert.equal(parseHeartbeat(reportWith({ [field]: null })), null, field);
+    assert.equal(parseHeartbeat(reportWith({ [field]: { odd: 1 } })), null, field);
   }
   for (const field of ['Shift', 'Tally', 'Baton']) {
-    assert.equal(parseReport(reportWith({ [field]: -1 })), null, field);
-    assert.equal(parseReport(reportWith({ [field]: 1.5 })), null, field);
+    assert.equal(parseHeartbeat(reportWith({ [field]: -1 })), null, field);
+    assert.equal(parseHeartbeat(reportWith({ [field]: 1.5 })), null, field);
   }
   for (const piece of [
     null,
@@ -218,7 +221,7 @@
     { Piece: 'j-1/0', Try: -1, Status: 'running' },
     { Piece: 'j-1/0', Try: 1, Status: 1 },
   ]) {
-    assert.equal(parseReport(reportWith({ Pieces: [piece] })), null, JSON.stringify(piece));
+    assert.equal(parseHeartbeat(reportWith({ Pieces: [piece] })), null, JSON.stringify(piece));
   }
 });
 
@@ -306,8 +309,8 @@
   });
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   const endpoint = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const call = httpCaller(2);
-  const send = (method: Method, path: string, body?: unknown): Promise<unknown> =>
+  const call = createHttpClient(2);
+  const send = (method: HttpMethod, path: string, body?: unknown): Promise<unknown> =>
     call(endpoint, method, path, body, 5 * SECOND);
   assert.deepEqual(await send('POST', '/grants', { LifeMs: 3000 }), { status: 200, body: { Epoch: 4 } });
   assert.deepEqual(await send('GET', '/store?Starts=a/&Limit=2'), { status: 200, body: { Epoch: 4 } });
@@ -343,7 +346,7 @@
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   const { port } = server.address() as AddressInfo;
   const endpoint = `127.0.0.1:${port}`;
-  const call = httpCaller(2);
+  const call = createHttpClient(2);
   await assert.rejects(call(endpoint, 'GET', '/silent', undefined, SECOND / 5), {
     message: `no response from ${endpoint} in time`,
   });
--- a/packages/wire/wire.test.ts
+++ b/packages/wire/wire.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decode, encode, isCount, sameCount } from './codec.js';
+import { decode, encode, isCount, countsEqual } from './codec.js';
 import { decodeJobStatus, encodeJobState } from './job-state.js';
 import type { JobSpec } from './jobs.js';
-import { encodeRedirect, encodeReportAnswer, parseReport } from './report.js';
+import { encodeRedirect, encodeHeartbeatResponse, parseHeartbeat } from './report.js';
 import { encodeSubmission, parseSubmission } from './submission.js';
 import type { Command } from './workers.js';
 
@@ -19,7 +19,7 @@
     fc.property(fc.bigInt(0n, (1n << 64n) - 1n), (count) => {
       const back = decode(encode({ count })) as { count: number | bigint };
       assert.ok(isCount(back.count));
-      assert.ok(sameCount(back.count, count));
+      assert.ok(countsEqual(back.count, count));
     }),
     { seed: 7, numRuns: 300 },
   );
@@ -50,7 +50,7 @@
       { Piece: 'j-000398/1', Try: 1, Status: 'some later state' },
     ],
   };
-  assert.deepEqual(parseReport(body), {
+  assert.deepEqual(parseHeartbeat(body), {
     ...{ host: 'n-000231', address: '10.1.0.232:9000', machineType: 'g8', zone: 'a', spot: true },
     ...{ session: 1, sequence: 88, token: 41, spotNoticeS: null },
     tasks: [
@@ -60,16 +60,16 @@
     ],
   });
   for (const field of ['Host', 'Endpoint', 'Build', 'Hall', 'Loaners', 'Shift', 'Tally', 'Baton', 'Pieces']) {
-    assert.equal(parseReport({ ...body, [field]: undefined }), null, field);
+    assert.equal(parseHeartbeat({ ...body, [field]: undefined }), null, field);
   }
-  assert.equal(parseReport({ ...body, RecallS: 'soon' }), null);
-  assert.equal(parseReport({ ...body, Pieces: [{ Piece: 'j-1/0', Status: 'running' }] }), null);
+  assert.equal(parseHeartbeat({ ...body, RecallS: 'soon' }), null);
+  assert.equal(parseHeartbeat({ ...body, Pieces: [{ Piece: 'j-1/0', Status: 'running' }] }), null);
   const commands: Command[] = [
     { kind: 'start', task: 'j-000412/4', attempt: 2 },
     { kind: 'stop', task: 'j-000377/1', attempt: 1, graceS: 10 },
     { kind: 'forget', task: 'j-000398/0', attempt: 1 },
   ];
-  assert.deepEqual(encodeReportAnswer({ token: 41, commands }), {
+  assert.deepEqual(encodeHeartbeatResponse({ fencingToken: 41, commands }), {
     Baton: 41,
     Orders: [
       { Verb: 'launch', Piece: 'j-000412/4', Try: 2 },
@@ -138,7 +138,7 @@
   fc.assert(
     fc.property(fc.anything(), (body) => {
       parseSubmission(body);
-      parseReport(body);
+      parseHeartbeat(body);
     }),
     { seed: 11, numRuns: 500 },
   );
--- a/packages/wire/workers.ts
+++ b/packages/wire/workers.ts
@@ -1,9 +1,9 @@
 /** What workers report of themselves, and what they are told. */
 import type { Count } from './codec.js';
-import type { TaskReport } from './tasks.js';
+import type { TaskStatus } from './tasks.js';
 
 /** A worker's heartbeat: its machine, the incarnation that speaks, and all of its tasks. */
-export interface WorkerReport {
+export interface Heartbeat {
   /** Name of the machine. */
   readonly host: string;
   /** Address of the worker, as `host:port`. */
@@ -13,15 +13,15 @@
   /** The machine is a spot machine. */
   readonly spot: boolean;
   /** Incarnation of the worker: raised each time its lease expires. */
-  readonly session: Count;
+  readonly incarnation: Count;
   /** Raised with every message of the worker: the larger (`session`, `sequence`) is the newer one. */
   readonly sequence: Count;
   /** The highest fencing token that the worker has seen. */
-  readonly token: Count;
+  readonly fencingToken: Count;
   /** Seconds until the cloud takes the machine back; null if it gave no notice. */
   readonly spotNoticeS?: number | null;
   /** All tasks on the machine, including exited ones that it wasn't told to forget. */
-  readonly tasks: readonly TaskReport[];
+  readonly tasks: readonly TaskStatus[];
 }
 
 /** What a worker is told to do. `forget`: an exited task is left out of further reports. */
@@ -32,9 +32,9 @@
   | { readonly kind: 'forget'; readonly task: string; readonly attempt: Count };
 
 /** The answer that renews a worker's lease. */
-export interface ReportAnswer {
+export interface HeartbeatResponse {
   /** The cluster's fencing token: a worker that has seen a higher one drops the answer. */
-  readonly token: Count;
+  readonly fencingToken: Count;
   /** Executed in this order. */
   readonly commands: readonly Command[];
 }
--- a/packages/workers/lease-bounds.ts
+++ b/packages/workers/lease-bounds.ts
@@ -1,10 +1,10 @@
 /** For how long leases last and may be renewed, on the safe side of clocks that drift apart. */
 import { type Micros, MS, SECOND } from '#wire';
 
-export interface RegistryLimits {
-  report: Micros;
-  lease: Micros;
-  cancel: Micros;
+export interface WorkerTimeouts {
+  heartbeatInterval: Micros;
+  workerLease: Micros;
+  cancellationDeadline: Micros;
 }
 
 /** Steady clocks drift apart by at most 0.05%; a margin of 0.2% and a little more is always on the safe side. */
@@ -17,6 +17,6 @@
  * leases. A cancellation confirmed elsewhere after that moment then still takes hold in time: the last answer
  * given runs out `lease` later, within `cancel` of the cancellation.
  */
-export function renewalBound(limits: RegistryLimits): Micros {
-  return Math.max(0, Math.floor((limits.cancel - limits.lease) * 0.996) - SECOND);
+export function renewalBound(limits: WorkerTimeouts): Micros {
+  return Math.max(0, Math.floor((limits.cancellationDeadline - limits.workerLease) * 0.996) - SECOND);
 }
