--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -351,7 +351,7 @@
     zone: name(zone),
     spot: spot === 1,
     acquiredAtMs: base + since,
-    shard: shard,
+    shard,
     destination: destination === undefined || destination === null ? null : decodeDestination(destination),
     status: STATUSES[status ?? 0] ?? 'up',
     ownershipCount: ownershipCount ?? 0,
--- a/packages/daemon/forecast.ts
+++ b/packages/daemon/forecast.ts
@@ -64,11 +64,11 @@
       const pendingCapacity = this.capacitySoonFree(mine);
       return {
         member,
-        shares: shards,
-        needs: unmetDemand,
-        left: free,
-        kept: reservedHosts,
-        soon: pendingCapacity,
+        shards,
+        unmetDemand,
+        free,
+        reservedHosts,
+        pendingCapacity,
         price,
         ...this.balance(mine, unmetDemand, pendingCapacity),
       };
@@ -122,13 +122,13 @@
       guaranteeDeficit += Math.min(waiting.get(name) ?? 0, Math.max(0, cpus - used));
       usageAboveGuarantee += Math.max(0, used - cpus);
     }
-    if (guaranteeDeficit === 0) return { owed: guaranteeDeficit, borrowed: usageAboveGuarantee };
+    if (guaranteeDeficit === 0) return { guaranteeDeficit, usageAboveGuarantee };
     for (const { free: room } of soon) guaranteeDeficit -= room.cpus;
     for (const { destination, shard, machineType } of ledger.machines.values()) {
       if (typeof destination === 'number' && destination !== shard && shards.has(destination))
         guaranteeDeficit -= types.get(machineType)?.cpus ?? 0;
     }
-    return { guaranteeDeficit: Math.max(0, guaranteeDeficit), borrowed: usageAboveGuarantee };
+    return { guaranteeDeficit: Math.max(0, guaranteeDeficit), usageAboveGuarantee };
   }
 
   /** Room that running tasks are about to leave on the machines of some shares. */
--- a/packages/daemon/links.ts
+++ b/packages/daemon/links.ts
@@ -93,7 +93,7 @@
     socket.on('error', onLost);
     socket.on('close', onLost);
     readMessages(socket, ({ sequence, status }) => {
-      if (sequence === this.pending?.sequence) this.pending.finish({ result: 'ok', status: status });
+      if (sequence === this.pending?.sequence) this.pending.finish({ result: 'ok', status });
     });
     socket.connect(parseEndpoint(this.endpoint));
     return socket;
--- a/packages/daemon/preemption.ts
+++ b/packages/daemon/preemption.ts
@@ -82,15 +82,7 @@
         if (this.runTimes.remaining(p) < VICTIM_MIN_REMAINING) continue;
         const { cpus, gpus, memGb, taskName } = p;
         const isAboveGuarantee = ledger.teamUsage(p.team).cpus > (guarantee.get(p.team) ?? 0);
-        const row = {
-          cpus,
-          gpus,
-          memGb,
-          taskName,
-          host,
-          rank: RANKS.indexOf(spec.rank),
-          beyond: isAboveGuarantee,
-        };
+        const row = { cpus, gpus, memGb, taskName, host, rank: RANKS.indexOf(spec.rank), isAboveGuarantee };
         const graceS = Math.ceil(spec.saveS) + 1;
         victims.set(taskName, { ...row, canCheckpoint: true, placement: p, graceS });
       }
--- a/packages/fleet/moves.ts
+++ b/packages/fleet/moves.ts
@@ -84,7 +84,7 @@
       for (const m of candidates) {
         if (wanted === 0) break;
         moved.add(m.host);
-        moves.push({ host: m.host, owner: owner });
+        moves.push({ host: m.host, owner });
         coming.push(m);
         serve(m);
       }
@@ -119,7 +119,7 @@
       if (cpus <= 0) break;
       cpus -= machine.total.cpus;
       moved.add(machine.host);
-      moves.push({ host: machine.host, owner: owner });
+      moves.push({ host: machine.host, owner });
     }
   }
   return { transfers: moves, unmetDemand: left };
--- a/packages/recovery/claims.ts
+++ b/packages/recovery/claims.ts
@@ -47,7 +47,7 @@
   /** Notes a claim of a source that finds the state to contradict it; `known` is the highest epoch known here by now. */
   noteObjection(source: string, marks: PartialHighWaterMarks, now: Micros, known: number): Observation {
     const objectedAt = this.bySource.get(source)?.objectedAt ?? known;
-    const observation = { source, seen: marks, at: now, objectedAt };
+    const observation = { source, marks, at: now, objectedAt };
     this.bySource.set(source, observation);
     return observation;
   }
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -129,8 +129,8 @@
   copy.fencingToken = { value: 7, revision: 1 };
   copy.machineTypes = new Map([[LARGE.name, LARGE]]);
   copy.jobs = new Map([
-    ['j-000001', { spec: sampleJob('j-000001'), at: 900, revision: 5 }],
-    ['j-000002', { spec: gang, at: 950, revision: 6 }],
+    ['j-000001', { spec: sampleJob('j-000001'), acceptedAtMs: 900, acceptedRevision: 5 }],
+    ['j-000002', { spec: gang, acceptedAtMs: 950, acceptedRevision: 6 }],
   ]);
   copy.terminalJobs = new Map([
     ['j-000003', { status: 'done', revision: 7 }],
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -31,7 +31,10 @@
   }));
   ledger.apply(0, { sequence: 1, recordedAtMs: 1, starts });
   const jobs = new Map(
-    [...Array(JOBS).keys()].map((i) => [`j-${i}`, { spec: sampleJob(`j-${i}`), at: i, revision: i }]),
+    [...Array(JOBS).keys()].map((i) => [
+      `j-${i}`,
+      { spec: sampleJob(`j-${i}`), acceptedAtMs: i, acceptedRevision: i },
+    ]),
   );
   const copy = Object.create(Replica.prototype) as Writable<Replica>;
   copy.ledger = ledger;
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -14,7 +14,10 @@
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
 
 /** Settings under the names of the production version; all others have kept their names. */
-interface ProductionSettings extends Omit<Settings, 'report' | 'lease' | 'cancel' | 'listLag'> {
+interface ProductionSettings extends Omit<
+  Settings,
+  'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'machineListLag'
+> {
   readonly report: Micros;
   readonly lease: Micros;
   readonly cancel: Micros;
@@ -22,7 +25,7 @@
 }
 
 /** Operators' settings under the names of the production version. */
-interface ProductionTuning extends Omit<Tuning, 'waitDoubles' | 'noticesLoss'> {
+interface ProductionTuning extends Omit<Tuning, 'priorityDoublingTime' | 'detectsDataLoss'> {
   readonly waitDoubles: Micros;
 }
 
@@ -136,13 +139,8 @@
 }
 
 function settingsOf(settings: Settings): ProductionSettings {
-  const {
-    heartbeatInterval: heartbeatInterval,
-    workerLease: workerLease,
-    cancellationDeadline: cancellationDeadline,
-    ...others
-  } = settings;
-  const { machineListLag: machineListLag, ...unchanged } = others;
+  const { heartbeatInterval, workerLease, cancellationDeadline, ...others } = settings;
+  const { machineListLag, ...unchanged } = others;
   return {
     ...unchanged,
     report: heartbeatInterval,
@@ -152,7 +150,7 @@
   };
 }
 
-function tuningOf({ priorityDoublingTime: priorityDoublingTime, ...others }: Tuning): ProductionTuning {
+function tuningOf({ priorityDoublingTime, ...others }: Tuning): ProductionTuning {
   return { ...others, waitDoubles: priorityDoublingTime };
 }
 
--- a/packages/workers/worker-registry.test.ts
+++ b/packages/workers/worker-registry.test.ts
@@ -35,7 +35,7 @@
   return {
     workers,
     ledger,
-    jobs: new Map([['j-1', { spec: sampleJob('j-1'), acceptedAtMs: 0, revision: 1 }]]),
+    jobs: new Map([['j-1', { spec: sampleJob('j-1'), acceptedAtMs: 0, acceptedRevision: 1 }]]),
   };
 }
 
@@ -169,7 +169,7 @@
   const workers = new WorkerRegistry(LIMITS);
   workers.syncOwnership(ledger, OWNERS, 5, NOW);
   const spec = sampleJob('j-1', { shape: 'gang', taskCount: 2 });
-  return { workers, ledger, jobs: new Map([['j-1', { spec, acceptedAtMs: 0, revision: 1 }]]) };
+  return { workers, ledger, jobs: new Map([['j-1', { spec, acceptedAtMs: 0, acceptedRevision: 1 }]]) };
 }
 
 test('no task of a gang is started before all of them have their place', () => {
