--- a/eslint.config.js
+++ b/eslint.config.js
@@ -43,22 +43,24 @@
   pricing: ['wire'],
   settings: ['wire'],
   store: ['wire'],
-  duties: ['cloud', 'store', 'wire'],
-  cluster: ['duties', 'store', 'wire'],
+  roles: ['cloud', 'store', 'wire'],
+  cluster: ['roles', 'store', 'wire'],
   recovery: ['cluster', 'store', 'wire'],
-  operations: ['duties', 'recovery', 'wire'],
+  operations: ['roles', 'recovery', 'wire'],
   workers: ['cluster', 'wire'],
-  fleet: ['cloud', 'cluster', 'duties', 'pricing', 'wire'],
-  cli: ['daemon', 'duties', 'operations', 'recovery', 'settings', 'wire'],
+  fleet: ['cloud', 'cluster', 'roles', 'pricing', 'wire'],
+  scheduling: ['cluster', 'fleet', 'pricing', 'settings', 'wire', 'workers'],
+  cli: ['daemon', 'roles', 'operations', 'recovery', 'settings', 'wire'],
   daemon: [
     'api',
     'cloud',
     'cluster',
-    'duties',
+    'roles',
     'fleet',
     'operations',
     'pricing',
     'recovery',
+    'scheduling',
     'settings',
     'store',
     'wire',
@@ -66,10 +68,10 @@
   ],
 };
 
-/** Who may hold the clients that check no term: duties themselves, and what belongs to no duty. */
-const UNFENCED_CLOUD = ['packages/duties/fenced-cloud.ts', 'packages/daemon/controller.ts'];
+/** Who may hold the clients that check no term: the fenced clients themselves, and what belongs to no role. */
+const UNFENCED_CLOUD = ['packages/roles/fenced-cloud.ts', 'packages/daemon/controller.ts'];
 const UNFENCED_STORE = [
-  'packages/duties/fenced-store.ts',
+  'packages/roles/fenced-store.ts',
   // The node's own record and its campaign for the lead.
   'packages/cluster/membership.ts',
   // Reads only.
@@ -80,7 +82,7 @@
 ];
 
 const BOUNDARY = 'this package may not depend on that one: see DEPENDENCIES in eslint.config.js';
-const FENCE = 'act through the fenced client of #duties, under a proof of the term';
+const FENCE = 'act through the fenced client of #roles, under a proof of the term';
 
 /** Imports that the files of a package may not have. */
 function restrictedImports(name, files, ignores, clients) {
@@ -90,8 +92,8 @@
     ...others.map((other) => ({ name: `#${other}`, message: BOUNDARY })),
     ...clients.map(([from, importName]) => ({ name: from, importNames: [importName], message: FENCE })),
   ];
-  const proofs = { group: ['**/term-proof.js'], message: 'proofs are given out by the DutyRegistry only' };
-  const patterns = name === 'duties' ? [] : [proofs];
+  const proofs = { group: ['**/term-proof.js'], message: 'proofs are given out by the RoleRegistry only' };
+  const patterns = name === 'roles' ? [] : [proofs];
   return { files, ignores, rules: { 'no-restricted-imports': ['error', { paths, patterns }] } };
 }
 
--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { gzipSync } from 'node:zlib';
-import type { RoleName } from '#duties';
+import type { RoleName } from '#roles';
 import {
   createOperatorApp,
   listenForOperators,
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,5 +1,5 @@
 /** `micaworks duties`: who holds what, as the nodes that answer know it. */
-import { parseRoleName } from '#duties';
+import { parseRoleName } from '#roles';
 import {
   askDuties,
   askToResign,
--- a/packages/cluster/keys.ts
+++ b/packages/cluster/keys.ts
@@ -1,4 +1,4 @@
-import type { RoleName } from '#duties';
+import type { RoleName } from '#roles';
 
 /**
  * Where the cluster's state lies in the state service. All of it is below one prefix, so that a single watch
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -13,7 +13,7 @@
   FENCING_TOKEN_KEY,
 } from './keys.js';
 import { Ledger } from './ledger.js';
-import type { RowDifferences } from './state-check.js';
+import type { RowDifferences } from './state-integrity-check.js';
 import { type CheckpointRow, decodeCheckpointHead, decodeChunk } from './stored/checkpoint-codec.js';
 import { decodeFencingToken, UNREADABLE_FENCING_TOKEN } from './stored/holder-codec.js';
 import { isTerminal } from './stored/job-codec.js';
--- a/packages/cluster/writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#duties';
+import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#roles';
 import { type Guard, RateLimiter, type StoreClient, type Write, WriteLimits } from '#store';
 import { sampleJob, SimClock } from '#testkit';
 import { type Clock, MS, SECOND } from '#wire';
 import { jobKey, LEADER_KEY, terminalKey, ownershipKey } from './keys.js';
 import type { MachineRow } from './placement.js';
 import { Replica } from './replica.js';
-import { LogWriter } from './writer.js';
+import { LogWriter } from './log-writer.js';
 
 /** Duties of a process that leads under term 1 and owns these shares. */
 function dutiesOf(clock: Clock, shards: ReadonlyMap<number, number>): RoleRegistry {
--- a/packages/cluster/writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -16,7 +16,7 @@
 import { encodeFinal } from './stored/job-codec.js';
 import { encodeRecord, encodeRecordDraft, type StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
-import type { RoleName, RoleRegistry, FencedStore, TermProof } from '#duties';
+import type { RoleName, RoleRegistry, FencedStore, TermProof } from '#roles';
 import {
   type CommitResult,
   type Guard,
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -5,7 +5,7 @@
 import type { Replica } from './replica.js';
 import { encodeHolder } from './stored/holder-codec.js';
 import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
-import { type RoleHolder, type RoleName, RoleRegistry } from '#duties';
+import { type RoleHolder, type RoleName, RoleRegistry } from '#roles';
 import { type StoreClient, StoreError } from '#store';
 import { type Clock, type Count, type WireFields, type Micros, MS, SECOND, sleep } from '#wire';
 
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -1,4 +1,4 @@
-import { RevisionWaiters } from './epoch-waiters.js';
+import { RevisionWaiters } from './revision-waiters.js';
 import type { Logger } from './logger.js';
 import {
   ROOT_PREFIX,
@@ -51,7 +51,11 @@
 import { decodeMachineTypeRow } from './stored/machine-type-codec.js';
 import { decodeCapabilities, decodeMember } from './stored/member-codec.js';
 import { decodeRecord, storedSequence } from './stored/record-codec.js';
-import { type StateIntegrityCheck, type HighWaterMarks, NO_STATE_INTEGRITY_CHECK } from './state-check.js';
+import {
+  type StateIntegrityCheck,
+  type HighWaterMarks,
+  NO_STATE_INTEGRITY_CHECK,
+} from './state-integrity-check.js';
 import {
   type Change,
   RateMeter,
--- a/packages/cluster/share-assignment.test.ts
+++ b/packages/cluster/shard-assignment.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { partitionedZonePairs, planShardAssignments, type ShardHolder } from './share-assignment.js';
+import { partitionedZonePairs, planShardAssignments, type ShardHolder } from './shard-assignment.js';
 
 const member = (name: string, zone = 'east') => ({
   member: name,
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FencedStore } from '#duties';
+import { FencedStore } from '#roles';
 import { RateLimiter, StoreClient, WriteLimits } from '#store';
 import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
 import { type Clock, type Count, type WireFields, type Micros, MS, SECOND } from '#wire';
@@ -50,7 +50,7 @@
 import type { LeaseHolder, Member, MemberStatus, ShardOwner } from './members.js';
 import { Membership } from './membership.js';
 import { Replica } from './replica.js';
-import { terminalStatusWrite, LogWriter } from './writer.js';
+import { terminalStatusWrite, LogWriter } from './log-writer.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STATE = '10.2.0.1:2379';
--- a/packages/cluster/worker-contact.test.ts
+++ b/packages/cluster/worker-reachability.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, SECOND } from '#wire';
-import { REACHABILITY_CHECK_INTERVAL, WorkerReachability } from './worker-contact.js';
+import { REACHABILITY_CHECK_INTERVAL, WorkerReachability } from './worker-reachability.js';
 
 const LIMITS = { heartbeatInterval: 2 * SECOND, workerLease: 9 * SECOND };
 
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -1,6 +1,6 @@
 import type { ServiceResponse } from '#api';
 import { CloudClient } from '#cloud';
-import { type RoleName, FencedCloud, FencedStore, reportRoles } from '#duties';
+import { type RoleName, FencedCloud, FencedStore, reportRoles } from '#roles';
 import {
   REACHABILITY_CHECK_INTERVAL,
   LOG_RING_CAPACITY,
@@ -39,13 +39,13 @@
 } from '#wire';
 import { type TaskCompletion, renewalBound, WorkerRegistry } from '#workers';
 import { Leader } from './leader.js';
-import { Forecaster } from './forecast.js';
-import { StateFreshness } from './freshness.js';
-import { RoleHandover, type HandoverResult } from './hand-over.js';
-import { Preemption } from './preemption.js';
-import { RoundInputBuilder } from './round-input.js';
-import { RunTimeEstimator } from './run-times.js';
-import { Scheduler } from './scheduler.js';
+import { Forecaster } from '#scheduling';
+import { StateFreshness } from './state-freshness.js';
+import { RoleHandover, type HandoverResult } from './role-handover.js';
+import { Preemption } from '#scheduling';
+import { RoundInputBuilder } from '#scheduling';
+import { RunTimeEstimator } from '#scheduling';
+import { Scheduler } from '#scheduling';
 import { unavailable, JobService } from './job-service.js';
 
 export interface ControllerOptions {
--- a/packages/daemon/index.ts
+++ b/packages/daemon/index.ts
@@ -1,4 +1,3 @@
 export * from './controller.js';
-export * from './scheduler.js';
-export * from './hand-over.js';
+export * from './role-handover.js';
 export * from './job-service.js';
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -17,7 +17,7 @@
   UNREADABLE_FENCING_TOKEN,
   zonePair,
 } from '#cluster';
-import type { FencedCloud, FencedStore, TermProof } from '#duties';
+import type { FencedCloud, FencedStore, TermProof } from '#roles';
 import { shapeOf } from '#pricing';
 import {
   resourcesOf,
@@ -34,8 +34,8 @@
 import type { Settings } from '#settings';
 import { isTooLarge, type Write, type WriteLimits } from '#store';
 import { type Clock, fromSeconds, type MachineType, type Micros, SECOND } from '#wire';
-import type { Forecaster, OwnerForecast } from './forecast.js';
-import type { RunTimeEstimator } from './run-times.js';
+import type { Forecaster, OwnerForecast } from '#scheduling';
+import type { RunTimeEstimator } from '#scheduling';
 
 const MACHINE_TYPE_REFRESH_INTERVAL: Micros = 20 * SECOND;
 /** Least time between two changes of shares that nobody is waiting for. */
--- a/packages/daemon/peer-format.test.ts
+++ b/packages/daemon/peer-format.test.ts
@@ -8,7 +8,7 @@
 import { test, type TestContext } from 'node:test';
 import type { PeerStatus, PingReply } from '#cluster';
 import { MS, SECOND } from '#wire';
-import { createPinger, servePeers } from './links.js';
+import { createPinger, servePeers } from './peer-links.js';
 
 const PLAIN: PeerStatus = {
   fencingToken: 7,
--- a/packages/daemon/links.test.ts
+++ b/packages/daemon/peer-links.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { PeerStatus } from '#cluster';
 import { MS } from '#wire';
-import { createPinger, servePeers } from './links.js';
+import { createPinger, servePeers } from './peer-links.js';
 
 // The type of a ping and the names of its fields are checked by nothing but the sending of one.
 test('a ping over a real connection tells what the peer knows, and says when there is none', async () => {
--- a/packages/daemon/hand-over.test.ts
+++ b/packages/daemon/role-handover.test.ts
@@ -2,11 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Member, Membership, Replica, ShardOwner } from '#cluster';
-import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#duties';
+import { type RoleHolder, type RoleName, RoleRegistry, FencedStore } from '#roles';
 import type { CommitResult } from '#store';
 import { type Clock, type Micros, SECOND } from '#wire';
-import type { StateFreshness } from './freshness.js';
-import { RoleHandover, type RoleHandoverOptions } from './hand-over.js';
+import type { StateFreshness } from './state-freshness.js';
+import { RoleHandover, type RoleHandoverOptions } from './role-handover.js';
 
 /** A clock on which whatever waits is done at once, and time has passed by then. */
 class LeapingClock implements Clock {
--- a/packages/daemon/hand-over.ts
+++ b/packages/daemon/role-handover.ts
@@ -1,8 +1,8 @@
 /** Hands duties over on purpose, as before a planned stop. */
 import { LEADER_KEY, type Membership, type Replica } from '#cluster';
-import { type RoleName, type FencedStore, formatRoleName, type TermProof } from '#duties';
+import { type RoleName, type FencedStore, formatRoleName, type TermProof } from '#roles';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
-import type { StateFreshness } from './freshness.js';
+import type { StateFreshness } from './state-freshness.js';
 
 export type HandoverResult = { kind: 'handed_over' } | { kind: 'refused'; reason: string };
 
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -8,7 +8,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { createOperatorApp, listenForOperators, OPERATOR_SOCKETS } from '#operations';
 import { Controller } from './controller.js';
-import { createPinger, servePeers } from './links.js';
+import { createPinger, servePeers } from './peer-links.js';
 
 /** A planned stop takes no longer than this. */
 const RETIRE_PATIENCE: Micros = 10 * SECOND;
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { CloudClient } from '#cloud';
 import { type MachineRow, Ledger } from '#cluster';
-import { RoleRegistry, FencedCloud } from '#duties';
+import { RoleRegistry, FencedCloud } from '#roles';
 import { SimClock } from '#testkit';
 import { type ListedMachine, type Micros, SECOND } from '#wire';
 import { FleetManager } from './fleet-manager.js';
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -1,6 +1,6 @@
 import type { Destination, MachineEntry, Ledger, Logger, RecordDraft } from '#cluster';
 import { MAX_MACHINES_PER_DELETE, MAX_MACHINES_PER_REQUEST } from '#cloud';
-import { type FencedCloud, ScaleOutIntent, ScaleInIntent, type TermProof } from '#duties';
+import { type FencedCloud, ScaleOutIntent, ScaleInIntent, type TermProof } from '#roles';
 import { type Clock, fromSeconds, type MachineType, type Micros, MS, SECOND } from '#wire';
 import { MachineList } from './machine-list.js';
 import {
@@ -11,7 +11,7 @@
   offerKey,
   planScaleOut,
   planScaleIn,
-} from './planner.js';
+} from './scale-planner.js';
 
 export interface FleetState {
   ledger: Ledger;
--- a/packages/fleet/index.ts
+++ b/packages/fleet/index.ts
@@ -1,4 +1,4 @@
-export * from './planner.js';
+export * from './scale-planner.js';
 export * from './fleet-manager.js';
-export * from './moves.js';
-export * from './standby.js';
+export * from './transfer-planner.js';
+export * from './warm-pool.js';
--- a/packages/fleet/machine-list.ts
+++ b/packages/fleet/machine-list.ts
@@ -1,6 +1,6 @@
 /** What the cloud's list, which lags and may go back, proves of the machines that the ledger knows. */
 import type { Ledger, MachineEntry } from '#cluster';
-import { type FencedCloud, ScaleInIntent, type TermProof } from '#duties';
+import { type FencedCloud, ScaleInIntent, type TermProof } from '#roles';
 import { type Clock, type ListedMachine, type Micros, SECOND } from '#wire';
 
 const LIST_EVERY: Micros = 4 * SECOND;
--- a/packages/fleet/plans.test.ts
+++ b/packages/fleet/planners.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import type { PendingJob } from '#pricing';
 import { SECOND } from '#wire';
-import { type TransferCandidate, planTransfers } from './moves.js';
-import { type DrainCandidate, planDrains, planScaleOut, planScaleIn } from './planner.js';
+import { type TransferCandidate, planTransfers } from './transfer-planner.js';
+import { type DrainCandidate, planDrains, planScaleOut, planScaleIn } from './scale-planner.js';
 
 const TYPE = { cpus: 4, gpus: 0, memGb: 16, cacheGb: 9, fetchGbPerS: 1, bootS: 30, zones: ['east', 'west'] };
 const SMALL = { ...TYPE, name: 'small', price: 3, spotPrice: 1 };
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -2,7 +2,7 @@
  * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
  * read them, so their names don't follow the names in the code. What a node tells is mapped to them here, field by field.
  */
-import type { RoleReport, OpenIntents, RefusalReport } from '#duties';
+import type { RoleReport, OpenIntents, RefusalReport } from '#roles';
 import type { Inconsistency, Evidence, DataLossReport, PartialHighWaterMarks } from '#recovery';
 import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
 
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -12,7 +12,7 @@
   type MachineRecord,
   type ScaleOutRecord,
   reportRoles,
-} from '#duties';
+} from '#roles';
 import { DataLossDetector, type DataLossReport } from '#recovery';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,5 +1,5 @@
 /** What the operators' listener asks its node for, in the terms of the code; `answer-codec.ts` writes it as JSON. */
-import type { RoleName, RoleReport } from '#duties';
+import type { RoleName, RoleReport } from '#roles';
 import type { DataLossReport } from '#recovery';
 
 /** A node's view of the duties; it counts as proof for nothing. */
--- a/packages/operations/routes.ts
+++ b/packages/operations/routes.ts
@@ -1,7 +1,7 @@
 /** The paths of the operators' listener, and what each answers. */
 import type { IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
-import { type RoleName, parseRoleName } from '#duties';
+import { type RoleName, parseRoleName } from '#roles';
 import { encodeDuties, encodeRecovery, encodeResignResult } from './answer-codec.js';
 import type { OperatedNode } from './messages.js';
 import { readJsonBody } from './request-body.js';
--- a/packages/pricing/fill.ts
+++ b/packages/pricing/bin-packing.ts
@@ -1,8 +1,8 @@
 /** Bin packing: puts tasks of one job on random roomy machines, in the order of its shapes. */
-import { fits, subtractResources } from './amounts.js';
-import type { ShapePool } from './pools.js';
+import { fits, subtractResources } from './resources.js';
+import type { ShapePool } from './shape-pools.js';
 import type { CandidateMachine, PendingJob } from './types.js';
-import type { ZoneConstraint } from './zone-rule.js';
+import type { ZoneConstraint } from './zone-constraint.js';
 
 /** How the machine of a task is chosen. */
 export interface BinPackingOptions {
--- a/packages/pricing/gang.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { SECOND } from '#wire';
-import { planPreemptions, type Victim } from './preempt.js';
-import { runPricingRound } from './round.js';
+import { planPreemptions, type Victim } from './preemption.js';
+import { runPricingRound } from './pricing-round.js';
 import type {
   CandidateMachine,
   PricingRoundInput,
--- a/packages/pricing/gang.ts
+++ b/packages/pricing/gang-placement.ts
@@ -2,12 +2,12 @@
  * Gang scheduling in a round: one candidate each, placed as a whole or not at all. Room that is not enough yet is kept
  * for the next rounds, where the rest of it is about to come free.
  */
-import { countFitting, subtractResources } from './amounts.js';
-import { packTasks, type BinPackingOptions } from './fill.js';
-import type { ShapePool } from './pools.js';
-import { MAX_RESERVATION_TIME } from './reserve.js';
+import { countFitting, subtractResources } from './resources.js';
+import { packTasks, type BinPackingOptions } from './bin-packing.js';
+import type { ShapePool } from './shape-pools.js';
+import { MAX_RESERVATION_TIME } from './reservation.js';
 import type { CandidateMachine, PendingJob } from './types.js';
-import { ZoneConstraint } from './zone-rule.js';
+import { ZoneConstraint } from './zone-constraint.js';
 
 /** What became of a gang in a round. */
 export type GangPlacement =
--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -1,13 +1,13 @@
 /** Places ranked segments on machines, and notes what found no room. */
-import { RESOURCE_TOLERANCE } from './amounts.js';
-import { packTasks, type BinPackingOptions } from './fill.js';
-import { placeGang } from './gang.js';
-import { isFeasible, type ShapePool } from './pools.js';
-import { type Market, utility } from './prices.js';
-import { reserveMachines } from './reserve.js';
+import { RESOURCE_TOLERANCE } from './resources.js';
+import { packTasks, type BinPackingOptions } from './bin-packing.js';
+import { placeGang } from './gang-placement.js';
+import { isFeasible, type ShapePool } from './shape-pools.js';
+import { type Market, utility } from './price-adjustment.js';
+import { reserveMachines } from './reservation.js';
 import type { Segment } from './segments.js';
 import type { CandidateMachine, PricingRoundInput, PricingRoundResult, PendingJob } from './types.js';
-import { ZoneConstraint } from './zone-rule.js';
+import { ZoneConstraint } from './zone-constraint.js';
 
 /** A segment with the shapes feasible for it, best first, and its net utility on the best. */
 interface RankedSegment {
--- a/packages/pricing/preempt.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { planPreemptions, type Victim } from './preempt.js';
+import { planPreemptions, type Victim } from './preemption.js';
 import type { PendingJob } from './types.js';
 
 const NEED = { cpus: 4, gpus: 0, memGb: 8 };
--- a/packages/pricing/preempt.ts
+++ b/packages/pricing/preemption.ts
@@ -1,5 +1,5 @@
 /** Preemption: which running tasks to stop so that more urgent ones find room. */
-import { fits, subtractResources } from './amounts.js';
+import { fits, subtractResources } from './resources.js';
 import type { Resources, PendingJob } from './types.js';
 
 /** A running task as one that may have to make room. */
--- a/packages/pricing/prices.ts
+++ b/packages/pricing/price-adjustment.ts
@@ -1,6 +1,6 @@
 /** Prices of the shapes' resources, and what a placement is worth at them. */
-import { noResources, subtractResources } from './amounts.js';
-import { isFeasible, type ShapePool } from './pools.js';
+import { noResources, subtractResources } from './resources.js';
+import { isFeasible, type ShapePool } from './shape-pools.js';
 import type { Segment } from './segments.js';
 import type { Resources, PricingOptions } from './types.js';
 
--- a/packages/pricing/round.test.ts
+++ b/packages/pricing/pricing-round.test.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { SECOND } from '#wire';
-import { fits, subtractResources } from './amounts.js';
-import { shapeOf } from './pools.js';
-import { runPricingRound } from './round.js';
+import { fits, subtractResources } from './resources.js';
+import { shapeOf } from './shape-pools.js';
+import { runPricingRound } from './pricing-round.js';
 import type { CandidateMachine, PricingRoundInput, PricingOptions, PendingJob } from './types.js';
 
 const OPTIONS: PricingOptions = {
--- a/packages/pricing/round.ts
+++ b/packages/pricing/pricing-round.ts
@@ -1,7 +1,7 @@
 /** One scheduling round of the design: prices every shape, then places what waits. */
 import { placeSegments } from './placement.js';
-import { poolByShape } from './pools.js';
-import { movePrices } from './prices.js';
+import { poolByShape } from './shape-pools.js';
+import { movePrices } from './price-adjustment.js';
 import { segmentsWithinLimits } from './segments.js';
 import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
--- a/packages/pricing/reserve.ts
+++ b/packages/pricing/reservation.ts
@@ -1,8 +1,8 @@
 /** Keeps room for tasks that need more than comes free at a time. */
 import { type Micros, SECOND } from '#wire';
-import { RESOURCE_TOLERANCE, fits, noResources } from './amounts.js';
+import { RESOURCE_TOLERANCE, fits, noResources } from './resources.js';
 import type { CandidateMachine, PendingJob } from './types.js';
-import type { ZoneConstraint } from './zone-rule.js';
+import type { ZoneConstraint } from './zone-constraint.js';
 
 /** Part of a machine stands idle for a larger task, or for a gang, no longer than this. */
 export const MAX_RESERVATION_TIME: Micros = 30 * SECOND;
--- a/packages/pricing/segments.ts
+++ b/packages/pricing/segments.ts
@@ -1,6 +1,6 @@
 /** Splits the waiting tasks into segments that rank alike, within the limits of their teams. */
-import { countFitting, subtractResources } from './amounts.js';
-import { isFeasible, type ShapePool } from './pools.js';
+import { countFitting, subtractResources } from './resources.js';
+import { isFeasible, type ShapePool } from './shape-pools.js';
 import type { Resources, PricingRoundInput, TeamUsage, PendingJob } from './types.js';
 
 /** Tasks of one job that rank alike: those within their team's guarantee, or those beyond it. */
--- a/packages/pricing/pools.ts
+++ b/packages/pricing/shape-pools.ts
@@ -1,5 +1,5 @@
 /** Machines of one shape, priced together. */
-import { fits, noResources, subtractResources } from './amounts.js';
+import { fits, noResources, subtractResources } from './resources.js';
 import type { Resources, Price, CandidateMachine, PendingJob } from './types.js';
 
 /** A shape: machines of one type and kind, priced together. Spot ones are a shape apart. */
--- a/packages/pricing/zone-rule.ts
+++ b/packages/pricing/zone-constraint.ts
@@ -1,5 +1,5 @@
 /** Zones that a job's constraints leave open. */
-import { countFitting } from './amounts.js';
+import { countFitting } from './resources.js';
 import type { CandidateMachine, PendingJob } from './types.js';
 
 /** Which zones a job's next task may go to, given where its other tasks are at this moment. */
--- a/packages/recovery/loss-watch.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -13,9 +13,9 @@
 } from '#cluster';
 import type { RevisionCheck } from '#store';
 import { type Clock, type Micros, SECOND, type Heartbeat } from '#wire';
-import { type Observation, Observations, marksOfHeartbeat } from './claims.js';
-import { type Inconsistency, describeInconsistency, findInconsistencies } from './contradictions.js';
-import type { Evidence, DataLossReport, DataLossState } from './report.js';
+import { type Observation, Observations, marksOfHeartbeat } from './observations.js';
+import { type Inconsistency, describeInconsistency, findInconsistencies } from './inconsistencies.js';
+import type { Evidence, DataLossReport, DataLossState } from './data-loss-report.js';
 
 /** Readings in a row that lack parts: fewer may be due to changes while they were made. */
 const INCOMPLETE_READINGS = 3;
--- a/packages/recovery/report.ts
+++ b/packages/recovery/data-loss-report.ts
@@ -1,5 +1,5 @@
 /** What a node says of lost state, for operators. */
-import type { Inconsistency, PartialHighWaterMarks } from './contradictions.js';
+import type { Inconsistency, PartialHighWaterMarks } from './inconsistencies.js';
 
 /**
  * `serving`: nothing contradicts what was seen before. `noticed`: something does, and a reading of all live state is to
--- a/packages/recovery/index.ts
+++ b/packages/recovery/index.ts
@@ -1,8 +1,8 @@
 /** Finds lost state, and writes and reads snapshots of the state. */
-export * from './claims.js';
-export * from './contradictions.js';
-export * from './loss-watch.js';
-export * from './report.js';
+export * from './observations.js';
+export * from './inconsistencies.js';
+export * from './data-loss-detector.js';
+export * from './data-loss-report.js';
 export * from './snapshot-codec.js';
 export * from './snapshot-error.js';
 export * from './snapshot-format.js';
--- a/packages/recovery/claims.ts
+++ b/packages/recovery/observations.ts
@@ -1,7 +1,7 @@
 /** What workers and peers tell of the state that they have seen: the memory of a cluster whose controllers have none. */
 import { attemptOrigin } from '#cluster';
 import type { Micros, Heartbeat } from '#wire';
-import { mergeHighWaterMarks, type PartialHighWaterMarks } from './contradictions.js';
+import { mergeHighWaterMarks, type PartialHighWaterMarks } from './inconsistencies.js';
 
 /** What one worker or peer has seen, as it said last. */
 export interface Observation {
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -5,8 +5,8 @@
 import type { HighWaterMarks } from '#cluster';
 import { SimClock } from '#testkit';
 import { SECOND } from '#wire';
-import { findInconsistencies, mergeHighWaterMarks, type PartialHighWaterMarks } from './contradictions.js';
-import { DataLossDetector } from './loss-watch.js';
+import { findInconsistencies, mergeHighWaterMarks, type PartialHighWaterMarks } from './inconsistencies.js';
+import { DataLossDetector } from './data-loss-detector.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const NO_DIFFERENCES = { forked: [], regressed: [], absent: [] };
--- a/packages/duties/fenced-cloud.ts
+++ b/packages/roles/fenced-cloud.ts
@@ -4,8 +4,8 @@
  */
 import type { CloudClient, ScaleOutResult } from '#cloud';
 import type { ListedMachine, MachineType } from '#wire';
-import type { ScaleOutIntent, ScaleInIntent } from './intents.js';
-import type { RoleRegistry } from './registry.js';
+import type { ScaleOutIntent, ScaleInIntent } from './scale-intents.js';
+import type { RoleRegistry } from './role-registry.js';
 import type { TermProof } from './term-proof.js';
 
 /** `superseded`: nothing was asked, or the answer came after the term; a successor asks again. */
--- a/packages/duties/fenced-store.ts
+++ b/packages/roles/fenced-store.ts
@@ -1,6 +1,6 @@
 /** The state service, for whoever acts under a duty: every commit carries a guard on the term it is made under. */
 import type { CommitResult, Guard, StoreClient, Write } from '#store';
-import type { RoleRegistry } from './registry.js';
+import type { RoleRegistry } from './role-registry.js';
 import type { TermProof } from './term-proof.js';
 
 export class FencedStore {
--- /dev/null
+++ b/packages/roles/index.ts
@@ -0,0 +1,8 @@
+export * from './role.js';
+export * from './role-state-machine.js';
+export * from './fenced-cloud.js';
+export * from './fenced-store.js';
+export * from './scale-intents.js';
+export * from './role-registry.js';
+export * from './role-report.js';
+export type { TermProof } from './term-proof.js';
--- a/packages/duties/registry.ts
+++ b/packages/roles/role-registry.ts
@@ -1,7 +1,7 @@
 /** A node's duties: the one place that gives out the right to act. */
 import { type Clock, type Micros, MS } from '#wire';
-import type { RoleHolder, RoleName, RefusedAction } from './duty.js';
-import { RoleStateMachine, type RoleState } from './duty-state.js';
+import type { RoleHolder, RoleName, RefusedAction } from './role.js';
+import { RoleStateMachine, type RoleState } from './role-state-machine.js';
 import { TermProof } from './term-proof.js';
 
 /** What the node's copy of the state says of the duties. */
--- a/packages/duties/report.ts
+++ b/packages/roles/role-report.ts
@@ -1,9 +1,9 @@
 /** What a node knows of its cluster's duties, for operators. It proves nothing: see {@link DutyMachine}. */
 import { type Micros, SECOND } from '#wire';
-import { type RoleName, formatRoleName } from './duty.js';
-import type { RoleStateName } from './duty-state.js';
-import { type IntentLedger, openIntents, type OpenIntents } from './intents.js';
-import type { RoleRegistry } from './registry.js';
+import { type RoleName, formatRoleName } from './role.js';
+import type { RoleStateName } from './role-state-machine.js';
+import { type IntentLedger, openIntents, type OpenIntents } from './scale-intents.js';
+import type { RoleRegistry } from './role-registry.js';
 
 export interface RefusalReport {
   action: string;
--- a/packages/duties/duty-state.ts
+++ b/packages/roles/role-state-machine.ts
@@ -4,7 +4,7 @@
  * nothing can guard (see docs/duties.md).
  */
 import type { Micros } from '#wire';
-import type { RoleHolder } from './duty.js';
+import type { RoleHolder } from './role.js';
 
 export type RoleState =
   /** Nobody holds it. */
--- a/packages/duties/term-proof.ts
+++ b/packages/roles/term-proof.ts
@@ -1,6 +1,6 @@
 /** The right to act under one term of a duty. Only the {@link DutyRegistry} gives it out. */
 import type { Guard } from '#store';
-import type { RoleName } from './duty.js';
+import type { RoleName } from './role.js';
 
 /**
  * Every action of a duty takes one, so that the type checker finds a call that is not bound to a term. It stays bound
--- a/packages/daemon/forecast.ts
+++ b/packages/scheduling/forecaster.ts
@@ -4,8 +4,8 @@
 import { type Resources, subtractResources } from '#pricing';
 import type { Objective, Settings } from '#settings';
 import { fromSeconds, type JobSpec, type Micros, SECOND } from '#wire';
-import type { RoundInputBuilder } from './round-input.js';
-import type { RunTimeEstimator } from './run-times.js';
+import type { RoundInputBuilder } from './round-input-builder.js';
+import type { RunTimeEstimator } from './run-time-estimator.js';
 import type { Scheduler } from './scheduler.js';
 
 /** A machine whose room comes free within this time counts as on its way. */
--- a/packages/daemon/preemption.ts
+++ b/packages/scheduling/preemption-planner.ts
@@ -15,7 +15,7 @@
 import type { Settings } from '#settings';
 import { type Clock, type Micros, MS, RANKS, SECOND } from '#wire';
 import type { WorkerRegistry } from '#workers';
-import type { RunTimeEstimator } from './run-times.js';
+import type { RunTimeEstimator } from './run-time-estimator.js';
 
 /** A task that waits this long may have others stopped. */
 const PREEMPTION_MIN_WAIT: Micros = 4 * SECOND;
--- a/packages/daemon/round-input.test.ts
+++ b/packages/scheduling/round-input-builder.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { waitingBoost, RANK_PRIORITY } from './round-input.js';
+import { waitingBoost, RANK_PRIORITY } from './round-input-builder.js';
 
 // At 1.5 times the size best-effort work once began after six minutes, behind a stream of normal work.
 test('rank decides at first; best-effort work that waits for minutes comes before normal work of the last one', () => {
--- a/packages/daemon/round-input.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -11,7 +11,7 @@
 import type { Settings, Tuning } from '#settings';
 import { type Clock, fromSeconds, type JobSpec, type Micros, MS, type Rank, SECOND } from '#wire';
 import { findPlacement, type TrackedWorker, type WorkerRegistry } from '#workers';
-import type { RunTimeEstimator } from './run-times.js';
+import type { RunTimeEstimator } from './run-time-estimator.js';
 
 /**
  * Utility is priority less what the demand costs, so a task of twice the size needs twice the priority to rank
--- a/packages/daemon/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -19,8 +19,8 @@
 import type { Settings, Tuning } from '#settings';
 import type { JobSpec } from '#wire';
 import { type TaskCompletion, findPlacement, type WorkerRegistry } from '#workers';
-import type { Preemption, PreemptedTask } from './preemption.js';
-import type { RoundInputBuilder } from './round-input.js';
+import type { Preemption, PreemptedTask } from './preemption-planner.js';
+import type { RoundInputBuilder } from './round-input-builder.js';
 
 /** What a round decides, to be recorded before any of it is done. */
 export interface RoundPlan {
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -1,6 +1,6 @@
 /** Client of the consensus-backed key-value store, and what keeps requests within its limits. */
-export * from './epoch-check.js';
-export * from './pace.js';
+export * from './revision-check.js';
+export * from './rate-limiter.js';
 export * from './rows.js';
 export * from './store-client.js';
 export * from './store-error.js';
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -1,6 +1,6 @@
 /** Requests to the key-value store. */
 import { type HttpClient, type Count, type HttpMethod, type Micros, MS, type HttpReply, SECOND } from '#wire';
-import { type RevisionCheck, NO_REVISION_CHECK } from './epoch-check.js';
+import { type RevisionCheck, NO_REVISION_CHECK } from './revision-check.js';
 import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
 import { StoreError } from './store-error.js';
 import {
--- a/packages/testkit/duty-vacancy.test.ts
+++ b/packages/testkit/duty-vacancy.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
-import { formatRoleName } from '#duties';
+import { formatRoleName } from '#roles';
 import { type WireFields, SECOND } from '#wire';
 import { sampleJob } from './rules.js';
 import { SimWorld, STATE } from './sim-world.js';
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -8,7 +8,7 @@
 import { join } from 'node:path';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
-import { formatRoleName } from '#duties';
+import { formatRoleName } from '#roles';
 import {
   decodeJobStatus,
   encodeSubmission,
--- a/packages/wire/index.ts
+++ b/packages/wire/index.ts
@@ -3,11 +3,11 @@
  * are the only place that knows the protocol's own names. Clients of the service can use this package by itself.
  */
 export * from './codec.js';
-export * from './http.js';
+export * from './http-client.js';
 export * from './job-state.js';
 export * from './jobs.js';
 export * from './machines.js';
-export * from './report.js';
+export * from './heartbeat.js';
 export * from './submission.js';
 export * from './tasks.js';
 export * from './time.js';
--- a/packages/wire/wire.test.ts
+++ b/packages/wire/wire.test.ts
@@ -4,7 +4,7 @@
 import { decode, encode, isCount, countsEqual } from './codec.js';
 import { decodeJobStatus, encodeJobState } from './job-state.js';
 import type { JobSpec } from './jobs.js';
-import { encodeRedirect, encodeHeartbeatResponse, parseHeartbeat } from './report.js';
+import { encodeRedirect, encodeHeartbeatResponse, parseHeartbeat } from './heartbeat.js';
 import { encodeSubmission, parseSubmission } from './submission.js';
 import type { Command } from './workers.js';
 
--- a/packages/workers/index.ts
+++ b/packages/workers/index.ts
@@ -1,3 +1,3 @@
-export * from './lease-bounds.js';
-export * from './session.js';
+export * from './worker-timeouts.js';
+export * from './tracked-worker.js';
 export * from './worker-registry.js';
--- a/packages/workers/worker-registry.test.ts
+++ b/packages/workers/worker-registry.test.ts
@@ -3,8 +3,8 @@
 import { type MachineRow, Ledger, type LiveJob, type StartGroup } from '#cluster';
 import { SECOND, type Heartbeat } from '#wire';
 import { sampleJob } from '#testkit';
-import { renewalBound, withDrift } from './lease-bounds.js';
-import { attemptKey } from './session.js';
+import { renewalBound, withDrift } from './worker-timeouts.js';
+import { attemptKey } from './tracked-worker.js';
 import { WorkerRegistry } from './worker-registry.js';
 
 const LIMITS = { heartbeatInterval: 2 * SECOND, workerLease: 10 * SECOND, cancellationDeadline: 30 * SECOND };
--- a/packages/workers/worker-registry.ts
+++ b/packages/workers/worker-registry.ts
@@ -11,14 +11,14 @@
   countsEqual,
   SECOND,
 } from '#wire';
-import { type WorkerTimeouts, withDrift } from './lease-bounds.js';
+import { type WorkerTimeouts, withDrift } from './worker-timeouts.js';
 import {
   attemptKey,
   isNewerHeartbeat,
   trackHeartbeat,
   type TrackedWorker,
   type WorkerLiveness,
-} from './session.js';
+} from './tracked-worker.js';
 
 /** One time of owning a machine. */
 interface Ownership {
