--- a/packages/api/api.test.ts
+++ b/packages/api/api.test.ts
@@ -11,7 +11,7 @@
 const service: NodeService = {
   submitJob: (body) => {
     seen.push(body);
-    return Promise.resolve({ status: 503, body: { error: 'later' }, retryAfterS: 2, close: true });
+    return Promise.resolve({ status: 503, body: { error: 'later' }, retryAfterS: 2, closesConnection: true });
   },
   getJob: (id) => Promise.resolve({ status: 200, body: { Uid: id } }),
   cancelJob: () => Promise.reject(new Error('a fault')),
--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -188,8 +188,9 @@
     assert.match(out[3] ?? '', /^127\.0\.0\.1:\d+: no answer/);
     assert.match(errors[0] ?? '', /lost state, as node-2 found/);
     const json = await run('recover', 'status', '--json', '--node', address);
+    const seen = { epoch: 431, token: 7, positions: { lead: 3 } };
     assert.deepEqual((JSON.parse(json.out.join('\n')) as { nodes: object[] }).nodes, [
-      { node: address, ...LOSS },
+      { node: address, member: LOSS.member, loss: { ...LOSS.loss, seen } },
     ]);
   });
 });
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -26,7 +26,7 @@
   const view = clock.view((step) => step(), 0, 0);
   const sent: { writes: number; at: number }[] = [];
   const store = {
-    commit: (_guards: unknown, writes: Write[]) => {
+    compareAndSwap: (_guards: unknown, writes: Write[]) => {
       sent.push({ writes: writes.length, at: clock.time });
       return Promise.resolve({ kind: 'applied', epoch: sent.length });
     },
@@ -71,7 +71,7 @@
   const view = clock.view((step) => step(), 0, 0);
   const sent: { guards: Guard[]; writes: Write[] }[] = [];
   const store = {
-    commit: (guards: Guard[], writes: Write[]) => {
+    compareAndSwap: (guards: Guard[], writes: Write[]) => {
       sent.push({ guards, writes });
       return Promise.resolve({ kind: 'refused', failed: [], epoch: 0 });
     },
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -74,7 +74,7 @@
     return Promise.resolve({ rows: rest.slice(0, 1), more: rest.length > 1, epoch: this.epoch });
   }
 
-  async follow(_prefix: string, after: number): Promise<{ epoch: number; news: Change[] }> {
+  async watch(_prefix: string, after: number): Promise<{ epoch: number; news: Change[] }> {
     if (this.epoch <= after) await new Promise<void>((resolve) => (this.wake = resolve));
     return { epoch: this.epoch, news: this.history.filter((change) => change.revision > after) };
   }
--- a/packages/cluster/shard-assignment.test.ts
+++ b/packages/cluster/shard-assignment.test.ts
@@ -41,7 +41,7 @@
 
 test('a member that came back under another name of its start owns nothing of before', () => {
   const owners = new Map([[0, { member: 'a', nonce: 'a.0' }]]);
-  assert.deepEqual(planShardAssignments(1, owners, [member('a')], new Map()), [{ share: 0, member: 'a' }]);
+  assert.deepEqual(planShardAssignments(1, owners, [member('a')], new Map()), [{ shard: 0, member: 'a' }]);
 });
 
 test('a cut counts once either side tells of it, and only between zones', () => {
--- a/packages/daemon/peer-format.test.ts
+++ b/packages/daemon/peer-format.test.ts
@@ -78,26 +78,26 @@
 }
 
 test('a node that pings sends these bytes, with its memory behind them where it tells of it', async (t) => {
-  for (const [word, frame] of CASES) {
+  for (const [status, frame] of CASES) {
     const { endpoint, came } = await rawPeer(t, EMPTY_FRAME);
-    await createPinger('node-1', () => word)(endpoint, 2 * SECOND);
+    await createPinger('node-1', () => status)(endpoint, 2 * SECOND);
     assert.deepEqual(came, [frame]);
   }
 });
 
 test('what a peer tells is read back, without a memory where it sends none, as older versions do', async (t) => {
-  for (const [word, frame] of CASES) {
+  for (const [status, frame] of CASES) {
     const { endpoint } = await rawPeer(t, frame);
     const answer = await createPinger('node-1', () => EMPTY)(endpoint, 2 * SECOND);
     // What is read may be of a class of its own; what it holds counts.
-    assert.deepEqual(structuredClone(answer), { result: 'ok', word });
+    assert.deepEqual(structuredClone(answer), { result: 'ok', status });
   }
 });
 
 test('a node that is pinged answers under the name and number of the ping with what it tells itself', async (t) => {
-  for (const [word, frame] of CASES) {
+  for (const [status, frame] of CASES) {
     for (const asked of [PLAIN_FRAME, FULL_FRAME]) {
-      const server = await servePeers('127.0.0.1:0', () => word);
+      const server = await servePeers('127.0.0.1:0', () => status);
       closeAfter(t, server);
       const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
       // In two pieces, as the network may cut it.
@@ -118,8 +118,8 @@
   answers.push(await ping(endpoint, 2 * SECOND));
   answers.push(await ping(endpoint, 200 * MS));
   assert.deepEqual(answers, [
-    { result: 'ok', word: EMPTY },
-    { result: 'silent', word: null },
+    { result: 'ok', status: EMPTY },
+    { result: 'silent', status: null },
   ]);
   assert.deepEqual(came, [EMPTY_FRAME, EMPTY_FRAME.replace(HEAD, '0c6e6f64652d3104')]);
 });
@@ -134,6 +134,6 @@
   for (const bytes of broken) {
     const { endpoint } = await rawPeer(t, bytes);
     const answer = await createPinger('node-1', () => EMPTY)(endpoint, 2 * SECOND);
-    assert.deepEqual(answer, { result: 'refused', word: null }, bytes);
+    assert.deepEqual(answer, { result: 'refused', status: null }, bytes);
   }
 });
--- a/packages/daemon/peer-links.test.ts
+++ b/packages/daemon/peer-links.test.ts
@@ -24,10 +24,10 @@
     highWaterMark: null,
   }));
   for (let i = 0; i < 2; i++) {
-    assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'ok', word: status });
+    assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'ok', status });
   }
   assert.equal(sockets.length, 1, 'the connection is not kept');
   server.close();
   for (const socket of sockets) socket.destroy();
-  assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'refused', word: null });
+  assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'refused', status: null });
 });
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -28,8 +28,8 @@
     const registry = new RoleRegistry({ source, clock, keyOf: () => 'lead', leaseLife: 3600 * SECOND });
     registry.onLeaseRenewed(clock.now());
     const cloud = {
-      machines: () => Promise.resolve(this.listed),
-      delete: (hosts: string[]) => {
+      listMachines: () => Promise.resolve(this.listed),
+      deleteMachines: (hosts: string[]) => {
         this.deleted.push(...hosts);
         return Promise.resolve(true);
       },
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -86,11 +86,11 @@
     const compareAndSwap = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
       new Promise((answer) => service.inFlight.push({ guards, term: writes.length, answer }));
     this.store = new FencedStore({ compareAndSwap }, this.registry);
-    const rent = (): Promise<{ kind: 'no_capacity' }> => {
+    const requestMachines = (): Promise<{ kind: 'no_capacity' }> => {
       this.rentals++;
       return Promise.resolve({ kind: 'no_capacity' });
     };
-    this.cloud = new FencedCloud({ rent } as unknown as CloudClient, this.registry);
+    this.cloud = new FencedCloud({ requestMachines } as unknown as CloudClient, this.registry);
   }
 
   /** Acts under a proof; the term travels as the number of writes, for the service to note. */
