--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -61,7 +61,9 @@
   return {
     positions: ledger.allPositions(),
     // A job's failures in a row are left out of a checkpoint, so who is to blame for one more may differ.
-    hosts: sorted([...ledger.machines.values()].map((host) => ({ ...host, errors: 0, failedAt: 0 }))),
+    hosts: sorted(
+      [...ledger.machines.values()].map((host) => ({ ...host, consecutiveFailures: 0, lastFailureAtMs: 0 })),
+    ),
     rentals: sorted(ledger.pendingScaleOuts.values()),
     prices: sorted([...ledger.prices].map(([shard, shapes]) => [shard, ...shapes])),
     placed: sorted([...ledger.placementsByHost.values()].flatMap((there) => [...there.values()])),
--- a/packages/roles/roles.test.ts
+++ b/packages/roles/roles.test.ts
@@ -75,7 +75,7 @@
     pendingScaleOuts: new Map([[scaleOut.id, scaleOut]]),
     machines: new Map(hosts.map((h) => [h.host, h])),
   };
-  assert.deepEqual(openIntents(ledger), { pendingScaleOuts: ['hire-1'], returns: ['n-1', 'n-2'] });
+  assert.deepEqual(openIntents(ledger), { rentals: ['hire-1'], returns: ['n-1', 'n-2'] });
 });
 
 test('names of duties are read as they are written', () => {
