--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -9,7 +9,7 @@
 /** A cloud that gives these answers in their order, null for none, and notes what it was asked. */
 function cloudOf(...replies: (HttpReply | null)[]): { client: CloudClient; asked: string[] } {
   const asked: string[] = [];
-  const call: HttpClient = (endpoint, method, path, body, timeout) => {
+  const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
     assert.equal(endpoint, '10.2.0.2:8443');
     assert.equal(timeout, TIMEOUT);
     asked.push([method, path, ...(body === undefined ? [] : [JSON.stringify(body)])].join(' '));
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -3,6 +3,7 @@
 import { test } from 'node:test';
 import type { HttpClient, WireFields, HttpReply } from '#wire';
 import {
+  type CommitResult,
   type RevisionCheck,
   isRateLimited,
   isTooLarge,
@@ -21,7 +22,7 @@
 function storeOf(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Bench {
   const asked: string[] = [];
   const left = [...replies];
-  const call: HttpClient = (endpoint, method, path, body, timeout) => {
+  const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
     assert.equal(endpoint, '10.2.0.1:2379');
     const parts = [
       method,
@@ -133,8 +134,10 @@
     null,
   ];
   const { client } = storeOf(replies);
-  const results = [];
-  for (let i = 0; i < replies.length; i++) results.push(await client.compareAndSwap([], [{ remove: 'a/b' }]));
+  const results: CommitResult[] = [];
+  while (results.length < replies.length) {
+    results.push(await client.compareAndSwap([], [{ remove: 'a/b' }]));
+  }
   assert.deepEqual(results, [
     { kind: 'refused', failed: ['a/b'], epoch: 431 },
     { kind: 'refused', failed: [], epoch: 431 },
