--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -332,12 +332,11 @@
     if (this.workers.trackedWorkers.get(heartbeat.host)?.heartbeat !== heartbeat)
       return unavailable('stale report');
     const now = this.clock.now();
-    const commands = this.workers.commands(
-      heartbeat.host,
-      this.replica.ledger,
-      this.replica.jobs,
-      this.freshness.isFresh(),
-    );
+    const commands = this.workers.commands(heartbeat.host, {
+      ledger: this.replica.ledger,
+      jobs: this.replica.jobs,
+      allowsStarts: this.freshness.isFresh(),
+    });
     this.workers.onResponseSent(heartbeat.host, now);
     const allowed = this.isStateIntact() ? commands : commands.filter(isStop);
     return {
@@ -428,12 +427,12 @@
   }
 
   private syncOwnership(): void {
-    this.workers.syncOwnership(
-      this.replica.ledger,
-      this.ownedShards(),
-      this.replica.fencingToken.value,
-      this.clock.now(),
-    );
+    this.workers.syncOwnership({
+      ledger: this.replica.ledger,
+      owners: this.ownedShards(),
+      fencingToken: this.replica.fencingToken.value,
+      now: this.clock.now(),
+    });
   }
 
   private hasPendingRelease(host: string): boolean {
--- a/packages/workers/tracked-worker.ts
+++ b/packages/workers/tracked-worker.ts
@@ -1,87 +1,108 @@
-/** What the owner of a machine knows of its worker, report by report. */
+/** What the owner of a machine knows of its worker, updated with each heartbeat. */
 import { type Count, fromSeconds, type Micros, countsEqual, type Heartbeat } from '#wire';
 
-export type WorkerLiveness = 'reporting' | 'recalled' | 'silent' | 'expired';
+/**
+ * `reporting`: heartbeats arrive in time. `reclaimed`: the cloud has given notice that it takes the machine back.
+ * `unresponsive`: a heartbeat is overdue. `expired`: the worker's lease is over for certain.
+ */
+export type WorkerLiveness = 'reporting' | 'reclaimed' | 'unresponsive' | 'expired';
 
-/** What the owner knows of one worker since its machine became the owner's. */
+/** What the owner knows of one worker since it acquired the machine. */
 export interface TrackedWorker {
   liveness: WorkerLiveness;
-  heartbeat: Heartbeat;
-  heartbeatAt: Micros;
-  /** Steady time at which a report was last answered 200, or -Infinity. */
+  /** The newest heartbeat. */
+  readonly heartbeat: Heartbeat;
+  /** Steady time at which it arrived. */
+  readonly heartbeatAt: Micros;
+  /** Steady time of the last answer that renewed its lease, or -Infinity. */
   respondedAt: Micros;
-  /** The worker has seen our token: it drops whatever an earlier owner still answers. */
-  hasSeenToken: boolean;
-  reclaimAt: Micros | null;
-  /** Our attempts that were seen running, since when; null for those that ran before this owner looked. */
-  runningSince: Map<string, Micros | null>;
-  /** Attempts launched by the answer to the newest report: their absence from it proves nothing. */
-  deliveredStarts: Set<string>;
+  /** The worker has seen the fencing token of this owner: it drops whatever an earlier owner still answers. */
+  readonly hasSeenToken: boolean;
+  /** Steady time at which the cloud takes the machine back, or null. A notice is never withdrawn. */
+  readonly reclaimAt: Micros | null;
+  /** By attempt key: since when it was seen running; null if it ran before this owner's first heartbeat. */
+  readonly runningSince: Map<string, Micros | null>;
+  /** Attempts started by the answer to the newest heartbeat: their absence from it proves nothing. */
+  readonly deliveredStarts: Set<string>;
   /**
-   * Since when answers seem not to reach it, or null. Its reports may arrive all the while, so silence doesn't
-   * tell; and whatever is placed on it is neither started nor proven off before its lease is over.
+   * Since when answers seem not to reach the worker, or null. Its heartbeats may arrive all the while, so their absence
+   * doesn't show it; and a task placed on it is neither started nor proven off before the lease is over.
    */
-  unreachableSince: Micros | null;
+  readonly unreachableSince: Micros | null;
   /** Until when it gets no new tasks because it refused some. */
   avoidedUntil: Micros;
 }
 
-/**
- * What is known of a worker once a newer report than all before has come. `acknowledged`: the report shows the
- * token of this owner.
- */
-export function trackHeartbeat(
-  heartbeat: Heartbeat,
-  old: TrackedWorker | null,
-  acknowledged: boolean,
-  now: Micros,
-): TrackedWorker {
-  const sameSession = old && countsEqual(old.heartbeat.incarnation, heartbeat.incarnation);
-  const session: TrackedWorker = {
-    liveness: 'reporting',
+/** A heartbeat that is newer than all before, and what it is added to. */
+export interface HeartbeatUpdate {
+  readonly heartbeat: Heartbeat;
+  /** What was known before; null with the first heartbeat that reaches this owner. */
+  readonly previous: TrackedWorker | null;
+  /** The heartbeat shows the fencing token of this owner. */
+  readonly hasSeenToken: boolean;
+  /** Steady time of its arrival. */
+  readonly now: Micros;
+}
+
+/** What is known of a worker after a heartbeat. */
+export function trackHeartbeat(update: HeartbeatUpdate): TrackedWorker {
+  const { heartbeat, previous, hasSeenToken, now } = update;
+  const reclaimAt = reclaimTime(update);
+  return {
+    liveness: reclaimAt === null ? 'reporting' : 'reclaimed',
     heartbeat,
     heartbeatAt: now,
-    respondedAt: old?.respondedAt ?? -Infinity,
-    hasSeenToken: acknowledged,
-    reclaimAt: null,
-    runningSince: sameSession ? old.runningSince : new Map<string, Micros | null>(),
-    unreachableSince: old ? unreachableSince(old, heartbeat, now) : null,
+    respondedAt: previous?.respondedAt ?? -Infinity,
+    hasSeenToken,
+    reclaimAt,
+    runningSince: updateRunningSince(update),
+    unreachableSince: previous ? unreachableSince(previous, heartbeat, now) : null,
     deliveredStarts: new Set(),
-    avoidedUntil: old?.avoidedUntil ?? -Infinity,
+    avoidedUntil: previous?.avoidedUntil ?? -Infinity,
   };
-  const recall = heartbeat.spotNoticeS ?? null;
-  if (recall !== null) session.reclaimAt = now + fromSeconds(recall);
-  // A notice is not taken back, so a report without it after one with it must not undo it.
-  else if (old?.reclaimAt !== null && old?.reclaimAt !== undefined) session.reclaimAt = old.reclaimAt;
-  if (session.reclaimAt !== null) session.liveness = 'recalled';
-  for (const p of heartbeat.tasks) {
-    if (p.state === 'running' && !session.runningSince.has(attemptKey(p.task, p.attempt))) {
-      // How long those of the first report have run is not known: taken for new they would seem to end early.
-      session.runningSince.set(attemptKey(p.task, p.attempt), sameSession ? now : null);
-    }
+}
+
+function reclaimTime({ heartbeat, previous, now }: HeartbeatUpdate): Micros | null {
+  const noticeS = heartbeat.spotNoticeS ?? null;
+  if (noticeS !== null) return now + fromSeconds(noticeS);
+  // The cloud never withdraws a notice, so a heartbeat without it doesn't end one.
+  return previous?.reclaimAt ?? null;
+}
+
+function updateRunningSince({ heartbeat, previous, now }: HeartbeatUpdate): Map<string, Micros | null> {
+  const isSameIncarnation = previous && countsEqual(previous.heartbeat.incarnation, heartbeat.incarnation);
+  const runningSince = isSameIncarnation ? previous.runningSince : new Map<string, Micros | null>();
+  for (const { task, attempt, state } of heartbeat.tasks) {
+    const key = attemptKey(task, attempt);
+    if (state !== 'running' || runningSince.has(key)) continue;
+    // How long the tasks of the first heartbeat have run is unknown: counted from now, their run times would be too short.
+    runningSince.set(key, isSameIncarnation ? now : null);
   }
-  return session;
+  return runningSince;
 }
 
-type Age = Pick<Heartbeat, 'incarnation' | 'sequence'>;
+/** Where a heartbeat stands in the sequence of its worker's messages. */
+export type HeartbeatPosition = Pick<Heartbeat, 'incarnation' | 'sequence'>;
 
-/** Of two messages of one worker the first is the newer one. */
-export function isNewerHeartbeat(a: Age, b: Age): boolean {
+/** Whether the first of two messages of one worker is the newer one. */
+export function isNewerHeartbeat(a: HeartbeatPosition, b: HeartbeatPosition): boolean {
   if (!countsEqual(a.incarnation, b.incarnation)) return a.incarnation > b.incarnation;
   return a.sequence > b.sequence;
 }
 
 /**
- * A worker that got its answer stays and reports here next; one that didn't asks other nodes first, or lives on
- * in a session of its own. Either shows in the numbers of its reports.
+ * A worker that got its answer sends its next heartbeat to this node. One that didn't asks other nodes first, which
+ * raises its sequence number, or starts a new incarnation when its lease is over: both show in its next heartbeat.
  */
-function unreachableSince(old: TrackedWorker, heartbeat: Heartbeat, now: Micros): Micros | null {
-  if (old.respondedAt < old.heartbeatAt) return old.unreachableSince;
-  const stayed = countsEqual(old.heartbeat.incarnation, heartbeat.incarnation);
-  if (stayed && BigInt(heartbeat.sequence) === BigInt(old.heartbeat.sequence) + 1n) return null;
-  return old.unreachableSince ?? now;
+function unreachableSince(previous: TrackedWorker, heartbeat: Heartbeat, now: Micros): Micros | null {
+  if (previous.respondedAt < previous.heartbeatAt) return previous.unreachableSince;
+  const isSameIncarnation = countsEqual(previous.heartbeat.incarnation, heartbeat.incarnation);
+  const isNext = BigInt(heartbeat.sequence) === BigInt(previous.heartbeat.sequence) + 1n;
+  if (isSameIncarnation && isNext) return null;
+  return previous.unreachableSince ?? now;
 }
 
+/** Identifies one attempt of a task in maps and sets of this package. */
 export function attemptKey(taskName: string, attempt: Count): string {
   return `${taskName}#${attempt}`;
 }
--- a/packages/workers/worker-timeouts.ts
+++ b/packages/workers/worker-timeouts.ts
@@ -1,13 +1,20 @@
-/** For how long leases last and may be renewed, on the safe side of clocks that drift apart. */
+/** Durations of worker leases, with margins for steady clocks that drift apart. */
 import { type Micros, MS, SECOND } from '#wire';
 
+/** The durations, from the settings, that the leases of workers follow. */
 export interface WorkerTimeouts {
-  heartbeatInterval: Micros;
-  workerLease: Micros;
-  cancellationDeadline: Micros;
+  /** Time between two heartbeats of a worker. */
+  readonly heartbeatInterval: Micros;
+  /** How long a worker keeps its tasks, counted from when it sent the last heartbeat that was answered. */
+  readonly workerLease: Micros;
+  /** Time within which a confirmed cancellation has stopped every task of its job, whatever fails. */
+  readonly cancellationDeadline: Micros;
 }
 
-/** Steady clocks drift apart by at most 0.05%; a margin of 0.2% and a little more is always on the safe side. */
+/**
+ * The time on this node's clock after which a duration has passed on any other clock for certain. Steady clocks drift
+ * apart by at most 0.05%; the margin of 0.2% and 100 ms covers that.
+ */
 export function withDrift(duration: Micros): Micros {
   return Math.ceil(duration * 1.002) + 100 * MS;
 }
@@ -15,7 +22,7 @@
 /**
  * How long after the last moment at which its state was known to be complete an owner may still renew
  * leases. A cancellation confirmed elsewhere after that moment then still takes hold in time: the last answer
- * given runs out `lease` later, within `cancel` of the cancellation.
+ * given runs out `workerLease` later, within `cancellationDeadline` of the cancellation.
  */
 export function renewalBound(limits: WorkerTimeouts): Micros {
   return Math.max(0, Math.floor((limits.cancellationDeadline - limits.workerLease) * 0.996) - SECOND);
