--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -196,9 +196,9 @@
   const most = 18_446_744_073_709_551_615n;
   assert.deepEqual(parseHeartbeat(reportWith({ Shift: most, Tally: most, Baton: most })), {
     ...expected,
-    session: most,
+    incarnation: most,
     sequence: most,
-    token: most,
+    fencingToken: most,
   });
   const { RecallS, ...rest } = JSON.parse(REPORT_JSON) as Record<string, unknown>;
   assert.equal(RecallS, null);
--- a/packages/wire/wire.test.ts
+++ b/packages/wire/wire.test.ts
@@ -52,7 +52,7 @@
   };
   assert.deepEqual(parseHeartbeat(body), {
     ...{ host: 'n-000231', address: '10.1.0.232:9000', machineType: 'g8', zone: 'a', spot: true },
-    ...{ session: 1, sequence: 88, token: 41, spotNoticeS: null },
+    ...{ incarnation: 1, sequence: 88, fencingToken: 41, spotNoticeS: null },
     tasks: [
       { task: 'j-000412/3', attempt: 2, state: 'fetching', cause: null },
       { task: 'j-000398/0', attempt: 1, state: 'exited', cause: 'duplicate' },
