--- a/packages/wire/wire.test.ts
+++ b/packages/wire/codec.test.ts
@@ -2,16 +2,33 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { decode, encode, isCount, countsEqual } from './codec.js';
-import { decodeJobStatus, encodeJobState } from './job-state.js';
+import { decodeJobStatus, encodeJobState } from './job-state-codec.js';
 import type { JobSpec } from './jobs.js';
-import { encodeRedirect, encodeHeartbeatResponse, parseHeartbeat } from './heartbeat.js';
-import { encodeSubmission, parseSubmission } from './submission.js';
-import type { Command } from './workers.js';
+import { encodeRedirect, encodeHeartbeatResponse, parseHeartbeat } from './heartbeat-codec.js';
+import { encodeSubmission, parseSubmission } from './submission-codec.js';
+import type { Command } from './heartbeat.js';
 
 const JOB = {
-  ...{ Uid: 'j-000412', Lane: 'train', Crew: 'vision', Shape: 'array', Rank: 'urgent', Pieces: 16 },
-  ...{ Cpus: 8, Gpus: 1, MemGb: 64, Bundle: 'img-07', SizeGb: 6.2, Builds: ['g8'], Hall: null },
-  ...{ SamePlace: true, Scatter: false, Loaners: true, ExpectS: 240, BookmarkS: 30, StashS: 4, DueS: 900 },
+  Uid: 'j-000412',
+  Lane: 'train',
+  Crew: 'vision',
+  Shape: 'array',
+  Rank: 'urgent',
+  Pieces: 16,
+  Cpus: 8,
+  Gpus: 1,
+  MemGb: 64,
+  Bundle: 'img-07',
+  SizeGb: 6.2,
+  Builds: ['g8'],
+  Hall: null,
+  SamePlace: true,
+  Scatter: false,
+  Loaners: true,
+  ExpectS: 240,
+  BookmarkS: 30,
+  StashS: 4,
+  DueS: 900,
 };
 
 test('counts up to 2^64 - 1 survive the wire', () => {
@@ -31,19 +48,42 @@
   return result.job;
 }
 
-test('each field of a submission says what its name in the protocol says', () => {
+test('each field of a submission is read by its name in the protocol', () => {
   assert.deepEqual(parsed(JOB), {
-    ...{ id: 'j-000412', jobClass: 'train', team: 'vision', shape: 'array', rank: 'urgent', taskCount: 16 },
-    ...{ cpus: 8, gpus: 1, memGb: 64, image: 'img-07', imageGb: 6.2, machineTypes: ['g8'], zone: null },
-    ...{ singleZone: true, spreadZones: false, allowsSpot: true },
-    ...{ estimateS: 240, checkpointS: 30, saveS: 4, deadlineS: 900 },
+    id: 'j-000412',
+    jobClass: 'train',
+    team: 'vision',
+    shape: 'array',
+    rank: 'urgent',
+    taskCount: 16,
+    cpus: 8,
+    gpus: 1,
+    memGb: 64,
+    image: 'img-07',
+    imageGb: 6.2,
+    machineTypes: ['g8'],
+    zone: null,
+    singleZone: true,
+    spreadZones: false,
+    allowsSpot: true,
+    estimateS: 240,
+    checkpointS: 30,
+    saveS: 4,
+    deadlineS: 900,
   });
 });
 
-test('a report and its answer keep their meaning on the wire', () => {
+test('a heartbeat and its response keep their meaning on the wire', () => {
   const body = {
-    ...{ Host: 'n-000231', Endpoint: '10.1.0.232:9000', Build: 'g8', Hall: 'a', Loaners: true },
-    ...{ Shift: 1, Tally: 88, Baton: 41, RecallS: null },
+    Host: 'n-000231',
+    Endpoint: '10.1.0.232:9000',
+    Build: 'g8',
+    Hall: 'a',
+    Loaners: true,
+    Shift: 1,
+    Tally: 88,
+    Baton: 41,
+    RecallS: null,
     Pieces: [
       { Piece: 'j-000412/3', Try: 2, Status: 'pulling' },
       { Piece: 'j-000398/0', Try: 1, Status: 'exited', Cause: 'in_use' },
@@ -51,8 +91,15 @@
     ],
   };
   assert.deepEqual(parseHeartbeat(body), {
-    ...{ host: 'n-000231', address: '10.1.0.232:9000', machineType: 'g8', zone: 'a', spot: true },
-    ...{ incarnation: 1, sequence: 88, fencingToken: 41, spotNoticeS: null },
+    host: 'n-000231',
+    address: '10.1.0.232:9000',
+    machineType: 'g8',
+    zone: 'a',
+    spot: true,
+    incarnation: 1,
+    sequence: 88,
+    fencingToken: 41,
+    spotNoticeS: null,
     tasks: [
       { task: 'j-000412/3', attempt: 2, state: 'fetching', cause: null },
       { task: 'j-000398/0', attempt: 1, state: 'exited', cause: 'duplicate' },
@@ -80,7 +127,7 @@
   assert.deepEqual(encodeRedirect('hive-2'), { Foreman: 'hive-2' });
 });
 
-test('the state of a job reads back as what was told', () => {
+test('the status of a job survives encoding and decoding', () => {
   for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
     assert.equal(decodeJobStatus(encodeJobState({ id: 'j-1', status })), status);
   }
@@ -88,21 +135,21 @@
   assert.equal(decodeJobStatus({ error: 'no such job' }), null);
 });
 
-test('a submission is taken whole, without unknown fields; optional ones may be left out', () => {
+test('a submission is read without unknown fields; optional ones may be left out', () => {
   const { Builds, Hall, DueS, ...rest } = JOB;
   assert.deepEqual(encodeSubmission(parsed({ ...JOB, Extra: 1 })), JOB);
   assert.deepEqual(encodeSubmission(parsed(rest)), { ...rest, Builds: null, Hall: null, DueS: null });
   assert.deepEqual([Builds, Hall, DueS], [['g8'], null, 900]);
 });
 
-test('a gang is submitted under its own word, and read back as what it is', () => {
+test('a gang is submitted under the protocol name of its shape', () => {
   const submitted = parseSubmission({ ...JOB, Shape: 'ensemble' });
   assert.ok('job' in submitted);
   assert.equal(submitted.job.shape, 'gang');
   assert.equal(encodeSubmission(submitted.job)['Shape'], 'ensemble');
 });
 
-test('a submission with any field missing or of another kind is named invalid', () => {
+test('a submission with a field missing or of the wrong type names that field as invalid', () => {
   const optional = ['Builds', 'Hall', 'DueS'];
   for (const field of Object.keys(JOB)) {
     if (!optional.includes(field)) {
@@ -134,7 +181,7 @@
   }
 });
 
-test('whatever comes as a body, it is taken or refused, never thrown at', () => {
+test('parsing any decoded body returns a result and never throws', () => {
   fc.assert(
     fc.property(fc.anything(), (body) => {
       parseSubmission(body);
--- a/packages/wire/codec.ts
+++ b/packages/wire/codec.ts
@@ -1,8 +1,18 @@
 /** MessagePack, as every interface of the service speaks it, and checks of what was decoded. */
 import { Packr } from 'msgpackr/pack';
 
+/** The part of `Packr` that is used here. The package's declarations of this entry point don't resolve under `nodenext`. */
+interface MessagePackCodec {
+  pack(value: unknown): Buffer;
+  unpack(bytes: Buffer): unknown;
+}
+
+type MessagePackOptions = Readonly<Record<string, boolean | string>>;
+
+const MessagePack = Packr as unknown as new (options: MessagePackOptions) => MessagePackCodec;
+
 /** Integers up to 2^64 survive: those that a number can't hold exactly come back as bigint, hence {@link Count}. */
-const packr = new Packr({
+const packr = new MessagePack({
   useRecords: false,
   mapsAsObjects: true,
   int64AsType: 'auto',
@@ -10,7 +20,7 @@
   variableMapSize: true,
 });
 
-/** A count, version, token or attempt: an integer from 0 to 2^64 - 1. */
+/** A sequence number, incarnation, fencing token or attempt: an integer from 0 to 2^64 - 1. */
 export type Count = number | bigint;
 
 /** A map with text keys whose values have not been checked. */
@@ -23,7 +33,7 @@
 
 /** The value of these MessagePack bytes. Throws if they end early or go on behind it. */
 export function decode(bytes: Buffer): unknown {
-  return packr.unpack(bytes) as unknown;
+  return packr.unpack(bytes);
 }
 
 /**
--- /dev/null
+++ b/packages/wire/heartbeat-codec.ts
@@ -0,0 +1,89 @@
+/** Codec of the workers' heartbeats and of the responses to them. */
+import { type Count, type WireFields, isCount, isWireFields } from './codec.js';
+import type { ExitCause, TaskStatus, TaskState } from './tasks.js';
+import type { Command, HeartbeatResponse, Heartbeat } from './heartbeat.js';
+
+const TASK_STATES: ReadonlyMap<unknown, TaskState> = new Map<unknown, TaskState>([
+  ['pulling', 'fetching'],
+  ['gathering', 'gathering'],
+  ['running', 'running'],
+  ['saving', 'saving'],
+  ['exited', 'exited'],
+]);
+
+const EXIT_CAUSES: ReadonlyMap<unknown, ExitCause> = new Map<unknown, ExitCause>([
+  ['done', 'done'],
+  ['halted', 'stopped'],
+  ['error', 'failed'],
+  ['peers', 'peer_gone'],
+  ['alone', 'gang_incomplete'],
+  ['full', 'no_room'],
+  ['in_use', 'duplicate'],
+  ['unknown', 'unknown_task'],
+]);
+
+/** Reads a worker's heartbeat from a decoded body; null if a field that matters is missing or invalid. */
+export function parseHeartbeat(body: unknown): Heartbeat | null {
+  if (!isWireFields(body) || !Array.isArray(body['Pieces'])) return null;
+  const { Host, Endpoint, Build, Hall, Loaners, Shift, Tally, Baton, RecallS } = body;
+  const areTexts = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
+  const areCounts = [Shift, Tally, Baton].every(isCount);
+  const spotNoticeS = RecallS ?? null;
+  if (!areTexts || !areCounts || typeof Loaners !== 'boolean') return null;
+  if (spotNoticeS !== null && typeof spotNoticeS !== 'number') return null;
+  const tasks = parseTasks(body['Pieces']);
+  if (!tasks) return null;
+  return {
+    host: Host as string,
+    address: Endpoint as string,
+    machineType: Build as string,
+    zone: Hall as string,
+    spot: Loaners,
+    incarnation: Shift as Count,
+    sequence: Tally as Count,
+    fencingToken: Baton as Count,
+    spotNoticeS,
+    tasks,
+  };
+}
+
+function parseTasks(pieces: readonly unknown[]): TaskStatus[] | null {
+  const tasks: TaskStatus[] = [];
+  for (const piece of pieces) {
+    const task = parseTask(piece);
+    if (!task) return null;
+    tasks.push(task);
+  }
+  return tasks;
+}
+
+function parseTask(piece: unknown): TaskStatus | null {
+  if (!isWireFields(piece)) return null;
+  const { Piece, Try, Status, Cause } = piece;
+  if (typeof Piece !== 'string' || !isCount(Try) || typeof Status !== 'string') return null;
+  // A task in a state that this version doesn't know is on its machine all the same.
+  const state = TASK_STATES.get(Status) ?? 'fetching';
+  return { task: Piece, attempt: Try, state, cause: EXIT_CAUSES.get(Cause) ?? null };
+}
+
+/** The body of the response that renews a worker's lease and carries its commands. */
+export function encodeHeartbeatResponse({ fencingToken, commands }: HeartbeatResponse): WireFields {
+  return { Baton: fencingToken, Orders: commands.map(encodeCommand) };
+}
+
+function encodeCommand(command: Command): WireFields {
+  const { task, attempt } = command;
+  switch (command.kind) {
+    case 'start':
+      return { Verb: 'launch', Piece: task, Try: attempt };
+    case 'stop':
+      return { Verb: 'halt', Piece: task, Try: attempt, WindDownS: command.graceS };
+    case 'forget':
+      return { Verb: 'reap', Piece: task, Try: attempt };
+  }
+}
+
+/** The body that redirects a worker to the node that owns its machine. */
+export function encodeRedirect(member: string): WireFields {
+  return { Foreman: member };
+}
--- a/packages/wire/index.ts
+++ b/packages/wire/index.ts
@@ -4,11 +4,11 @@
  */
 export * from './codec.js';
 export * from './http-client.js';
-export * from './job-state.js';
+export * from './job-state-codec.js';
 export * from './jobs.js';
 export * from './machines.js';
-export * from './heartbeat.js';
-export * from './submission.js';
+export * from './heartbeat-codec.js';
+export * from './submission-codec.js';
 export * from './tasks.js';
 export * from './time.js';
-export * from './workers.js';
+export * from './heartbeat.js';
--- a/packages/wire/job-state.ts
+++ b/packages/wire/job-state-codec.ts
@@ -1,4 +1,4 @@
-/** Codec of the answers that tell a user the state of a job. */
+/** Codec of the answers to queries for the state of a job. */
 import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
@@ -11,7 +11,7 @@
 
 const STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
 
-/** The body that tells a user the state of a job. Task counts are left out where the state has none. */
+/** The body of an answer with the state of a job. Task counts are left out where the state has none. */
 export function encodeJobState(state: JobState): WireFields {
   const fields: WireFields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
   if (state.done !== undefined) fields['done'] = state.done;
--- a/packages/wire/jobs.ts
+++ b/packages/wire/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs as their users see them: what they submit, and what they are told of it. */
+/** Jobs as their users see them: submissions, and the state that queries return. */
 
 /** The most tasks that a job can have. */
 export const MAX_TASKS = 100_000;
@@ -52,10 +52,10 @@
   readonly deadlineS: number | null;
 }
 
-/** What becomes of a job; `done` and `cancelled` are terminal. */
+/** The status of a job; `done` and `cancelled` are terminal. */
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** What a user is told of a job. */
+/** The state of a job, as a query returns it. */
 export interface JobState {
   readonly id: string;
   readonly status: JobStatus;
--- a/packages/wire/machines.ts
+++ b/packages/wire/machines.ts
@@ -1,4 +1,4 @@
-/** Machines as the cloud offers, rents and lists them. */
+/** Machine types, scale-out requests and machines, as the cloud describes them. */
 
 /** A machine type that the cloud offers. */
 export interface MachineType {
@@ -7,7 +7,7 @@
   readonly gpus: number;
   /** In GB. */
   readonly memGb: number;
-  /** Room for images, in GB. */
+  /** Capacity for cached images, in GB. */
   readonly cacheGb: number;
   /** Rate at which images are fetched, in GB per second; actual rates differ by up to a third. */
   readonly fetchGbPerS: number;
@@ -23,7 +23,7 @@
 
 /** A request for machines of one type, zone and kind. */
 export interface ScaleOutRequest {
-  /** Never used twice, not even by another node: the cloud answers a repetition with the same machines. */
+  /** Never used twice, not even by another node: the cloud answers a repeated request with the same machines. */
   readonly id: string;
   readonly machineType: string;
   readonly zone: string;
@@ -41,6 +41,6 @@
   readonly spot: boolean;
   /** `failed`: it stopped by itself, and stays listed until it is deleted. */
   readonly state: 'starting' | 'running' | 'failed';
-  /** Seconds since the rental request, at the time that the list describes. */
+  /** Seconds since the scale-out request, at the time that the list describes. */
   readonly ageS: number;
 }
--- a/packages/wire/submission.ts
+++ b/packages/wire/submission-codec.ts
@@ -74,7 +74,7 @@
     id: body['Uid'] as string,
     jobClass: body['Lane'] as string,
     team: body['Crew'] as string,
-    shape: SHAPES.get(body['Shape']) as JobShape,
+    shape: SHAPES.get(body['Shape'])!,
     rank: body['Rank'] as Rank,
     taskCount: Number(body['Pieces']),
     cpus: Number(body['Cpus']),
--- a/packages/wire/tasks.ts
+++ b/packages/wire/tasks.ts
@@ -11,7 +11,7 @@
 export type ExitCause =
   'done' | 'stopped' | 'failed' | 'peer_gone' | 'gang_incomplete' | 'no_room' | 'duplicate' | 'unknown_task';
 
-/** One task on a machine, as its worker reports it. */
+/** The status of one task on a machine, in a heartbeat of its worker. */
 export interface TaskStatus {
   /** Its name, see {@link formatTaskName}. */
   readonly task: string;
@@ -27,9 +27,9 @@
 }
 
 /** The job and index that a task's name is made of; null if it isn't the name of a task. */
-export function parseTaskName(piece: string): { job: string; index: number } | null {
-  const separator = piece.lastIndexOf('/');
-  const index = Number(piece.slice(separator + 1));
+export function parseTaskName(name: string): { job: string; index: number } | null {
+  const separator = name.lastIndexOf('/');
+  const index = Number(name.slice(separator + 1));
   const isTaskName = separator > 0 && Number.isInteger(index) && index >= 0;
-  return isTaskName ? { job: piece.slice(0, separator), index } : null;
+  return isTaskName ? { job: name.slice(0, separator), index } : null;
 }
--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -66,7 +66,7 @@
   for (const [bytes, value] of cases) assert.equal(decode(Buffer.from(bytes, 'hex')), value, bytes);
 });
 
-test('what a user is told of a job keeps its bytes', () => {
+test('the state of a job keeps its bytes', () => {
   const cases: [JobState, string, string][] = [
     [
       { id: 'j-1', status: 'pending' },
@@ -101,7 +101,7 @@
   }
 });
 
-test('the answer to a worker keeps its bytes, with a command of each kind', () => {
+test('the response to a worker keeps its bytes, with a command of each kind', () => {
   const commands: Command[] = [
     { kind: 'start', task: 'j-000412/4', attempt: 2 },
     { kind: 'stop', task: 'j-000377/1', attempt: 1, graceS: 10 },
@@ -131,16 +131,16 @@
   assert.equal(hex(encodeRedirect('hive-2')), '81a7466f72656d616ea6686976652d32');
 });
 
-/** A report as it comes off the wire: `Pieces` is filled in by the tests. */
-const REPORT_JSON =
+/** A heartbeat as it comes off the wire: `Pieces` is filled in by the tests. */
+const HEARTBEAT_JSON =
   '{"Host":"n-000231","Endpoint":"10.1.0.232:9000","Build":"g8","Hall":"a","Loaners":true,' +
   '"Shift":1,"Tally":88,"Baton":41,"RecallS":null,"Pieces":[]}';
 
-function reportWith(change: object): unknown {
-  return decode(encode({ ...(JSON.parse(REPORT_JSON) as object), ...change }));
+function heartbeatWith(change: object): unknown {
+  return decode(encode({ ...(JSON.parse(HEARTBEAT_JSON) as object), ...change }));
 }
 
-test('each state of a task in a report is read as what it says', () => {
+test('each state of a task in a heartbeat is read', () => {
   const states: [string, TaskState][] = [
     ['pulling', 'fetching'],
     ['gathering', 'gathering'],
@@ -153,10 +153,10 @@
   ];
   const pieces = states.map(([Status], i) => ({ Piece: `j-1/${i}`, Try: i, Status }));
   const tasks = states.map(([, state], i) => ({ task: `j-1/${i}`, attempt: i, state, cause: null }));
-  assert.deepEqual(parseHeartbeat(reportWith({ Pieces: pieces }))?.tasks, tasks);
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
-test('each cause of an end in a report is read as what it says', () => {
+test('each exit cause in a heartbeat is read', () => {
   const causes: [unknown, ExitCause | null][] = [
     ['done', 'done'],
     ['halted', 'stopped'],
@@ -173,10 +173,10 @@
   ];
   const pieces = causes.map(([Cause], i) => ({ Piece: `j-1/${i}`, Try: 1, Status: 'exited', Cause }));
   const tasks = causes.map(([, cause], i) => ({ task: `j-1/${i}`, attempt: 1, state: 'exited', cause }));
-  assert.deepEqual(parseHeartbeat(reportWith({ Pieces: pieces }))?.tasks, tasks);
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
-test('each field of a report is read as what it says, unknown ones are passed over', () => {
+test('each field of a heartbeat is read, unknown ones are ignored', () => {
   const expected: Heartbeat = {
     host: 'n-000231',
     address: '10.1.0.232:9000',
@@ -189,30 +189,30 @@
     spotNoticeS: null,
     tasks: [],
   };
-  assert.deepEqual(parseHeartbeat(reportWith({})), expected);
-  assert.deepEqual(parseHeartbeat(reportWith({ Later: 1, Stored: true })), expected);
-  assert.deepEqual(parseHeartbeat(reportWith({ RecallS: 27.5 })), { ...expected, spotNoticeS: 27.5 });
-  assert.deepEqual(parseHeartbeat(reportWith({ Loaners: false })), { ...expected, spot: false });
+  assert.deepEqual(parseHeartbeat(heartbeatWith({})), expected);
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Later: 1, Stored: true })), expected);
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ RecallS: 27.5 })), { ...expected, spotNoticeS: 27.5 });
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Loaners: false })), { ...expected, spot: false });
   const most = 18_446_744_073_709_551_615n;
-  assert.deepEqual(parseHeartbeat(reportWith({ Shift: most, Tally: most, Baton: most })), {
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Shift: most, Tally: most, Baton: most })), {
     ...expected,
     incarnation: most,
     sequence: most,
     fencingToken: most,
   });
-  const { RecallS, ...rest } = JSON.parse(REPORT_JSON) as Record<string, unknown>;
+  const { RecallS, ...rest } = JSON.parse(HEARTBEAT_JSON) as Record<string, unknown>;
   assert.equal(RecallS, null);
   assert.deepEqual(parseHeartbeat(rest), expected);
 });
 
-test('a report with a field missing or of another kind is not read', () => {
+test('a heartbeat with a field missing or of the wrong type is rejected', () => {
   for (const field of ['Host', 'Endpoint', 'Build', 'Hall', 'Loaners', 'Shift', 'Tally', 'Baton', 'Pieces']) {
-    assert.equal(parseHeartbeat(reportWith({ [field]: null })), null, field);
-    assert.equal(parseHeartbeat(reportWith({ [field]: { odd: 1 } })), null, field);
+    assert.equal(parseHeartbeat(heartbeatWith({ [field]: null })), null, field);
+    assert.equal(parseHeartbeat(heartbeatWith({ [field]: { odd: 1 } })), null, field);
   }
   for (const field of ['Shift', 'Tally', 'Baton']) {
-    assert.equal(parseHeartbeat(reportWith({ [field]: -1 })), null, field);
-    assert.equal(parseHeartbeat(reportWith({ [field]: 1.5 })), null, field);
+    assert.equal(parseHeartbeat(heartbeatWith({ [field]: -1 })), null, field);
+    assert.equal(parseHeartbeat(heartbeatWith({ [field]: 1.5 })), null, field);
   }
   for (const piece of [
     null,
@@ -221,7 +221,7 @@
     { Piece: 'j-1/0', Try: -1, Status: 'running' },
     { Piece: 'j-1/0', Try: 1, Status: 1 },
   ]) {
-    assert.equal(parseHeartbeat(reportWith({ Pieces: [piece] })), null, JSON.stringify(piece));
+    assert.equal(parseHeartbeat(heartbeatWith({ Pieces: [piece] })), null, JSON.stringify(piece));
   }
 });
 
