--- a/packages/api/answer-format.test.ts
+++ b/packages/api/answer-format.test.ts
@@ -78,7 +78,7 @@
   assert.deepEqual(asked, ['submit {"Uid":"j-1"}']);
 });
 
-test('a refusal keeps its head, with the time after which to come back and the end of the connection', async () => {
+test('a refusal keeps its head, with the time after which to retry and the end of the connection', async () => {
   next = { status: 503, body: { error: 'later' }, retryAfterS: 1, closesConnection: true };
   assert.deepEqual(await exchange('GET', '/submissions/j-1'), [
     'HTTP/1.1 503 Service Unavailable',
@@ -100,7 +100,7 @@
   assert.deepEqual(asked, ['show j-1', 'health']);
 });
 
-test('a worker is sent elsewhere with 421', async () => {
+test('a worker is redirected with 421', async () => {
   next = { status: 421, body: { Foreman: 'hive-2' } };
   assert.deepEqual(await exchange('POST', '/v1/report', encode({ Host: 'n-1' })), [
     'HTTP/1.1 421 Misdirected Request',
@@ -112,7 +112,7 @@
   assert.deepEqual(asked, ['report {"Host":"n-1"}']);
 });
 
-test('each path of the protocol reaches what it names', async () => {
+test('each path of the protocol reaches its operation', async () => {
   await exchange('GET', '/submissions/j-000412?x=1');
   await exchange('POST', '/submissions/j-000412/withdraw');
   await exchange('POST', '/submissions/j-000412/withdraw', encode({ any: 1 }));
@@ -125,7 +125,7 @@
   return `81a56572726f72${(0xa0 + text.length).toString(16)}${Buffer.from(text).toString('hex')}`;
 }
 
-test('what is no request of the protocol gets these errors, and is not passed on', async () => {
+test('a request outside the protocol gets these errors and does not reach the service', async () => {
   const cases: [method: string, path: string, body: Buffer | undefined, status: string, error: string][] = [
     ['GET', '/nothing', undefined, '404 Not Found', 'no such path'],
     ['GET', '/submissions/', undefined, '404 Not Found', 'no such path'],
@@ -146,7 +146,7 @@
   assert.deepEqual(asked, []);
 });
 
-test('a body that can not be taken gets 400 and ends the connection, and is not passed on', async () => {
+test('an invalid body gets 400, ends the connection and does not reach the service', async () => {
   const cases: [Buffer, string][] = [
     [Buffer.alloc(65_537, 1), 'body too large'],
     [Buffer.from([1, 2]), 'not MessagePack'],
@@ -173,7 +173,7 @@
   assert.deepEqual(asked, []);
 });
 
-test('a fault inside gets 500 without its message', async () => {
+test('an internal error gets 500 without its message', async () => {
   next = new Error('a fault');
   assert.deepEqual(await exchange('POST', '/submissions/j-1/withdraw'), [
     'HTTP/1.1 500 Internal Server Error',
--- a/packages/api/api.test.ts
+++ b/packages/api/api.test.ts
@@ -1,3 +1,4 @@
+/** The HTTP interface over real connections: routing, limits of bodies and of connections. */
 import assert from 'node:assert/strict';
 import { type AddressInfo, connect, type Socket } from 'node:net';
 import { once } from 'node:events';
@@ -6,7 +7,7 @@
 import { decode, encode, createHttpClient, type HttpMethod, SECOND } from '#wire';
 import { createApp, listen, type NodeService } from './index.js';
 
-const MOST = 12;
+const MAX_CONNECTIONS = 12;
 const seen: unknown[] = [];
 const service: NodeService = {
   submitJob: (body) => {
@@ -26,7 +27,7 @@
   server = await listen(
     createApp(service, (cause) => faults.push(cause)),
     '127.0.0.1:0',
-    MOST,
+    MAX_CONNECTIONS,
   );
   address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
 });
@@ -35,7 +36,7 @@
   server.close();
 });
 
-test('paths and methods beyond the protocol get 404 and 405, a fault inside 500', async () => {
+test('unknown paths get 404, wrong methods 405 and internal errors 500', async () => {
   const call = createHttpClient(2);
   const cases: [HttpMethod, string, number][] = [
     ['GET', '/nothing', 404],
@@ -52,7 +53,7 @@
   assert.equal(faults.length, 1);
 });
 
-test('a body that is too large, not MessagePack or not a map gets 400 and is not passed on', async () => {
+test('a body that is too large, not MessagePack or not a map gets 400 and does not reach the service', async () => {
   seen.length = 0;
   const long = Buffer.alloc(70_000, 1);
   const bodies = [
@@ -73,7 +74,7 @@
   assert.deepEqual(seen, []);
 });
 
-test('a refusal says when to come back, and counts to 2^64 reach the wire', async () => {
+test('a refusal says when to retry, and counts up to 2^64 - 1 reach the wire', async () => {
   const reply = await fetch(`http://${address}/submissions`, {
     method: 'POST',
     body: new Uint8Array(encode({ Uid: 'j-1' })),
@@ -81,11 +82,11 @@
   assert.equal(reply.status, 503);
   assert.equal(reply.headers.get('Retry-After'), '2');
   assert.equal(reply.headers.get('Connection'), 'close');
-  const report = await fetch(`http://${address}/v1/report`, {
+  const response = await fetch(`http://${address}/v1/report`, {
     method: 'POST',
     body: new Uint8Array(encode({})),
   });
-  const body = decode(Buffer.from(await report.arrayBuffer())) as { Baton: bigint };
+  const body = decode(Buffer.from(await response.arrayBuffer())) as { Baton: bigint };
   assert.equal(body.Baton, 18446744073709551615n);
 });
 
@@ -98,11 +99,11 @@
   return socket;
 }
 
-// Connections of dead machines used to stay for ever, until the machine's own limit failed links to the peers.
-test('at the limit the connection that was idle longest gives way, one in use does not', async () => {
+// Connections of dead machines used to stay open until the limit of the operating system failed links to the peers.
+test('at the limit the connection that was idle longest is closed, one in use is not', async () => {
   server.closeAllConnections();
   const sockets: Socket[] = [];
-  for (let i = 0; i < MOST; i++) sockets.push(await openOne());
+  for (let i = 0; i < MAX_CONNECTIONS; i++) sockets.push(await openOne());
   const [first, second] = sockets as [Socket, Socket];
   first.write('GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n');
   await once(first, 'data');
@@ -114,13 +115,13 @@
   for (const socket of sockets) socket.destroy();
 });
 
-test('a connection with a request under way is kept, however old', async () => {
+test('a connection with a request in progress is kept, however old', async () => {
   server.closeAllConnections();
   const busy = connect(Number(address.split(':')[1]), '127.0.0.1');
   busy.write('POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n');
   await once(busy, 'connect');
   const sockets: Socket[] = [];
-  for (let i = 0; i < MOST + 3; i++) sockets.push(await openOne());
+  for (let i = 0; i < MAX_CONNECTIONS + 3; i++) sockets.push(await openOne());
   busy.write(encode({}));
   const [bytes] = (await once(busy, 'data')) as [Buffer];
   assert.match(bytes.toString('latin1'), /^HTTP\/1.1 503/);
