--- a/packages/cloud/cloud-client.ts
+++ b/packages/cloud/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Requests to the cloud. */
+/** The client of the cloud provider. */
 import {
   type HttpClient,
   type ListedMachine,
@@ -17,31 +17,37 @@
   encodeScaleOutRequest,
 } from './wire-format.js';
 
-/** What became of a scale-out request. `unknown`: it may have been carried out, or may yet be. */
+/**
+ * The result of a scale-out request. `rented`: the hosts are starting. `no_capacity`: the cloud has no such machines at
+ * present. `failed`: refused for another reason. `unknown`: no answer; it may have been carried out, or may yet be.
+ */
 export type ScaleOutResult =
-  { kind: 'rented'; hosts: string[] } | { kind: 'no_capacity' } | { kind: 'failed' } | { kind: 'unknown' };
+  | { readonly kind: 'rented'; readonly hosts: readonly string[] }
+  | { readonly kind: 'no_capacity' }
+  | { readonly kind: 'failed' }
+  | { readonly kind: 'unknown' };
 
 const TIMEOUT: Micros = 4 * SECOND;
 const PAGE_MACHINES = 500;
-/** Machines that one request may delete. */
+/** Maximum number of machines that one request may delete. */
 export const MAX_MACHINES_PER_DELETE = 100;
-/** Machines that one request may ask for. */
+/** Maximum number of machines that one request may ask for. */
 export const MAX_MACHINES_PER_REQUEST = 50;
 
-/** The cloud as its clients use it. Its methods never reject: each says in its result that an answer is missing. */
+/** The client of the cloud. Its methods never reject: each result shows a missing or unexpected answer. */
 export class CloudClient {
   constructor(
     private readonly endpoint: string,
     private readonly httpClient: HttpClient,
   ) {}
 
-  /** All types that can be rented, or null if they could not be read. */
+  /** All machine types on offer, or null if they could not be read. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.send('GET', '/machine_types');
     return reply?.status === 200 ? decodeMachineTypes(reply.body) : null;
   }
 
-  /** Asks for machines. The same request may be sent again: the cloud knows it by its id. */
+  /** Requests machines. Idempotent: the cloud recognizes a repeated request by its id. */
   async requestMachines(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const reply = await this.send('POST', '/rentals', encodeScaleOutRequest(request));
     if (!reply) return { kind: 'unknown' };
@@ -51,13 +57,13 @@
     return { kind: 'failed' };
   }
 
-  /** True: the machines and everything on them are gone. */
-  async deleteMachines(hosts: string[]): Promise<boolean> {
+  /** Deletes machines; true if they and all tasks on them are gone. */
+  async deleteMachines(hosts: readonly string[]): Promise<boolean> {
     const reply = await this.send('POST', '/rentals/delete', encodeDeletion(hosts));
     return reply?.status === 200;
   }
 
-  /** Every machine the cloud lists at the moment, or null if the list could not be read whole. */
+  /** All machines that the cloud lists at present, or null if the list could not be read completely. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     for (let after = ''; ;) {
--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -6,7 +6,7 @@
 
 const TIMEOUT: Micros = 4_000_000;
 
-/** A cloud that gives these answers in their order, null for none, and notes what it was asked. */
+/** A cloud that gives these answers in their order, null for none, and records the requests. */
 function cloudOf(...replies: (HttpReply | null)[]): { client: CloudClient; asked: string[] } {
   const asked: string[] = [];
   const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
@@ -23,10 +23,10 @@
   return { status, body: JSON.parse(json) as WireFields };
 }
 
-const TROUBLE = answer(503, '{"error":"trouble"}');
-const RENTAL = { id: 'r-17', machineType: 'g8', zone: 'a', spot: true, count: 12 };
+const OUTAGE = answer(503, '{"error":"trouble"}');
+const REQUEST = { id: 'r-17', machineType: 'g8', zone: 'a', spot: true, count: 12 };
 
-test('machine types are asked for and read as the protocol names them', async () => {
+test('machine types are requested and read under the protocol names', async () => {
   const json =
     '{"Builds":[{"Sku":"g8","Cpus":96,"Gpus":8,"MemGb":768,"CacheGb":200,"FetchGbPerS":1.5,' +
     '"Price":12.0,"LowPrice":4.5,"BootS":45,"Halls":["a","b"],"Later":1},' +
@@ -57,25 +57,25 @@
       zones: [],
     },
   ];
-  const { client, asked } = cloudOf(answer(200, json), TROUBLE, answer(429), answer(200), null);
+  const { client, asked } = cloudOf(answer(200, json), OUTAGE, answer(429), answer(200), null);
   assert.deepEqual(await client.listMachineTypes(), types);
   for (let i = 0; i < 4; i++) assert.equal(await client.listMachineTypes(), null);
   assert.deepEqual(asked, Array(5).fill('GET /machine_types'));
 });
 
-test('machines are rented under the protocol names, and each answer means what it says', async () => {
+test('machines are requested under the protocol names, and each answer is read as its result', async () => {
   const { client, asked } = cloudOf(
     answer(200, '{"Hosts":["n-000231","n-000232"]}'),
     answer(200, '{"Hosts":[]}'),
     answer(503, '{"error":"no capacity"}'),
-    TROUBLE,
+    OUTAGE,
     answer(400),
     answer(429),
     answer(200),
     null,
   );
   const results = [];
-  for (let i = 0; i < 8; i++) results.push(await client.requestMachines(RENTAL));
+  for (let i = 0; i < 8; i++) results.push(await client.requestMachines(REQUEST));
   assert.deepEqual(results, [
     { kind: 'rented', hosts: ['n-000231', 'n-000232'] },
     { kind: 'rented', hosts: [] },
@@ -91,8 +91,8 @@
   assert.equal(MAX_MACHINES_PER_REQUEST, 50);
 });
 
-test('machines are deleted under the protocol names, and only 200 says that they are gone', async () => {
-  const { client, asked } = cloudOf(answer(200), answer(400), TROUBLE, null);
+test('machines are deleted under the protocol names, and only status 200 confirms it', async () => {
+  const { client, asked } = cloudOf(answer(200), answer(400), OUTAGE, null);
   const results = [];
   for (let i = 0; i < 4; i++) results.push(await client.deleteMachines(['n-000231', 'n-000232']));
   assert.deepEqual(results, [true, false, false, false]);
@@ -108,7 +108,7 @@
   '{"Hosts":[{"Uid":"n-000240","Endpoint":"10.1.0.241:9000","Build":"c4","Hall":"b","Status":"failed","AgeS":7}],' +
   '"More":false}';
 
-test('the machine list is read page by page, whole or not at all', async () => {
+test('the machine list is read page by page, completely or not at all', async () => {
   const machines: ListedMachine[] = [
     {
       host: 'n-000231',
@@ -142,10 +142,10 @@
   const whole = cloudOf(answer(200, FIRST_PAGE), answer(200, LAST_PAGE));
   assert.deepEqual(await whole.client.listMachines(), machines);
   assert.deepEqual(whole.asked, pages);
-  for (const second of [TROUBLE, answer(200), null]) {
-    const cut = cloudOf(answer(200, FIRST_PAGE), second);
-    assert.equal(await cut.client.listMachines(), null);
-    assert.deepEqual(cut.asked, pages);
+  for (const second of [OUTAGE, answer(200), null]) {
+    const interrupted = cloudOf(answer(200, FIRST_PAGE), second);
+    assert.equal(await interrupted.client.listMachines(), null);
+    assert.deepEqual(interrupted.asked, pages);
   }
   assert.deepEqual(await cloudOf(answer(200, '{"Hosts":[],"More":false}')).client.listMachines(), []);
 });
--- a/packages/cloud/wire-format.ts
+++ b/packages/cloud/wire-format.ts
@@ -1,4 +1,4 @@
-/** Requests and answers of the cloud in its own words. */
+/** Codecs of the cloud's requests and answers. */
 import {
   type WireFields,
   isWireFields,
@@ -27,12 +27,12 @@
   };
 }
 
-/** The body of a request for machines. */
+/** The body of a scale-out request. */
 export function encodeScaleOutRequest({ id, machineType, zone, spot, count }: ScaleOutRequest): WireFields {
   return { Hire: id, Build: machineType, Hall: zone, Loaners: spot, Number: count };
 }
 
-/** The hosts of the machines that were rented; null if the answer names none. */
+/** The hosts of the new machines; null if the answer has no list of them. */
 export function decodeNewHosts(body: WireFields): string[] | null {
   return Array.isArray(body['Hosts']) ? body['Hosts'].map(String) : null;
 }
@@ -42,7 +42,7 @@
   return { Hosts: hosts };
 }
 
-/** The machines of a page; null if the answer is no page. */
+/** The machines of a page; null if the answer is not a page. */
 export function decodeMachines(body: WireFields): ListedMachine[] | null {
   return listOf(body['Hosts'])?.map(decodeMachine) ?? null;
 }
--- a/packages/store/rate-limiter.ts
+++ b/packages/store/rate-limiter.ts
@@ -1,24 +1,24 @@
-/** Rate limits of requests to the state service. */
+/** Rate limits of requests to the store. */
 import { type Clock, type Micros, SECOND } from '#wire';
 
-/** The time that a rate is measured over. */
+/** The sliding window over which a rate is measured. */
 const WINDOW: Micros = 3 * SECOND;
 
-/** How much there has been a second, over the last few. */
+/** Measures a rate over the last seconds. */
 export class RateMeter {
   private readonly counts: { at: Micros; count: number }[] = [];
   private sum = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Counts what happens now. */
+  /** Counts events that happen now. */
   add(count: number): void {
     if (count === 0) return;
     this.counts.push({ at: this.clock.now(), count });
     this.sum += count;
   }
 
-  /** Per second. */
+  /** Events per second over the window. */
   rate(): number {
     const from = this.clock.now() - WINDOW;
     for (let first = this.counts[0]; first && first.at < from; first = this.counts[0]) {
@@ -29,67 +29,67 @@
   }
 }
 
-/** A refusal multiplies the rate by this. */
-const SLOWER = 0.7;
-/** Refusals leave at least this part of the rate. */
-const LEAST_FACTOR = 0.25;
-/** Time without a refusal after which the whole rate is back. */
+/** A rejected request multiplies the rate by this. */
+const BACKOFF_FACTOR = 0.7;
+/** Rejections leave at least this fraction of the rate. */
+const MIN_FACTOR = 0.25;
+/** Time without a rejection after which the full rate is restored. */
 const RECOVERY: Micros = 20 * SECOND;
 
 /**
- * Keeps a kind of request within its part of what the state service allows: tokens come at a rate, and up to a
- * second's worth of them is saved for a burst. A large commit may run into debt that the next one waits for.
+ * A token bucket that keeps one kind of request within its quota of what the store allows. It holds up to a second's worth
+ * of tokens for bursts. A large commit may take more tokens than there are; the next one waits until the debt is paid.
  */
 export class RateLimiter {
   private tokens: number;
-  private at: Micros;
-  /** When a request of this kind was last refused for coming too fast, and by how much that slowed it. */
-  private slowed: { at: Micros; factor: number } = { at: -Infinity, factor: 1 };
-  private readonly taken: RateMeter;
+  private refilledAt: Micros;
+  /** When a request was last rejected for coming too fast, and the fraction of the rate that this left. */
+  private backoff: { at: Micros; factor: number } = { at: -Infinity, factor: 1 };
+  private readonly consumed: RateMeter;
 
   constructor(
     private readonly clock: Clock,
-    /** Tokens a second at present, given what was taken a second lately. */
-    private readonly rateFor: (used: number) => number,
+    /** The present rate in tokens per second, given the rate at which tokens were consumed lately. */
+    private readonly rateFor: (consumedRate: number) => number,
   ) {
-    this.taken = new RateMeter(clock);
+    this.consumed = new RateMeter(clock);
     this.tokens = this.rate();
-    this.at = clock.now();
+    this.refilledAt = clock.now();
   }
 
-  /** Takes tokens, also more than there are. */
+  /** Takes tokens, even more than there are. */
   consume(count: number): void {
-    this.fill();
+    this.refill();
     this.tokens -= count;
-    this.taken.add(count);
+    this.consumed.add(count);
   }
 
-  /** Time until a token is to be had. */
+  /** Time until a token is available; 0 if there is one. */
   delay(): Micros {
-    this.fill();
+    this.refill();
     return this.tokens >= 1 ? 0 : Math.ceil(((1 - this.tokens) / this.rate()) * SECOND);
   }
 
-  /** One came too fast although it kept to its part: the limit has fallen, or others take more than theirs. */
+  /** To be called when the store rejected a request as too fast: its limit was lowered, or others exceed their quota. */
   onRejected(): void {
-    this.slowed = { at: this.clock.now(), factor: Math.max(LEAST_FACTOR, this.factor() * SLOWER) };
+    this.backoff = { at: this.clock.now(), factor: Math.max(MIN_FACTOR, this.factor() * BACKOFF_FACTOR) };
   }
 
-  /** What refusals leave of the rate: all of it again after a while without any. */
+  /** The fraction of the rate that rejections have left; it recovers linearly while there are none. */
   private factor(): number {
-    const { at, factor } = this.slowed;
+    const { at, factor } = this.backoff;
     if (factor === 1) return 1;
     return Math.min(1, factor + ((1 - factor) * (this.clock.now() - at)) / RECOVERY);
   }
 
   private rate(): number {
-    return this.rateFor(this.taken.rate()) * this.factor();
+    return this.rateFor(this.consumed.rate()) * this.factor();
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.clock.now();
     const rate = this.rate();
-    this.tokens = Math.min(Math.max(1, rate), this.tokens + ((now - this.at) / SECOND) * rate);
-    this.at = now;
+    this.tokens = Math.min(Math.max(1, rate), this.tokens + ((now - this.refilledAt) / SECOND) * rate);
+    this.refilledAt = now;
   }
 }
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -12,14 +12,14 @@
   StoreError,
 } from './index.js';
 
-interface Bench {
+interface Fixture {
   client: StoreClient;
   /** Each request: its method, path, body if it has one, and the time in milliseconds that it may take. */
   asked: string[];
 }
 
-/** A state service that gives these answers in their order, null for none, and notes what it was asked. */
-function storeOf(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Bench {
+/** A store that gives these answers in their order, null for none, and records the requests. */
+function storeOf(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Fixture {
   const asked: string[] = [];
   const left = [...replies];
   const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
@@ -122,7 +122,7 @@
   ]);
 });
 
-test('each answer to a transaction means what it says', async () => {
+test('each answer to a transaction is read as its result', async () => {
   const replies = [
     answer(409, '{"failed":["a/b"],"Epoch":431}'),
     answer(409, '{"Epoch":431}'),
@@ -141,7 +141,7 @@
   assert.deepEqual(results, [
     { kind: 'refused', failed: ['a/b'], epoch: 431 },
     { kind: 'refused', failed: [], epoch: 431 },
-    { kind: 'no_permit' },
+    { kind: 'lease_expired' },
     { kind: 'not_executed', status: 400 },
     { kind: 'not_executed', status: 429 },
     { kind: 'not_executed', status: 503 },
@@ -152,7 +152,7 @@
   assert.deepEqual(results.map(isRateLimited), [false, false, false, false, true, false, false, false]);
 });
 
-test('leases are made, renewed and ended by their numbers, up to 2^64 - 1', async () => {
+test('leases are created, renewed and revoked by their ids, up to 2^64 - 1', async () => {
   const most = 18_446_744_073_709_551_615n;
   const { client, asked } = storeOf([
     answer(200, '{"Permit":7}'),
@@ -187,7 +187,7 @@
   ]);
 });
 
-test('changes are followed from an epoch on, and read in the order of the answer', async () => {
+test('changes are watched from an epoch on, and read in the order of the answer', async () => {
   const { client, asked } = storeOf([
     answer(
       200,
@@ -215,7 +215,7 @@
   assert.deepEqual(asked, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
 });
 
-test('a lease that is gone is confirmed by a read of the present epoch where epochs are checked', async () => {
+test('the expiry of a lease is confirmed by a read of the present epoch where epochs are checked', async () => {
   const check: RevisionCheck = {
     isOpen: () => true,
     minimumRevision: () => 400,
@@ -232,7 +232,7 @@
   assert.equal(UNUSED_KEY, 'mw/nothing');
 });
 
-test('while the state is not believed nothing is asked, and all is refused as in an outage', async () => {
+test('while the revision check is closed no request is sent, and all are refused as in an outage', async () => {
   const closed: RevisionCheck = {
     isOpen: () => false,
     minimumRevision: () => 400,
--- a/packages/store/rows.ts
+++ b/packages/store/rows.ts
@@ -1,52 +1,81 @@
 /** Rows of the key-value store, and the guarded writes that change them. */
 import type { Count, WireFields } from '#wire';
 
-/** A key with its value. The state service's own page calls them `Path`, `V`, `Stamp`, `Permit`, `Epoch`. */
+/** A key with its value. */
 export interface Row {
-  path: string;
-  value: WireFields;
+  readonly path: string;
+  readonly value: WireFields;
   /** The epoch of the commit that wrote it. */
-  revision: number;
+  readonly revision: number;
 }
 
-/** A row as a commit left it; without a value it was removed. */
+/** A row as a commit left it. */
 export interface Change {
-  path: string;
-  revision: number;
-  value: WireFields | null;
+  readonly path: string;
+  /** The epoch of the commit. */
+  readonly revision: number;
+  /** Null: the row was removed. */
+  readonly value: WireFields | null;
 }
 
-/** A condition of a compare-and-swap: the key has this revision still. */
+/** A condition of a compare-and-swap: the key still has this revision. */
 export interface Guard {
-  path: string;
+  readonly path: string;
   /** 0: the key must not exist. */
-  revision: number;
+  readonly revision: number;
 }
 
-/** One operation of a commit. A row that is set under a lease goes when the lease expires. */
-export type Write = { set: string; value: WireFields; leaseId?: Count } | { remove: string };
+/** The answer to a read of one key. */
+export interface KeyRead {
+  /** Null if the key does not exist. */
+  readonly row: Row | null;
+  /** An epoch at which this was so: the store's present one, or for a row that of its commit. */
+  readonly epoch: number;
+}
+
+/** One page of the rows below a prefix, sorted by key. */
+export interface RowPage {
+  readonly rows: Row[];
+  /** There are further pages. */
+  readonly more: boolean;
+  /** The store's epoch when the page was read. */
+  readonly epoch: number;
+}
+
+/** The changes below a prefix since the epoch that was asked for. */
+export interface ChangeBatch {
+  /** The epoch up to which the changes are complete. */
+  readonly epoch: number;
+  /** In the order of the answer. */
+  readonly news: Change[];
+}
+
+/** One operation of a commit. A row that is set under a lease is removed when the lease expires. */
+export type Write =
+  | { readonly set: string; readonly value: WireFields; readonly leaseId?: Count }
+  | { readonly remove: string };
 
 /**
- * What became of a commit. `unknown`: no answer, so it may have been applied or may yet be; whoever sent it
- * reads back before going on. `refused`: a guard did not hold; `failed` names its keys. `no_permit`: the lease of a row
- * has expired. `not_executed`: the state service answered with an HTTP status of 400 or more.
+ * The result of a commit. `unknown`: no answer, so it may have been applied or may yet be; its sender has to read the
+ * keys before it goes on. `refused`: a guard did not hold; `failed` names its keys. `lease_expired`: the lease of a row
+ * doesn't exist any more. `not_executed`: the store answered with an HTTP status of 400 or more.
  */
 export type CommitResult =
-  | { kind: 'applied'; epoch: number }
-  | { kind: 'refused'; failed: string[]; epoch: number }
-  | { kind: 'no_permit' }
-  | { kind: 'not_executed'; status: number }
-  | { kind: 'unknown' };
+  | { readonly kind: 'applied'; readonly epoch: number }
+  | { readonly kind: 'refused'; readonly failed: readonly string[]; readonly epoch: number }
+  | { readonly kind: 'lease_expired' }
+  | { readonly kind: 'not_executed'; readonly status: number }
+  | { readonly kind: 'unknown' };
 
 const BAD_REQUEST = 400;
 const TOO_MANY_REQUESTS = 429;
 
-/** The write is larger than the state service takes, now that its limits may have fallen. */
+/** Whether a commit exceeds the store's limits, which may have been lowered since it was built. */
 export function isTooLarge(result: CommitResult): boolean {
   return result.kind === 'not_executed' && result.status === BAD_REQUEST;
 }
 
-/** Changes come faster than the state service takes them. */
+/** Whether a commit was refused because requests come faster than the store accepts them. */
 export function isRateLimited(result: CommitResult): boolean {
   return result.kind === 'not_executed' && result.status === TOO_MANY_REQUESTS;
 }
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -1,7 +1,7 @@
-/** Requests to the key-value store. */
+/** The client of the key-value store. */
 import { type HttpClient, type Count, type HttpMethod, type Micros, MS, type HttpReply, SECOND } from '#wire';
 import { type RevisionCheck, NO_REVISION_CHECK } from './revision-check.js';
-import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
+import type { ChangeBatch, CommitResult, Guard, KeyRead, RowPage, Write } from './rows.js';
 import { StoreError } from './store-error.js';
 import {
   decodeChanges,
@@ -13,12 +13,16 @@
 } from './wire-format.js';
 
 const TIMEOUT: Micros = 1500 * MS;
-/** For answers that are large, beyond the time for which a request blocks. */
+/** For large answers; a watch may take this long beyond the time for which it blocks. */
 const LONG_TIMEOUT: Micros = 4 * SECOND;
 const PAGE_ROWS = 1000;
-/** What a node that is not to use the state service gets instead of an answer: the same as one that it refuses. */
+/** Also the status of a {@link StoreError} for a request that the revision check doesn't allow: callers treat it as an outage. */
 const UNAVAILABLE = 503;
-/** Never written: reading it costs one request and tells the present epoch. */
+const OK = 200;
+const NOT_FOUND = 404;
+const CONFLICT = 409;
+const GONE = 410;
+/** A key that is never written: reading it costs one request and returns the present epoch. */
 export const UNUSED_KEY = 'mw/nothing';
 
 /** What a request carries beside its method and path. */
@@ -28,8 +32,8 @@
 }
 
 /**
- * The key-value store as its clients use it. A request that gets no answer, or another one than it may have, rejects
- * with a {@link StoreError}; commits resolve with what became of them instead.
+ * The client of the key-value store. A request without an answer, or with an unexpected one, rejects with a
+ * {@link StoreError}; commits resolve with a {@link CommitResult} instead.
  */
 export class StoreClient {
   constructor(
@@ -38,27 +42,30 @@
     private readonly revisionCheck: RevisionCheck = NO_REVISION_CHECK,
   ) {}
 
-  /** The row, or null with the epoch at which the key did not exist. */
-  async get(path: string): Promise<{ row: Row | null; epoch: number }> {
-    const floor = this.openFloor();
+  /** Reads one key. */
+  async get(path: string): Promise<KeyRead> {
+    const floor = this.requireOpen();
     const { status, body } = await this.send('GET', `/store/${path}`);
-    if (status === 404) return { row: null, epoch: this.accepted(floor, decodeEpoch(body)) };
-    if (status !== 200) throw new StoreError(status);
+    if (status === NOT_FOUND) return { row: null, epoch: this.requireAccepted(floor, decodeEpoch(body)) };
+    if (status !== OK) throw new StoreError(status);
     // The row's own revision says nothing of the present epoch.
     const row = decodeRow(path, body);
     return { row, epoch: row.revision };
   }
 
-  /** One page of rows. Its epoch is judged by whoever reads the state anew, also while all else is refused. */
-  async list(prefix: string, after: string): Promise<{ rows: Row[]; more: boolean; epoch: number }> {
+  /**
+   * Reads a page of the rows below a prefix, from the first key after `after` (empty: from the start). The
+   * revision check doesn't guard it: whoever reads the complete state has to check the epochs of its pages.
+   */
+  async list(prefix: string, after: string): Promise<RowPage> {
     const query = `Starts=${prefix}${after === '' ? '' : `&After=${after}`}&Limit=${PAGE_ROWS}`;
     const { status, body } = await this.send('GET', `/store?${query}`, { timeout: LONG_TIMEOUT });
-    if (status !== 200) throw new StoreError(status);
+    if (status !== OK) throw new StoreError(status);
     return { rows: decodeRows(body), more: body['More'] === true, epoch: decodeEpoch(body) };
   }
 
   /** Applies all of the writes if all of the guards hold, or none. Never rejects. */
-  async compareAndSwap(guards: Guard[], writes: Write[]): Promise<CommitResult> {
+  async compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): Promise<CommitResult> {
     const body = encodeCommit(guards, writes);
     if (!this.revisionCheck.isOpen()) return { kind: 'not_executed', status: UNAVAILABLE };
     const floor = this.revisionCheck.minimumRevision();
@@ -71,67 +78,67 @@
     return this.isOfKnownHistory(reply, writes, floor) ? decodeCommitResult(reply) : { kind: 'unknown' };
   }
 
-  /** Creates a lease that expires when it was not renewed for `life`. */
+  /** Creates a lease that expires when it was not renewed for `life`; resolves with its id. */
   async createLease(life: Micros): Promise<Count> {
-    this.openFloor();
+    this.requireOpen();
     const { status, body } = await this.send('POST', '/grants', { body: { LifeMs: Math.round(life / MS) } });
-    if (status !== 200) throw new StoreError(status);
+    if (status !== OK) throw new StoreError(status);
     return body['Permit'] as Count;
   }
 
-  /** False: the lease has expired. */
+  /** Resolves with false if the lease has expired. */
   async renewLease(leaseId: Count): Promise<boolean> {
-    this.openFloor();
+    this.requireOpen();
     const { status } = await this.send('POST', `/grants/${leaseId}/renew`);
-    if (status === 404) return this.confirmEnd();
-    if (status !== 200) throw new StoreError(status);
+    if (status === NOT_FOUND) return this.confirmExpiry();
+    if (status !== OK) throw new StoreError(status);
     return true;
   }
 
-  /** Ends a lease, and so removes the rows under it. */
+  /** Ends a lease, which removes the rows under it. Any answer will do: a lease that isn't ended expires. */
   async revokeLease(leaseId: Count): Promise<void> {
     await this.send('DELETE', `/grants/${leaseId}`);
   }
 
-  /** Blocks for `block` at most; null when `after` is too old and the keys have to be read again. */
-  async watch(
-    prefix: string,
-    after: number,
-    block: Micros,
-  ): Promise<{ epoch: number; news: Change[] } | null> {
-    const floor = this.openFloor();
+  /**
+   * Waits, for `block` at most, for changes below a prefix since the epoch `after`. Null if that is too old: the keys have
+   * to be read again.
+   */
+  async watch(prefix: string, after: number, block: Micros): Promise<ChangeBatch | null> {
+    const floor = this.requireOpen();
     const query = `Starts=${prefix}&After=${after}&BlockMs=${Math.round(block / MS)}`;
     const { status, body } = await this.send('GET', `/follow?${query}`, { timeout: block + LONG_TIMEOUT });
-    if (status === 410) return null;
-    if (status !== 200) throw new StoreError(status);
+    if (status === GONE) return null;
+    if (status !== OK) throw new StoreError(status);
     const news = decodeChanges(body);
-    return { epoch: this.accepted(floor, decodeEpoch(body)), news };
+    return { epoch: this.requireAccepted(floor, decodeEpoch(body)), news };
   }
 
-  /** Whether the answer to a commit belongs to the history that this node knows; else anything may have become of it. */
+  /** Whether the answer to a commit belongs to the history that this node knows; if not, the result is unknown. */
   private isOfKnownHistory({ status, body }: HttpReply, writes: readonly Write[], floor: number): boolean {
     const epoch = decodeEpoch(body);
-    const makesEpoch = status === 200 && writes.some((write) => 'set' in write);
-    if (makesEpoch && !this.revisionCheck.acceptsCommitted(floor, epoch)) return false;
-    return status !== 409 || this.revisionCheck.accepts(floor, epoch);
+    const createsEpoch = status === OK && writes.some((write) => 'set' in write);
+    if (createsEpoch && !this.revisionCheck.acceptsCommitted(floor, epoch)) return false;
+    return status !== CONFLICT || this.revisionCheck.accepts(floor, epoch);
   }
 
   /**
-   * A lease that is gone has expired, or was lost with the rest of the state. What hangs on a lost one is not free: the
-   * present epoch tells the two apart.
+   * A lease that doesn't exist has expired, or was lost with the rest of the state. In the latter case others may not take
+   * over what it protected: a read of the present epoch rejects then.
    */
-  private async confirmEnd(): Promise<false> {
+  private async confirmExpiry(): Promise<false> {
     if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
     return false;
   }
 
-  /** The floor that an answer to a request sent now has to reach; throws while the state service isn't to be asked. */
-  private openFloor(): number {
+  /** The lowest epoch that the answer to a request sent now may show; throws while the revision check is closed. */
+  private requireOpen(): number {
     if (!this.revisionCheck.isOpen()) throw new StoreError(UNAVAILABLE);
     return this.revisionCheck.minimumRevision();
   }
 
-  private accepted(floor: number, epoch: number): number {
+  /** Returns the epoch if it passes the revision check, else throws. */
+  private requireAccepted(floor: number, epoch: number): number {
     if (!this.revisionCheck.accepts(floor, epoch)) throw new StoreError(UNAVAILABLE);
     return epoch;
   }
--- a/packages/store/store-error.ts
+++ b/packages/store/store-error.ts
@@ -1,6 +1,6 @@
 /** The error of a request to the key-value store. */
 
-/** An answer that isn't the one asked for: over the limits, an outage, or none at all (status 0). */
+/** A request that failed: it exceeds the limits, the store has an outage, or no answer came (status 0, with its cause). */
 export class StoreError extends Error {
   constructor(
     /** HTTP status of the answer; 0 if there was none. */
--- a/packages/store/wire-format.ts
+++ b/packages/store/wire-format.ts
@@ -1,4 +1,4 @@
-/** Requests and answers of the key-value store in its own words. */
+/** Codecs of the key-value store's requests and answers. Its protocol names `Path`, `V`, `Stamp`, `Permit` and `Epoch` end here. */
 import { type WireFields, isWireFields, type HttpReply } from '#wire';
 import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
 
@@ -7,12 +7,12 @@
   return Number(body['Epoch']);
 }
 
-/** A value; what isn't a map of fields is taken for an empty one. */
+/** A value; anything but a map of fields counts as an empty map. */
 export function decodeValue(value: unknown): WireFields {
   return isWireFields(value) ? value : {};
 }
 
-/** The row that a request for one key is answered with. */
+/** The row in the answer to a read of one key. */
 export function decodeRow(path: string, body: WireFields): Row {
   return { path, value: decodeValue(body['V']), revision: Number(body['Stamp']) };
 }
@@ -22,7 +22,7 @@
   return listOf(body['Rows']).map((row) => decodeRow(String(row['Path']), row));
 }
 
-/** The changes that a request to follow the keys is answered with. */
+/** The changes in the answer to a watch. */
 export function decodeChanges(body: WireFields): Change[] {
   return listOf(body['News']).map((entry) => {
     const revision = Number(entry['Stamp']);
@@ -47,7 +47,7 @@
   return body;
 }
 
-/** What the answer to a commit says became of it. Whether its epoch is to be believed is for the caller to judge. */
+/** The result that the answer to a commit shows. Its epoch has yet to pass the revision check. */
 export function decodeCommitResult({ status, body }: HttpReply): CommitResult {
   const epoch = decodeEpoch(body);
   if (status === 200) return { kind: 'applied', epoch };
@@ -55,7 +55,7 @@
     const failed = Array.isArray(body['failed']) ? body['failed'].map(String) : [];
     return { kind: 'refused', failed, epoch };
   }
-  if (status === 400 && body['error'] === 'no such lease') return { kind: 'no_permit' };
+  if (status === 400 && body['error'] === 'no such lease') return { kind: 'lease_expired' };
   if (status >= 400) return { kind: 'not_executed', status };
   return { kind: 'unknown' };
 }
--- a/packages/store/write-limits.ts
+++ b/packages/store/write-limits.ts
@@ -1,12 +1,12 @@
-/** How large values and transactions may be. */
+/** Limits of the size of values and transactions. */
 
-/** Below this they are not cut further: a write that is refused even so is refused for another reason. */
-const LEAST_VALUE_BYTES = 512;
-const LEAST_TXN_OPS = 2;
+/** Limits are not lowered below these: a write that is refused even so is refused for another reason. */
+const MIN_VALUE_BYTES = 512;
+const MIN_TXN_OPS = 2;
 
 /**
- * What the state service takes in one write. Its limits may fall without notice: the first refusal halves what later
- * writes are built to, so that none is repeated unchanged.
+ * How large a write to the store may be. The store's limits may be lowered without notice: each refusal halves the
+ * limits that later writes are built to, so that none is repeated unchanged.
  */
 export class WriteLimits {
   constructor(
@@ -14,19 +14,19 @@
     private operations: number,
   ) {}
 
-  /** Bytes of a value, at most. */
+  /** Maximum size of a value in bytes. */
   get valueBytes(): number {
     return this.value;
   }
 
-  /** Operations of a commit, at most. */
+  /** Maximum number of operations of a commit. */
   get txnOps(): number {
     return this.operations;
   }
 
-  /** A write built to the present limits was refused as malformed. */
+  /** To be called when a write built to the present limits was refused as too large. */
   shrink(): void {
-    this.value = Math.max(Math.min(this.value, LEAST_VALUE_BYTES), Math.floor(this.value / 2));
-    this.operations = Math.max(Math.min(this.operations, LEAST_TXN_OPS), Math.floor(this.operations / 2));
+    this.value = Math.max(Math.min(this.value, MIN_VALUE_BYTES), Math.floor(this.value / 2));
+    this.operations = Math.max(Math.min(this.operations, MIN_TXN_OPS), Math.floor(this.operations / 2));
   }
 }
