--- a/packages/fleet/planners.test.ts
+++ b/packages/fleet/planners.test.ts
@@ -74,7 +74,7 @@
     ...base,
     unmetDemand: [{ job: job({ allowsSpot: false, zone: 'west' }), count: 1 }],
   });
-  assert.deepEqual(ordinary, [{ machineType: 'small', zone: 'west', spot: false, number: 1 }]);
+  assert.deepEqual(ordinary, [{ machineType: 'small', zone: 'west', spot: false, count: 1 }]);
 });
 
 test('returns: only what has idled long enough and has used up the least it costs', () => {
--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -118,7 +118,7 @@
 
 test('the zone that has room for the whole gang and its image is chosen', () => {
   const cold = ['a', 'b', 'c'].map((name) => machine(name, 'east', 4));
-  const warm = ['d', 'e'].map((name) => ({ ...machine(name, 'west', 4), warm: ['img-1'] }));
+  const warm = ['d', 'e'].map((name) => ({ ...machine(name, 'west', 4), cachedImages: ['img-1'] }));
   assert.deepEqual(startsOf(play([gang('j-1', 4)], [...cold, ...warm]), 'j-1').sort(), ['d', 'd', 'e', 'e']);
   assert.equal(startsOf(play([gang('j-1', 6)], [...cold, ...warm]), 'j-1').length, 6);
   assert.equal(startsOf(play([gang('j-1', 7)], [...cold, ...warm]), 'j-1').length, 0);
@@ -126,9 +126,9 @@
 
 // A gang starts with its last task: told one by one, its machines would keep each other waiting.
 test('of the machines of the best shape a gang goes to those whose workers report next', () => {
-  const machines = [900, 0, 800, 100, 700, 950].map((toldIn, i) => ({
+  const machines = [900, 0, 800, 100, 700, 950].map((milliseconds, i) => ({
     ...machine(`n-${i}`, 'east', 4),
-    toldIn: toldIn * 1000,
+    nextHeartbeatIn: milliseconds * 1000,
   }));
   for (let seed = 1; seed < 20; seed++) {
     const hosts = startsOf(play([gang('j-1', 4)], machines, { seed }), 'j-1');
