--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -3,15 +3,9 @@
 import { type FencedCloud, ScaleOutIntent, ScaleInIntent, type TermProof } from '#roles';
 import { type Clock, fromSeconds, type MachineType, type Micros, MS, SECOND } from '#wire';
 import { MachineList } from './machine-list.js';
-import {
-  resourcesOf,
-  type PendingCapacity,
-  type UnmetDemand,
-  type Offer,
-  offerKey,
-  planScaleOut,
-  planScaleIn,
-} from './scale-planner.js';
+import { type Offer, type PendingCapacity, type UnmetDemand, offerKey, resourcesOf } from './offers.js';
+import { planScaleIn } from './scale-in-planner.js';
+import { planScaleOut } from './scale-out-planner.js';
 
 export interface FleetState {
   ledger: Ledger;
--- a/packages/fleet/index.ts
+++ b/packages/fleet/index.ts
@@ -1,4 +1,8 @@
-export * from './scale-planner.js';
+/** The fleet of machines: scale-out, scale-in, drains and transfers between shards. */
+export * from './offers.js';
+export * from './scale-out-planner.js';
+export * from './scale-in-planner.js';
+export * from './drain-planner.js';
 export * from './fleet-manager.js';
 export * from './transfer-planner.js';
 export * from './warm-pool.js';
--- /dev/null
+++ b/packages/fleet/scale-out-planner.test.ts
@@ -0,0 +1,75 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { PendingJob } from '#pricing';
+import { planScaleOut } from './scale-out-planner.js';
+
+const TYPE = { cpus: 4, gpus: 0, memGb: 16, cacheGb: 9, fetchGbPerS: 1, bootS: 30, zones: ['east', 'west'] };
+const SMALL = { ...TYPE, name: 'small', price: 3, spotPrice: 1 };
+const LARGE = { ...TYPE, name: 'large', cpus: 16, memGb: 64, price: 11, spotPrice: 5, zones: ['east'] };
+
+function job(change: Partial<PendingJob> = {}): PendingJob {
+  return {
+    id: 'j-1',
+    team: 'blue',
+    need: { cpus: 4, gpus: 0, memGb: 8 },
+    priority: 2,
+    acceptanceOrder: 1,
+    pendingTasks: 9,
+    taskCount: 9,
+    isGang: false,
+    machineTypes: null,
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    allowsSpot: true,
+    image: 'i',
+    placedByZone: new Map(),
+    ...change,
+  };
+}
+
+const base = {
+  types: [SMALL, LARGE],
+  pendingCapacity: [],
+  machinesPerZone: new Map(),
+  isBackedOff: () => false,
+};
+
+test('scale-out takes the cheapest offer per task, spread over zones, and none for pending capacity', () => {
+  const plans = planScaleOut({ ...base, unmetDemand: [{ job: job(), count: 4 }] });
+  assert.deepEqual(plans.map((p) => `${p.machineType}/${p.zone}/${p.spot}/${p.count}`).sort(), [
+    'small/east/true/2',
+    'small/west/true/2',
+  ]);
+  const pendingCapacity = [
+    { machineType: 'small', zone: 'west', spot: true, free: { cpus: 8, gpus: 0, memGb: 16 } },
+  ];
+  const fewer = planScaleOut({ ...base, pendingCapacity, unmetDemand: [{ job: job(), count: 3 }] });
+  assert.equal(
+    fewer.reduce((n, p) => n + p.count, 0),
+    1,
+  );
+});
+
+test('scale-out takes as many machines of the cheapest offer as are needed, beyond the limit of one request', () => {
+  const plans = planScaleOut({ ...base, unmetDemand: [{ job: job(), count: 400 }] });
+  assert.deepEqual(
+    plans.map((p) => [p.machineType, p.spot, p.count]),
+    [
+      ['small', true, 200],
+      ['small', true, 200],
+    ],
+  );
+});
+
+test('scale-out avoids offers without capacity and those that the job does not allow', () => {
+  const backedOff = (o: { machineType: string; spot: boolean }): boolean =>
+    o.machineType === 'small' && o.spot;
+  const [plan] = planScaleOut({ ...base, isBackedOff: backedOff, unmetDemand: [{ job: job(), count: 4 }] });
+  assert.deepEqual([plan?.machineType, plan?.spot, plan?.count], ['large', true, 1]);
+  const ordinary = planScaleOut({
+    ...base,
+    unmetDemand: [{ job: job({ allowsSpot: false, zone: 'west' }), count: 1 }],
+  });
+  assert.deepEqual(ordinary, [{ machineType: 'small', zone: 'west', spot: false, count: 1 }]);
+});
--- /dev/null
+++ b/packages/fleet/transfer-planner.test.ts
@@ -0,0 +1,84 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { PendingJob } from '#pricing';
+import { SECOND } from '#wire';
+import { type TransferCandidate, planTransfers } from './transfer-planner.js';
+
+function job(change: Partial<PendingJob> = {}): PendingJob {
+  return {
+    id: 'j-1',
+    team: 'blue',
+    need: { cpus: 4, gpus: 0, memGb: 8 },
+    priority: 2,
+    acceptanceOrder: 1,
+    pendingTasks: 9,
+    taskCount: 9,
+    isGang: false,
+    machineTypes: null,
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    allowsSpot: true,
+    image: 'i',
+    placedByZone: new Map(),
+    ...change,
+  };
+}
+
+test('transfers: unused capacity first, none in cooldown or across a partition, then from the lowest price to the highest', () => {
+  const total = { cpus: 4, gpus: 0, memGb: 16 };
+  const machine = (host: string, change: Partial<TransferCandidate> = {}): TransferCandidate => ({
+    host,
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    owner: 'b',
+    total,
+    free: { ...total },
+    isInCooldown: false,
+    busyFor: () => 0,
+    ...change,
+  });
+  const owners = [
+    {
+      owner: 'a',
+      price: 2,
+      unmetDemand: [{ job: job(), count: 1 }],
+      guaranteeDeficit: 0,
+      usageAboveGuarantee: 0,
+    },
+    { owner: 'b', price: 0, unmetDemand: [], guaranteeDeficit: 0, usageAboveGuarantee: 0 },
+  ];
+  const full = { cpus: 0, gpus: 0, memGb: 8 };
+  const transferred = (machines: TransferCandidate[], isPartitioned = false): string[] =>
+    planTransfers({
+      owners,
+      machines,
+      reaches: () => !isPartitioned,
+      minPriceGap: 0.5,
+      maxDeficitTransfers: 2,
+    }).transfers.map(({ host }) => host);
+  assert.deepEqual(transferred([machine('n-1', { free: full }), machine('n-2')]), ['n-2']);
+  assert.deepEqual(transferred([machine('n-1', { free: full }), machine('n-2', { isInCooldown: true })]), [
+    'n-1',
+  ]);
+  assert.deepEqual(transferred([machine('n-1')], true), []);
+  assert.deepEqual(transferred([machine('n-1', { owner: 'a', free: full })]), []);
+  // What one is guaranteed and the other uses is transferred at once, soonest free first, not one a round.
+  const inDeficit = [
+    {
+      owner: 'a',
+      price: 0,
+      unmetDemand: [{ job: job(), count: 9 }],
+      guaranteeDeficit: 11,
+      usageAboveGuarantee: 0,
+    },
+    { owner: 'b', price: 0, unmetDemand: [], guaranteeDeficit: 0, usageAboveGuarantee: 100 },
+  ];
+  const busy = [30, 10, 20].map((s) => machine(`n-${s}`, { free: full, busyFor: () => s * SECOND }));
+  const input = { machines: busy, reaches: () => true, minPriceGap: 0.5, maxDeficitTransfers: 2 };
+  const hosts = (plan: typeof inDeficit): string[] =>
+    planTransfers({ ...input, owners: plan }).transfers.map(({ host }) => host);
+  assert.deepEqual(hosts(inDeficit), ['n-10', 'n-20']);
+  assert.deepEqual(hosts(inDeficit.map((o) => ({ ...o, usageAboveGuarantee: 0 }))), []);
+});
--- a/packages/fleet/transfer-planner.ts
+++ b/packages/fleet/transfer-planner.ts
@@ -1,6 +1,6 @@
 import { type Resources, fits, countFitting, subtractResources } from '#pricing';
 import type { Micros } from '#wire';
-import { type UnmetDemand, type Offer, isFeasible } from './scale-planner.js';
+import { type UnmetDemand, type Offer, isFeasible } from './offers.js';
 
 /** A machine as the leader sees it: whose it is and what room its owner's next round will leave on it. */
 export interface TransferCandidate extends Offer {
