--- a/packages/fleet/index.ts
+++ b/packages/fleet/index.ts
@@ -3,6 +3,7 @@
 export * from './scale-out-planner.js';
 export * from './scale-in-planner.js';
 export * from './drain-planner.js';
+export type { FleetState, ShardDemand } from './fleet-context.js';
 export * from './fleet-manager.js';
 export * from './transfer-planner.js';
 export * from './warm-pool.js';
