--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -5,15 +5,16 @@
 import { RoleRegistry, FencedCloud } from '#roles';
 import { SimClock } from '#testkit';
 import { type ListedMachine, type Micros, SECOND } from '#wire';
+import type { FleetState } from './fleet-context.js';
 import { FleetManager } from './fleet-manager.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const LIST_LAG = 3 * SECOND;
-/** By then the list shows every machine that was there when it was asked for, and the manager counts on that. */
-const LONG_LISTED: Micros = 2 * LIST_LAG + 12 * SECOND;
+/** By then the list shows every machine that was there when it was requested, and the manager counts on that. */
+const LIST_CERTAIN: Micros = 2 * LIST_LAG + 12 * SECOND;
 
 /** A fleet manager under a term of its own, over a cloud whose list can be taken away. */
-class Fleet {
+class FleetHarness {
   readonly clock = new SimClock();
   readonly ledger = new Ledger();
   listed: ListedMachine[] | null = [];
@@ -22,7 +23,13 @@
   private records = 0;
 
   constructor() {
-    const clock = this.clock.view((step) => step(), 0, 0);
+    const clock = this.clock.view(
+      (step) => {
+        step();
+      },
+      0,
+      0,
+    );
     const holder = { member: 'node-0', nonce: 'ours', term: 1 };
     const source = { holders: () => new Map([['lead' as const, holder]]), isOurs: () => true };
     const registry = new RoleRegistry({ source, clock, keyOf: () => 'lead', leaseLife: 3600 * SECOND });
@@ -34,25 +41,30 @@
         return Promise.resolve(true);
       },
     } as unknown as CloudClient;
-    const facts = {
-      ...{
-        ledger: this.ledger,
-        machineTypes: new Map(),
-        workerLease: 3600 * SECOND,
-        machineListLag: LIST_LAG,
-      },
-      ...{ shardForZone: () => 0, isInWarmPool: () => false, isPartitioned: () => false },
+    const state: FleetState = {
+      ledger: this.ledger,
+      machineTypes: new Map(),
+      workerLease: 3600 * SECOND,
+      machineListLag: LIST_LAG,
+      shardForZone: () => 0,
+      isInWarmPool: () => false,
+      isPartitioned: () => false,
     };
+    const fencedCloud = new FencedCloud(cloud, registry);
     this.manager = new FleetManager(
-      ...([new FencedCloud(cloud, registry), clock, () => facts, SILENT, () => undefined] as const),
+      fencedCloud,
+      clock,
+      () => state,
+      SILENT,
+      () => undefined,
     );
     const termProof = registry.proveHeld('lead');
     assert.ok(termProof);
     this.manager.beginTerm(termProof);
   }
 
-  /** Plays steps for so long, and records what the manager wants recorded. */
-  async play(duration: Micros): Promise<void> {
+  /** Takes steps for so long, and records what is pending. */
+  async run(duration: Micros): Promise<void> {
     for (const end = this.clock.time + duration; this.clock.time < end;) {
       this.manager.step([]);
       await this.clock.run(this.clock.time + SECOND, () => undefined);
@@ -63,7 +75,7 @@
     }
   }
 
-  rent(host: string): void {
+  addMachine(host: string): void {
     const row: MachineRow = [host, 'small', 'east', false, 0, 0];
     this.ledger.apply('lead', { sequence: ++this.records, recordedAtMs: 0, machines: [row] });
   }
@@ -73,37 +85,37 @@
   }
 }
 
-// A young machine was deleted with its tasks while the cloud was out: the list was from before its rental.
-test('a list that is older than a machine does not say that the machine is gone', async () => {
-  const fleet = new Fleet();
-  await fleet.play(5 * SECOND);
+// A young machine was deleted with its tasks in an outage of the cloud: the list was from before its scale-out.
+test('a list older than a machine does not prove that the machine is gone', async () => {
+  const fleet = new FleetHarness();
+  await fleet.run(5 * SECOND);
   fleet.listed = null;
-  fleet.rent('n-1');
-  await fleet.play(LONG_LISTED);
+  fleet.addMachine('n-1');
+  await fleet.run(LIST_CERTAIN);
   assert.equal(fleet.destination('n-1'), null);
   assert.deepEqual(fleet.deleted, []);
-  // A list that was asked for long after shows it missing: then it is gone.
+  // A list that was requested long after does not show it: then it is gone.
   fleet.listed = [];
-  await fleet.play(10 * SECOND);
+  await fleet.run(10 * SECOND);
   assert.deepEqual(fleet.deleted, ['n-1']);
 });
 
-test('a machine that the list should show is named for return in one record, and deleted after it', async () => {
-  const fleet = new Fleet();
-  fleet.rent('n-1');
-  await fleet.play(LONG_LISTED + 10 * SECOND);
+test('a machine missing from the list is recorded as leaving first and deleted after that', async () => {
+  const fleet = new FleetHarness();
+  fleet.addMachine('n-1');
+  await fleet.run(LIST_CERTAIN + 10 * SECOND);
   assert.equal(fleet.ledger.machines.has('n-1'), false);
   assert.deepEqual(fleet.deleted, ['n-1'], 'deleted once');
 });
 
-test('a machine that stopped by itself and is in no record is deleted, one that works is adopted', async () => {
-  const fleet = new Fleet();
+test('an unrecorded machine is deleted if it stopped by itself and adopted if it runs', async () => {
+  const fleet = new FleetHarness();
   const row = { address: '', machineType: 'small', zone: 'east', spot: false, ageS: 30 };
   fleet.listed = [
     { ...row, host: 'n-1', state: 'failed' },
     { ...row, host: 'n-2', state: 'running' },
   ];
-  await fleet.play(10 * SECOND);
+  await fleet.run(10 * SECOND);
   assert.deepEqual([...new Set(fleet.deleted)], ['n-1']);
   assert.equal(fleet.destination('n-2'), null);
 });
