--- a/packages/pricing/gang-placement.ts
+++ b/packages/pricing/gang-placement.ts
@@ -1,6 +1,6 @@
 /**
- * Gang scheduling in a round: one candidate each, placed as a whole or not at all. Room that is not enough yet is kept
- * for the next rounds, where the rest of it is about to come free.
+ * Gang scheduling in a round: one candidate each, placed as a whole or not at all. Free capacity that is not
+ * enough yet is reserved where the rest is about to become free.
  */
 import { countFitting, subtractResources } from './resources.js';
 import { packTasks, type BinPackingOptions } from './bin-packing.js';
@@ -13,24 +13,24 @@
 export type GangPlacement =
   | { readonly kind: 'placed'; readonly machines: readonly CandidateMachine[] }
   | {
-      readonly kind: 'released';
-      /** Tasks for which there is no room in `zone`. */
+      readonly kind: 'unplaced';
+      /** Tasks for which there is no free capacity in `zone`. */
       readonly missing: number;
       /** The zone that serves it best; null: its tasks may lie in any zones. */
       readonly zone: string | null;
-      /** Hosts of the machines whose room is kept for it. */
-      readonly kept: readonly string[];
+      /** Hosts of the machines whose free capacity is reserved for it. */
+      readonly reservedHosts: readonly string[];
     };
 
 /** A zone that may take a gang (null: its tasks may lie in different zones), with the machines open to it there. */
 interface Site {
   readonly zone: string | null;
   readonly machines: CandidateMachine[];
-  /** Tasks of the gang that there is room for. */
-  free: number;
+  /** Tasks of the gang that there is free capacity for. */
+  taskCapacity: number;
 }
 
-/** Places all tasks of a gang, or none: whatever was taken is put back. */
+/** Places all tasks of a gang, or none: capacity taken for a part of it is given back. */
 export function placeGang(
   job: PendingJob,
   pools: readonly ShapePool[],
@@ -38,69 +38,80 @@
 ): GangPlacement {
   const sites = sitesOf(job, pools);
   for (const site of sites) {
-    if (site.free < job.pendingTasks) break;
-    const rule = new ZoneConstraint(inZone(job, site.zone), []);
-    const openPools = soonestTold(job, pools, rule);
-    const machines = packTasks({ job, pools: openPools, rule, count: job.pendingTasks }, options);
+    if (site.taskCapacity < job.pendingTasks) break;
+    const zoneConstraint = new ZoneConstraint(inZone(job, site.zone), []);
+    const candidatePools = narrowToSoonestHeartbeats(job, pools, zoneConstraint);
+    const machines = packTasks(
+      { job, pools: candidatePools, zoneConstraint, count: job.pendingTasks },
+      options,
+    );
     if (machines.length === job.pendingTasks) return { kind: 'placed', machines };
     for (const machine of machines) subtractResources(machine.free, job.need, -1);
   }
-  return gather(job, sites);
+  return reserveForGang(job, sites);
 }
 
-/** So many times the tasks' room is chosen from among the machines that are told soonest. */
-const CHOICE = 1.5;
+/** The machines chosen from have capacity for so many times the tasks. */
+const CANDIDATE_FACTOR = 1.5;
 
 /**
- * The shapes that a gang needs, best first; of the last one only the machines that have the image and are told soonest.
- * A gang starts with its last task, so that the slowest of its machines to hear of it holds up all others.
+ * The shapes that a gang needs, best first; of the last one only the machines that have the image and whose heartbeat
+ * comes soonest. A gang starts with its last task, so that the last of its machines to get its start holds up all others.
  */
-function soonestTold(job: PendingJob, pools: readonly ShapePool[], rule: ZoneConstraint): ShapePool[] {
+function narrowToSoonestHeartbeats(
+  job: PendingJob,
+  pools: readonly ShapePool[],
+  zoneConstraint: ZoneConstraint,
+): ShapePool[] {
   const chosen: ShapePool[] = [];
-  let left = job.pendingTasks;
+  let remaining = job.pendingTasks;
   for (const pool of pools) {
-    const open = pool.machines.filter((m) => rule.allows(m.zone) && countFitting(job.need, m.free) > 0);
-    const free = slotsOn(open, job);
-    if (free >= left) {
-      const isCold = (m: CandidateMachine): number => (m.cachedImages.includes(job.image) ? 0 : 1);
-      open.sort((a, b) => isCold(a) - isCold(b) || a.nextHeartbeatIn - b.nextHeartbeatIn);
-      return [...chosen, { ...pool, machines: firstWithRoom(job, open, Math.ceil(left * CHOICE)) }];
+    const candidates = pool.machines.filter(
+      (machine) => zoneConstraint.allows(machine.zone) && countFitting(job.need, machine.free) > 0,
+    );
+    const taskCapacity = taskCapacityOf(candidates, job);
+    if (taskCapacity >= remaining) {
+      const imagesToFetch = (machine: CandidateMachine): number =>
+        machine.cachedImages.includes(job.image) ? 0 : 1;
+      candidates.sort((a, b) => imagesToFetch(a) - imagesToFetch(b) || a.nextHeartbeatIn - b.nextHeartbeatIn);
+      const machines = firstWithCapacity(job, candidates, Math.ceil(remaining * CANDIDATE_FACTOR));
+      return [...chosen, { ...pool, machines }];
     }
-    left -= free;
+    remaining -= taskCapacity;
     chosen.push(pool);
   }
   return chosen;
 }
 
-/** How many of the job's tasks the machines have room for. */
-function slotsOn(machines: readonly CandidateMachine[], job: PendingJob): number {
+/** How many of the job's tasks the machines have free capacity for. */
+function taskCapacityOf(machines: readonly CandidateMachine[], job: PendingJob): number {
   return machines.reduce((sum, machine) => sum + countFitting(job.need, machine.free), 0);
 }
 
-/** The first machines that together have room for so many tasks; all of them if they have not. */
-function firstWithRoom(
+/** The first machines that together have free capacity for so many tasks; all of them if they have not. */
+function firstWithCapacity(
   job: PendingJob,
   machines: readonly CandidateMachine[],
   count: number,
 ): CandidateMachine[] {
   const chosen: CandidateMachine[] = [];
-  let room = 0;
+  let taskCapacity = 0;
   for (const machine of machines) {
     chosen.push(machine);
-    room += countFitting(job.need, machine.free);
-    if (room >= count) break;
+    taskCapacity += countFitting(job.need, machine.free);
+    if (taskCapacity >= count) break;
   }
   return chosen;
 }
 
-/** The sites of a gang, the one with most room first; of several that have enough, the one that has its image. */
+/** The sites of a gang, the one with most capacity first; of several that have enough, the one that has its image. */
 function sitesOf(job: PendingJob, pools: readonly ShapePool[]): Site[] {
   const sites = new Map<string | null, Site>();
   for (const pool of pools) {
     for (const machine of pool.machines) addToSite(sites, machine, job);
   }
-  const ranked = [...sites.values()].map((site) => ({ site, warmth: warmthOf(site, job) }));
-  ranked.sort((a, b) => b.warmth - a.warmth || b.site.free - a.site.free);
+  const ranked = [...sites.values()].map((site) => ({ site, imageHits: imageHitsOf(site, job) }));
+  ranked.sort((a, b) => b.imageHits - a.imageHits || b.site.taskCapacity - a.site.taskCapacity);
   return ranked.map(({ site }) => site);
 }
 
@@ -109,58 +120,59 @@
   const zone = job.singleZone ? machine.zone : null;
   let site = sites.get(zone);
   if (!site) {
-    site = { zone, machines: [], free: 0 };
+    site = { zone, machines: [], taskCapacity: 0 };
     sites.set(zone, site);
   }
   site.machines.push(machine);
-  site.free += countFitting(job.need, machine.free);
+  site.taskCapacity += countFitting(job.need, machine.free);
 }
 
-/** How many tasks of the gang would start without loading their image; 0 where the site can't take the gang. */
-function warmthOf(site: Site, job: PendingJob): number {
-  if (site.free < job.pendingTasks) return 0;
-  const warm = site.machines.filter((machine) => machine.cachedImages.includes(job.image));
-  return Math.min(job.pendingTasks, slotsOn(warm, job));
+/** How many tasks of the gang would start without fetching their image; 0 where the site can't take the gang. */
+function imageHitsOf(site: Site, job: PendingJob): number {
+  if (site.taskCapacity < job.pendingTasks) return 0;
+  const withImage = site.machines.filter((machine) => machine.cachedImages.includes(job.image));
+  return Math.min(job.pendingTasks, taskCapacityOf(withImage, job));
 }
 
 /**
- * Keeps what room there is for a gang where the rest comes free soon. Nothing is allotted by it: each round decides
- * anew, the gang of highest rank first, so that two gangs never wait for each other's half.
+ * Reserves what capacity there is for a gang where the rest becomes free soon. Nothing is allotted by it: each round
+ * decides anew, the gang of highest rank first, so that two gangs never wait for each other's half.
  */
-function gather(job: PendingJob, sites: readonly Site[]): GangPlacement {
+function reserveForGang(job: PendingJob, sites: readonly Site[]): GangPlacement {
   const best = sites[0];
-  if (!best) return { kind: 'released', missing: job.pendingTasks, zone: null, kept: [] };
-  const missing = Math.max(1, job.pendingTasks - best.free);
-  // For one that has to be spread, room in one zone says nothing of when the gang can start.
-  const kept = !job.spreadZones && comesFree(job, best) ? keepRoom(job, best.machines) : [];
-  return { kind: 'released', missing, zone: best.zone, kept };
+  if (!best) return { kind: 'unplaced', missing: job.pendingTasks, zone: null, reservedHosts: [] };
+  const missing = Math.max(1, job.pendingTasks - best.taskCapacity);
+  // For one that has to be spread, capacity in one zone says nothing of when the gang can start.
+  const reservedHosts = !job.spreadZones && becomesFree(job, best) ? reserveCapacity(job, best.machines) : [];
+  return { kind: 'unplaced', missing, zone: best.zone, reservedHosts };
 }
 
-/** Takes room for as many of the gang's tasks as it can. Returns the hosts. */
-function keepRoom(job: PendingJob, machines: readonly CandidateMachine[]): string[] {
-  const kept: string[] = [];
-  let left = job.pendingTasks;
+/** Takes free capacity for as many of the gang's tasks as it can. Returns the hosts. */
+function reserveCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string[] {
+  const reservedHosts: string[] = [];
+  let remaining = job.pendingTasks;
   for (const machine of machines) {
-    const count = Math.min(left, countFitting(job.need, machine.free));
+    const count = Math.min(remaining, countFitting(job.need, machine.free));
     if (count === 0) continue;
     subtractResources(machine.free, job.need, count);
-    left -= count;
-    kept.push(machine.host);
+    remaining -= count;
+    reservedHosts.push(machine.host);
   }
-  return kept;
+  return reservedHosts;
 }
 
-/** The running tasks of the site leave enough room within the time for which any is kept. */
-function comesFree(job: PendingJob, site: Site): boolean {
-  let room = site.free;
+/** The running tasks of the site end soon enough for the gang to fit within the longest reservation. */
+function becomesFree(job: PendingJob, site: Site): boolean {
+  let taskCapacity = site.taskCapacity;
   for (const machine of site.machines) {
-    if (room >= job.pendingTasks) return true;
-    const later = countFitting(job.need, machine.total) - countFitting(job.need, machine.free);
-    if (later > 0 && machine.busyFor() <= MAX_RESERVATION_TIME) room += later;
+    if (taskCapacity >= job.pendingTasks) return true;
+    const pendingCapacity = countFitting(job.need, machine.total) - countFitting(job.need, machine.free);
+    if (pendingCapacity > 0 && machine.busyFor() <= MAX_RESERVATION_TIME) taskCapacity += pendingCapacity;
   }
-  return room >= job.pendingTasks;
+  return taskCapacity >= job.pendingTasks;
 }
 
+/** The gang as one that is bound to the zone. */
 function inZone(job: PendingJob, zone: string | null): PendingJob {
   return zone === null ? job : { ...job, zone, singleZone: false };
 }
--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -1,4 +1,4 @@
-/** Places ranked segments on machines, and notes what found no room. */
+/** Places ranked segments on machines, and notes what found no capacity. */
 import { RESOURCE_TOLERANCE } from './resources.js';
 import { packTasks, type BinPackingOptions } from './bin-packing.js';
 import { placeGang } from './gang-placement.js';
@@ -16,7 +16,7 @@
   readonly bestUtility: number;
 }
 
-/** Places the segments, the one of highest net utility first, and takes the room of each from the market's pools. */
+/** Places the segments, the one of highest net utility first, and takes the capacity for each from the market's pools. */
 export function placeSegments(
   input: PricingRoundInput,
   segments: readonly Segment[],
@@ -60,13 +60,13 @@
 class RoundPlacer {
   private readonly starts: PricingRoundResult['starts'] = [];
   private readonly unmet = new Map<string, number>();
-  private readonly kept = new Set<string>();
+  private readonly reservedHosts = new Set<string>();
   private readonly gatheringZones = new Map<string, string>();
-  private readonly zoneRules = new Map<string, ZoneConstraint>();
-  private readonly fillOptions: BinPackingOptions;
+  private readonly zoneConstraints = new Map<string, ZoneConstraint>();
+  private readonly packingOptions: BinPackingOptions;
 
   constructor(private readonly input: PricingRoundInput) {
-    this.fillOptions = { random: input.random, choices: input.options.choices };
+    this.packingOptions = { random: input.random, choices: input.options.choices };
   }
 
   place(ranked: RankedSegment): void {
@@ -82,41 +82,41 @@
       unmet: this.unmet,
       gatheringZones: this.gatheringZones,
       free: new Map(machines.map((machine) => [machine.host, machine.free])),
-      reservedHosts: this.kept,
+      reservedHosts: this.reservedHosts,
     };
   }
 
   private placeGang({ segment, pools }: RankedSegment): void {
     const { job, count } = segment;
     // One that is larger than a whole round's starts has a round to itself.
-    if (count > this.startsLeft() && this.starts.length > 0) return;
-    const placement = placeGang(job, pools, this.fillOptions);
+    if (count > this.remainingStarts() && this.starts.length > 0) return;
+    const placement = placeGang(job, pools, this.packingOptions);
     if (placement.kind === 'placed') {
       this.start(job, placement.machines);
       return;
     }
     this.unmet.set(job.id, placement.missing);
     if (placement.zone !== null) this.gatheringZones.set(job.id, placement.zone);
-    this.keep(placement.kept);
+    this.reserve(placement.reservedHosts);
   }
 
   private placeTasks({ segment, pools }: RankedSegment): void {
     const { job } = segment;
-    const rule = this.zoneRuleOf(job);
-    const count = Math.min(segment.count, Math.max(0, this.startsLeft()));
-    const machines = packTasks({ job, pools, rule, count }, this.fillOptions);
+    const zoneConstraint = this.zoneConstraintOf(job);
+    const count = Math.min(segment.count, Math.max(0, this.remainingStarts()));
+    const machines = packTasks({ job, pools, zoneConstraint, count }, this.packingOptions);
     this.start(job, machines);
-    let left = segment.count - machines.length;
-    if (left === 0) return;
-    this.unmet.set(job.id, (this.unmet.get(job.id) ?? 0) + left);
+    let remaining = segment.count - machines.length;
+    if (remaining === 0) return;
+    this.unmet.set(job.id, (this.unmet.get(job.id) ?? 0) + remaining);
     for (const pool of pools) {
-      const hosts = reserveMachines(pool.machines, { job, rule, count: left });
-      left -= hosts.length;
-      this.keep(hosts);
+      const hosts = reserveMachines(pool.machines, { job, zoneConstraint, count: remaining });
+      remaining -= hosts.length;
+      this.reserve(hosts);
     }
   }
 
-  private startsLeft(): number {
+  private remainingStarts(): number {
     return this.input.options.maxStarts - this.starts.length;
   }
 
@@ -124,17 +124,17 @@
     for (const { host } of machines) this.starts.push({ job: job.id, host });
   }
 
-  private keep(hosts: readonly string[]): void {
-    for (const host of hosts) this.kept.add(host);
+  private reserve(hosts: readonly string[]): void {
+    for (const host of hosts) this.reservedHosts.add(host);
   }
 
-  /** One rule for each job: its two segments share what is placed in each zone. */
-  private zoneRuleOf(job: PendingJob): ZoneConstraint {
-    let rule = this.zoneRules.get(job.id);
-    if (!rule) {
-      rule = new ZoneConstraint(job, this.input.machines);
-      this.zoneRules.set(job.id, rule);
+  /** One constraint for each job: its two segments count together what is placed in each zone. */
+  private zoneConstraintOf(job: PendingJob): ZoneConstraint {
+    let zoneConstraint = this.zoneConstraints.get(job.id);
+    if (!zoneConstraint) {
+      zoneConstraint = new ZoneConstraint(job, this.input.machines);
+      this.zoneConstraints.set(job.id, zoneConstraint);
     }
-    return rule;
+    return zoneConstraint;
   }
 }
--- a/packages/pricing/preemption.ts
+++ b/packages/pricing/preemption.ts
@@ -1,8 +1,8 @@
-/** Preemption: which running tasks to stop so that more urgent ones find room. */
+/** Preemption: which running tasks to stop so that more urgent ones find capacity. */
 import { fits, subtractResources } from './resources.js';
 import type { Resources, PendingJob } from './types.js';
 
-/** A running task as one that may have to make room. */
+/** A running task as one that may be preempted. */
 export interface Victim extends Resources {
   taskName: string;
   host: string;
@@ -14,7 +14,7 @@
   canCheckpoint: boolean;
 }
 
-/** Tasks of one job that found no room and may preempt others. */
+/** Tasks of one job that found no capacity and may preempt others. */
 export interface PreemptionRequest {
   job: PendingJob;
   /** Tasks, each of which takes a machine of its own. */
@@ -28,15 +28,15 @@
 /** A machine on which tasks may be stopped. */
 export interface PreemptibleMachine {
   readonly host: string;
-  /** Its free room, once all that is being stopped already has ended. */
+  /** Its free capacity, once all that is being stopped already has ended. */
   readonly left: Resources;
   /** Whether the job's constraints admit the machine. */
   readonly allowed: (job: PendingJob) => boolean;
 }
 
-/** What `planStops` decides on. */
+/** What {@link planPreemptions} decides on. */
 export interface PreemptionInput {
-  /** Tasks that found no room and have waited long enough to stop others for, most urgent first. */
+  /** Tasks that found no capacity and have waited long enough to preempt others, most urgent first. */
   requests: readonly PreemptionRequest[];
   machines: readonly PreemptibleMachine[];
   /** Tasks that may be stopped at all. */
@@ -49,15 +49,10 @@
  * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
  * for one within its own. Only work that can be saved gives way, and as little of it as will do.
  */
-export function planPreemptions({
-  requests,
-  machines,
-  victims,
-  maxPreemptions: most,
-}: PreemptionInput): Victim[] {
-  const plan = new PreemptionPlan(candidatesOf(machines, victims), most);
+export function planPreemptions({ requests, machines, victims, maxPreemptions }: PreemptionInput): Victim[] {
+  const plan = new PreemptionPlan(candidatesOf(machines, victims), maxPreemptions);
   for (const request of requests) plan.serve(request);
-  return plan.stops;
+  return plan.preempted;
 }
 
 /** A machine with the tasks on it that could be stopped, those of lowest rank first. */
@@ -87,9 +82,9 @@
   readonly victims: readonly Victim[];
 }
 
-/** The stops decided on so far. A machine makes room for one task only. */
+/** The preemptions decided on so far. A machine is freed for one task only. */
 class PreemptionPlan {
-  readonly stops: Victim[] = [];
+  readonly preempted: Victim[] = [];
   private readonly usedHosts = new Set<string>();
 
   constructor(
@@ -97,34 +92,34 @@
     private readonly maxPreemptions: number,
   ) {}
 
-  /** Adds stops for as many of the request's tasks as possible; for a gang for all of them or none. */
+  /** Adds victims for as many of the request's tasks as possible; for a gang for all of them or none. */
   serve(request: PreemptionRequest): void {
     const choices: Choice[] = [];
     while (choices.length < request.count) {
-      const choice = this.fewestStops(request);
-      if (!choice || this.stops.length + choice.victims.length > this.maxPreemptions) break;
+      const choice = this.fewestVictims(request);
+      if (!choice || this.preempted.length + choice.victims.length > this.maxPreemptions) break;
       this.add(choice);
       choices.push(choice);
     }
-    // Room for a part of a gang is of no use to it.
-    if (request.job.isGang && choices.length < request.count) this.takeBack(choices);
+    // Capacity for a part of a gang is of no use to it.
+    if (request.job.isGang && choices.length < request.count) this.revert(choices);
   }
 
   private add({ host, victims }: Choice): void {
     this.usedHosts.add(host);
-    this.stops.push(...victims);
+    this.preempted.push(...victims);
   }
 
-  /** Takes back what was added last. */
-  private takeBack(choices: readonly Choice[]): void {
+  /** Reverts what was added last. */
+  private revert(choices: readonly Choice[]): void {
     for (const { host, victims } of choices) {
       this.usedHosts.delete(host);
-      this.stops.length -= victims.length;
+      this.preempted.length -= victims.length;
     }
   }
 
   /** The first of the machines on which the fewest tasks have to be stopped for one of the request's. */
-  private fewestStops(request: PreemptionRequest): Choice | null {
+  private fewestVictims(request: PreemptionRequest): Choice | null {
     let best: Choice | null = null;
     for (const candidate of this.candidates) {
       if (this.usedHosts.has(candidate.host) || !candidate.allowed(request.job)) continue;
@@ -138,13 +133,13 @@
 
 /** What to stop on the machine for one task of the request; null if all that may be stopped is not enough. */
 function victimsOn(candidate: Candidate, { job, rank, guaranteed }: PreemptionRequest): Victim[] | null {
-  const room = { ...candidate.left };
+  const capacity = { ...candidate.left };
   const chosen: Victim[] = [];
   for (const victim of candidate.victims) {
-    if (fits(job.need, room)) break;
+    if (fits(job.need, capacity)) break;
     if (victim.rank >= rank && !(guaranteed && victim.isAboveGuarantee)) continue;
-    subtractResources(room, victim, -1);
+    subtractResources(capacity, victim, -1);
     chosen.push(victim);
   }
-  return fits(job.need, room) ? chosen : null;
+  return fits(job.need, capacity) ? chosen : null;
 }
--- a/packages/pricing/price-adjustment.ts
+++ b/packages/pricing/price-adjustment.ts
@@ -8,7 +8,7 @@
 export interface Market {
   readonly pools: readonly ShapePool[];
   /** The highest priority of any segment: price steps and surcharges are parts of it. */
-  readonly topPriority: number;
+  readonly highestPriority: number;
   readonly options: PricingOptions;
 }
 
@@ -19,29 +19,29 @@
   { price: 'mem', amount: 'memGb' },
 ] as const;
 
-/** Net utility of a task of the segment on the shape: its priority less what it asks for at the present prices. */
+/** Net utility of a task of the segment on the shape: its priority less its demand at the present prices. */
 export function utility(segment: Segment, pool: ShapePool, market: Market): number {
   const { need } = segment.job;
   const { price } = pool;
   const isGpuWasted = need.gpus === 0 && pool.total.gpus > 0;
-  const gpuShapeCost = isGpuWasted ? market.options.gpuShapeCost * market.topPriority : 0;
+  const gpuShapeCost = isGpuWasted ? market.options.gpuShapeCost * market.highestPriority : 0;
   const cost = price.cpu * need.cpus + price.gpu * need.gpus + price.mem * need.memGb;
   return segment.priority - cost - gpuShapeCost;
 }
 
 /**
  * One price pass: every task picks its best shape, and each price follows the gap on its shape. A step is so large
- * that a whole machine's worth of a resource moves by the same part of top priority, and it stays within that
- * while the first machines of a shape come up and a hundred times as much is asked as there is. Prices far above
- * all that anyone would pay come down only as room comes free, which on a full fleet takes minutes; until then
- * tasks would rank by the size of their demand alone, and urgent ones that need a whole machine come last.
+ * that a whole machine's worth of a resource moves by the same part of the highest priority, and it stays within that
+ * while the first machines of a shape come up and the demand is a hundred times the capacity. Prices far
+ * above all that any task would pay come down only as capacity becomes free, which on a full fleet takes minutes; until then
+ * tasks would rank by the size of their demand alone, and urgent ones that need a whole machine would come last.
  */
 export function movePrices(segments: readonly Segment[], market: Market): void {
   const demands = demandByPool(segments, market);
   for (const pool of market.pools) movePricesOf(pool, demands.get(pool) ?? noResources(), market);
 }
 
-/** What is asked of each shape if every task goes where its utility is highest, if that is above zero. */
+/** The demand on each shape if every task goes where its utility is highest, if that is above zero. */
 function demandByPool(segments: readonly Segment[], market: Market): Map<ShapePool, Resources> {
   const demands = new Map<ShapePool, Resources>(market.pools.map((pool) => [pool, noResources()]));
   for (const segment of segments) {
@@ -64,14 +64,14 @@
   return best;
 }
 
-function movePricesOf(pool: ShapePool, demand: Resources, { topPriority, options }: Market): void {
+function movePricesOf(pool: ShapePool, demand: Resources, { highestPriority, options }: Market): void {
   for (const { price, amount } of RESOURCES) {
     const total = pool.total[amount];
     if (total <= 0) {
       pool.price[price] = 0;
       continue;
     }
-    const step = (options.step * topPriority * pool.machines.length) / total;
+    const step = (options.step * highestPriority * pool.machines.length) / total;
     const gap = Math.min(1, (demand[amount] - pool.free[amount]) / total);
     pool.price[price] = Math.max(0, pool.price[price] + step * gap);
   }
--- a/packages/pricing/pricing-round.ts
+++ b/packages/pricing/pricing-round.ts
@@ -1,4 +1,4 @@
-/** One scheduling round of the design: prices every shape, then places what waits. */
+/** One pricing round: prices every shape, then places pending tasks. */
 import { placeSegments } from './placement.js';
 import { poolByShape } from './shape-pools.js';
 import { movePrices } from './price-adjustment.js';
@@ -6,15 +6,14 @@
 import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
 /**
- * Prices every shape, then places what waits: one round of the design. Pure but for the given randomness; the input
- * stays as it is.
+ * Runs one round of the design. Pure but for the given randomness; the input stays as it is.
  */
 export function runPricingRound(input: PricingRoundInput): PricingRoundResult {
   const { options } = input;
   const pools = poolByShape(input.machines, input.prices);
   const segments = segmentsWithinLimits(input, pools);
-  const topPriority = Math.max(1, ...segments.map((segment) => segment.priority));
-  const market = { pools, topPriority, options };
+  const highestPriority = Math.max(1, ...segments.map((segment) => segment.priority));
+  const market = { pools, highestPriority, options };
   for (let pass = 0; pass < options.passes; pass++) movePrices(segments, market);
   return placeSegments(input, segments, market);
 }
--- a/packages/pricing/resources.ts
+++ b/packages/pricing/resources.ts
@@ -1,32 +1,32 @@
-/** Sums of what tasks need and machines have. */
+/** Arithmetic on the resources that tasks demand and machines have. */
 import type { Resources } from './types.js';
 
 /** Tolerance for sums of decimal amounts. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** Whether one task of this need fits into the room. */
-export function fits(need: Resources, room: Resources): boolean {
+/** Whether one task of this demand fits into the capacity. */
+export function fits(demand: Resources, capacity: Resources): boolean {
   return (
-    need.cpus <= room.cpus + RESOURCE_TOLERANCE &&
-    need.gpus <= room.gpus + RESOURCE_TOLERANCE &&
-    need.memGb <= room.memGb + RESOURCE_TOLERANCE
+    demand.cpus <= capacity.cpus + RESOURCE_TOLERANCE &&
+    demand.gpus <= capacity.gpus + RESOURCE_TOLERANCE &&
+    demand.memGb <= capacity.memGb + RESOURCE_TOLERANCE
   );
 }
 
-/** How many tasks of this need fit into the room; infinitely many of one that needs nothing. */
-export function countFitting(need: Resources, room: Resources): number {
+/** How many tasks of this demand fit into the capacity; `Infinity` if the demand is zero. */
+export function countFitting(demand: Resources, capacity: Resources): number {
   let count = Infinity;
-  if (need.cpus > 0) count = Math.min(count, (room.cpus + RESOURCE_TOLERANCE) / need.cpus);
-  if (need.gpus > 0) count = Math.min(count, (room.gpus + RESOURCE_TOLERANCE) / need.gpus);
-  if (need.memGb > 0) count = Math.min(count, (room.memGb + RESOURCE_TOLERANCE) / need.memGb);
+  if (demand.cpus > 0) count = Math.min(count, (capacity.cpus + RESOURCE_TOLERANCE) / demand.cpus);
+  if (demand.gpus > 0) count = Math.min(count, (capacity.gpus + RESOURCE_TOLERANCE) / demand.gpus);
+  if (demand.memGb > 0) count = Math.min(count, (capacity.memGb + RESOURCE_TOLERANCE) / demand.memGb);
   return Math.max(0, Math.floor(count));
 }
 
-/** Subtracts the need of so many tasks from the room, in place; a negative number gives it back. */
-export function subtractResources(room: Resources, need: Resources, times: number): void {
-  room.cpus -= need.cpus * times;
-  room.gpus -= need.gpus * times;
-  room.memGb -= need.memGb * times;
+/** Subtracts the demand of so many tasks from the capacity, in place; a negative number gives it back. */
+export function subtractResources(capacity: Resources, demand: Resources, times: number): void {
+  capacity.cpus -= demand.cpus * times;
+  capacity.gpus -= demand.gpus * times;
+  capacity.memGb -= demand.memGb * times;
 }
 
 /** A new empty amount, to be added to. */
--- a/packages/pricing/segments.ts
+++ b/packages/pricing/segments.ts
@@ -1,4 +1,4 @@
-/** Splits the waiting tasks into segments that rank alike, within the limits of their teams. */
+/** Splits pending tasks into segments that rank alike, within the limits of their teams. */
 import { countFitting, subtractResources } from './resources.js';
 import { isFeasible, type ShapePool } from './shape-pools.js';
 import type { Resources, PricingRoundInput, TeamUsage, PendingJob } from './types.js';
@@ -12,7 +12,7 @@
   readonly count: number;
 }
 
-/** What the segments of all teams are made by. */
+/** What the segments of all teams are built with. */
 interface Ranking {
   readonly pools: readonly ShapePool[];
   readonly rank: (job: PendingJob) => number;
@@ -21,14 +21,14 @@
 }
 
 /**
- * Splits what waits into segments and leaves out what lies beyond its team's limit. A team's jobs come in
+ * Splits pending tasks into segments and leaves out what lies beyond its team's limit. A team's jobs come in
  * the order of their priority, equal ones in the order in which they were accepted.
  */
 export function segmentsWithinLimits(input: PricingRoundInput, pools: readonly ShapePool[]): Segment[] {
   const { gpuTaskWeight, guaranteeWeight } = input.options;
   const rank = (job: PendingJob): number => job.priority * (job.need.gpus > 0 ? 1 + gpuTaskWeight : 1);
-  const topRank = Math.max(1, ...input.jobs.map(rank));
-  const ranking = { pools, rank, guaranteeBonus: guaranteeWeight * topRank };
+  const highestRank = Math.max(1, ...input.jobs.map(rank));
+  const ranking = { pools, rank, guaranteeBonus: guaranteeWeight * highestRank };
   return input.teams.flatMap((team) => {
     const jobs = input.jobs.filter((job) => job.team === team.name);
     return segmentsOfTeam(team, jobs, ranking);
@@ -37,18 +37,18 @@
 
 function segmentsOfTeam(team: TeamUsage, jobs: PendingJob[], ranking: Ranking): Segment[] {
   const { pools, rank, guaranteeBonus } = ranking;
-  const limitLeft = remaining(team.limit, team.used);
-  const guaranteeLeft = remaining(team.guaranteed, team.used);
+  const remainingLimit = remaining(team.limit, team.used);
+  const remainingGuarantee = remaining(team.guaranteed, team.used);
   const segments: Segment[] = [];
   const queue = jobs.sort((a, b) => rank(b) - rank(a) || a.acceptanceOrder - b.acceptanceOrder);
   for (const job of queue) {
-    const fitting = Math.min(job.pendingTasks, countFitting(job.need, limitLeft));
-    const count = countable(job, fitting);
-    const guaranteed = countable(job, Math.min(count, countFitting(job.need, guaranteeLeft)));
-    if (holdsClaim(job, pools)) {
-      // A gang that the limit has no room for yet holds back what ranks lower: one by one it would never get any.
-      subtractResources(limitLeft, job.need, job.isGang ? job.pendingTasks : count);
-      subtractResources(guaranteeLeft, job.need, count);
+    const fitting = Math.min(job.pendingTasks, countFitting(job.need, remainingLimit));
+    const count = usableCount(job, fitting);
+    const guaranteed = usableCount(job, Math.min(count, countFitting(job.need, remainingGuarantee)));
+    if (countsAgainstLimit(job, pools)) {
+      // A gang beyond what remains of the limit holds back what ranks lower: task by task, that would never leave it enough.
+      subtractResources(remainingLimit, job.need, job.isGang ? job.pendingTasks : count);
+      subtractResources(remainingGuarantee, job.need, count);
     }
     if (guaranteed > 0) segments.push({ job, priority: rank(job) + guaranteeBonus, count: guaranteed });
     if (count > guaranteed) segments.push({ job, priority: rank(job), count: count - guaranteed });
@@ -61,15 +61,15 @@
 }
 
 /** How many of so many fitting tasks are of use: of a gang all or none. */
-function countable(job: PendingJob, fitting: number): number {
+function usableCount(job: PendingJob, fitting: number): number {
   return job.isGang && fitting < job.pendingTasks ? 0 : fitting;
 }
 
 /**
- * Whether the job's tasks count against its team's limit. One that no machine up at present is feasible for keeps its
- * claim only for as long as a machine takes to come up: what it holds back for longer would stand idle
+ * Whether the job's tasks count against its team's limit. One that no machine up at present is feasible for is
+ * counted only for as long as a machine takes to boot: what it holds back for longer would stay idle
  * (docs/incidents/upgrade-132.md).
  */
-function holdsClaim(job: PendingJob, pools: readonly ShapePool[]): boolean {
+function countsAgainstLimit(job: PendingJob, pools: readonly ShapePool[]): boolean {
   return job.isOverdue !== true || pools.some((pool) => isFeasible(job, pool));
 }
--- a/packages/pricing/shape-pools.ts
+++ b/packages/pricing/shape-pools.ts
@@ -12,9 +12,9 @@
   readonly shape: string;
   readonly machineType: string;
   readonly spot: boolean;
-  /** Copies of the round's own: their room shrinks as tasks are placed. */
+  /** Copies of the round's own: their free capacity shrinks as tasks are placed. */
   readonly machines: CandidateMachine[];
-  /** Sum of the room of all machines when the round began. */
+  /** Sum of the free capacity of all machines when the round began. */
   readonly free: Resources;
   readonly total: Resources;
   /** Moves with each price pass. */
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -1,7 +1,7 @@
 /** What a scheduling round decides on, and what it decides. */
 import type { Micros } from '#wire';
 
-/** What a task needs or a machine has. CPUs may be fractions. */
+/** Resources that a task demands or a machine has. CPUs may be fractions. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -16,7 +16,7 @@
   mem: number;
 }
 
-/** What of a job waits for machines. */
+/** The pending tasks of a job. */
 export interface PendingJob {
   id: string;
   team: string;
@@ -25,13 +25,13 @@
   priority: number;
   /** Order of acceptance, for ties. */
   acceptanceOrder: number;
-  /** Tasks that wait for a machine. */
+  /** Tasks without a machine. */
   pendingTasks: number;
   /** Tasks of the whole job. */
   taskCount: number;
-  /** All that waits is placed in one round, or nothing is. */
+  /** All pending tasks are placed in one round, or none is. */
   isGang: boolean;
-  /** It has waited for longer than a machine takes to come up. */
+  /** It has waited for longer than a machine takes to boot. */
   isOverdue?: boolean;
   /** Types that it is limited to; null: any. */
   machineTypes: readonly string[] | null;
@@ -55,13 +55,13 @@
   zone: string;
   spot: boolean;
   total: Resources;
-  /** Room as last reported, less starts sent since. */
+  /** Free capacity by the last heartbeat, less starts sent since. */
   free: Resources;
-  /** Images that it has. */
+  /** Names of the images that it has. */
   cachedImages: readonly string[];
   /** Time until all that is on it should have ended. */
   busyFor: () => Micros;
-  /** Time until its worker is likely to report next, and so to be told of a start. */
+  /** Time until its worker's next heartbeat, whose response can carry a start. */
   nextHeartbeatIn: Micros;
   /** What the machine costs per hour and CPU; decides only between shapes of equal utility. */
   hourlyCostPerCpu: number;
@@ -81,17 +81,17 @@
 export interface PricingOptions {
   /** Price passes of a round. */
   passes: number;
-  /** Step for a whole machine's worth of a resource at full gap, as a part of top priority. */
+  /** Step for a whole machine's worth of a resource at full gap, as a part of the highest priority. */
   step: number;
-  /** Extra cost of a GPU shape to a task that needs no GPU, as a part of top priority. */
+  /** Extra cost of a GPU shape to a task that needs no GPU, as a part of the highest priority. */
   gpuShapeCost: number;
   /** Raise of the rank of a task that needs GPUs, as a part of its priority. */
   gpuTaskWeight: number;
-  /** Raise for what lies within a team's guarantee, as a part of top priority. */
+  /** Raise for what lies within a team's guarantee, as a part of the highest priority. */
   guaranteeWeight: number;
   /** Tasks started in one round, at most; a gang that is larger has a round to itself. */
   maxStarts: number;
-  /** Random roomy machines that are looked at for each task; the fullest of them gets it. */
+  /** Random candidate machines that are looked at for each task; the fullest of them gets it. */
   choices: number;
 }
 
@@ -113,12 +113,12 @@
   starts: { job: string; host: string }[];
   /** By shape. */
   prices: Map<string, Price>;
-  /** By job: tasks within their team's limit that found no roomy machine. */
+  /** By job: tasks within their team's limit that found no machine with enough free capacity. */
   unmet: Map<string, number>;
-  /** By gang that found no room and has to lie in one zone: the zone that serves it best. */
+  /** By gang that found no capacity and has to lie in one zone: the zone that serves it best. */
   gatheringZones: Map<string, string>;
-  /** By host: room left on each machine. */
+  /** By host: capacity left free on each machine. */
   free: Map<string, Resources>;
-  /** Hosts of machines that are kept for tasks which need more room than they have yet. */
+  /** Hosts of machines reserved for tasks that need more capacity than is free on them yet. */
   reservedHosts: ReadonlySet<string>;
 }
--- a/packages/pricing/zone-constraint.ts
+++ b/packages/pricing/zone-constraint.ts
@@ -5,16 +5,18 @@
 /** Which zones a job's next task may go to, given where its other tasks are at this moment. */
 export class ZoneConstraint {
   private readonly counts: Map<string, number>;
-  private readonly half: number;
-  private readonly only: string | null;
+  /** Tasks of a spread job that one zone may hold. */
+  private readonly maxPerZone: number;
+  /** The zone of a job that is bound to one zone and has no task yet. */
+  private readonly firstZone: string | null;
 
   constructor(
     private readonly job: PendingJob,
     machines: readonly CandidateMachine[],
   ) {
     this.counts = new Map(job.placedByZone);
-    this.half = Math.ceil(job.taskCount / 2);
-    this.only = job.singleZone && this.counts.size === 0 ? roomiest(job, machines) : null;
+    this.maxPerZone = Math.ceil(job.taskCount / 2);
+    this.firstZone = job.singleZone && this.counts.size === 0 ? zoneWithMostCapacity(job, machines) : null;
   }
 
   /** Whether the next task may go to the zone. */
@@ -22,9 +24,9 @@
     const { job, counts } = this;
     if (job.zone !== null && zone !== job.zone) return false;
     if (job.singleZone) {
-      if (this.only !== null ? zone !== this.only : !counts.has(zone)) return false;
+      if (this.firstZone !== null ? zone !== this.firstZone : !counts.has(zone)) return false;
     }
-    return !job.spreadZones || (counts.get(zone) ?? 0) < this.half;
+    return !job.spreadZones || (counts.get(zone) ?? 0) < this.maxPerZone;
   }
 
   /** A task was placed in the zone. */
@@ -33,17 +35,20 @@
   }
 }
 
-/** The zone with room for most of the job's tasks; a job tied to one zone starts there. */
-function roomiest(job: PendingJob, machines: readonly CandidateMachine[]): string | null {
-  const room = new Map<string, number>();
+/** The zone with free capacity for most of the job's tasks; a job bound to one zone starts there. */
+function zoneWithMostCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string | null {
+  const taskCapacity = new Map<string, number>();
   for (const machine of machines) {
     if (!admits(job, machine)) continue;
-    room.set(machine.zone, (room.get(machine.zone) ?? 0) + countFitting(job.need, machine.free));
+    taskCapacity.set(
+      machine.zone,
+      (taskCapacity.get(machine.zone) ?? 0) + countFitting(job.need, machine.free),
+    );
   }
-  return [...room].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
+  return [...taskCapacity].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
 }
 
-/** Whether the job's constraints admit the machine, whatever room it has. */
+/** Whether the job's constraints admit the machine, whatever capacity is free on it. */
 function admits(job: PendingJob, machine: CandidateMachine): boolean {
   if (machine.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(machine.machineType)) return false;
