--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -126,9 +126,9 @@
 
 // A gang starts with its last task: told one by one, its machines would keep each other waiting.
 test('of the machines of the best shape a gang goes to those whose workers report next', () => {
-  const machines = [900, 0, 800, 100, 700, 950].map((toldIn, i) => ({
+  const machines = [900, 0, 800, 100, 700, 950].map((milliseconds, i) => ({
     ...machine(`n-${i}`, 'east', 4),
-    nextHeartbeatIn: toldIn * 1000,
+    nextHeartbeatIn: milliseconds * 1000,
   }));
   for (let seed = 1; seed < 20; seed++) {
     const hosts = startsOf(play([gang('j-1', 4)], machines, { seed }), 'j-1');
