--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -197,7 +197,7 @@
       return;
     }
     this.rememberingPeers.add(member);
-    const seen = { token: fencingToken, revision: memory.revision };
+    const seen = { fencingToken, revision: memory.revision };
     if (!memory.isInconsistent) {
       this.observations.note(source, seen, now);
       return;
