--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -30,7 +30,7 @@
     evidence: [
       {
         source: 'own requests',
-        contradiction: { kind: 'epoch_went_back', known: 431, shown: 9 },
+        inconsistency: { kind: 'revision_regressed', known: 431, shown: 9 },
         text: 'own requests: epoch 9 is shown, 431 was seen',
       },
     ],
@@ -189,8 +189,15 @@
     assert.match(errors[0] ?? '', /lost state, as node-2 found/);
     const json = await run('recover', 'status', '--json', '--node', address);
     const seen = { epoch: 431, token: 7, positions: { lead: 3 } };
+    const evidence = [
+      {
+        source: 'own requests',
+        contradiction: { kind: 'epoch_went_back', known: 431, shown: 9 },
+        text: 'own requests: epoch 9 is shown, 431 was seen',
+      },
+    ];
     assert.deepEqual((JSON.parse(json.out.join('\n')) as { nodes: object[] }).nodes, [
-      { node: address, member: LOSS.member, loss: { ...LOSS.loss, seen } },
+      { node: address, member: LOSS.member, loss: { ...LOSS.loss, evidence, seen } },
     ]);
   });
 });
--- a/packages/cli/output-format.test.ts
+++ b/packages/cli/output-format.test.ts
@@ -128,12 +128,12 @@
     evidence: [
       {
         source: 'own requests',
-        contradiction: { kind: 'epoch_went_back', known: 431, shown: 9 },
+        inconsistency: { kind: 'revision_regressed', known: 431, shown: 9 },
         text: 'own requests: epoch 9 is shown, 431 was seen',
       },
       {
         source: 'worker n-000001',
-        contradiction: { kind: 'log_went_back', log: '0', known: 12, shown: 0 },
+        inconsistency: { kind: 'log_regressed', log: '0', known: 12, shown: 0 },
         text: 'worker n-000001: log 0 ends at 0, record 12 was seen',
       },
     ],
@@ -155,7 +155,7 @@
     evidence: [
       {
         source: 'own watch',
-        contradiction: { kind: 'key_missing', key: 'mw/now/token' },
+        inconsistency: { kind: 'key_missing', key: 'mw/now/token' },
         text: 'own watch: mw/now/token is gone, and no node removes it',
       },
     ],
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -157,28 +157,28 @@
 function encodeEvidence(evidence: Evidence): EvidenceAnswer {
   return {
     source: evidence.source,
-    contradiction: encodeContradiction(evidence.contradiction),
+    contradiction: encodeInconsistency(evidence.inconsistency),
     text: evidence.text,
   };
 }
 
-function encodeContradiction(found: Inconsistency): ContradictionAnswer {
+function encodeInconsistency(found: Inconsistency): ContradictionAnswer {
   switch (found.kind) {
-    case 'epoch_went_back':
+    case 'revision_regressed':
       return { kind: 'epoch_went_back', known: found.known, shown: found.shown };
-    case 'epoch_reused':
-      return { kind: 'epoch_reused', epoch: found.epoch };
-    case 'token_went_back':
+    case 'revision_reused':
+      return { kind: 'epoch_reused', epoch: found.revision };
+    case 'fencing_token_regressed':
       return { kind: 'token_went_back', known: found.known, shown: found.shown };
-    case 'log_went_back':
+    case 'log_regressed':
       return { kind: 'log_went_back', log: found.log, known: found.known, shown: found.shown };
     case 'key_missing':
       return { kind: 'key_missing', key: found.key };
-    case 'key_went_back':
+    case 'key_regressed':
       return { kind: 'key_went_back', key: found.key };
     case 'history_forked':
       return { kind: 'history_forked', key: found.key };
-    case 'peer_objects':
+    case 'peer_disagrees':
       return { kind: 'peer_objects', known: found.known };
     case 'state_incomplete':
       return { kind: 'state_incomplete', reason: found.reason };
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -1,281 +1,253 @@
 /**
- * Watches for lost state: what the state service shows is compared with what this node, its workers and its peers have
- * seen before. From the first contradiction on the node treats the state service as one that refuses it, so that all
- * bounds of an outage hold; it goes on as soon as a reading bears out all that was ever seen.
+ * Detects that the state service has lost data: what it shows is compared with what this node, its workers and its peers
+ * have observed before. From the first inconsistency on the node behaves as if the state service refused its requests, so
+ * that the guarantees for an outage hold; it goes on once a complete reading reaches everything that was ever observed.
  */
 import type {
+  HighWaterMarks,
   Logger,
   PeerHighWaterMark,
   PeerStatus,
   StateIntegrityCheck,
   StateReading,
-  HighWaterMarks,
 } from '#cluster';
 import type { RevisionCheck } from '#store';
-import { type Clock, type Micros, SECOND, type Heartbeat } from '#wire';
-import { type Observation, Observations, marksOfHeartbeat } from './observations.js';
-import { type Inconsistency, describeInconsistency, findInconsistencies } from './inconsistencies.js';
-import type { Evidence, DataLossReport, DataLossState } from './data-loss-report.js';
-
-/** Readings in a row that lack parts: fewer may be due to changes while they were made. */
-const INCOMPLETE_READINGS = 3;
-/** Beyond the time between two reports, for those that look for another node first. */
-const LISTEN_MARGIN: Micros = SECOND;
-/** Begin the sources of what this node has seen itself, and of what peers tell. */
+import { type Clock, type Heartbeat, type Micros, SECOND } from '#wire';
+import { DataLossAlarm } from './data-loss-alarm.js';
+import { type DataLossReport, type Evidence, toEvidence } from './data-loss-report.js';
+import { findInconsistencies, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
+import { MissingKeys } from './missing-keys.js';
+import { marksOfHeartbeat, type Observation, Observations } from './observations.js';
+
+/** Incomplete readings in a row that count as data loss: fewer may be due to changes made during a reading. */
+const INCOMPLETE_READINGS_LIMIT = 3;
+/** Added to the heartbeat interval for workers that try another node first. */
+const STARTUP_MARGIN: Micros = SECOND;
+/** First words of the sources of evidence: this node, and a peer. */
 const OWN = 'own';
 const PEER = 'peer';
-/** Below every epoch: a node that remembers nothing believes any objection. */
-const NOTHING_KNOWN = -1;
-/** Contradictions that are kept and shown. */
-const EVIDENCE_KEPT = 20;
+/** Below every revision: a node that has accepted no reading yet believes every peer that disagrees. */
+const NO_REVISION = -1;
+const TENTH_OF_SECOND: Micros = SECOND / 10;
 
+/** What a {@link DataLossDetector} needs to know of its node and cluster. */
 export interface DataLossDetectorOptions {
-  clock: Clock;
-  log: Logger;
-  /** How long a claim holds that its source doesn't repeat. */
-  observationLifetime: Micros;
-  /** The other nodes of the cluster, and how often each worker reports. */
-  peerCount: number;
-  heartbeatInterval: Micros;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** How long an observation counts that its source doesn't repeat. */
+  readonly observationLifetime: Micros;
+  /** Number of the other nodes of the cluster. */
+  readonly peerCount: number;
+  /** Time between two heartbeats of a worker. */
+  readonly heartbeatInterval: Micros;
 }
 
+/** Checks each answer of the state service and each reading of the live state against all earlier observations. */
 export class DataLossDetector implements RevisionCheck, StateIntegrityCheck {
-  private state: DataLossState = 'serving';
-  private since: Micros;
-  /** The highest epoch that any answer has shown. */
-  private highest = 0;
-  /** A reading has been believed since this node started. */
-  private remembers = false;
-  private evidence: Evidence[] = [];
-  private readonly missing = new Set<string>();
-  /** Keys that were absent in this alarm and have been found, or found to have ended. */
-  private readonly explained = new Set<string>();
-  private incompleteReadings = 0;
-  private falseAlarms = 0;
+  private readonly alarm: DataLossAlarm;
+  private readonly missing = new MissingKeys();
   private readonly observations: Observations;
-  private readonly rememberingPeers = new Set<string>();
+  /** The highest revision that any answer has shown. */
+  private highestRevision = 0;
+  private hasAcceptedReading = false;
+  private incompleteReadings = 0;
+  /** Peers that have published a high-water mark since this node started. */
+  private readonly peersWithMarks = new Set<string>();
   private readonly startedAt: Micros;
-  private readonly closeListeners: (() => void)[] = [];
 
-  constructor(private readonly parts: DataLossDetectorOptions) {
-    this.startedAt = parts.clock.now();
-    this.since = this.startedAt;
-    this.observations = new Observations(parts.observationLifetime);
+  constructor(private readonly options: DataLossDetectorOptions) {
+    this.startedAt = options.clock.now();
+    this.alarm = new DataLossAlarm(options.clock, options.log);
+    this.observations = new Observations(options.observationLifetime);
   }
 
   isOpen(): boolean {
-    return this.state === 'serving';
+    return !this.alarm.isRaised();
   }
 
   /**
-   * A node that has just started remembers nothing. Before it believes the state, it hears every peer or, where some have
-   * just started themselves, gives the workers the time to report.
+   * A node that has just started has observed nothing. Before it accepts a reading it waits for the marks of every peer
+   * or, where peers have just started themselves, for long enough that all workers have sent a heartbeat.
    */
   isReady(): boolean {
-    const { clock, peerCount, heartbeatInterval: reportInterval } = this.parts;
-    if (peerCount > 0 && this.rememberingPeers.size === peerCount) return true;
-    return clock.now() - this.startedAt > reportInterval + LISTEN_MARGIN;
+    const { clock, peerCount, heartbeatInterval } = this.options;
+    if (peerCount > 0 && this.peersWithMarks.size === peerCount) return true;
+    return clock.now() - this.startedAt > heartbeatInterval + STARTUP_MARGIN;
   }
 
   onClose(listener: () => void): void {
-    this.closeListeners.push(listener);
+    this.alarm.onRaise(listener);
   }
 
   minimumRevision(): number {
-    return this.highest;
+    return this.highestRevision;
   }
 
-  accepts(floor: number, epoch: number): boolean {
-    return this.checkRevision(epoch, findInconsistencies({ revision: floor }, { revision: epoch }));
+  accepts(minimum: number, revision: number): boolean {
+    return this.checkRevision(revision, findInconsistencies({ revision: minimum }, { revision }));
   }
 
-  acceptsCommitted(floor: number, epoch: number): boolean {
+  acceptsCommitted(minimum: number, revision: number): boolean {
     return this.checkRevision(
-      epoch,
-      epoch === floor
-        ? [{ kind: 'epoch_reused', epoch }]
-        : findInconsistencies({ revision: floor }, { revision: epoch }),
+      revision,
+      revision === minimum
+        ? [{ kind: 'revision_reused', revision }]
+        : findInconsistencies({ revision: minimum }, { revision }),
     );
   }
 
-  /** Takes in an epoch that an answer shows. One that arrives after an alarm, as from an old watch, may be of any history. */
-  private checkRevision(epoch: number, found: readonly Inconsistency[]): boolean {
+  /** An answer that arrives after the alarm was raised, as from an old watch, may belong to any history. */
+  private checkRevision(revision: number, inconsistencies: readonly Inconsistency[]): boolean {
     if (!this.isOpen()) return false;
-    if (found.length > 0) this.raiseAlarm(evidenceOf(`${OWN} requests`, found));
-    else this.highest = Math.max(this.highest, epoch);
-    return found.length === 0;
+    if (inconsistencies.length > 0) this.alarm.raise(toEvidence(`${OWN} requests`, inconsistencies));
+    else this.highestRevision = Math.max(this.highestRevision, revision);
+    return inconsistencies.length === 0;
   }
 
   judgeReading(reading: StateReading): boolean {
-    const { sentAt, shown, known } = reading;
-    // One that was begun before the alarm can neither end nor confirm it.
-    if (this.state !== 'serving' && sentAt <= this.since) return false;
+    const { sentAt, shown } = reading;
+    // A reading that was begun before the alarm can neither end nor confirm it.
+    if (this.alarm.isRaised() && sentAt <= this.alarm.since) return false;
     this.incompleteReadings = 0;
-    const found = [
-      ...evidenceOf(`${OWN} copy`, [...findInconsistencies(known ?? {}, shown), ...this.compared(reading)]),
-      ...this.inconsistentObservations(sentAt, shown),
+    const evidence = [
+      ...toEvidence(`${OWN} copy`, this.compareWithCopy(reading)),
+      ...this.compareWithObservations(sentAt, shown),
     ];
-    if (found.length === 0) this.accept(shown);
-    else this.escalate(found);
-    return found.length === 0;
+    if (evidence.length === 0) this.acceptReading(shown);
+    else this.alarm.escalate(evidence);
+    return evidence.length === 0;
   }
 
   /**
-   * What the rows of a reading contradict. Keys that are absent count only after an alarm, until they or what follows
-   * them are found: without one, a copy that was cut off for long may lack any number of jobs that have ended meanwhile.
+   * Keys that are absent count only after an alarm, until they or the keys that replace them are found: without an alarm,
+   * a copy that was disconnected for long may hold any number of jobs that have ended meanwhile.
    */
-  private compared({ differences }: StateReading): Inconsistency[] {
-    if (this.state !== 'serving') {
-      for (const key of differences.absent) if (!this.explained.has(key)) this.missing.add(key);
-    }
+  private compareWithCopy({ shown, known, differences }: StateReading): Inconsistency[] {
+    if (this.alarm.isRaised()) this.missing.addAbsent(differences.absent);
     return [
-      ...[...this.missing].map((key): Inconsistency => ({ kind: 'key_missing', key })),
-      ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_went_back', key })),
+      ...findInconsistencies(known ?? {}, shown),
+      ...missingKeyInconsistencies(this.missing.list()),
+      ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_regressed', key })),
       ...differences.forked.map((key): Inconsistency => ({ kind: 'history_forked', key })),
     ];
   }
 
+  private acceptReading({ revision }: HighWaterMarks): void {
+    this.hasAcceptedReading = true;
+    this.highestRevision = Math.max(this.highestRevision, revision);
+    if (!this.alarm.isRaised()) return;
+    this.missing.forgetExplained();
+    this.alarm.clear();
+  }
+
   confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean {
-    if (this.state !== 'serving') return false;
-    const found = this.inconsistentObservations(sentAt, copy);
-    if (found.length > 0) this.raiseAlarm(found);
-    return found.length === 0;
+    if (this.alarm.isRaised()) return false;
+    const evidence = this.compareWithObservations(sentAt, copy);
+    if (evidence.length > 0) this.alarm.raise(evidence);
+    return evidence.length === 0;
   }
 
   reportLostKeys(lostKeys: readonly string[]): boolean {
-    for (const key of lostKeys) this.missing.add(key);
-    const lost = lostKeys.map((key): Inconsistency => ({ kind: 'key_missing', key }));
-    this.raiseAlarm(evidenceOf(`${OWN} watch`, lost));
+    this.missing.addRemoved(lostKeys);
+    this.alarm.raise(toEvidence(`${OWN} watch`, missingKeyInconsistencies(lostKeys)));
     return true;
   }
 
   missingKeys(): readonly string[] {
-    return [...this.missing];
+    return this.missing.list();
   }
 
   reportFoundKey(key: string): void {
-    this.missing.delete(key);
-    this.explained.add(key);
+    this.missing.markFound(key);
   }
 
   reportIncompleteRead(reason: string): void {
     this.incompleteReadings++;
-    if (this.incompleteReadings < INCOMPLETE_READINGS) return;
+    if (this.incompleteReadings < INCOMPLETE_READINGS_LIMIT) return;
     this.incompleteReadings = 0;
-    this.escalate(evidenceOf(`${OWN} reading`, [{ kind: 'state_incomplete', reason }]));
+    this.alarm.escalate(toEvidence(`${OWN} reading`, [{ kind: 'state_incomplete', reason }]));
   }
 
   /**
-   * For peers; null while this node remembers nothing that could tell of a loss. What it has from a peer only is not told
-   * on: two peers would keep each other in alarm.
+   * For peers; null while this node has observed nothing that could prove a loss. What it knows from peers only is not
+   * passed on: two peers would keep each other's alarm up.
    */
   publishedHighWaterMark(): PeerHighWaterMark | null {
-    const isContradicted = this.evidence.some(({ source }) => !source.startsWith(PEER));
-    return this.remembers || isContradicted
-      ? { revision: this.highest, isInconsistent: isContradicted }
+    const isInconsistent = this.alarm.evidence.some(({ source }) => !source.startsWith(PEER));
+    return this.hasAcceptedReading || isInconsistent
+      ? { revision: this.highestRevision, isInconsistent }
       : null;
   }
 
-  /** The token that peers are told: in an alarm also one that only workers have seen. */
+  /** The fencing token for peers: while the alarm is raised it may be one that only workers and peers have observed. */
   publishedFencingToken(fencingToken: number): number {
     return this.isOpen()
       ? fencingToken
       : Math.max(fencingToken, this.observations.combined().fencingToken ?? 0);
   }
 
-  /** Takes in what a worker's report shows of the state that it was started under. */
+  /** Records what a worker's heartbeat shows of the state under which its tasks were started. */
   observeHeartbeat(heartbeat: Heartbeat): void {
-    this.observations.note(`worker ${heartbeat.host}`, marksOfHeartbeat(heartbeat), this.parts.clock.now());
+    const source = `worker ${heartbeat.host}`;
+    this.observations.record(source, marksOfHeartbeat(heartbeat), this.options.clock.now());
   }
 
-  /** Takes in what a peer tells of the state that it has seen. */
-  observePeer(member: string, { fencingToken, highWaterMark: memory }: PeerStatus): void {
+  /** Records what a peer has observed of the state; raises the alarm if the peer finds the state inconsistent with it. */
+  observePeer(member: string, { fencingToken, highWaterMark }: PeerStatus): void {
     const source = `${PEER} ${member}`;
-    const now = this.parts.clock.now();
-    if (memory === null) {
-      this.observations.note(source, { fencingToken }, now);
+    const at = this.options.clock.now();
+    if (highWaterMark === null) {
+      this.observations.record(source, { fencingToken }, at);
       return;
     }
-    this.rememberingPeers.add(member);
-    const seen = { fencingToken, revision: memory.revision };
-    if (!memory.isInconsistent) {
-      this.observations.note(source, seen, now);
+    this.peersWithMarks.add(member);
+    const marks: PartialHighWaterMarks = { fencingToken, revision: highWaterMark.revision };
+    if (!highWaterMark.isInconsistent) {
+      this.observations.record(source, marks, at);
       return;
     }
-    const known = this.remembers ? this.highest : NOTHING_KNOWN;
-    const objections = this.objectionsOf(this.observations.noteObjection(source, seen, now, known));
-    if (objections.length > 0) this.raiseAlarm(evidenceOf(source, objections));
+    const knownRevision = this.hasAcceptedReading ? this.highestRevision : NO_REVISION;
+    const observation = this.observations.recordDisagreement({ source, marks, at, knownRevision });
+    const inconsistencies = this.validDisagreement(observation);
+    if (inconsistencies.length > 0) this.alarm.raise(toEvidence(source, inconsistencies));
   }
 
-  /** The worker runs tasks that no record of this copy has started: it is told nothing that could end them. */
+  /** The worker runs tasks that no record of this copy has started: it gets no answer that could end them. */
   isWorkerAheadOf(copy: HighWaterMarks, heartbeat: Heartbeat): boolean {
-    return findInconsistencies({ positions: marksOfHeartbeat(heartbeat).positions ?? {} }, copy).length > 0;
+    const positions = marksOfHeartbeat(heartbeat).positions ?? {};
+    return findInconsistencies({ positions }, copy).length > 0;
   }
 
+  /** The present state and the evidence for it, for operators. */
   report(): DataLossReport {
+    const { state, since, evidence, falseAlarms } = this.alarm;
     return {
-      state: this.state,
-      sinceS: Math.round((this.parts.clock.now() - this.since) / 1e5) / 10,
-      evidence: this.evidence,
-      falseAlarms: this.falseAlarms,
-      seen: { ...this.observations.combined(), revision: this.highest },
+      state,
+      sinceS: Math.round((this.options.clock.now() - since) / TENTH_OF_SECOND) / 10,
+      evidence,
+      falseAlarms,
+      seen: { ...this.observations.combined(), revision: this.highestRevision },
     };
   }
 
-  private inconsistentObservations(sentAt: Micros, shown: HighWaterMarks): Evidence[] {
-    const claims = this.observations.madeBefore(sentAt, this.parts.clock.now());
-    return claims.flatMap((observation) => {
-      const found = findInconsistencies(observation.marks, shown);
-      return evidenceOf(observation.source, [...found, ...this.objectionsOf(observation)]);
+  private compareWithObservations(sentAt: Micros, shown: HighWaterMarks): Evidence[] {
+    const observations = this.observations.madeBefore(sentAt, this.options.clock.now());
+    return observations.flatMap((observation) => {
+      const inconsistencies = findInconsistencies(observation.marks, shown);
+      return toEvidence(observation.source, [...inconsistencies, ...this.validDisagreement(observation)]);
     });
   }
 
-  /** A peer that remembers more than this node did is believed: another history may have grown beyond what it has seen. */
-  private objectionsOf(observation: Observation): Inconsistency[] {
-    const { marks: seen, objectedAt } = observation;
-    const known = seen.revision ?? 0;
-    if (objectedAt === null || known <= objectedAt || this.observations.isOverruled(observation)) return [];
-    return [{ kind: 'peer_objects', known }];
-  }
-
-  private raiseAlarm(found: Evidence[]): void {
-    if (this.state !== 'serving') return;
-    this.transitionTo('noticed', found);
-    for (const listener of this.closeListeners) listener();
-  }
-
-  /** Whole readings contradict what was seen: the first raises the alarm, the next confirms it. */
-  private escalate(found: Evidence[]): void {
-    if (this.state === 'serving') this.raiseAlarm(found);
-    else if (this.state === 'noticed') this.transitionTo('frozen', found);
-    else this.evidence = found.slice(0, EVIDENCE_KEPT);
-  }
-
-  private accept({ revision: epoch }: HighWaterMarks): void {
-    this.remembers = true;
-    this.highest = Math.max(this.highest, epoch);
-    if (this.state === 'serving') return;
-    if (this.state === 'noticed') this.falseAlarms++;
-    this.explained.clear();
-    this.transitionTo('serving', []);
-  }
-
-  private transitionTo(state: DataLossState, found: Evidence[]): void {
-    const { clock, log } = this.parts;
-    const evidence = found.slice(0, EVIDENCE_KEPT);
-    const entry = { from: this.state, to: state, evidence: evidence.map(({ text }) => text) };
-    if (state === 'serving') log.info(entry, 'the state is whole again');
-    else log.error(entry, 'the state service has lost state');
-    this.state = state;
-    this.since = clock.now();
-    this.evidence = evidence;
+  /** A peer that disagrees counts if it has observed more than this node had: another history may have grown beyond that. */
+  private validDisagreement(observation: Observation): Inconsistency[] {
+    const { marks, disagreesSinceRevision } = observation;
+    const known = marks.revision ?? 0;
+    if (disagreesSinceRevision === null) return [];
+    if (known <= disagreesSinceRevision || this.observations.isOverruled(observation)) return [];
+    return [{ kind: 'peer_disagrees', known }];
   }
 }
 
-function evidenceOf(source: string, found: readonly Inconsistency[]): Evidence[] {
-  return found.map((inconsistency) => ({
-    source,
-    contradiction: inconsistency,
-    text: `${source}: ${describeInconsistency(inconsistency)}`,
-  }));
+function missingKeyInconsistencies(keys: readonly string[]): Inconsistency[] {
+  return keys.map((key) => ({ kind: 'key_missing', key }));
 }
--- a/packages/recovery/data-loss-report.ts
+++ b/packages/recovery/data-loss-report.ts
@@ -1,25 +1,38 @@
-/** What a node says of lost state, for operators. */
-import type { Inconsistency, PartialHighWaterMarks } from './inconsistencies.js';
+/** What a node reports to operators about data loss in the state service. */
+import { describeInconsistency, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
 
 /**
- * `serving`: nothing contradicts what was seen before. `noticed`: something does, and a reading of all live state is to
- * tell whether it is true; nothing is begun meanwhile. `frozen`: that reading contradicts it, too.
+ * `serving`: nothing is inconsistent with what was observed before. `noticed`: something is, and a complete reading of the
+ * live state is to decide whether data was lost; nothing is committed meanwhile. `frozen`: that reading is inconsistent, too.
  */
 export type DataLossState = 'serving' | 'noticed' | 'frozen';
 
-/** A contradiction, and who knows better. */
+/** An inconsistency, and who observed what the state service no longer shows. */
 export interface Evidence {
-  source: string;
-  contradiction: Inconsistency;
-  text: string;
+  /** `own requests`, `own copy`, `own watch`, `own reading`, `worker HOST` or `peer MEMBER`. */
+  readonly source: string;
+  readonly inconsistency: Inconsistency;
+  /** Source and inconsistency in words, as operators and the log get them. */
+  readonly text: string;
 }
 
+/** The state of a node's data-loss detector. */
 export interface DataLossReport {
-  state: DataLossState;
-  sinceS: number;
-  evidence: Evidence[];
-  /** Times that a first contradiction was not borne out. */
-  falseAlarms: number;
-  /** The highest numbers that this node, its workers and peers have seen. */
-  seen: PartialHighWaterMarks;
+  readonly state: DataLossState;
+  /** Seconds since the state was entered, to a tenth. */
+  readonly sinceS: number;
+  readonly evidence: readonly Evidence[];
+  /** Alarms that the first complete reading did not confirm. */
+  readonly falseAlarms: number;
+  /** The highest marks that this node, its workers and its peers have observed. */
+  readonly seen: PartialHighWaterMarks;
+}
+
+/** One piece of evidence per inconsistency, all from this source. */
+export function toEvidence(source: string, inconsistencies: readonly Inconsistency[]): Evidence[] {
+  return inconsistencies.map((inconsistency) => ({
+    source,
+    inconsistency,
+    text: `${source}: ${describeInconsistency(inconsistency)}`,
+  }));
 }
--- a/packages/recovery/observations.ts
+++ b/packages/recovery/observations.ts
@@ -1,22 +1,35 @@
-/** What workers and peers tell of the state that they have seen: the memory of a cluster whose controllers have none. */
+/**
+ * The high-water marks that workers and peers have observed. A cluster whose controllers have all restarted knows of the
+ * state before a loss by them only.
+ */
 import { attemptOrigin } from '#cluster';
-import type { Micros, Heartbeat } from '#wire';
+import type { Heartbeat, Micros } from '#wire';
 import { mergeHighWaterMarks, type PartialHighWaterMarks } from './inconsistencies.js';
 
-/** What one worker or peer has seen, as it said last. */
+/** What one worker or peer has observed, as of its latest message. */
 export interface Observation {
-  /** `worker H` or `peer M`. */
-  source: string;
-  marks: PartialHighWaterMarks;
-  at: Micros;
+  /** `worker HOST` or `peer MEMBER`. */
+  readonly source: string;
+  readonly marks: PartialHighWaterMarks;
+  /** Steady time of the latest message. */
+  readonly at: Micros;
   /**
-   * What a peer remembers itself contradicts the state: the highest epoch that this node knew when it first heard so,
-   * or null while the peer doesn't say it.
+   * Set while the source, a peer, finds the state inconsistent with what it observed itself: the highest revision that
+   * this node knew at the first such message. Null while the source finds the state consistent.
    */
-  objectedAt: number | null;
+  readonly disagreesSinceRevision: number | null;
 }
 
-/** The token that a worker has obeyed and the records that its tasks were started by. */
+/** A message of a peer that finds the state inconsistent. */
+export interface Disagreement {
+  readonly source: string;
+  readonly marks: PartialHighWaterMarks;
+  readonly at: Micros;
+  /** The highest revision that this node knows at this time. */
+  readonly knownRevision: number;
+}
+
+/** The fencing token that a worker has accepted, and the log positions of the records that started its tasks. */
 export function marksOfHeartbeat({ fencingToken, tasks }: Heartbeat): PartialHighWaterMarks {
   const positions: Record<string, number> = {};
   for (const { attempt } of tasks) {
@@ -26,51 +39,52 @@
   return { fencingToken: Number(fencingToken), positions };
 }
 
-/** The latest claim of each source, for as long as it is repeated. */
+/** The latest observation of each source, for as long as the source repeats it. */
 export class Observations {
   private readonly bySource = new Map<string, Observation>();
 
-  /** A claim that its source has not repeated for so long is dropped, as that of a machine that is gone. */
-  constructor(private readonly life: Micros) {}
+  /** An observation that its source has not repeated for `lifetime` is dropped: its machine is taken to be gone. */
+  constructor(private readonly lifetime: Micros) {}
 
-  /** What a source has said once holds on: a worker's task that ended is no longer in its reports. */
-  note(source: string, seen: PartialHighWaterMarks, now: Micros): void {
+  /** Marks never fall: a task that ended is missing from its worker's heartbeats, and was observed all the same. */
+  record(source: string, marks: PartialHighWaterMarks, now: Micros): void {
     const earlier = this.bySource.get(source)?.marks ?? {};
     this.bySource.set(source, {
       source,
-      marks: mergeHighWaterMarks(earlier, seen),
+      marks: mergeHighWaterMarks(earlier, marks),
       at: now,
-      objectedAt: null,
+      disagreesSinceRevision: null,
     });
   }
 
-  /** Notes a claim of a source that finds the state to contradict it; `known` is the highest epoch known here by now. */
-  noteObjection(source: string, marks: PartialHighWaterMarks, now: Micros, known: number): Observation {
-    const objectedAt = this.bySource.get(source)?.objectedAt ?? known;
-    const observation = { source, marks, at: now, objectedAt };
+  /** Records what a peer has observed that finds the state inconsistent with it. */
+  recordDisagreement({ source, marks, at, knownRevision }: Disagreement): Observation {
+    const disagreesSinceRevision = this.bySource.get(source)?.disagreesSinceRevision ?? knownRevision;
+    const observation = { source, marks, at, disagreesSinceRevision };
     this.bySource.set(source, observation);
     return observation;
   }
 
-  /** Claims made before the given time: what is read from then on has to bear them out. */
+  /** Observations of before the given time: what is read from then on has to reach their marks. */
   madeBefore(time: Micros, now: Micros): Observation[] {
     for (const [source, { at }] of this.bySource) {
-      if (now - at > this.life) this.bySource.delete(source);
+      if (now - at > this.lifetime) this.bySource.delete(source);
     }
     return [...this.bySource.values()].filter(({ at }) => at < time);
   }
 
-  /** A source that has seen more than this one finds nothing wrong: the objection is of another history. */
-  isOverruled({ marks: seen }: Observation): boolean {
+  /** A source that has observed a higher revision finds the state consistent: the disagreement is about another history. */
+  isOverruled({ marks }: Observation): boolean {
+    const revision = marks.revision ?? 0;
     return [...this.bySource.values()].some(
-      (other) => other.objectedAt === null && (other.marks.revision ?? 0) > (seen.revision ?? 0),
+      (other) => other.disagreesSinceRevision === null && (other.marks.revision ?? 0) > revision,
     );
   }
 
-  /** All of them as one. */
+  /** The highest of each mark that any source has observed. */
   combined(): PartialHighWaterMarks {
     return [...this.bySource.values()].reduce<PartialHighWaterMarks>(
-      (all, { marks: seen }) => mergeHighWaterMarks(all, seen),
+      (all, { marks }) => mergeHighWaterMarks(all, marks),
       {},
     );
   }
--- a/packages/recovery/snapshot-line-reader.ts
+++ b/packages/recovery/snapshot-line-reader.ts
@@ -46,7 +46,7 @@
     if (this.trailer) throw this.fault('there is something after its end');
     const line = parseLine(bytes);
     if (line === null) throw this.fault(`line ${this.count + 1} can not be read`);
-    if (!this.header) this.header = checkHeader(line);
+    this.header ??= checkHeader(line);
     if (line.kind === 'trailer') {
       this.checkTrailer(line);
       return;
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -22,11 +22,15 @@
   const ledger = new Ledger();
   const host = (i: number): string => `n-${String(i).padStart(6, '0')}`;
   ledger.apply('lead', {
-    ...{ sequence: 1, recordedAtMs: 0 },
+    sequence: 1,
+    recordedAtMs: 0,
     machines: [...Array(MACHINES).keys()].map((i) => [host(i), 'small', 'east', false, i, 0]),
   });
   const starts: StartGroup[] = [...Array(JOBS).keys()].map((job) => ({
-    ...{ job: `j-${job}`, team: 'blue', image: 'img', need: [1, 0, 1] },
+    job: `j-${job}`,
+    team: 'blue',
+    image: 'img',
+    need: [1, 0, 1],
     tasks: [...Array(TASKS / JOBS).keys()].map((i) => [i, host((job * 8 + i) % MACHINES), 1]),
   }));
   ledger.apply(0, { sequence: 1, recordedAtMs: 1, starts });
--- a/packages/testkit/lost-state.test.ts
+++ b/packages/testkit/lost-state.test.ts
@@ -174,7 +174,7 @@
     await world.run(5 * SECOND);
     const { state, evidence } = lossOf(world, 1);
     assert.notEqual(state, 'serving');
-    assert.equal(evidence[0]?.contradiction.kind, 'state_incomplete');
+    assert.equal(evidence[0]?.inconsistency.kind, 'state_incomplete');
     // Those that have it all in memory go on: no change has told them of the loss.
     assert.equal(lossOf(world, 0).state, 'serving');
     world.store.bringBack(whole, lost);
