--- a/packages/recovery/snapshot-codec.ts
+++ b/packages/recovery/snapshot-codec.ts
@@ -1,21 +1,21 @@
 /**
- * Maps the state to the lines of a snapshot, field by field, and lines to text and back. Where a value of the state is
- * given a word of its own here, the line's type holds that word, so that another one in the code doesn't compile.
+ * Maps the state to the lines of a snapshot, field by field, and lines to text and back. The types of the lines name every
+ * value that a file may hold, so that renaming one in the code only doesn't compile.
  */
 import type { CheckpointRow, TerminalStatus, LiveJob, HighWaterMarks } from '#cluster';
 import type { JobSpec, MachineType } from '#wire';
 import type { DataLossState } from './data-loss-report.js';
 import {
-  type FinalLine,
+  type TerminalStatusLine,
   type JobLine,
-  type LedgerLine,
+  type CheckpointRowLine,
   SNAPSHOT_FORMAT,
   SNAPSHOT_VERSION,
   type SnapshotHeader,
   type SnapshotJobSpec,
   type SnapshotLine,
   type SnapshotMachineType,
-  type TypeLine,
+  type MachineTypeLine,
 } from './snapshot-format.js';
 
 /** Who writes a snapshot, and when. */
@@ -26,12 +26,12 @@
   readonly nodes: readonly string[];
   /** Time of day, in milliseconds. */
   readonly takenAt: number;
-  /** What the node finds of lost state; null where it doesn't watch. */
+  /** State of the node's data-loss detector; null where it is switched off. */
   readonly loss: DataLossState | null;
 }
 
-/** The first line of a snapshot that is taken of a copy with this summary. */
-export function encodeHeader(origin: SnapshotOrigin, summary: HighWaterMarks): SnapshotHeader {
+/** The first line of a snapshot of a copy that has reached these marks. */
+export function encodeHeader(origin: SnapshotOrigin, marks: HighWaterMarks): SnapshotHeader {
   return {
     kind: 'header',
     format: SNAPSHOT_FORMAT,
@@ -40,29 +40,29 @@
     nodes: origin.nodes,
     takenAt: origin.takenAt,
     loss: origin.loss,
-    epoch: summary.revision,
-    token: summary.fencingToken,
-    positions: summary.positions,
+    epoch: marks.revision,
+    token: marks.fencingToken,
+    positions: marks.positions,
   };
 }
 
 /** The line of a machine type. */
-export function encodeMachineType(type: MachineType): TypeLine {
+export function encodeMachineType(type: MachineType): MachineTypeLine {
   return { kind: 'type', type: machineTypeFields(type) };
 }
 
-/** The line of a job that lies among the live ones. */
+/** The line of a live job. */
 export function encodeJob(id: string, job: LiveJob): JobLine {
   return { kind: 'job', id, at: job.acceptedAtMs, spec: jobSpecFields(job.spec) };
 }
 
-/** The line of a job that is over. */
-export function encodeTerminalStatus(id: string, status: TerminalStatus): FinalLine {
+/** The line of a job that has ended. */
+export function encodeTerminalStatus(id: string, status: TerminalStatus): TerminalStatusLine {
   return { kind: 'final', id, status };
 }
 
 /** The line of a checkpoint row. Its cells are those of the stored row. */
-export function encodeCheckpointRow(row: CheckpointRow): LedgerLine {
+export function encodeCheckpointRow(row: CheckpointRow): CheckpointRowLine {
   return { kind: 'ledger', row };
 }
 
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -10,7 +10,7 @@
 import type { SnapshotOrigin } from './snapshot-codec.js';
 import { SnapshotError } from './snapshot-error.js';
 import { readSnapshot } from './snapshot-reader.js';
-import { type FinalPages, writeSnapshot } from './snapshot-writer.js';
+import { type TerminalStatusPages, writeSnapshot } from './snapshot-writer.js';
 
 /** A state with machines in every condition, an open rental, prices, array and gang tasks, and tasks that are done. */
 function sampleLedger(): Ledger {
@@ -147,7 +147,7 @@
 };
 
 /** Two pages of final answers, asked for by the last name of the page before. */
-const finalPages: FinalPages = (after) => {
+const terminalStatusPages: TerminalStatusPages = (after) => {
   if (after === '') {
     return Promise.resolve([
       { id: 'j-000010', status: 'done' },
@@ -157,7 +157,7 @@
   return Promise.resolve(after === 'j-000011' ? [{ id: 'j-000012', status: 'done' }] : []);
 };
 
-async function textOf(origin: SnapshotOrigin, pages: FinalPages): Promise<string[]> {
+async function textOf(origin: SnapshotOrigin, pages: TerminalStatusPages): Promise<string[]> {
   const lines: string[] = [];
   for await (const line of writeSnapshot(sampleCopy(), origin, pages)) lines.push(line);
   return lines;
@@ -207,13 +207,13 @@
 
 test('a snapshot is these lines, to the byte', async () => {
   assert.deepEqual(
-    await textOf(ORIGIN, finalPages),
+    await textOf(ORIGIN, terminalStatusPages),
     WHOLE.map((line) => `${line}\n`),
   );
 });
 
-test('a snapshot of a node that watches for lost state and gets no final answers says so in its first and last line', async () => {
-  const failing: FinalPages = () => Promise.reject(new Error('state service: 503'));
+test('the header names the state of the data-loss detector, the trailer says that terminal statuses are incomplete', async () => {
+  const failing: TerminalStatusPages = () => Promise.reject(new Error('state service: 503'));
   const lines = await textOf({ ...ORIGIN, loss: 'frozen' }, failing);
   assert.equal(
     lines[0],
@@ -230,7 +230,7 @@
   );
 });
 
-test('the text is read back as it was written, with what it holds in numbers', async () => {
+test('the text is read back as it was written, with the counts of what it holds', async () => {
   const lines: string[] = [];
   const summary = await readBack(WHOLE.map((line) => `${line}\n`).join(''), (line) =>
     lines.push(JSON.stringify(line)),
@@ -253,7 +253,7 @@
   );
 });
 
-test('fields that this version does not know are passed over', async () => {
+test('unknown fields are ignored', async () => {
   const header = `${HEADER.slice(0, -1)},"later":1}\n`;
   const lines: string[] = [];
   const { createHash } = await import('node:crypto');
@@ -263,7 +263,7 @@
   assert.deepEqual([lines, summary.lines, summary.header.epoch], [['header'], 1, 431]);
 });
 
-test('a file that is no whole snapshot is refused with these words', async () => {
+test('a file that is no complete snapshot is rejected with these messages', async () => {
   const header = `${HEADER}\n`;
   const whole = WHOLE.map((line) => `${line}\n`).join('');
   const long = `"${'x'.repeat(MAX_LINE_BYTES)}`;
--- a/packages/recovery/snapshot-format.ts
+++ b/packages/recovery/snapshot-format.ts
@@ -1,8 +1,8 @@
 /**
- * The file format of a snapshot: JSON, one object a line, compressed as one gzip stream. The first line tells what the
- * file is, the last one counts and sums up all before it, so that a file that was cut off anywhere is known for it.
+ * The file format of a snapshot: JSON, one object a line, compressed as one gzip stream. The first line identifies the
+ * file, the last one holds the count and the checksum of all before it, so that a truncated file is recognized.
  *
- * These interfaces are the format itself. Their names are those in the files and don't follow the names in the code;
+ * These interfaces are the format itself. Their fields are those in the files and don't follow the names in the code;
  * `snapshot-codec.ts` maps between the two.
  */
 import type { CheckpointRow } from '#cluster';
@@ -10,7 +10,7 @@
 /** Names the format in the first line of a file. */
 export const SNAPSHOT_FORMAT = 'micaworks-snapshot';
 
-/** Raised when a line changes its meaning; lines of unknown kinds make a file unreadable, unknown fields don't. */
+/** Incremented when a line changes its meaning; lines of unknown kinds make a file unreadable, unknown fields don't. */
 export const SNAPSHOT_VERSION = 1;
 
 /** No line is longer, in bytes: a reader holds one line at a time. */
@@ -32,7 +32,7 @@
   readonly token: number;
   /** The number of the last record of each log. */
   readonly positions: Readonly<Record<string, number>>;
-  /** What the node found of lost state when it wrote the snapshot; null where it doesn't watch. */
+  /** State of the node's data-loss detector when it wrote the snapshot; null where it is switched off. */
   readonly loss: 'serving' | 'noticed' | 'frozen' | null;
 }
 
@@ -60,7 +60,7 @@
   readonly deadlineS: number | null;
 }
 
-/** A job that is not over, or ended so lately that it still lies among those. */
+/** A live job, or one that ended so recently that its row still lies among those of live jobs. */
 export interface JobLine {
   readonly kind: 'job';
   readonly id: string;
@@ -70,14 +70,14 @@
 }
 
 /** How a job ended. */
-export interface FinalLine {
+export interface TerminalStatusLine {
   readonly kind: 'final';
   readonly id: string;
   readonly status: 'done' | 'cancelled';
 }
 
 /** A row of a checkpoint, as the state service stores it: machines, prices, tasks on machines, tasks that are done. */
-export interface LedgerLine {
+export interface CheckpointRowLine {
   readonly kind: 'ledger';
   readonly row: CheckpointRow;
 }
@@ -97,20 +97,21 @@
 }
 
 /** A machine type that the cloud offered when it was last asked. */
-export interface TypeLine {
+export interface MachineTypeLine {
   readonly kind: 'type';
   readonly type: SnapshotMachineType;
 }
 
-/** The last line, by which a reader knows that the file is whole. */
+/** The last line, by which a reader knows that the file is complete. */
 export interface SnapshotTrailer {
   readonly kind: 'trailer';
   /** Lines before this one, and the SHA-256 of their bytes. */
   readonly lines: number;
   readonly sha256: string;
-  /** Every terminal status is there; false if the state service didn't give them all. */
+  /** Every terminal status is included; false if the state service didn't answer for all of them. */
   readonly hasAllFinals: boolean;
 }
 
-/** Any line, told apart by its kind. */
-export type SnapshotLine = SnapshotHeader | JobLine | FinalLine | LedgerLine | TypeLine | SnapshotTrailer;
+/** Any line, discriminated by its kind. */
+export type SnapshotLine =
+  SnapshotHeader | JobLine | TerminalStatusLine | CheckpointRowLine | MachineTypeLine | SnapshotTrailer;
--- a/packages/recovery/snapshot-line-reader.ts
+++ b/packages/recovery/snapshot-line-reader.ts
@@ -1,4 +1,4 @@
-/** Takes the decompressed bytes of a snapshot apart into lines, and checks that they are a whole snapshot. */
+/** Splits the decompressed bytes of a snapshot into lines, and checks that they are a complete snapshot. */
 import { createHash } from 'node:crypto';
 import { parseLine } from './snapshot-codec.js';
 import { SnapshotError } from './snapshot-error.js';
@@ -13,29 +13,34 @@
 
 const LINE_END = '\n'.charCodeAt(0);
 
-/** Lines of a snapshot in their order; holds one line at a time. Faults are thrown as {@link SnapshotError}. */
+/** Reads the lines of a snapshot in their order and holds one line at a time. Faults are thrown as {@link SnapshotError}. */
 export class SnapshotLineReader {
   private readonly hash = createHash('sha256');
-  /** Bytes of a line whose end has not come yet. */
-  private rest: Buffer = Buffer.alloc(0);
+  /** Bytes of a line whose end has not been read yet. */
+  private incompleteLine: Buffer = Buffer.alloc(0);
   private count = 0;
   private header: SnapshotHeader | null = null;
   private trailer: SnapshotTrailer | null = null;
 
-  /** `onLine` is given each line but the trailer. */
+  /** `onLine` is called with each line but the trailer. */
   constructor(private readonly onLine: (line: SnapshotLine) => void) {}
 
-  /** Takes in the next bytes of the file. */
+  /** Reads the next bytes of the file. */
   push(chunk: Buffer): void {
-    this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    for (let end = this.rest.indexOf(LINE_END); end >= 0; end = this.rest.indexOf(LINE_END)) {
-      this.readLine(this.rest.subarray(0, end + 1));
-      this.rest = this.rest.subarray(end + 1);
+    this.incompleteLine =
+      this.incompleteLine.length === 0 ? chunk : Buffer.concat([this.incompleteLine, chunk]);
+    for (
+      let end = this.incompleteLine.indexOf(LINE_END);
+      end >= 0;
+      end = this.incompleteLine.indexOf(LINE_END)
+    ) {
+      this.readLine(this.incompleteLine.subarray(0, end + 1));
+      this.incompleteLine = this.incompleteLine.subarray(end + 1);
     }
-    if (this.rest.length > MAX_LINE_BYTES) throw this.fault('a line is too long');
+    if (this.incompleteLine.length > MAX_LINE_BYTES) throw this.fault('a line is too long');
   }
 
-  /** Header and trailer, once all has been read. */
+  /** Header and trailer, once the whole file has been pushed. */
   end(): { header: SnapshotHeader; trailer: SnapshotTrailer } {
     if (!this.header) throw new SnapshotError('foreign', 'the file is empty, or no snapshot');
     if (!this.trailer) throw new SnapshotError('truncated', `it ends after ${this.count} lines`);
@@ -63,7 +68,7 @@
     this.trailer = trailer;
   }
 
-  /** Before its header was read, a file is none of ours. */
+  /** A fault before the header means that the file is no snapshot at all. */
   private fault(detail: string): SnapshotError {
     return new SnapshotError(this.header ? 'damaged' : 'foreign', detail);
   }
--- a/packages/recovery/snapshot-reader.ts
+++ b/packages/recovery/snapshot-reader.ts
@@ -1,4 +1,4 @@
-/** Reads a snapshot line by line, and refuses what is not a whole one by the name of its fault. */
+/** Reads a snapshot line by line, and rejects an incomplete or damaged one by the name of its fault. */
 import { Writable, type Readable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 import { createGunzip } from 'node:zlib';
@@ -7,30 +7,32 @@
 import type { SnapshotHeader, SnapshotLine } from './snapshot-format.js';
 import { SnapshotLineReader } from './snapshot-line-reader.js';
 
-/** What the lines of a snapshot hold, in numbers. */
+/** Counts of what the lines of a snapshot hold, by the names that `snapshot show --json` prints. */
 export interface SnapshotCounts {
   readonly jobs: number;
+  /** Terminal statuses. */
   readonly finals: number;
   readonly machines: number;
+  /** Open scale-out requests. */
   readonly rentals: number;
-  /** Tasks on machines. */
+  /** Running tasks. */
   readonly tasks: number;
   readonly machineTypes: number;
   /** All lines but the trailer. */
   readonly lines: number;
 }
 
-/** What a snapshot holds, in numbers. */
+/** Header and counts of a snapshot. */
 export interface SnapshotSummary extends SnapshotCounts {
   readonly header: SnapshotHeader;
-  /** Every terminal status is there. */
+  /** Every terminal status is included. */
   readonly hasAllFinals: boolean;
   readonly positions: SnapshotHeader['positions'];
 }
 
 /**
- * Reads a compressed snapshot whole, in bounded memory; what it holds in numbers. Each line but the trailer is given to
- * `onLine` as it comes, before the file is known to be whole. Fails with {@link SnapshotError}.
+ * Reads a compressed snapshot to its end, in bounded memory, and counts what it holds. `onLine` is called with each line but
+ * the trailer as it is read, before the file is known to be complete. Fails with {@link SnapshotError}.
  */
 export async function readSnapshot(
   source: Readable,
@@ -55,7 +57,7 @@
   };
 }
 
-/** A stream that pushes what is written to it into the reader, and fails with the reader's faults. */
+/** A stream that passes its chunks to the reader, and fails with the reader's faults. */
 function sinkInto(reader: SnapshotLineReader): Writable {
   return new Writable({
     write: (chunk: Buffer, _encoding, done) => {
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -85,7 +85,7 @@
   assert.ok(summary.hasAllFinals);
 });
 
-test('a snapshot says so if the state service did not give all final answers', async () => {
+test('a snapshot says so if the state service did not answer for all terminal statuses', async () => {
   const lines = writeSnapshot(largeCopy(), { member: 'node-0', nodes: [], takenAt: 0, loss: null }, () =>
     Promise.reject(new Error('state service: 503')),
   );
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -1,6 +1,6 @@
-/** Writes the state as one node's copy holds it at one revision of the state service. */
+/** Writes a snapshot: the state as one node's copy holds it at one revision of the state service. */
 import { createHash } from 'node:crypto';
-import { checkpointRows, type TerminalStatus, type Replica } from '#cluster';
+import { checkpointRows, type Replica, type TerminalStatus } from '#cluster';
 import {
   encodeCheckpointRow,
   encodeHeader,
@@ -12,23 +12,30 @@
 } from './snapshot-codec.js';
 import type { SnapshotLine } from './snapshot-format.js';
 
-/** Final answers after the given job, in the order of their names; ends with an empty page. */
-export type FinalPages = (after: string) => Promise<readonly { id: string; status: TerminalStatus }[]>;
+/** How one job ended. */
+export interface JobTerminalStatus {
+  /** The job's id. */
+  readonly id: string;
+  readonly status: TerminalStatus;
+}
+
+/** The page of terminal statuses after the given job id, in the order of ids; an empty page is the end. */
+export type TerminalStatusPages = (after: string) => Promise<readonly JobTerminalStatus[]>;
 
 /**
- * The lines of a snapshot as text. All that may change is taken at once, as references and short rows; it is written out
- * line by line as fast as the reader takes it. Final answers never change, so they may be read page by page meanwhile;
- * if a page can't be read, the trailer says that they are not all there.
+ * The lines of a snapshot as text. All that may change is captured at once, as references and short rows, and formatted
+ * line by line as fast as the consumer reads. Terminal statuses never change, so they are fetched page by page meanwhile;
+ * if a page can't be fetched, the trailer says that they are incomplete.
  */
 export function writeSnapshot(
   replica: Replica,
   origin: SnapshotOrigin,
-  finalPages: FinalPages,
+  terminalStatusPages: TerminalStatusPages,
 ): AsyncGenerator<string> {
-  return formatSnapshot(captureLines(replica, origin), finalPages);
+  return formatSnapshot(captureLines(replica, origin), terminalStatusPages);
 }
 
-/** What the copy holds at this moment, but for its final answers of long ago. */
+/** All that the copy holds at this moment; older terminal statuses lie in the state service only. */
 function captureLines(replica: Replica, origin: SnapshotOrigin): SnapshotLine[] {
   const lines: SnapshotLine[] = [encodeHeader(origin, replica.highWaterMarks())];
   for (const type of replica.machineTypes.values()) lines.push(encodeMachineType(type));
@@ -39,10 +46,10 @@
   return lines;
 }
 
-/** The lines and final answers as text, then the trailer over all of them. */
+/** The captured lines and the terminal statuses as text, then the trailer over all of them. */
 async function* formatSnapshot(
   captured: readonly SnapshotLine[],
-  finalPages: FinalPages,
+  terminalStatusPages: TerminalStatusPages,
 ): AsyncGenerator<string> {
   const hash = createHash('sha256');
   let lines = 0;
@@ -55,19 +62,22 @@
   for (const line of captured) yield format(line);
   let hasAllFinals = true;
   try {
-    for await (const { id, status } of readFinals(finalPages)) yield format(encodeTerminalStatus(id, status));
+    for await (const { id, status } of readTerminalStatuses(terminalStatusPages))
+      yield format(encodeTerminalStatus(id, status));
   } catch {
-    // What the copy holds is worth having without them.
+    // A snapshot without them is still useful, and the trailer says so.
     hasAllFinals = false;
   }
   yield formatLine({ kind: 'trailer', lines, sha256: hash.digest('hex'), hasAllFinals });
 }
 
-/** Every final answer, page after page. */
-async function* readFinals(finalPages: FinalPages): AsyncGenerator<{ id: string; status: TerminalStatus }> {
-  let page = await finalPages('');
+/** Every terminal status, page after page. */
+async function* readTerminalStatuses(
+  terminalStatusPages: TerminalStatusPages,
+): AsyncGenerator<JobTerminalStatus> {
+  let page = await terminalStatusPages('');
   for (let last = page.at(-1); last !== undefined; last = page.at(-1)) {
     yield* page;
-    page = await finalPages(last.id);
+    page = await terminalStatusPages(last.id);
   }
 }
--- a/packages/settings/operator.ts
+++ b/packages/settings/operator.ts
@@ -1,34 +1,34 @@
-/** The operators' settings: what they may turn beyond the platform's file. Every element of their file is optional. */
+/** The operators' settings: what they may tune beyond the platform's file. Every element of their file is optional. */
 import { isIPv4 } from 'node:net';
 import { fromSeconds, type Micros, MS, SECOND } from '#wire';
 import { SettingsError } from './error.js';
 import { readSettingsFile } from './read-file.js';
 
-/** What an operator may turn beyond the platform's file. */
+/** What an operator may tune beyond the platform's file. */
 export interface Tuning {
-  /** Least time between two rounds. */
+  /** Minimum time between two scheduling rounds. */
   roundGap: Micros;
-  /** Time after which a round is run without any change. */
+  /** Time after which a scheduling round runs without any change. */
   roundIdle: Micros;
-  /** Price passes a round. */
+  /** Price adjustments a scheduling round. */
   passes: number;
-  /** Step of a price at full gap for a whole machine's worth, as a part of top priority. */
+  /** Price change for an unmet demand of a whole machine, as a fraction of the top priority. */
   step: number;
-  /** What a GPU shape costs a task without GPUs, as a part of top priority. */
+  /** Price of a GPU shape for a task without GPUs, as a fraction of the top priority. */
   gpuShapeCost: number;
-  /** By what part GPUs raise a task's priority. */
+  /** Fraction by which GPUs raise a task's priority. */
   gpuTaskWeight: number;
-  /** Raise for what lies within a team's guarantee, as a part of top priority. */
+  /** Priority raise for use within a team's guarantee, as a fraction of the top priority. */
   guaranteeWeight: number;
   /** Waiting this long doubles a job's priority. */
   priorityDoublingTime: Micros;
-  /** Random machines with free capacity that are looked at for each task. */
+  /** Random machines with free capacity that are considered for each task. */
   choices: number;
-  /** Where the operators' listener is to be had; null: nowhere. */
+  /** Address of the operators' listener; null for none. */
   operatorListen: string | null;
-  /** Duties are handed over when the process is asked to end (SIGTERM). */
+  /** The node hands its roles over when its process is asked to end (SIGTERM). */
   handsOverOnStop: boolean;
-  /** What the state service shows is compared with what was seen before; nothing is done while it has lost some. */
+  /** The node detects data loss in the state service, and commits nothing while data is lost. */
   detectsDataLoss: boolean;
 }
 
@@ -38,9 +38,9 @@
   readonly path: string;
   readonly minimum: number;
   readonly maximum: number;
-  /** Only whole numbers are taken. */
+  /** Only whole numbers are valid. */
   readonly isInteger: boolean;
-  /** What a value in the file sets. */
+  /** The fields that a value in the file sets. */
   readonly apply: (value: number) => Partial<Tuning>;
 }
 
@@ -140,9 +140,9 @@
 export async function parseTuning(xml: string): Promise<Tuning> {
   const root = await parseXml(xml);
   const tuning = defaultTuning();
-  for (const knob of TUNING_PARAMETERS) {
-    const value = numberAt(root, knob);
-    if (value !== null) Object.assign(tuning, knob.apply(value));
+  for (const parameter of TUNING_PARAMETERS) {
+    const value = numberAt(root, parameter);
+    if (value !== null) Object.assign(tuning, parameter.apply(value));
   }
   tuning.operatorListen = addressAt(root, 'operations/listen');
   tuning.handsOverOnStop = flagAt(root, 'operations/handOverOnStop');
@@ -157,7 +157,9 @@
 
 /** The content of the file's root element. */
 async function parseXml(xml: string): Promise<unknown> {
-  // Only who has such a file pays for the parser at start-up.
+  // Loaded on demand: a node without such a file starts faster.
+  // The successor of XMLValidator is another package; operators read the messages of this one.
+  // eslint-disable-next-line @typescript-eslint/no-deprecated
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
   if (valid !== true) throw new SettingsError(`operators' file, line ${valid.err.line}: ${valid.err.msg}`);
--- a/packages/settings/platform-schema.ts
+++ b/packages/settings/platform-schema.ts
@@ -1,4 +1,4 @@
-/** The platform's file as it is written: its fields, their ranges and their defaults. Unknown fields are ignored. */
+/** The schema of the platform's file: its fields, their ranges and their defaults. Unknown fields are ignored. */
 import * as z from 'zod/mini';
 
 const text = z.string().check(z.minLength(1));
@@ -6,10 +6,10 @@
 const atLeastZero = z.number().check(z.nonnegative());
 const wholePositive = z.coerce.number().check(z.int(), z.positive());
 
-/** What holds where a file says nothing of them, in seconds. */
+/** Defaults of optional fields, in seconds. */
 const DEFAULT_GANG_WAIT_S = 50;
 const DEFAULT_GANG_PEER_S = 5;
-/** The same for the clocks' bound, in milliseconds. */
+/** Default of the clocks' bound, in milliseconds. */
 const DEFAULT_TIME_BOUND_MS = 100;
 
 const peer = z.object({ member: text, domain: text, endpoint: text });
@@ -37,7 +37,7 @@
   gang_peer_s: z._default(positive, DEFAULT_GANG_PEER_S),
 });
 
-const comingStateLimits = z.object({
+const announcedStateLimits = z.object({
   rps: z.optional(positive),
   write_rps: z.optional(positive),
   value_kb: z.optional(positive),
@@ -49,7 +49,7 @@
   write_rps: positive,
   value_kb: positive,
   txn_ops: wholePositive,
-  next: z.optional(comingStateLimits),
+  next: z.optional(announcedStateLimits),
 });
 
 const facts = z.object({
@@ -64,7 +64,7 @@
   machine_limits: z.object({ cpu: positive, mem_mb: positive, sockets: wholePositive }),
 });
 
-/** The whole file. */
+/** The file, from its root. */
 export const platformSchema = z.object({
   member: text,
   domain: text,
@@ -75,7 +75,7 @@
   facts,
 });
 
-/** A file that keeps to the schema, with its defaults filled in. */
+/** A valid file, with its defaults filled in. */
 export type PlatformFile = z.infer<typeof platformSchema>;
-/** What the file tells of the cluster and what surrounds it. */
+/** What the file says of the cluster and its environment. */
 export type PlatformFacts = PlatformFile['facts'];
--- a/packages/settings/platform.ts
+++ b/packages/settings/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's settings: who a node is, whom it talks to, and the limits of what surrounds it. */
+/** The platform's settings: a node's identity, its peers, and the limits of its environment. */
 import { parse } from 'smol-toml';
 import { fromSeconds, type Micros } from '#wire';
 import { SettingsError } from './error.js';
@@ -49,31 +49,31 @@
   cloud: string;
   /** Host and port of the state service. */
   state: string;
-  /** Controllers that the cluster starts with; there are as many shares. */
+  /** Controllers that the cluster starts with; there are as many shards. */
   initialSize: number;
   zones: string[];
   /** How far a node's time of day may lie from the true time. */
   timeBound: Micros;
   teams: Team[];
   objectives: Objective[];
-  /** Time between two reports of a worker. */
+  /** Time between two heartbeats of a worker. */
   heartbeatInterval: Micros;
-  /** A worker ends its tasks once the last report that was answered was sent longer ago than this. */
+  /** A worker ends its tasks once its last heartbeat that was answered was sent longer ago than this. */
   workerLease: Micros;
-  /** Within what time after its user was told so a cancelled job's tasks must be off their machines. */
+  /** Time within which a cancelled job's tasks must have stopped, from the confirmation to its user on. */
   cancellationDeadline: Micros;
-  /** For how long a gang's tasks wait for each other. */
+  /** How long a gang's tasks wait for each other. */
   gangWait: Micros;
-  /** Within what time a gang's tasks notice that one of them is gone, and all of them must be told to stop. */
+  /** Time within which a gang's tasks detect the loss of one of them, and all of them must be told to stop. */
   gangPeer: Micros;
-  /** Limits of the state service: the smaller ones of those in force and of those it will have at some time. */
+  /** Limits of the state service: the smaller of those in force and of those announced. */
   stateRps: number;
   stateWriteRps: number;
   valueBytes: number;
   txnOps: number;
-  /** Requests a second that the cloud takes. */
+  /** Requests a second that the cloud accepts. */
   cloudRps: number;
-  /** By how much the cloud's list of machines lags; sometimes by twice that. */
+  /** Lag of the cloud's list of machines; at times it is twice that. */
   machineListLag: Micros;
   /** Connections that a node may have open. */
   sockets: number;
--- a/packages/settings/settings-format.test.ts
+++ b/packages/settings/settings-format.test.ts
@@ -135,9 +135,27 @@
 
 test("what is missing in the platform's file is named in these words", () => {
   const fields = [
-    ...['member', 'domain', 'bind', 'cluster_listen', 'cloud', 'state', 'initial_size', 'zones', 'name'],
-    ...['cpus', 'cpus_max', 'report_s', 'lease_s', 'cancel_s', 'write_rps', 'value_kb', 'txn_ops'],
-    ...['list_lag_s', 'cpu', 'mem_mb', 'sockets'],
+    'member',
+    'domain',
+    'bind',
+    'cluster_listen',
+    'cloud',
+    'state',
+    'initial_size',
+    'zones',
+    'name',
+    'cpus',
+    'cpus_max',
+    'report_s',
+    'lease_s',
+    'cancel_s',
+    'write_rps',
+    'value_kb',
+    'txn_ops',
+    'list_lag_s',
+    'cpu',
+    'mem_mb',
+    'sockets',
   ];
   const refusals = fields.map((field) => refusalOf(LEAST.replace(new RegExp(`^${field} = .*\n`, 'm'), '')));
   assert.deepEqual(refusals, [
@@ -278,7 +296,7 @@
   }
 });
 
-test('the least that each field takes is taken', () => {
+test('the minimum of each field is accepted', () => {
   const values: [field: string, value: string][] = [
     ['initial_size', '1'],
     ['initial_size', '"4"'],
--- a/packages/settings/settings.test.ts
+++ b/packages/settings/settings.test.ts
@@ -50,7 +50,7 @@
   assert.deepEqual(settings.teams[0], { name: 'pricing', cpus: 32, cpusMax: 104, gpus: 0, gpusMax: 0 });
 });
 
-test('where a file says nothing of gangs or of coming limits, what holds is stated, and wrong values are named', () => {
+test('optional fields of gangs and of announced limits have defaults, and wrong values are named', () => {
   const settings = parseSettings(TOML);
   assert.equal(settings.gangWait, 50 * SECOND);
   assert.equal(settings.gangPeer, 5 * SECOND);
@@ -70,7 +70,7 @@
   }
 });
 
-test('of present and coming limits of the state service the smaller ones hold', () => {
+test('the smaller of the present and the announced limits of the state service holds', () => {
   const next = (lines: string): string =>
     TOML.replace('[facts.cloud]', `[facts.state.next]\n${lines}\n[facts.cloud]`);
   const settings = parseSettings(next('value_kb = 2.0\ntxn_ops = 16\nwrite_rps = 18.0'));
@@ -122,7 +122,7 @@
   for (const bad of ['0', '1.5', 'many', '']) {
     await assert.rejects(
       passes(bad),
-      (e: unknown) => e instanceof SettingsError && /pricing\/passes/.test(e.message),
+      (cause: unknown) => cause instanceof SettingsError && cause.message.includes('pricing/passes'),
     );
   }
   await assert.rejects(parseTuning('<micaworks><pricing>'), SettingsError);
@@ -130,11 +130,11 @@
   assert.deepEqual(await parseTuning('<micaworks><later>1</later></micaworks>'), defaultTuning());
 });
 
-test('what is new is off by default, and the files under deploy switch it on', async () => {
+test('optional features are off by default, and the files under deploy switch them on', async () => {
   const read = (name: string): string =>
     readFileSync(new URL(`../../deploy/${name}`, import.meta.url), 'utf8');
-  const { operatorListen, handsOverOnStop, detectsDataLoss: noticesLoss } = defaultTuning();
-  assert.deepEqual([operatorListen, handsOverOnStop, noticesLoss], [null, false, false]);
+  const { operatorListen, handsOverOnStop, detectsDataLoss } = defaultTuning();
+  assert.deepEqual([operatorListen, handsOverOnStop, detectsDataLoss], [null, false, false]);
   const roles = await parseTuning(read('operator.listener.xml'));
   assert.deepEqual([roles.operatorListen, roles.handsOverOnStop], ['127.0.0.1:7070', true]);
   const recovery = await parseTuning(read('operator.recovery.xml'));
