--- a/packages/cli/answers.ts
+++ b/packages/cli/answers.ts
@@ -1,4 +1,4 @@
-/** Answers of several nodes: those that came, and which nodes were silent. */
+/** Answers of several nodes, and the nodes that gave none. */
 import type { NodeAnswer } from '#operations';
 import { CommandFailure } from './errors.js';
 import type { Print } from './output.js';
@@ -24,7 +24,7 @@
   readonly reason: string;
 }
 
-/** Parts the answers from the nodes that gave none; both stay in the order of the addresses. */
+/** Separates the answers from the nodes that gave none; both keep the order of the addresses. */
 export function sortAnswers<T>(answers: readonly NodeAnswer<T>[]): NodeAnswers<T> {
   const nodes: (T & { node: string })[] = [];
   const silent: SilentNode[] = [];
--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -43,13 +43,24 @@
   knowledgeAgeS: 0.4,
   duties: [
     {
-      ...{ duty: 'lead', state: 'held', holder: 'node-1', term: 41, sinceS: 12.5, leaseLeftS: 2.4 },
+      duty: 'lead',
+      state: 'held',
+      holder: 'node-1',
+      term: 41,
+      sinceS: 12.5,
+      leaseLeftS: 2.4,
       openIntents: { rentals: ['hire-1-41-1'], returns: ['n-000003', 'n-000004'] },
       lastRefused: { action: 'deal shares', reason: 'the duty has changed hands', term: 38, ageS: 90 },
     },
     {
-      ...{ duty: 'share/0', state: 'held', holder: 'node-2', term: 40, sinceS: 12.5, leaseLeftS: null },
-      ...{ openIntents: null, lastRefused: null },
+      duty: 'share/0',
+      state: 'held',
+      holder: 'node-2',
+      term: 40,
+      sinceS: 12.5,
+      leaseLeftS: null,
+      openIntents: null,
+      lastRefused: null,
     },
   ],
 };
@@ -74,14 +85,16 @@
 /** A snapshot of a node that knows one job and one machine. */
 const SNAPSHOT = [
   {
-    ...{
-      kind: 'header',
-      format: 'micaworks-snapshot',
-      version: 1,
-      member: 'node-2',
-      nodes: ['node-1', 'node-2'],
-    },
-    ...{ takenAt: 1_000, epoch: 431, token: 7, positions: { lead: 3 }, loss: 'frozen' },
+    kind: 'header',
+    format: 'micaworks-snapshot',
+    version: 1,
+    member: 'node-2',
+    nodes: ['node-1', 'node-2'],
+    takenAt: 1_000,
+    epoch: 431,
+    token: 7,
+    positions: { lead: 3 },
+    loss: 'frozen',
   },
   { kind: 'job', id: 'j-1', at: 5, spec: sampleJob('j-1') },
   { kind: 'final', id: 'j-0', status: 'done' },
@@ -147,7 +160,7 @@
 
 const CLOSED = '127.0.0.1:1';
 
-test('the duties are shown with holder, term, lease, open intents and the last refusal, and silent nodes named', async () => {
+test('roles are shown with holder, term, lease, open intents and the last refusal, and silent nodes named', async () => {
   await withListener(async (address) => {
     const { code, out } = await run('duties', '--node', address, CLOSED);
     assert.equal(code, 0);
@@ -166,10 +179,12 @@
   });
 });
 
-test('a duty is handed over, or the reason is told why it is not', async () => {
+test('a role is handed over, or the command fails with the reason', async () => {
   await withListener(async (address, resigned) => {
     assert.deepEqual(await run('duties', 'resign', 'lead', '--node', address), {
-      ...{ code: 0, out: ['lead was handed over'], errors: [] },
+      code: 0,
+      out: ['lead was handed over'],
+      errors: [],
     });
     const refused = await run('duties', 'resign', 'share/1', '--node', address);
     assert.equal(refused.code, FAILURE_EXIT);
@@ -179,7 +194,7 @@
   });
 });
 
-test('recover status shows what contradicts the state, and ends with exit code 1 while state is lost', async () => {
+test('recover status shows the inconsistencies, and ends with exit code 1 while data is lost', async () => {
   await withListener(async (address) => {
     const { code, out, errors } = await run('recover', 'status', '--node', address, CLOSED);
     assert.equal(code, FAILURE_EXIT);
@@ -202,7 +217,7 @@
   });
 });
 
-test('a snapshot is written, verified and shown, and a file that is none is refused by the name of its fault', async () => {
+test('a snapshot is written, verified and shown, and other files are rejected by the name of their fault', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-cli-'));
   const at = (name: string): string => join(folder, name);
   const compressed = gzipSync([...textOf(SNAPSHOT)].join(''));
@@ -342,7 +357,9 @@
     assert.equal(missing.code, FAILURE_EXIT);
     assert.match(missing.errors.join(), /404: no such job/);
     assert.deepEqual(seen.slice(0, 3), [
-      ...['POST /submissions j-7', 'GET /submissions/j-7', 'POST /submissions/j-7/withdraw'],
+      'POST /submissions j-7',
+      'GET /submissions/j-7',
+      'POST /submissions/j-7/withdraw',
     ]);
   } finally {
     server.closeAllConnections();
@@ -351,7 +368,7 @@
   }
 });
 
-test('hostile and half-written requests to the listener are refused and end nothing', async () => {
+test('hostile and half-written requests to the listener are rejected and stop nothing', async () => {
   await withListener(async (address, resigned) => {
     const post = (body: string, length = body.length): string =>
       `POST /duties/resign HTTP/1.1\r\nHost: x\r\nContent-Length: ${length}\r\n\r\n${body}`;
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,7 +1,7 @@
-/** `micaworks duties`: who holds what, as the nodes that answer know it. */
+/** `micaworks duties`: which node holds which role, as the nodes that answer know it. Operators call a role a duty. */
 import { parseRoleName } from '#roles';
 import {
-  askDuties,
+  askRoles,
   askToResign,
   type DutiesAnswer,
   type DutyAnswer,
@@ -15,16 +15,16 @@
 
 const HEADING = ['NODE', 'DUTY', 'STATE', 'HOLDER', 'TERM', 'SINCE', 'LEASE', 'OPEN', 'LAST REFUSED'];
 
-/** Prints the duties as each node knows them; fails if no node answers. */
-export async function showDuties({ node, json }: NodesOptions, print: Print): Promise<void> {
-  const answers = sortAnswers(await askDuties(node.map(checkAddress)));
+/** Prints the roles as each node knows them; fails if no node answers. */
+export async function showRoles({ node, json }: NodesOptions, print: Print): Promise<void> {
+  const answers = sortAnswers(await askRoles(node.map(checkAddress)));
   if (json) printJson(print, answers);
   else printTable(answers, print);
   demandAnswer(answers);
 }
 
-/** Has a node hand over the duty of this name; fails with the reason if it does not. */
-export async function resignDuty(name: string, node: string, print: Print): Promise<void> {
+/** Asks a node to hand over the role of this name; fails with the reason if it does not. */
+export async function resignRole(name: string, node: string, print: Print): Promise<void> {
   const address = checkAddress(node);
   if (parseRoleName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
   const answer = await askToResign(address, name);
@@ -46,7 +46,7 @@
   printSilent(answers, print);
 }
 
-/** The cells of one duty, under {@link HEADING}. */
+/** The cells of one role, under {@link HEADING}. */
 function rowOf(member: string, role: DutyAnswer): string[] {
   return [
     member,
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -15,11 +15,11 @@
 import { CommandFailure, messageOf, UsageError } from './errors.js';
 import type { Print } from './output.js';
 
-/** How long a request is repeated that the service can't take at the moment, as its users do, and how often. */
+/** A request is retried for so long while the service is unavailable, with this pause between attempts. */
 const RETRY_FOR_MS = 60_000;
 const RETRY_PAUSE_MS = 1000;
 const RESPONSE_TIMEOUT = 5 * SECOND;
-/** Statuses of a service that can't take a request at the moment. */
+/** Statuses of a service that is temporarily unavailable. */
 const UNAVAILABLE_STATUSES: readonly number[] = [429, 503, 504];
 const STDIN_FD = 0;
 const OK_STATUSES: readonly number[] = [200, 201];
@@ -33,7 +33,7 @@
   readonly body?: object;
 }
 
-/** A request that came to nothing, for now: the service was not reached, or can't take it at the moment. */
+/** A request that failed for now: the service was not reached, or is temporarily unavailable. */
 interface Unserved {
   readonly kind: 'unserved';
   readonly reason: string;
@@ -85,11 +85,12 @@
 }
 
 function checkId(id: string): string {
-  if (isJobId(id)) return id;
+  const isValid: boolean = isJobId(id);
+  if (isValid) return id;
   throw new UsageError(`${id}: not a job id; they look like j-000412`);
 }
 
-/** The service's reply; a request that it can't take at the moment is repeated for {@link RETRY_FOR_MS}. */
+/** The service's reply; while the service is unavailable the request is retried for {@link RETRY_FOR_MS}. */
 async function ask(request: UserRequest): Promise<HttpReply> {
   const call = createHttpClient(1);
   checkAddress(request.node);
@@ -119,13 +120,17 @@
   }
 }
 
+function isPresent(field: unknown): boolean {
+  return field !== undefined;
+}
+
 function printState({ status, body }: HttpReply, print: Print): void {
   if (!OK_STATUSES.includes(status)) {
     const reason = typeof body['error'] === 'string' ? body['error'] : 'no reason given';
     throw new CommandFailure(`refused with ${status}: ${reason}`);
   }
   const { Uid: id, done, running } = body;
-  const hasCounts = done !== undefined && running !== undefined;
+  const hasCounts = isPresent(done) && isPresent(running);
   const counts = hasCounts ? `, ${String(done)} tasks done, ${String(running)} running` : '';
   print(`${String(id)}: ${decodeJobStatus(body) ?? 'unknown state'}${counts}`);
 }
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -3,7 +3,7 @@
 import { Command, CommanderError } from 'commander';
 import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
 import type { NodesOptions } from './answers.js';
-import { resignDuty, showDuties } from './duties.js';
+import { resignRole, showRoles } from './duties.js';
 import { CommandError, FAILURE_EXIT, messageOf, USAGE_EXIT } from './errors.js';
 import { showJob, submitJob, withdrawJob } from './jobs.js';
 import type { Print } from './output.js';
@@ -53,7 +53,7 @@
     .showSuggestionAfterError();
   addNodeCommands(program, print);
   addJobCommands(program, print);
-  addDutyCommands(program, print);
+  addRoleCommands(program, print);
   addRecoverCommands(program, print);
   addSnapshotCommands(program, print);
   return program;
@@ -126,19 +126,19 @@
     .action((job: string, { node }: NodeOption) => withdrawJob(job, node, print));
 }
 
-function addDutyCommands(program: Command, print: Print): void {
+function addRoleCommands(program: Command, print: Print): void {
   const roles = program
     .command('duties')
     .enablePositionalOptions()
     .description('show who holds each duty that one controller may hold at a time')
     .option(NODES_OPTION, NODES_HELP, [DEFAULT_OPERATOR_NODE])
     .option(JSON_OPTION, JSON_HELP, false)
-    .action((options: NodesOptions) => showDuties(options, print));
+    .action((options: NodesOptions) => showRoles(options, print));
   roles
     .command('resign <duty>')
     .description('have the node that holds a duty (lead or share/N) hand it over')
     .requiredOption(NODE_OPTION, "operators' listener of the node that holds it")
-    .action((role: string, { node }: NodeOption) => resignDuty(role, node, print));
+    .action((role: string, { node }: NodeOption) => resignRole(role, node, print));
 }
 
 function addRecoverCommands(program: Command, print: Print): void {
--- a/packages/cli/recover.ts
+++ b/packages/cli/recover.ts
@@ -1,4 +1,4 @@
-/** `micaworks recover status`: whether the nodes that answer find that the state service has lost data. */
+/** `micaworks recover status`: whether the nodes that answer have detected data loss in the state service. */
 import { askLoss, type RecoveryAnswer } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
@@ -7,7 +7,7 @@
 
 const HEADING = ['NODE', 'STATE', 'SINCE', 'FALSE ALARMS', 'HIGHEST EPOCH', 'HIGHEST TOKEN'];
 
-/** Prints what each node finds; fails if one finds that state was lost, so that a watchdog can call it. */
+/** Prints the data-loss state of each node; fails if one has detected data loss, so that a watchdog can call it. */
 export async function showRecoverStatus({ node, json }: NodesOptions, print: Print): Promise<void> {
   const answers = sortAnswers(await askLoss(node.map(checkAddress)));
   if (json) printJson(print, answers);
--- a/packages/cli/snapshot.ts
+++ b/packages/cli/snapshot.ts
@@ -1,4 +1,4 @@
-/** `micaworks snapshot`: writes a node's state to a file, checks such files and tells what they hold. */
+/** `micaworks snapshot`: writes a node's state to a file, verifies such files and shows what they hold. */
 import { createReadStream, createWriteStream, existsSync } from 'node:fs';
 import { rename, rm, stat } from 'node:fs/promises';
 import type { Readable } from 'node:stream';
@@ -15,11 +15,11 @@
 export interface SnapshotOptions {
   /** Address of the operators' listener of the node, as given. */
   readonly node: string;
-  /** Replaces a file that is there. */
+  /** Replaces an existing file. */
   readonly force: boolean;
 }
 
-/** Takes the snapshot into a file beside the named one, which it replaces only once it is found whole. */
+/** Writes the snapshot to a file beside the named one, and replaces that only once the snapshot is verified. */
 export async function takeSnapshot(
   file: string,
   { node, force }: SnapshotOptions,
@@ -39,13 +39,13 @@
   }
 }
 
-/** Prints a line if the file is a whole snapshot; fails with its fault if it is not. */
+/** Prints a line if the file is a complete snapshot; fails with its fault if it is not. */
 export async function verifySnapshot(file: string, print: Print): Promise<void> {
   const { lines, header } = await verify(file);
   print(`${file}: whole; version ${header.version}, ${lines} lines`);
 }
 
-/** Prints what a whole snapshot holds; fails with its fault if it is not whole. */
+/** Prints what a complete snapshot holds; fails with its fault if it is not complete. */
 export async function showSnapshot(file: string, { json }: { json: boolean }, print: Print): Promise<void> {
   const summary = await verify(file);
   const { size } = await stat(file);
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -1,6 +1,6 @@
 /**
  * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
- * read them, so their names don't follow the names in the code. What a node tells is mapped to them here, field by field.
+ * read them, so their names don't follow the names in the code. A node's reports are mapped to them here, field by field.
  */
 import type { RoleReport, OpenIntents, RefusalReport } from '#roles';
 import type { Inconsistency, Evidence, DataLossReport, PartialHighWaterMarks } from '#recovery';
@@ -15,29 +15,29 @@
   readonly duties: readonly DutyAnswer[];
 }
 
-/** One duty, as the node that answers knows it. */
+/** One role, as the node that answers knows it. */
 export interface DutyAnswer {
   /** `lead` or `share/N`. */
   readonly duty: string;
   readonly state: 'vacant' | 'acquiring' | 'held' | 'suspected' | 'lost' | 'resigning';
   readonly holder: string | null;
   readonly term: number | null;
-  /** Seconds since the node has known the duty to be in this state. */
+  /** Seconds since the node has known the role to be in this state. */
   readonly sinceS: number;
-  /** Seconds that the lease has left by the holder's own clock; null on nodes that don't hold the duty. */
+  /** Seconds that the lease has left by the holder's own clock; null on nodes that don't hold the role. */
   readonly leaseLeftS: number | null;
-  /** Of the lead only. */
+  /** Of the leader only. */
   readonly openIntents: OpenIntentsAnswer | null;
   readonly lastRefused: RefusalAnswer | null;
 }
 
-/** What was asked of the cloud, or is to be, and is not known to be done. */
+/** Scale-out requests, and hosts to be deleted by scale-in, that are not known to be completed. */
 export interface OpenIntentsAnswer {
   readonly rentals: readonly string[];
   readonly returns: readonly string[];
 }
 
-/** The last action under a duty that was refused. */
+/** The last action under a role that was refused. */
 export interface RefusalAnswer {
   readonly action: string;
   readonly reason: string;
@@ -49,28 +49,28 @@
 /** Of `GET /recovery`. */
 export interface RecoveryAnswer {
   readonly member: string;
-  /** Null where the operators' settings don't switch it on. */
+  /** Null where the operators' settings don't switch detection on. */
   readonly loss: LossAnswer | null;
 }
 
-/** What a node finds of lost state. */
+/** The state of a node's data-loss detector. */
 export interface LossAnswer {
   readonly state: 'serving' | 'noticed' | 'frozen';
-  /** Seconds since the node came into this state. */
+  /** Seconds since the node entered this state. */
   readonly sinceS: number;
   readonly evidence: readonly EvidenceAnswer[];
   readonly falseAlarms: number;
   readonly seen: SeenAnswer;
 }
 
-/** One way in which the state contradicts what was seen of it, and who saw it. */
+/** One way in which the state is inconsistent with what was observed of it, and who observed it. */
 export interface EvidenceAnswer {
   readonly source: string;
   readonly contradiction: ContradictionAnswer;
   readonly text: string;
 }
 
-/** A contradiction, told apart by its kind. */
+/** An inconsistency, discriminated by its kind. */
 export type ContradictionAnswer =
   | { readonly kind: 'epoch_went_back'; readonly known: number; readonly shown: number }
   | { readonly kind: 'epoch_reused'; readonly epoch: number }
@@ -82,7 +82,7 @@
   | { readonly kind: 'peer_objects'; readonly known: number }
   | { readonly kind: 'state_incomplete'; readonly reason: string };
 
-/** The highest numbers that the node, its workers and its peers have seen; absent where none has. */
+/** The high-water marks that the node, its workers and its peers have observed; absent where none has. */
 export interface SeenAnswer {
   readonly epoch?: number | undefined;
   readonly token?: number | undefined;
@@ -93,27 +93,27 @@
 export type ResignAnswer =
   { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
-/** Of any request that can't be taken. */
+/** Of any request that is rejected. */
 export interface ErrorAnswer {
   readonly error: string;
 }
 
-/** The answer to an operator who asks for a node's duties. */
-export function encodeDuties(report: NodeDutyReport): DutiesAnswer {
+/** The answer to `GET /duties`. */
+export function encodeRoles(report: NodeDutyReport): DutiesAnswer {
   return {
     member: report.member,
     membership: report.membership,
     knowledgeAgeS: report.knowledgeAgeS,
-    duties: report.duties.map(encodeDuty),
+    duties: report.duties.map(encodeRole),
   };
 }
 
-/** The answer to an operator who asks what a node knows of lost state. */
+/** The answer to `GET /recovery`. */
 export function encodeRecovery(report: NodeLossReport): RecoveryAnswer {
   return { member: report.member, loss: report.loss === null ? null : encodeLoss(report.loss) };
 }
 
-/** The answer to an operator who asked a node to hand a duty over. */
+/** The answer to `POST /duties/resign`. */
 export function encodeResignResult(result: ResignResult): ResignAnswer {
   switch (result.kind) {
     case 'handed_over':
@@ -123,7 +123,7 @@
   }
 }
 
-function encodeDuty(role: RoleReport): DutyAnswer {
+function encodeRole(role: RoleReport): DutyAnswer {
   return {
     duty: role.duty,
     state: role.state,
@@ -185,7 +185,7 @@
   }
 }
 
-/** What nobody has seen is undefined, and thereby absent from the JSON. */
+/** A mark that nobody has observed is undefined, and thereby absent from the JSON. */
 function encodeSeen(seen: PartialHighWaterMarks): SeenAnswer {
   return { epoch: seen.revision, token: seen.fencingToken, positions: seen.positions };
 }
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -16,7 +16,7 @@
 import { DataLossDetector, type DataLossReport } from '#recovery';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
-  askDuties,
+  askRoles,
   askLoss,
   askToResign,
   createOperatorApp,
@@ -103,8 +103,15 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** One exchange: status, type of the body and its text. */
-function exchange(address: string, method: string, path: string, body?: string): Promise<string> {
+interface Exchange {
+  address: string;
+  method: string;
+  path: string;
+  body?: string;
+}
+
+/** Status, type of the body and text of an answer. */
+function exchange({ address, method, path, body }: Exchange): Promise<string> {
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
     const call = request({ host, port: Number(port), method, path }, (response) => {
@@ -123,13 +130,13 @@
 async function answerOf(node: Partial<OperatedNode>, path: string): Promise<string> {
   let answer = '';
   const reported = await withListener(node, async (address) => {
-    answer = await exchange(address, 'GET', path);
+    answer = await exchange({ address, method: 'GET', path });
   });
   assert.deepEqual(reported, []);
   return answer;
 }
 
-test('the duties are told in these words, in every state', async () => {
+test('GET /duties answers with these bytes, in every state of a role', async () => {
   const clock = new StillClock();
   const holders = new Map<RoleName, RoleHolder>([
     ['lead', { ...OURS, term: 41 }],
@@ -164,7 +171,7 @@
   );
 });
 
-test('a node that knows of nobody, and of no intents, says so', async () => {
+test('GET /duties shows a node without holders and intents', async () => {
   const clock = new StillClock();
   const registry = registryOver(clock, new Map());
   registry.state('lead');
@@ -180,7 +187,7 @@
   );
 });
 
-test('each condition of a member has its word', async () => {
+test('GET /duties names each membership', async () => {
   const words: [state: Membership['state'], word: string][] = [
     ['outside', 'outside'],
     ['joining', 'joining'],
@@ -196,9 +203,9 @@
   }
 });
 
-/** A watch for lost state that has believed one reading. */
-function watchOf(clock: StillClock): DataLossDetector {
-  const watch = new DataLossDetector({
+/** A data-loss detector that has accepted one reading. */
+function detectorOf(clock: StillClock): DataLossDetector {
+  const detector = new DataLossDetector({
     clock,
     log: SILENT_LOG,
     observationLifetime: 600 * SECOND,
@@ -206,11 +213,11 @@
     heartbeatInterval: 3 * SECOND,
   });
   clock.time += SECOND;
-  assert.ok(watch.judgeReading(readingOf(clock)));
-  return watch;
+  assert.ok(detector.judgeReading(readingOf(clock)));
+  return detector;
 }
 
-/** A reading that shows what the watch of {@link watchOf} has seen, but for the changes. */
+/** A reading that shows what the detector of {@link detectorOf} has observed, but for the changes. */
 function readingOf(clock: Clock, change: Partial<StateReading> = {}): StateReading {
   return {
     sentAt: clock.now(),
@@ -225,22 +232,22 @@
   return answerOf({ lossReport: () => ({ member: 'node-2', loss }) }, '/recovery');
 }
 
-test('a node that does not watch for lost state says null', async () => {
+test('GET /recovery answers null if data-loss detection is off', async () => {
   assert.equal(
     await recoveryOf(null),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":null}',
   );
 });
 
-test('a node that serves tells the highest numbers that it, its workers and its peers have seen', async () => {
+test('GET /recovery of a serving node shows the high-water marks of the node, its workers and its peers', async () => {
   const clock = new StillClock();
-  const watch = watchOf(clock);
+  const detector = detectorOf(clock);
   clock.time += 12.34 * SECOND;
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":13.3,"evidence":[],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
-  watch.observeHeartbeat({
+  detector.observeHeartbeat({
     host: 'n-000001',
     address: '10.0.0.9:9000',
     machineType: 'small',
@@ -251,38 +258,38 @@
     fencingToken: 6,
     tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
   });
-  watch.observePeer('node-3', {
+  detector.observePeer('node-3', {
     fencingToken: 7,
     isStoreReachable: true,
     redirectedWorkers: {},
     highWaterMark: { revision: 430, isInconsistent: false },
   });
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":13.3,"evidence":[],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
   );
 });
 
-test('a node in its first alarm tells what contradicts the state, and counts an alarm that was false', async () => {
+test('GET /recovery shows the inconsistencies of the first alarm, and counts a false alarm', async () => {
   const clock = new StillClock();
-  const watch = watchOf(clock);
-  assert.equal(watch.accepts(431, 9), false);
+  const detector = detectorOf(clock);
+  assert.equal(detector.accepts(431, 9), false);
   clock.time += 0.5 * SECOND;
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0.5,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own requests: epoch 9 is shown, 431 was seen"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
-  assert.ok(watch.judgeReading(readingOf(clock)));
+  assert.ok(detector.judgeReading(readingOf(clock)));
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":0,"evidence":[],"falseAlarms":1,"seen":{"epoch":431}}}',
   );
 });
 
-test('a frozen node tells each way in which the state contradicts what was seen', async () => {
+test('GET /recovery of a frozen node shows each kind of inconsistency', async () => {
   const clock = new StillClock();
-  const watch = watchOf(clock);
-  watch.observeHeartbeat({
+  const detector = detectorOf(clock);
+  detector.observeHeartbeat({
     host: 'n-000001',
     address: '10.0.0.9:9000',
     machineType: 'small',
@@ -293,14 +300,14 @@
     fencingToken: 6,
     tasks: [{ task: 'j-000001/0', attempt: 1_024 * 12, state: 'running' }],
   });
-  watch.observePeer('node-3', {
+  detector.observePeer('node-3', {
     fencingToken: 7,
     isStoreReachable: true,
     redirectedWorkers: {},
     highWaterMark: { revision: 440, isInconsistent: true },
   });
   clock.time += SECOND;
-  assert.ok(watch.reportLostKeys(['mw/now/token']));
+  assert.ok(detector.reportLostKeys(['mw/now/token']));
   clock.time += SECOND;
   const shown = { revision: 9, fencingToken: 1, positions: { lead: 1 } };
   const known = { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } };
@@ -309,30 +316,30 @@
     regressed: ['mw/now/checkpoint'],
     absent: ['mw/now/jobs/j-000001'],
   };
-  assert.equal(watch.judgeReading(readingOf(clock, { shown, known, differences })), false);
+  assert.equal(detector.judgeReading(readingOf(clock, { shown, known, differences })), false);
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own copy","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own copy: epoch 9 is shown, 431 was seen"},{"source":"own copy","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"own copy: token 1 is shown, 7 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"own copy: log 0 ends at 0, record 12 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"lead","known":3,"shown":1},"text":"own copy: log lead ends at 1, record 3 was seen"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/token"},"text":"own copy: mw/now/token is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/jobs/j-000001"},"text":"own copy: mw/now/jobs/j-000001 is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_went_back","key":"mw/now/checkpoint"},"text":"own copy: mw/now/checkpoint is older than it was"},{"source":"own copy","contradiction":{"kind":"history_forked","key":"mw/now/logs/lead/3"},"text":"own copy: mw/now/logs/lead/3 holds another record of the same number: this is another history"},{"source":"worker n-000001","contradiction":{"kind":"token_went_back","known":6,"shown":1},"text":"worker n-000001: token 1 is shown, 6 was seen"},{"source":"worker n-000001","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"worker n-000001: log 0 ends at 0, record 12 was seen"},{"source":"peer node-3","contradiction":{"kind":"epoch_went_back","known":440,"shown":9},"text":"peer node-3: epoch 9 is shown, 440 was seen"},{"source":"peer node-3","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"peer node-3: token 1 is shown, 7 was seen"},{"source":"peer node-3","contradiction":{"kind":"peer_objects","known":440},"text":"peer node-3: it has seen epoch 440, and finds the state to contradict it"}],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
   );
 });
 
-test('a commit under an epoch that was seen, and a state that can not be read whole, are told', async () => {
+test('GET /recovery shows a reused revision and an incomplete state', async () => {
   const clock = new StillClock();
-  const watch = watchOf(clock);
-  assert.equal(watch.acceptsCommitted(431, 431), false);
+  const detector = detectorOf(clock);
+  assert.equal(detector.acceptsCommitted(431, 431), false);
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_reused","epoch":431},"text":"own requests: a commit is said to have made epoch 431, which was seen before it"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
   clock.time += SECOND;
-  for (let i = 0; i < 3; i++) watch.reportIncompleteRead('a part of the checkpoint is missing');
+  for (let i = 0; i < 3; i++) detector.reportIncompleteRead('a part of the checkpoint is missing');
   assert.equal(
-    await recoveryOf(watch.report()),
+    await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own reading","contradiction":{"kind":"state_incomplete","reason":"a part of the checkpoint is missing"},"text":"own reading: the state can not be read whole: a part of the checkpoint is missing"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
 });
 
-test('resigning a duty is answered in these words', async () => {
+test('POST /duties/resign answers with these bytes', async () => {
   const asked: RoleName[] = [];
   const resign: OperatedNode['resign'] = (role) => {
     asked.push(role);
@@ -340,7 +347,8 @@
     return Promise.resolve(role === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
   };
   await withListener({ resign }, async (address) => {
-    const post = (body: string): Promise<string> => exchange(address, 'POST', '/duties/resign', body);
+    const post = (body: string): Promise<string> =>
+      exchange({ address, method: 'POST', path: '/duties/resign', body });
     assert.equal(
       await post('{"duty":"lead"}'),
       '200 application/json; charset=utf-8 close\n{"kind":"handed_over"}',
@@ -370,38 +378,38 @@
   assert.deepEqual(asked, ['lead', 1]);
 });
 
-test('what can not be taken is refused in these words', async () => {
+test('invalid requests are rejected with these messages', async () => {
   await withListener({}, async (address) => {
     assert.equal(
-      await exchange(address, 'GET', '/duties/resign'),
+      await exchange({ address, method: 'GET', path: '/duties/resign' }),
       '405 application/json; charset=utf-8 close\n{"error":"use POST"}',
     );
     for (const path of ['/duties', '/recovery', '/snapshot']) {
       assert.equal(
-        await exchange(address, 'POST', path, ''),
+        await exchange({ address, method: 'POST', path, body: '' }),
         '405 application/json; charset=utf-8 close\n{"error":"use GET"}',
         path,
       );
     }
     for (const path of ['/', '/duties/', '/Duties', '/nothing']) {
       assert.equal(
-        await exchange(address, 'GET', path),
+        await exchange({ address, method: 'GET', path }),
         '404 application/json; charset=utf-8 close\n{"error":"no such path; there are /duties, /duties/resign, /recovery and /snapshot"}',
         path,
       );
     }
     assert.equal(
-      await exchange(address, 'GET', '/snapshot'),
+      await exchange({ address, method: 'GET', path: '/snapshot' }),
       '503 application/json; charset=utf-8 close\n{"error":"this node holds no copy of the state yet"}',
     );
   });
 });
 
-test('an error of the node is told to its log, and the operator where to look', async () => {
+test('an internal error is logged, and the answer refers to the log', async () => {
   const resign = (): Promise<never> => Promise.reject(new Error('unforeseen'));
   const reported = await withListener({ resign }, async (address) => {
     assert.equal(
-      await exchange(address, 'POST', '/duties/resign', '{"duty":"lead"}'),
+      await exchange({ address, method: 'POST', path: '/duties/resign', body: '{"duty":"lead"}' }),
       '500 application/json; charset=utf-8 close\n{"error":"internal error; the log of the node says more"}',
     );
   });
@@ -420,13 +428,13 @@
   );
 });
 
-test('the client hands on what it is answered, or says why there is no answer', async () => {
+test('the client returns the answer, or the reason why there is none', async () => {
   await withListener({}, async (address) => {
     const nodes = [address];
     const told = async (answers: Promise<unknown>): Promise<string> =>
       JSON.stringify(await answers).replaceAll(address, 'ADDRESS');
     assert.equal(
-      await told(askDuties(nodes)),
+      await told(askRoles(nodes)),
       '[{"node":"ADDRESS","kind":"answered","value":{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[]}}]',
     );
     assert.equal(
@@ -442,7 +450,7 @@
       '{"node":"ADDRESS","kind":"silent","reason":"duty: must be lead or share/N"}',
     );
     assert.equal(
-      await told(askDuties(['127.0.0.1:1'])),
+      await told(askRoles(['127.0.0.1:1'])),
       '[{"node":"127.0.0.1:1","kind":"silent","reason":"connect ECONNREFUSED 127.0.0.1:1"}]',
     );
     await assert.rejects(openSnapshot(address), { message: 'this node holds no copy of the state yet' });
--- a/packages/operations/client.ts
+++ b/packages/operations/client.ts
@@ -3,12 +3,12 @@
 import { parseEndpoint } from '#wire';
 import type { DutiesAnswer, RecoveryAnswer, ResignAnswer } from './answer-codec.js';
 
-/** What became of a request to one node: its answer, or the reason why there is none. */
+/** Result of a request to one node: its answer, or the reason why there is none. */
 export type NodeAnswer<T> =
   | { readonly node: string; readonly kind: 'answered'; readonly value: T }
   | { readonly node: string; readonly kind: 'silent'; readonly reason: string };
 
-/** A node that can't be talked to, or answers something else than it should; the message says which. */
+/** A node that can't be reached, or gives an invalid answer; the message says which. */
 export class NodeRequestError extends Error {
   override readonly name = 'NodeRequestError';
 }
@@ -25,21 +25,21 @@
 }
 
 const TIMEOUT_MS = 3000;
-/** Handing a duty over waits for what is under way. */
+/** Handing a role over waits for requests in flight. */
 const RESIGN_TIMEOUT_MS = 15_000;
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
-/** Asks every node at the same time; those that don't answer are named with the reason. */
-export function askDuties(nodes: readonly string[]): Promise<NodeAnswer<DutiesAnswer>[]> {
+/** Asks every node at the same time for its view of the roles; the result names those that don't answer, with the reason. */
+export function askRoles(nodes: readonly string[]): Promise<NodeAnswer<DutiesAnswer>[]> {
   return Promise.all(nodes.map((node) => get<DutiesAnswer>(node, '/duties')));
 }
 
-/** Asks every node at the same time what it knows of lost state. */
+/** Asks every node at the same time for its data-loss report. */
 export function askLoss(nodes: readonly string[]): Promise<NodeAnswer<RecoveryAnswer>[]> {
   return Promise.all(nodes.map((node) => get<RecoveryAnswer>(node, '/recovery')));
 }
 
-/** Asks a node to hand over the duty of this name. */
+/** Asks a node to hand over the role of this name (`lead` or `share/N`). */
 export function askToResign(node: string, role: string): Promise<NodeAnswer<ResignAnswer>> {
   return ask<ResignAnswer>({
     node,
@@ -50,7 +50,7 @@
   });
 }
 
-/** The lines of a node's snapshot; fails with {@link NodeRequestError} and what the node says if it has none. */
+/** The lines of a node's snapshot; fails with {@link NodeRequestError} and the node's reason if it has none. */
 export async function openSnapshot(node: string): Promise<IncomingMessage> {
   const response = await new Promise<IncomingMessage>((resolve, reject) => {
     const call = request({ ...parseEndpoint(node), path: '/snapshot', timeout: TIMEOUT_MS }, resolve);
@@ -62,14 +62,15 @@
   const chunks: Buffer[] = [];
   for await (const chunk of response as AsyncIterable<Buffer>) chunks.push(chunk);
   const answer = parseAnswer(Buffer.concat(chunks));
-  throw new NodeRequestError(String(answer?.['error'] ?? `answered with status ${response.statusCode}`));
+  const error: unknown = answer?.['error'] ?? `answered with status ${response.statusCode}`;
+  throw new NodeRequestError(String(error));
 }
 
 function get<T>(node: string, path: string): Promise<NodeAnswer<T>> {
   return ask<T>({ node, method: 'GET', path, body: null, timeoutMs: TIMEOUT_MS });
 }
 
-/** Sends a request; it never fails, since what went wrong is told by the answer. */
+/** Sends a request; it never rejects, since the result names the failure. */
 async function ask<T>(toSend: NodeRequest): Promise<NodeAnswer<T>> {
   const { node } = toSend;
   try {
@@ -91,7 +92,7 @@
       });
       collectBody(call, response, resolve);
     });
-    // Counts from the start: a node that sends a byte now and then must not hold the client for ever.
+    // Counts from the start: a node that sends single bytes slowly must not block the client for ever.
     const deadline = setTimeout(() => call.destroy(new NodeRequestError('no answer in time')), timeoutMs);
     call.on('error', (cause) => {
       clearTimeout(deadline);
@@ -115,7 +116,7 @@
   });
 }
 
-/** The JSON object that an answer is; null if it is none. */
+/** The JSON object of an answer; null if it is no object. */
 function parseAnswer(bytes: Buffer): Record<string, unknown> | null {
   try {
     const value: unknown = JSON.parse(bytes.toString('utf8'));
--- a/packages/operations/listener.ts
+++ b/packages/operations/listener.ts
@@ -1,6 +1,6 @@
 /**
  * The operators' listener of a node: JSON over HTTP, off unless the operators' settings name an address. It has a few
- * connections of its own and can't take any from workers and users; nothing that it says counts as proof.
+ * connections of its own, apart from those of workers and users; nothing that it answers counts as proof.
  */
 import { createServer, type Server } from 'node:http';
 import Koa from 'koa';
@@ -10,13 +10,13 @@
 import { OperatorRequestError } from './request-error.js';
 import { handleRequest, type OperatorResponse } from './routes.js';
 
-/** Connections that the listener takes at most. */
+/** Maximum of open connections. */
 export const OPERATOR_SOCKETS = 8;
 
-/** A client that sends nothing for so long, in milliseconds, is cut off. */
+/** A client that sends nothing for so long, in milliseconds, is disconnected. */
 const IDLE_MS = 10_000;
 
-/** The application that answers operators for a node; `onError` is told of errors that are not the operators'. */
+/** The application that answers operators for a node; `onError` gets the errors that operators didn't cause. */
 export function createOperatorApp(node: OperatedNode, onError: (cause: unknown) => void): Koa {
   const app = new Koa();
   app.silent = true;
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,25 +1,25 @@
-/** What the operators' listener asks its node for, in the terms of the code; `answer-codec.ts` writes it as JSON. */
+/** What the operators' listener requests of its node, in the terms of the code; `answer-codec.ts` writes it as JSON. */
 import type { RoleName, RoleReport } from '#roles';
 import type { DataLossReport } from '#recovery';
 
-/** A node's view of the duties; it counts as proof for nothing. */
+/** A node's view of the roles, which operators call duties; it proves nothing. */
 export interface NodeDutyReport {
   readonly member: string;
-  /** Whether the node takes part in its cluster. */
+  /** The node's membership of its cluster. */
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
   /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
   readonly duties: readonly RoleReport[];
 }
 
-/** What a node knows of lost state. */
+/** A node's data-loss report. */
 export interface NodeLossReport {
   readonly member: string;
-  /** Null where the operators' settings don't switch it on. */
+  /** Null where the operators' settings don't switch detection on. */
   readonly loss: DataLossReport | null;
 }
 
-/** What became of the request to hand a duty over. */
+/** Result of the request to hand a role over. */
 export type ResignResult =
   { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
--- a/packages/operations/request-body.ts
+++ b/packages/operations/request-body.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import { OperatorRequestError } from './request-error.js';
 
-/** Bodies are small: they name one duty. */
+/** Bodies are small: they name one role. */
 const MAX_BODY_BYTES = 1024;
 
 /** The JSON value of a request's body; fails with {@link OperatorRequestError} if there is none, or it is too long. */
--- a/packages/operations/request-error.ts
+++ b/packages/operations/request-error.ts
@@ -1,6 +1,6 @@
-/** Requests of operators that can't be taken. */
+/** The error of operators' requests that are rejected. */
 
-/** Ends a request with this status; the message says what to do about it. */
+/** Rejects a request with this status; the message says what to do about it. */
 export class OperatorRequestError extends Error {
   override readonly name = 'OperatorRequestError';
 
--- a/packages/operations/routes.ts
+++ b/packages/operations/routes.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
 import { type RoleName, parseRoleName } from '#roles';
-import { encodeDuties, encodeRecovery, encodeResignResult } from './answer-codec.js';
+import { encodeRoles, encodeRecovery, encodeResignResult } from './answer-codec.js';
 import type { OperatedNode } from './messages.js';
 import { readJsonBody } from './request-body.js';
 import { OperatorRequestError } from './request-error.js';
@@ -13,20 +13,20 @@
   readonly body: object;
 }
 
-/** The one method that a path takes, and its handler. */
+/** The one method of a path, and its handler. */
 interface Route {
   readonly method: 'GET' | 'POST';
   handle(node: OperatedNode, request: IncomingMessage): OperatorResponse | Promise<OperatorResponse>;
 }
 
 const ROUTES: ReadonlyMap<string, Route> = new Map<string, Route>([
-  ['/duties', { method: 'GET', handle: (node) => ok(encodeDuties(node.dutyReport())) }],
-  ['/duties/resign', { method: 'POST', handle: resignDuty }],
+  ['/duties', { method: 'GET', handle: (node) => ok(encodeRoles(node.dutyReport())) }],
+  ['/duties/resign', { method: 'POST', handle: resignRole }],
   ['/recovery', { method: 'GET', handle: (node) => ok(encodeRecovery(node.lossReport())) }],
   ['/snapshot', { method: 'GET', handle: sendSnapshot }],
 ]);
 
-/** Answers a request for a path; fails with {@link OperatorRequestError} if it can't be taken. */
+/** Answers a request for a path; fails with {@link OperatorRequestError} if it is rejected. */
 export async function handleRequest(
   node: OperatedNode,
   path: string,
@@ -53,15 +53,15 @@
   return ok(Readable.from(lines, { objectMode: false }));
 }
 
-async function resignDuty(node: OperatedNode, request: IncomingMessage): Promise<OperatorResponse> {
-  const role = dutyNamedBy(await readJsonBody(request));
+async function resignRole(node: OperatedNode, request: IncomingMessage): Promise<OperatorResponse> {
+  const role = roleNamedBy(await readJsonBody(request));
   if (role === null) throw new OperatorRequestError(400, 'duty: must be lead or share/N');
   const answer = encodeResignResult(await node.resign(role));
   return { status: answer.kind === 'handed_over' ? 200 : 409, body: answer };
 }
 
-/** The duty that the body of a request names; null if it names none. */
-function dutyNamedBy(body: unknown): RoleName | null {
+/** The role that the body of a request names; null if it names none. */
+function roleNamedBy(body: unknown): RoleName | null {
   if (typeof body !== 'object' || body === null || !('duty' in body)) return null;
   return typeof body.duty === 'string' ? parseRoleName(body.duty) : null;
 }
