--- /dev/null
+++ b/packages/cluster/ledger-entries.ts
@@ -0,0 +1,64 @@
+/** What records add to the ledger: machines, pending scale-outs and placements. */
+import type {
+  MachineEntry,
+  MachineRow,
+  PendingScaleOut,
+  Placement,
+  ScaleOutRow,
+  StartGroup,
+  TaskRow,
+} from './placement.js';
+import { formatTaskName } from '#wire';
+
+/** One start of a group's tasks. */
+export interface GroupStart {
+  readonly group: StartGroup;
+  readonly attempt: number;
+  /** Time of day of the record, in milliseconds. */
+  readonly startedAtMs: number;
+}
+
+/** A machine as it joins the fleet. */
+export function newMachine([host, machineType, zone, spot, acquiredAtMs, shard]: MachineRow): MachineEntry {
+  return {
+    host,
+    machineType,
+    zone,
+    spot,
+    acquiredAtMs,
+    shard,
+    destination: null,
+    status: 'new',
+    ownershipCount: 0,
+    lastHeartbeat: null,
+    cachedImages: [],
+    consecutiveFailures: 0,
+    lastFailureAtMs: 0,
+  };
+}
+
+/** A request for machines that was just recorded. `requestedAtMs`: time of day. */
+export function newPendingScaleOut(row: ScaleOutRow, requestedAtMs: number): PendingScaleOut {
+  const [id, machineType, zone, spot, count, shard] = row;
+  return { id, machineType, zone, spot, count, shard, requestedAtMs };
+}
+
+/** A task's placement, as its start makes it. */
+export function newPlacement(task: TaskRow, { group, attempt, startedAtMs }: GroupStart): Placement {
+  const [index, host, workerIncarnation] = task;
+  const [cpus, gpus, memGb] = group.need;
+  return {
+    job: group.job,
+    index,
+    taskName: formatTaskName(group.job, index),
+    team: group.team,
+    attempt,
+    host,
+    workerIncarnation,
+    startedAtMs,
+    cpus,
+    gpus,
+    memGb,
+    gangSize: group.gang?.size ?? null,
+  };
+}
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -1,6 +1,6 @@
-/** What the placement state is made of, and the records that change it. */
-import type { Count } from '#wire';
+/** Types of the placement state, and of the records that change it. */
 import type { GangAttempt } from './gang.js';
+import type { Count } from '#wire';
 
 /** Price of each resource on one shape. */
 export interface ShapePrice {
@@ -9,13 +9,14 @@
   mem: number;
 }
 
+/** Resources that a task needs, or that several use together. */
 export interface ResourceDemand {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-/** A task that is, or may be, on a machine. It is there until its end is recorded. */
+/** A task that is, or may be, on a machine. It is there until its completion is recorded. */
 export interface Placement extends ResourceDemand {
   job: string;
   index: number;
@@ -25,37 +26,41 @@
   /** How many tasks its gang has; null for an independent task. */
   gangSize: number | null;
   host: string;
-  /** The session for which the start was decided; in any other the start has no force. */
+  /** The worker incarnation for which the start was decided; in any other the start has no effect. */
   workerIncarnation: Count;
   /** Time of day of the record, in milliseconds. */
   startedAtMs: number;
 }
 
 /**
- * What its owner last said of a machine: not up yet, up, silent for a while, called back by the cloud, failing
+ * What its owner last recorded of a machine: not up yet, up, silent for a while, recalled by the cloud, failing
  * its tasks, or silent beyond its lease.
  */
 export type MachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
 
-/** Where a machine is to go: a share, or back to the cloud. */
+/** Where a machine is to go: a shard, or back to the cloud. */
 export type Destination = number | 'return';
 
+/** A heartbeat of a worker: its incarnation, and the sequence within that. */
+export type HeartbeatPosition = [incarnation: Count, sequence: Count];
+
+/** A machine of the fleet. */
 export interface MachineEntry {
   host: string;
   machineType: string;
   zone: string;
   spot: boolean;
-  /** Time of day at which it was rented (or met), in milliseconds. */
+  /** Time of day at which it was acquired (or first seen), in milliseconds. */
   acquiredAtMs: number;
-  /** The share it belongs to; null while it is between two. */
+  /** The shard it belongs to; null while it is between two. */
   shard: number | null;
-  /** Named by the leader; the owner releases it, the new one takes it. */
+  /** Named by the leader; the present owner releases the machine, the new one acquires it. */
   destination: Destination | null;
   status: MachineStatus;
-  /** Tells one time of belonging to a share from another. */
+  /** Raised with each acquisition: distinguishes one ownership of the machine from the next. */
   ownershipCount: number;
-  /** Newest report its last owner had taken in when it let go: an older one tells a later owner nothing. */
-  lastHeartbeat: [shift: Count, tally: Count] | null;
+  /** Newest heartbeat that its last owner had processed when it released it: older ones tell a later owner nothing. */
+  lastHeartbeat: HeartbeatPosition | null;
   /** Images fetched for tasks on it, the most recent last. */
   cachedImages: string[];
   /** Tasks that failed here since the last that did not, and the time of day of the last one. */
@@ -63,54 +68,71 @@
   lastFailureAtMs: number;
 }
 
+/** A scale-out that was requested and is not settled yet. */
 export interface PendingScaleOut {
   id: string;
   machineType: string;
   zone: string;
   spot: boolean;
   count: number;
-  /** The share that its machines will belong to. */
+  /** The shard that its machines will belong to. */
   shard: number;
+  /** Time of day of the request, in milliseconds. */
   requestedAtMs: number;
 }
 
+/** How an attempt of a task ended. */
 export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
 
-/** Starts of one job: `On` holds index, host and session for each. The record's number makes the attempt. */
+/** A task, its machine, and the worker incarnation that may start it. */
+export type TaskRow = [index: number, host: string, incarnation: Count];
+
+/** Starts of one job. For independent tasks the record's sequence makes the attempt. */
 export interface StartGroup {
   job: string;
   team: string;
   /** Name of its image, which the machines will have from then on. */
   image: string;
-  need: [number, number, number];
+  need: [cpus: number, gpus: number, memGb: number];
   /** Absent for independent tasks. */
   gang?: GangAttempt;
-  tasks: [number, string, Count][];
+  tasks: TaskRow[];
 }
 
+/** A machine that joins the fleet; `since`: time of day in milliseconds. */
 export type MachineRow = [
   host: string,
   machineType: string,
   zone: string,
   spot: boolean,
   since: number,
-  share: number,
+  shard: number,
 ];
 
+/** A request for machines. */
 export type ScaleOutRow = [
   id: string,
   machineType: string,
   zone: string,
   spot: boolean,
-  number: number,
-  share: number,
+  count: number,
+  shard: number,
 ];
 
-/** One entry of a log. The first group of fields is the leader's, the second that of a share's owner. */
+/** The end of an attempt. */
+export type CompletionRow = [job: string, index: number, attempt: number, outcome: Outcome];
+/** A machine's new status. */
+export type StatusRow = [host: string, status: MachineStatus];
+/** A machine that its shard gives up, and the last heartbeat that its owner processed. */
+export type ReleaseRow = [host: string, lastHeartbeat: HeartbeatPosition | null];
+/** Prices of each resource on one shape. */
+export type PriceRow = [cpu: number, gpu: number, mem: number];
+
+/** One entry of a log. The first group of fields is the leader's, the second that of a shard's owner. */
 export interface PlacementRecord {
   sequence: number;
   recordedAtMs: number;
-  /** Place within its commit: a later record may start what an earlier one of another log has ended. */
+  /** Place within its commit: a later record may start what an earlier one of another log has completed. */
   commitIndex?: number;
 
   machines?: MachineRow[];
@@ -119,12 +141,12 @@
   settledScaleOuts?: string[];
   transferTargets?: [host: string, to: Destination][];
 
-  completions?: [job: string, index: number, attempt: number, outcome: Outcome][];
-  statuses?: [host: string, status: MachineStatus][];
-  releases?: [host: string, lastReport: [session: Count, sequence: Count] | null][];
+  completions?: CompletionRow[];
+  statuses?: StatusRow[];
+  releases?: ReleaseRow[];
   acquisitions?: string[];
   starts?: StartGroup[];
-  prices?: Record<string, [number, number, number]>;
+  prices?: Record<string, PriceRow>;
   unmetCpus?: Record<string, number>;
 }
 
--- a/packages/cluster/stored/record-codec.ts
+++ b/packages/cluster/stored/record-codec.ts
@@ -1,15 +1,18 @@
 /** Placement records as they are stored in the logs. */
 import type { Count, WireFields } from '#wire';
 import type {
+  CompletionRow,
   Destination,
-  ScaleOutRow,
   MachineRow,
   MachineStatus,
   Outcome,
   PlacementRecord,
   RecordDraft,
   RecordPosition,
+  ReleaseRow,
+  ScaleOutRow,
   StartGroup,
+  StatusRow,
 } from '../placement.js';
 import { storedWords } from './words.js';
 
@@ -190,10 +193,6 @@
   return [id, machineType, zone, spot, machineCount, shard];
 }
 
-type CompletionRow = NonNullable<PlacementRecord['completions']>[number];
-type StatusRow = NonNullable<PlacementRecord['statuses']>[number];
-type ReleaseRow = NonNullable<PlacementRecord['releases']>[number];
-
 function encodeCompletion([job, index, attempt, outcome]: CompletionRow): StoredCompletionRow {
   return [job, index, attempt, OUTCOME_WORDS.encode(outcome)];
 }
--- a/packages/recovery/observations.ts
+++ b/packages/recovery/observations.ts
@@ -20,7 +20,7 @@
 export function marksOfHeartbeat({ fencingToken, tasks }: Heartbeat): PartialHighWaterMarks {
   const positions: Record<string, number> = {};
   for (const { attempt } of tasks) {
-    const { share: shard, sequence } = attemptOrigin(Number(attempt));
+    const { shard, sequence } = attemptOrigin(Number(attempt));
     positions[String(shard)] = Math.max(positions[String(shard)] ?? 0, sequence);
   }
   return { fencingToken: Number(fencingToken), positions };
