--- a/packages/cluster/stored/words.ts
+++ b/packages/cluster/stored/words.ts
@@ -7,6 +7,7 @@
   decode(word: string): T;
 }
 
+/** A translator by this table, whose keys are the names in the code. */
 export function storedWords<T extends string>(table: Readonly<Record<T, string>>): StoredWords<T> {
   const names = new Map((Object.keys(table) as T[]).map((name) => [table[name], name]));
   return {
