--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -1,6 +1,8 @@
+export * from './attempt-numbers.js';
 export * from './capabilities.js';
 export * from './done-set.js';
 export * from './gang.js';
+export * from './job-progress.js';
 export * from './jobs.js';
 export * from './keys.js';
 export * from './members.js';
@@ -8,6 +10,7 @@
 export * from './ledger.js';
 export * from './live-state.js';
 export * from './logger.js';
+export * from './cluster-state.js';
 export * from './replica.js';
 export * from './state-integrity-check.js';
 export * from './stored/index.js';
