--- /dev/null
+++ b/packages/cluster/checkpoint-writer.ts
@@ -0,0 +1,154 @@
+/** Checkpoints of the placement ledger, the archive of terminal jobs, and garbage collection. Leader only. */
+import { adaptLimits, VALUE_FRAME_BYTES, valuesPerCommit } from './commit-limits.js';
+import {
+  CHECKPOINT_HEAD_KEY,
+  checkpointChunkKey,
+  checkpointId,
+  jobKey,
+  LOG_RING_CAPACITY,
+  terminalKey,
+} from './keys.js';
+import type { Logger } from './logger.js';
+import type { Replica } from './replica.js';
+import { checkpointRows, encodeCheckpointHead, encodeChunk, packRows } from './stored/checkpoint-codec.js';
+import { encodeFinal } from './stored/job-codec.js';
+import type { FencedStore, RoleRegistry, TermProof } from '#roles';
+import {
+  type CommitResult,
+  type Guard,
+  isTooLarge,
+  type RateLimiter,
+  type Write,
+  type WriteLimits,
+} from '#store';
+import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
+
+/** Fewest records between two checkpoints. */
+const MIN_CHECKPOINT_INTERVAL_RECORDS = 90;
+/** Records between two checkpoints for each chunk of the last one: large checkpoints are written less often. */
+const INTERVAL_RECORDS_PER_CHUNK = 8;
+/** Fraction of a log's ring at which a checkpoint is due in any case: writing it takes time, too. */
+const CHECKPOINT_LOG_FILL = 0.5;
+const MAX_WRITE_ATTEMPTS = 8;
+const WRITE_RETRY_DELAY: Micros = 400 * MS;
+
+/** What a {@link CheckpointWriter} works with. */
+export interface CheckpointWriterOptions {
+  readonly store: FencedStore;
+  readonly replica: Replica;
+  readonly roles: RoleRegistry;
+  readonly clock: Clock;
+  readonly limits: WriteLimits;
+  readonly rateLimiter: RateLimiter;
+  readonly log: Logger;
+}
+
+/** Keeps the logs short enough to be written on, and the live keys few enough to be read at a start. */
+export class CheckpointWriter {
+  private isMaintaining = false;
+  private attempts = 0;
+
+  constructor(private readonly options: CheckpointWriterOptions) {}
+
+  /**
+   * One step of maintenance: writes a checkpoint if one is due, or else archives terminal jobs; then removes stale
+   * checkpoint chunks. Does nothing on a node that does not lead, or while an earlier step goes on.
+   */
+  async maintain(): Promise<void> {
+    const termProof = this.options.roles.proveHeld('lead');
+    if (this.isMaintaining || !termProof) return;
+    this.isMaintaining = true;
+    try {
+      if (this.isCheckpointDue()) await this.writeCheckpoint(termProof);
+      else await this.archiveTerminalJobs(termProof);
+      const staleChunks = this.options.replica.staleCheckpointChunks().slice(0, this.options.limits.txnOps);
+      if (staleChunks.length > 0) await this.removeChunks(termProof, staleChunks);
+    } finally {
+      this.isMaintaining = false;
+    }
+  }
+
+  private isCheckpointDue(): boolean {
+    const { checkpointChunkCount, recordsSinceCheckpoint, fullestLogRecords } = this.options.replica;
+    const due = Math.max(MIN_CHECKPOINT_INTERVAL_RECORDS, INTERVAL_RECORDS_PER_CHUNK * checkpointChunkCount);
+    return recordsSinceCheckpoint >= due || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
+  }
+
+  /** Removes chunks of checkpoints that a newer one has replaced. */
+  private async removeChunks(termProof: TermProof, paths: readonly string[]): Promise<void> {
+    const { store, clock, rateLimiter } = this.options;
+    await sleep(clock, rateLimiter.delay());
+    rateLimiter.consume(paths.length);
+    const removals = paths.map((remove) => ({ remove }));
+    const result = await store.compareAndSwap([termProof], 'clear old checkpoints', [], removals);
+    this.adaptLimits(result);
+  }
+
+  /** Moves terminal jobs out of the live keys, with what checkpoints leave of the write rate. */
+  private async archiveTerminalJobs(termProof: TermProof): Promise<void> {
+    const { store, replica, limits, rateLimiter } = this.options;
+    const terminal = [...replica.terminalJobs].slice(0, Math.max(1, Math.floor(limits.txnOps / 2)));
+    if (terminal.length === 0 || rateLimiter.delay() > 0) return;
+    const guards: Guard[] = [];
+    const writes: Write[] = [];
+    for (const [id, { status, revision }] of terminal) {
+      guards.push({ path: jobKey(id), revision });
+      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeFinal(status) });
+    }
+    rateLimiter.consume(writes.length);
+    const result = await store.compareAndSwap([termProof], 'put away ended jobs', guards, writes);
+    this.adaptLimits(result);
+    if (result.kind === 'applied') await replica.waitForRevision(result.epoch, SECOND);
+  }
+
+  private async writeCheckpoint(termProof: TermProof): Promise<void> {
+    const { replica, limits, log } = this.options;
+    const { ledger, jobs } = replica;
+    const positions = ledger.allPositions();
+    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.attempts);
+    const previousRevision = replica.checkpointRevision;
+    const rows = checkpointRows(ledger, (job) => jobs.has(job));
+    const chunks = packRows(rows, limits.valueBytes - VALUE_FRAME_BYTES);
+    const writes = chunks.map((chunk, i) => ({ set: checkpointChunkKey(id, i), value: encodeChunk(chunk) }));
+    if (!(await this.writeChunks(termProof, writes))) return;
+    // Once a newer checkpoint is the current one, the chunks of its predecessors are removed: a late commit of this
+    // head must not bring it back then.
+    const guards = [{ path: CHECKPOINT_HEAD_KEY, revision: previousRevision }];
+    const head = encodeCheckpointHead({ id, positions, chunkCount: chunks.length });
+    if (!(await this.writeWithRetry(termProof, guards, [{ set: CHECKPOINT_HEAD_KEY, value: head }]))) return;
+    log.debug({ checkpointId: id, chunks: chunks.length }, 'checkpoint written');
+  }
+
+  /** Writes the chunks of one checkpoint, several in each commit. False: at least one was not written. */
+  private async writeChunks(termProof: TermProof, writes: readonly Write[]): Promise<boolean> {
+    const batchSize = valuesPerCommit(this.options.limits);
+    for (let i = 0; i < writes.length; i += batchSize) {
+      if (!(await this.writeWithRetry(termProof, [], writes.slice(i, i + batchSize)))) return false;
+    }
+    return true;
+  }
+
+  /**
+   * Writes a part of a checkpoint, again if it was not applied: the parts already written would be of no use without
+   * the others, and logs can't grow for ever without a checkpoint. Repeating is harmless: the keys of the chunks are
+   * the checkpoint's own, and the commit of its head is guarded.
+   */
+  private async writeWithRetry(termProof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
+    const { store, clock, rateLimiter } = this.options;
+    for (let i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
+      await sleep(clock, Math.max(rateLimiter.delay(), i > 0 ? WRITE_RETRY_DELAY : 0));
+      rateLimiter.consume(writes.length);
+      const result = await store.compareAndSwap([termProof], 'write a checkpoint', guards, writes);
+      if (result.kind === 'applied') return true;
+      if (result.kind === 'refused') return false;
+      this.adaptLimits(result);
+      // The other chunks have the size that was refused: the checkpoint is begun anew with smaller ones.
+      if (isTooLarge(result)) return false;
+    }
+    return false;
+  }
+
+  private adaptLimits(result: CommitResult): void {
+    adaptLimits(result, this.options);
+  }
+}
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -9,8 +9,8 @@
 import { Replica } from './replica.js';
 import { LogWriter } from './log-writer.js';
 
-/** Duties of a process that leads under term 1 and owns these shares. */
-function dutiesOf(clock: Clock, shards: ReadonlyMap<number, number>): RoleRegistry {
+/** Roles of a process that leads under term 1 and owns these shards, each under the given term. */
+function rolesOf(clock: Clock, shards: ReadonlyMap<number, number>): RoleRegistry {
   const holder = (term: number): RoleHolder => ({ member: 'node-0', nonce: 'ours', term });
   const holders = new Map<RoleName, RoleHolder>([['lead', holder(1)]]);
   for (const [shard, term] of shards) holders.set(shard, holder(term));
@@ -20,10 +20,16 @@
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-// At nine hundred machines the leader planned a round every two seconds while the others planned four a second.
-test('a checkpoint of many values goes out in its own time and does not hold up the rounds of the leader', async () => {
+// At nine hundred machines the leader once planned a round every two seconds, the others four a second.
+test('a checkpoint of many values is paced by its own limiter and does not hold up the scheduling rounds of the leader', async () => {
   const clock = new SimClock();
-  const view = clock.view((step) => step(), 0, 0);
+  const view = clock.view(
+    (step) => {
+      step();
+    },
+    0,
+    0,
+  );
   const sent: { writes: number; at: number }[] = [];
   const store = {
     compareAndSwap: (_guards: unknown, writes: Write[]) => {
@@ -40,35 +46,49 @@
       machines: [...Array(20).keys()].map(host),
     });
   }
-  const roles = dutiesOf(view, new Map());
-  const [rounds, upkeep] = [8, 4].map((rate) => new RateLimiter(view, () => rate)) as [
-    RateLimiter,
-    RateLimiter,
-  ];
+  const roles = rolesOf(view, new Map());
   const limits = new WriteLimits(2048, 6);
-  const fenced = new FencedStore(store, roles);
-  const writer = new LogWriter(fenced, replica, roles, view, limits, rounds, upkeep, SILENT);
-  let over = false;
-  void writer.maintain().then(() => (over = true));
-  for (let i = 0; i < 600 && !over; i++) {
+  const writer = new LogWriter({
+    store: new FencedStore(store, roles),
+    replica,
+    roles,
+    clock: view,
+    limits,
+    recordLimiter: new RateLimiter(view, () => 8),
+    checkpointLimiter: new RateLimiter(view, () => 4),
+    log: SILENT,
+  });
+  const progress = { isOver: false };
+  void writer.maintain().then(() => {
+    progress.isOver = true;
+  });
+  for (let i = 0; i < 600 && !progress.isOver; i++) {
     await clock.run(clock.time + 100 * MS, () => undefined);
     assert.equal(writer.appendDelay(), 0, `a round has to wait after ${i / 10} s`);
   }
-  assert.ok(over);
+  assert.ok(progress.isOver);
   const values = sent.reduce((sum, s) => sum + s.writes, 0);
   assert.ok(values > 20, `only ${values} values`);
   const took = (sent.at(-1)?.at ?? 0) - (sent[0]?.at ?? 0);
   assert.ok(took > ((values - 10) / 4) * SECOND, `${values} values in ${took / SECOND} s`);
 });
 
-/** A writer over a state service that notes what it is sent and refuses it all; it owns share 0 and leads. */
-function notingWriter(): {
-  writer: LogWriter;
-  replica: Replica;
-  sent: { guards: Guard[]; writes: Write[] }[];
-} {
+interface RecordingWriter {
+  readonly writer: LogWriter;
+  readonly replica: Replica;
+  readonly sent: { guards: Guard[]; writes: Write[] }[];
+}
+
+/** A writer over a state service that records and refuses every commit; its node owns shard 0 and leads. */
+function recordingWriter(): RecordingWriter {
   const clock = new SimClock();
-  const view = clock.view((step) => step(), 0, 0);
+  const view = clock.view(
+    (step) => {
+      step();
+    },
+    0,
+    0,
+  );
   const sent: { guards: Guard[]; writes: Write[] }[] = [];
   const store = {
     compareAndSwap: (guards: Guard[], writes: Write[]) => {
@@ -78,19 +98,24 @@
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
   const replica = new Replica(store, view, SILENT, 70);
-  const roles = dutiesOf(view, new Map([[0, 7]]));
-  const pace = new RateLimiter(view, () => 10);
-  const limits = new WriteLimits(2048, 6);
-  return {
-    writer: new LogWriter(new FencedStore(store, roles), replica, roles, view, limits, pace, pace, SILENT),
+  const roles = rolesOf(view, new Map([[0, 7]]));
+  const limiter = new RateLimiter(view, () => 10);
+  const writer = new LogWriter({
+    store: new FencedStore(store, roles),
     replica,
-    sent,
-  };
+    roles,
+    clock: view,
+    limits: new WriteLimits(2048, 6),
+    recordLimiter: limiter,
+    checkpointLimiter: limiter,
+    log: SILENT,
+  });
+  return { writer, replica, sent };
 }
 
-// Of a withdrawal and the last end of a job only one may win: whoever comes second must find the key changed.
-test('the end of a job relies on the revision of its key, and on the ownership of its share', () => {
-  const { writer, sent } = notingWriter();
+// Of a cancellation and the completion of a job only one may win: whoever comes second must find the key changed.
+test('the completion of a job is guarded by the revision of its key and by the ownership of its shard', () => {
+  const { writer, sent } = recordingWriter();
   void writer.completeJobs([['j-1', { spec: sampleJob('j-1'), acceptedAtMs: 0, acceptedRevision: 31 }]], [0]);
   assert.deepEqual(sent[0]?.guards, [
     { path: ownershipKey(0), revision: 7 },
@@ -99,8 +124,8 @@
   assert.deepEqual(sent[0].writes, [{ set: jobKey('j-1'), value: { Status: 'done' } }]);
 });
 
-test('an ended job is put away only as it lies there', async () => {
-  const { writer, replica, sent } = notingWriter();
+test('a terminal job is archived only at the revision that was read', async () => {
+  const { writer, replica, sent } = recordingWriter();
   replica.terminalJobs.set('j-1', { status: 'cancelled', revision: 32 });
   await writer.maintain();
   assert.deepEqual(sent[0]?.guards, [
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -161,7 +161,16 @@
     const pace = new RateLimiter(this.view, () => 1000);
     const limits = new WriteLimits(valueBytes, 20);
     const store = new FencedStore(this.client(), roles);
-    return new LogWriter(store, this.replica, roles, this.view, limits, pace, pace, SILENT);
+    return new LogWriter({
+      store,
+      replica: this.replica,
+      roles,
+      clock: this.view,
+      limits,
+      recordLimiter: pace,
+      checkpointLimiter: pace,
+      log: SILENT,
+    });
   }
 
   get writer(): LogWriter {
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -157,7 +157,16 @@
     const { roles } = membership;
     const fencedStore = new FencedStore(store, roles);
     const cloud = new FencedCloud(new CloudClient(settings.cloud, call), roles);
-    this.logWriter = new LogWriter(fencedStore, replica, roles, clock, limits, pace, upkeep, log);
+    this.logWriter = new LogWriter({
+      store: fencedStore,
+      replica,
+      roles,
+      clock,
+      limits,
+      recordLimiter: pace,
+      checkpointLimiter: upkeep,
+      log,
+    });
     this.jobService = new JobService(settings, store, replica, clock);
     const runTimes = new RunTimeEstimator(clock, replica, workers, log);
     this.runTimeEstimator = runTimes;
