--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -1,261 +1,263 @@
+/**
+ * A node's membership in the cluster: the lease that all its keys are bound to, its member record and its announced
+ * capabilities. Joining, renewing and leaving form a state machine, see {@link MembershipState}.
+ */
 import { OWN_CAPABILITIES } from './capabilities.js';
 import { capabilityKey, LEADER_KEY, memberKey, ownershipKey } from './keys.js';
+import { LeaderElection, type MemberLease } from './leader-election.js';
 import type { Logger } from './logger.js';
+import { MemberStatusPublisher, type OwnMemberRecord } from './member-status.js';
 import type { LeaseHolder, MemberStatus, ShardOwner } from './members.js';
 import type { Replica } from './replica.js';
 import { encodeHolder } from './stored/holder-codec.js';
 import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
 import { type RoleHolder, type RoleName, RoleRegistry } from '#roles';
-import { type StoreClient, StoreError } from '#store';
-import { type Clock, type Count, type WireFields, type Micros, MS, SECOND, sleep } from '#wire';
+import { type CommitResult, type StoreClient, StoreError } from '#store';
+import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
+/**
+ * `outside`: without a lease. `joining`: the member record is written, and not seen yet. `member`: the replica shows
+ * the record. `stopped`: for good.
+ */
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
-/** How long a member outlives its last sign of life. */
-const LIFE: Micros = 3 * SECOND;
-const RENEW: Micros = 800 * MS;
-const RETRY: Micros = 250 * MS;
-/** How long a joining whose outcome is unknown is waited for. */
-const PATIENCE: Micros = 2 * SECOND;
+/** How long a lease outlives its last renewal. */
+const LEASE_LIFE: Micros = 3 * SECOND;
+const RENEW_INTERVAL: Micros = 800 * MS;
+const RETRY_INTERVAL: Micros = 250 * MS;
+/** How long a join whose outcome is unknown is waited for. */
+const JOIN_TIMEOUT: Micros = 2 * SECOND;
+
+/** What a {@link Membership} works with. */
+export interface MembershipOptions {
+  readonly member: string;
+  readonly zone: string;
+  /** Distinguishes this start of the process from every other, so that an earlier one's keys aren't taken for ours. */
+  readonly incarnation: string;
+  readonly store: StoreClient;
+  readonly replica: Replica;
+  readonly clock: Clock;
+  /** Uniform in [0, 1). */
+  readonly random: () => number;
+  readonly log: Logger;
+}
 
 /**
- * A node's standing in the cluster. All it holds (its member key, the lead, its shares) hangs on one grant,
- * so all of it ends together when the node does.
+ * A node's membership. All that the node holds (its member key, the leadership, its shards) is bound to one lease, so
+ * that all of it ends together when the node does.
  */
 export class Membership {
   state: MembershipState = 'outside';
   /** The right to act for what this process holds. */
   readonly roles: RoleRegistry;
-  private memberLease: { nonce: string; leaseId: Count; at: Micros } | null = null;
-  private count = 0;
-  private campaigning = false;
-  /** Until then another member is to have the lead. */
-  private candidacyWithdrawnUntil: Micros = -Infinity;
-  private status: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
-  private publishing = false;
+  private readonly election: LeaderElection;
+  private readonly statusPublisher: MemberStatusPublisher;
+  private lease: MemberLease | null = null;
+  private joinCount = 0;
 
-  constructor(
-    private readonly member: string,
-    private readonly zone: string,
-    /** Tells this start of the process from every other, so an earlier one's keys aren't taken for ours. */
-    private readonly incarnation: string,
-    private readonly store: StoreClient,
-    private readonly replica: Replica,
-    private readonly clock: Clock,
-    private readonly random: () => number,
-    private readonly log: Logger,
-  ) {
-    this.roles = new RoleRegistry({
-      source: {
-        holders: () => holdersIn(replica),
-        isOurs: (nonce) => this.isOurs(nonce),
-      },
+  constructor(private readonly options: MembershipOptions) {
+    const { member, replica, clock, random, log } = options;
+    this.roles = this.createRoleRegistry();
+    this.election = new LeaderElection({
+      member,
+      replica,
+      roles: this.roles,
       clock,
-      keyOf: ownershipKey,
-      leaseLife: LIFE,
+      random,
+      log,
+      activeLease: () => (this.state === 'member' ? this.lease : null),
+      writeLeader: (lease, revision) => this.writeLeader(lease, revision),
+    });
+    this.statusPublisher = new MemberStatusPublisher({
+      replica,
+      log,
+      ownRecord: () => this.ownRecord(),
+      replaceRecord: ({ lease, record }) => this.writeRecord(lease, record.revision),
     });
     replica.onChange(() => {
       this.observe();
     });
   }
 
-  /** The lead if this very process holds it. */
+  /** The leader key if this very process holds it. */
   ownLeaderLease(): LeaseHolder | null {
-    const { leader: lead } = this.replica;
-    return lead && this.isOurs(lead.nonce) ? lead : null;
+    const { leader } = this.options.replica;
+    return leader && this.isOurs(leader.nonce) ? leader : null;
   }
 
-  /** The shares that this very process owns. */
+  /** The shards that this very process owns. */
   ownedShards(): Map<number, ShardOwner> {
-    return new Map([...this.replica.shardOwners].filter(([, owner]) => this.isOurs(owner.nonce)));
+    const owners = this.options.replica.shardOwners;
+    return new Map([...owners].filter(([, owner]) => this.isOurs(owner.nonce)));
   }
 
-  /** Tells the others what changed of this node, if its record doesn't say so yet. */
-  async publishStatus(change: Partial<MemberStatus>): Promise<void> {
-    this.status = { ...this.status, ...change };
-    const memberRecord = this.replica.members.get(this.member);
-    // Compared with the record as it stands: a commit that failed is made good the next time.
-    if (this.publishing || !this.memberLease || !memberRecord || !this.isOurs(memberRecord.nonce)) return;
-    if (isSameNotes(memberRecord, this.status)) return;
-    this.publishing = true;
-    this.log.info(this.status, 'member record changes');
-    const { leaseId } = this.memberLease;
-    const result = await this.store.compareAndSwap(
-      [{ path: memberKey(this.member), revision: memberRecord.revision }],
-      [{ set: memberKey(this.member), value: this.memberRecord(this.memberLease), leaseId }],
-    );
-    if (result.kind === 'applied') await this.replica.waitForRevision(result.epoch, SECOND);
-    this.publishing = false;
+  /** Changes the status that other nodes see of this one; see {@link MemberStatusPublisher.publish}. */
+  publishStatus(change: Partial<MemberStatus>): Promise<void> {
+    return this.statusPublisher.publish(change);
   }
 
-  /** Leaves the lead to others for a while, as after handing it over. */
+  /** Leaves the leadership to other members for this long, as after resigning it. */
   withdrawCandidacy(duration: Micros): void {
-    this.candidacyWithdrawnUntil = this.clock.now() + duration;
+    this.election.withdraw(duration);
   }
 
-  /** The shares that this node is giving up. */
+  /** The shards that this node is giving up. */
   get resignedShards(): readonly number[] {
-    return this.status.resignedShards;
+    return this.statusPublisher.status.resignedShards;
   }
 
-  /** Gives up all that this process holds, at once and for good: its grant ends, and with it every key that hangs on it. */
+  /** Gives up all that this process holds, at once and for good: revoking its lease deletes every key bound to it. */
   async retire(): Promise<void> {
-    const leaseId = this.memberLease?.leaseId;
-    this.memberLease = null;
+    const leaseId = this.lease?.leaseId;
+    this.lease = null;
     this.enter('stopped');
     this.roles.refresh();
-    if (leaseId !== undefined) await this.store.revokeLease(leaseId).catch(() => undefined);
+    if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
+  /** Ends {@link run} without giving anything up: the lease runs out by itself. */
   stop(): void {
     this.enter('stopped');
   }
 
+  /** Joins the cluster and stays in it until stopped. Rejects only on errors other than a {@link StoreError}. */
   async run(): Promise<void> {
     while (!this.isStopped()) {
       try {
-        if (this.memberLease) await this.keepLease(this.memberLease);
-        else if (this.replica.state === 'following') await this.join();
+        if (this.lease) await this.keepLease(this.lease);
+        else if (this.options.replica.state === 'following') await this.join();
       } catch (cause) {
-        // In an outage grants don't run out; on a lone 503 a 404 later tells that ours has.
+        // In an outage leases don't run out; after a lone 503 a later 404 shows that ours has.
         if (!(cause instanceof StoreError)) throw cause;
       }
-      await sleep(this.clock, this.state === 'member' ? RENEW : RETRY);
+      await sleep(this.options.clock, this.state === 'member' ? RENEW_INTERVAL : RETRY_INTERVAL);
     }
   }
 
+  private createRoleRegistry(): RoleRegistry {
+    const { replica, clock } = this.options;
+    const source = {
+      holders: () => roleHolders(replica),
+      isOurs: (nonce: string) => this.isOurs(nonce),
+    };
+    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_LIFE });
+  }
+
   private isStopped(): boolean {
     return this.state === 'stopped';
   }
 
   private isOurs(nonce: string): boolean {
-    return this.state === 'member' && nonce === this.memberLease?.nonce;
+    return this.state === 'member' && nonce === this.lease?.nonce;
   }
 
-  private memberRecord({ nonce, leaseId }: { nonce: string; leaseId: Count }): WireFields {
-    const { zone, status: notes } = this;
-    return encodeMember({ nonce, zone, leaseId, notes, capabilities: OWN_CAPABILITIES });
+  /** The member record of this very process, as the replica shows it; null while there is none. */
+  private ownRecord(): OwnMemberRecord | null {
+    const { lease } = this;
+    const record = this.options.replica.members.get(this.options.member);
+    return lease && record && this.isOurs(record.nonce) ? { lease, record } : null;
   }
 
   private async join(): Promise<void> {
-    const sentAt = this.clock.now();
-    const leaseId = await this.store.createLease(LIFE);
+    const { store, replica, clock, member, incarnation } = this.options;
+    const sentAt = clock.now();
+    const leaseId = await store.createLease(LEASE_LIFE);
     this.roles.onLeaseRenewed(sentAt);
-    this.memberLease = { nonce: `${this.incarnation}.${++this.count}`, leaseId, at: this.clock.now() };
+    this.lease = { nonce: `${incarnation}.${++this.joinCount}`, leaseId, createdAt: clock.now() };
     this.enter('joining');
-    // Only one process of a member runs at a time: an earlier one's record can be replaced, never disturbed.
-    const old = this.replica.members.get(this.member);
-    const result = await this.store.compareAndSwap(
-      [{ path: memberKey(this.member), revision: old?.revision ?? 0 }],
-      [{ set: memberKey(this.member), value: this.memberRecord(this.memberLease), leaseId }],
-    );
+    // Only one process of a member runs at a time: the record of an earlier one may be replaced.
+    const result = await this.writeRecord(this.lease, replica.members.get(member)?.revision ?? 0);
     if (result.kind !== 'applied' && result.kind !== 'unknown') await this.leave();
   }
 
-  private async keepLease(standing: { nonce: string; leaseId: Count; at: Micros }): Promise<void> {
-    const sentAt = this.clock.now();
-    if (!(await this.store.renewLease(standing.leaseId))) {
-      this.memberLease = null;
+  private async keepLease(lease: MemberLease): Promise<void> {
+    const { store, clock } = this.options;
+    const sentAt = clock.now();
+    if (!(await store.renewLease(lease.leaseId))) {
+      this.lease = null;
       this.enter('outside');
       this.roles.refresh();
       return;
     }
     this.roles.onLeaseRenewed(sentAt);
-    if (this.state === 'joining' && this.clock.now() > standing.at + PATIENCE) {
-      // The commit's answer was lost. Once its grant is gone it can't be applied any more.
+    if (this.state === 'joining' && clock.now() > lease.createdAt + JOIN_TIMEOUT) {
+      // The commit's answer was lost. Once its lease is gone the commit can't be applied any more.
       await this.leave();
     } else if (this.state === 'member') {
-      this.campaign();
+      this.election.campaign();
       await this.announceCapabilities();
     }
   }
 
-  /** Lays down what this version understands where it outlives the process, if it isn't there yet. */
+  /** Writes what this version understands to a key that outlives the process, if it isn't there yet. */
   private async announceCapabilities(): Promise<void> {
-    const memberRecord = this.replica.members.get(this.member);
-    const announced = this.replica.capabilities.get(this.member);
-    if (!memberRecord || !this.isOurs(memberRecord.nonce)) return;
-    if (OWN_CAPABILITIES.every((capability) => announced?.has(capability))) return;
-    // Guarded by this process's own record: a late commit can't speak for a later process.
-    await this.store.compareAndSwap(
-      [{ path: memberKey(this.member), revision: memberRecord.revision }],
-      [{ set: capabilityKey(this.member), value: encodeCapabilities(OWN_CAPABILITIES) }],
+    const { store, replica, member } = this.options;
+    const announced = replica.capabilities.get(member);
+    const own = this.ownRecord();
+    if (!own || OWN_CAPABILITIES.every((capability) => announced?.has(capability))) return;
+    // Guarded by this process's own record: a late commit can't announce for a later process.
+    await store.compareAndSwap(
+      [{ path: memberKey(member), revision: own.record.revision }],
+      [{ set: capabilityKey(member), value: encodeCapabilities(OWN_CAPABILITIES) }],
     );
   }
 
   private async leave(): Promise<void> {
-    const leaseId = this.memberLease?.leaseId;
-    this.memberLease = null;
+    const leaseId = this.lease?.leaseId;
+    this.lease = null;
     this.enter('outside');
-    if (leaseId !== undefined) await this.store.revokeLease(leaseId).catch(() => undefined);
+    if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
+  /** Follows a change of the replica. */
   private observe(): void {
-    const memberRecord = this.replica.members.get(this.member);
-    const owned = memberRecord !== undefined && memberRecord.nonce === this.memberLease?.nonce;
-    if (this.state === 'joining' && owned) {
+    const { replica, member } = this.options;
+    const record = replica.members.get(member);
+    const isOwnRecord = record !== undefined && record.nonce === this.lease?.nonce;
+    if (this.state === 'joining' && isOwnRecord) {
       this.enter('member');
-    } else if (this.state === 'member' && !owned && this.replica.state === 'following') {
+    } else if (this.state === 'member' && !isOwnRecord && replica.state === 'following') {
       void this.leave();
     }
     this.roles.refresh();
-    if (this.state === 'member') this.campaign();
+    if (this.state === 'member') this.election.campaign();
   }
 
-  /** The lead is free, or held by an earlier start of this very member, which is gone for certain. */
-  private isLeaderVacant(): boolean {
-    const { leader: lead } = this.replica;
-    return !lead || (lead.member === this.member && !this.isOurs(lead.nonce));
+  /** Writes the member record of this process with its present status, over the record of this revision. */
+  private writeRecord(
+    { nonce, leaseId }: Pick<MemberLease, 'nonce' | 'leaseId'>,
+    revision: number,
+  ): Promise<CommitResult> {
+    const { store, member, zone } = this.options;
+    const notes = this.statusPublisher.status;
+    const value = encodeMember({ nonce, zone, leaseId, notes, capabilities: OWN_CAPABILITIES });
+    return store.compareAndSwap(
+      [{ path: memberKey(member), revision }],
+      [{ set: memberKey(member), value, leaseId }],
+    );
   }
 
-  private campaign(): void {
-    if (this.campaigning || !this.isLeaderVacant() || this.clock.now() < this.candidacyWithdrawnUntil) return;
-    this.campaigning = true;
-    void this.tryAcquireLeadership().finally(() => {
-      this.campaigning = false;
-    });
-  }
-
-  private async tryAcquireLeadership(): Promise<void> {
-    await sleep(this.clock, Math.floor(this.random() * 100) * MS);
-    const { memberLease: standing } = this;
-    if (!standing || this.state !== 'member' || !this.isLeaderVacant()) return;
-    this.roles.beginAcquisition('lead');
-    const value = encodeHolder({ member: this.member, nonce: standing.nonce });
-    const result = await this.store.compareAndSwap(
-      [{ path: LEADER_KEY, revision: this.replica.leader?.revision ?? 0 }],
-      [{ set: LEADER_KEY, value, leaseId: standing.leaseId }],
-    );
-    if (result.kind === 'applied') this.log.info({ nonce: standing.nonce }, 'leading');
-    else {
-      this.roles.acquisitionFailed('lead');
-      await sleep(this.clock, RETRY);
-    }
+  private writeLeader({ nonce, leaseId }: MemberLease, revision: number): Promise<CommitResult> {
+    const { store, member } = this.options;
+    const value = encodeHolder({ member, nonce });
+    return store.compareAndSwap([{ path: LEADER_KEY, revision }], [{ set: LEADER_KEY, value, leaseId }]);
   }
 
   private enter(state: MembershipState): void {
     if (this.state === state || this.state === 'stopped') return;
-    this.log.info({ from: this.state, to: state }, 'membership');
+    this.options.log.info({ from: this.state, to: state }, 'membership changed');
     this.state = state;
   }
 }
 
-function isSameNotes(a: MemberStatus, b: MemberStatus): boolean {
-  return (
-    a.unreachable.join() === b.unreachable.join() &&
-    a.workersUnreachable === b.workersUnreachable &&
-    a.resignedShards.join() === b.resignedShards.join()
-  );
-}
-
-/** Who holds which duty, as this copy of the state says. */
-function holdersIn({ leader: lead, shardOwners: owners }: Replica): Map<RoleName, RoleHolder> {
+/** Who holds which role, according to this replica. */
+function roleHolders({ leader, shardOwners }: Replica): Map<RoleName, RoleHolder> {
   const holders = new Map<RoleName, RoleHolder>();
-  if (lead) holders.set('lead', holderOf(lead));
-  for (const [shard, owner] of owners) holders.set(shard, holderOf(owner));
+  if (leader) holders.set('lead', roleHolder(leader));
+  for (const [shard, owner] of shardOwners) holders.set(shard, roleHolder(owner));
   return holders;
 }
 
-function holderOf({ member, nonce, revision }: LeaseHolder): RoleHolder {
+function roleHolder({ member, nonce, revision }: LeaseHolder): RoleHolder {
   return { member, nonce, term: revision };
 }
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -130,16 +130,16 @@
 /** One member that leads and owns share 0, and writes through the real code. */
 class Writer extends NodeService {
   readonly replica = new Replica(this.client(), this.view, SILENT, 10_000);
-  readonly membership = new Membership(
-    'node-1',
-    'east',
-    'p1',
-    this.client(),
-    this.replica,
-    this.view,
-    () => 0.5,
-    SILENT,
-  );
+  readonly membership = new Membership({
+    member: 'node-1',
+    zone: 'east',
+    incarnation: 'p1',
+    store: this.client(),
+    replica: this.replica,
+    clock: this.view,
+    random: () => 0.5,
+    log: SILENT,
+  });
   private log: LogWriter | null = null;
 
   async start(valueBytes = 4096): Promise<this> {
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -149,7 +149,16 @@
       this.isStateIntact(),
     );
     const { incarnation, random } = parts;
-    this.membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
+    this.membership = new Membership({
+      member,
+      zone: domain,
+      incarnation,
+      store,
+      replica,
+      clock,
+      random,
+      log,
+    });
     const { membership, workers } = this;
     const pace = new RateLimiter(clock, (used) => this.logWriteRate(used));
     const upkeep = new RateLimiter(clock, () => settings.stateWriteRps * this.checkpointWriteFraction());
