--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -1,3 +1,4 @@
+/** The cluster's state as every node replicates it, its logs, and membership. */
 export * from './capabilities.js';
 export * from './done-set.js';
 export * from './gang.js';
@@ -16,3 +17,4 @@
 export * from './placement.js';
 export * from './shard-assignment.js';
 export * from './worker-reachability.js';
+export * from './zone-partitions.js';
--- a/packages/cluster/leader-election.ts
+++ b/packages/cluster/leader-election.ts
@@ -1,24 +1,16 @@
 /** A member's campaign for the leadership: one compare-and-swap on the leader key whenever nobody holds it. */
 import type { Logger } from './logger.js';
+import type { MemberLease } from './members.js';
 import type { Replica } from './replica.js';
 import type { RoleRegistry } from '#roles';
 import type { CommitResult } from '#store';
-import { type Clock, type Count, type Micros, MS, sleep } from '#wire';
+import { type Clock, type Micros, MS, sleep } from '#wire';
 
 /** Members wait a random time below this many milliseconds before they campaign, so that they rarely collide. */
 const MAX_CAMPAIGN_DELAY_MS = 100;
 /** Pause after a campaign that failed. */
 const RETRY_DELAY: Micros = 250 * MS;
 
-/** The lease under which a process holds its member key and everything else that it owns. */
-export interface MemberLease {
-  /** Names this stay in the cluster; never used twice. */
-  readonly nonce: string;
-  readonly leaseId: Count;
-  /** Steady time at which the lease was created. */
-  readonly createdAt: Micros;
-}
-
 /** What a {@link LeaderElection} works with. */
 export interface LeaderElectionOptions {
   readonly member: string;
--- a/packages/cluster/member-status.ts
+++ b/packages/cluster/member-status.ts
@@ -1,7 +1,6 @@
 /** The status that a node publishes in its member record. */
-import type { MemberLease } from './leader-election.js';
 import type { Logger } from './logger.js';
-import type { Member, MemberStatus } from './members.js';
+import type { Member, MemberLease, MemberStatus } from './members.js';
 import type { Replica } from './replica.js';
 import type { CommitResult } from '#store';
 import { SECOND } from '#wire';
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -4,10 +4,10 @@
  */
 import { OWN_CAPABILITIES } from './capabilities.js';
 import { capabilityKey, LEADER_KEY, memberKey, ownershipKey } from './keys.js';
-import { LeaderElection, type MemberLease } from './leader-election.js';
+import { LeaderElection } from './leader-election.js';
 import type { Logger } from './logger.js';
 import { MemberStatusPublisher, type OwnMemberRecord } from './member-status.js';
-import type { LeaseHolder, MemberStatus, ShardOwner } from './members.js';
+import type { LeaseHolder, MemberLease, MemberStatus, ShardOwner } from './members.js';
 import type { Replica } from './replica.js';
 import { encodeHolder } from './stored/holder-codec.js';
 import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
--- a/packages/cluster/shard-assignment.test.ts
+++ b/packages/cluster/shard-assignment.test.ts
@@ -1,16 +1,24 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { partitionedZonePairs, planShardAssignments, type ShardHolder } from './shard-assignment.js';
+import {
+  planShardAssignments,
+  type AssignableMember,
+  type ShardAssignment,
+  type ShardHolder,
+} from './shard-assignment.js';
 
-const member = (name: string, zone = 'east') => ({
-  member: name,
-  nonce: `${name}.1`,
-  zone,
-  unreachable: [] as string[],
-});
+const member = (name: string): AssignableMember => ({ member: name, nonce: `${name}.1`, zone: 'east' });
+
+function plan(
+  shardCount: number,
+  owners: ReadonlyMap<number, ShardHolder>,
+  members: readonly AssignableMember[],
+): ShardAssignment[] {
+  return planShardAssignments({ shardCount, owners, members, weights: new Map() });
+}
 
-test('dealing shares again and again ends with every share owned by a living member, evenly', () => {
+test('assigning shards again and again ends with every shard owned by a living member, evenly', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 6 }),
@@ -22,11 +30,11 @@
           before.map((n, i) => [i, { member: n, nonce: `${n}.1` }]),
         );
         for (let round = 0; round < 20; round++) {
-          for (const { shard, member: name } of planShardAssignments(count, owners, members, new Map())) {
+          for (const { shard, member: name } of plan(count, owners, members)) {
             owners.set(shard, { member: name, nonce: `${name}.1` });
           }
         }
-        assert.deepEqual(planShardAssignments(count, owners, members, new Map()), []);
+        assert.deepEqual(plan(count, owners, members), []);
         const owned = names.map((n) => [...owners].filter(([s, o]) => s < count && o.member === n).length);
         assert.equal(
           owned.reduce((x, y) => x + y, 0),
@@ -39,12 +47,7 @@
   );
 });
 
-test('a member that came back under another name of its start owns nothing of before', () => {
+test('a member that came back as another incarnation owns nothing of before', () => {
   const owners = new Map([[0, { member: 'a', nonce: 'a.0' }]]);
-  assert.deepEqual(planShardAssignments(1, owners, [member('a')], new Map()), [{ shard: 0, member: 'a' }]);
-});
-
-test('a cut counts once either side tells of it, and only between zones', () => {
-  const a = { ...member('a', 'east'), unreachable: ['b', 'c', 'unknown'] };
-  assert.deepEqual([...partitionedZonePairs([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
+  assert.deepEqual(plan(1, owners, [member('a')]), [{ shard: 0, member: 'a' }]);
 });
--- a/packages/cluster/shard-assignment.ts
+++ b/packages/cluster/shard-assignment.ts
@@ -1,115 +1,144 @@
-/** The leader's decisions on shares: pure functions of what it sees. */
+/** The assignment of shards to members: pure functions of what the leader sees. */
 
+/** The process that owns a shard. */
 export interface ShardHolder {
-  member: string;
-  nonce: string;
+  readonly member: string;
+  readonly nonce: string;
 }
 
-export interface AssignableMember {
-  member: string;
-  nonce: string;
-  zone: string;
-  /** Shares that it gives up: they go to others. */
-  resignedShards?: readonly number[];
+/** A member as a candidate for shards. */
+export interface AssignableMember extends ShardHolder {
+  readonly zone: string;
+  /** Shards that it gives up: they go to other members. */
+  readonly resignedShards?: readonly number[];
 }
 
+/** A shard's new owner. */
 export interface ShardAssignment {
-  shard: number;
-  member: string;
+  readonly shard: number;
+  readonly member: string;
+}
+
+/** What the assignment of shards is planned from. */
+export interface ShardAssignmentInput {
+  readonly shardCount: number;
+  readonly owners: ReadonlyMap<number, ShardHolder>;
+  readonly members: readonly AssignableMember[];
+  /** By member; one that is missing has weight 1. */
+  readonly weights: ReadonlyMap<string, number>;
 }
 
 /**
- * How many shares each member should own: in proportion to its weight, rounded by largest remainder. Ties go
- * by name so that every leader comes to the same answer.
+ * Number of shards that each member should own: in proportion to its weight, rounded by largest remainder. Ties go
+ * by name, so that every leader comes to the same result.
  */
 export function targetShardCounts(
   members: readonly AssignableMember[],
   weights: ReadonlyMap<string, number>,
-  shards: number,
-) {
-  const total = members.reduce((sum, m) => sum + (weights.get(m.member) ?? 1), 0) || 1;
-  const rows = members
-    .map((m) => ({ member: m.member, exact: (shards * (weights.get(m.member) ?? 1)) / total }))
+  shardCount: number,
+): Map<string, number> {
+  const weightOf = ({ member }: AssignableMember): number => weights.get(member) ?? 1;
+  const totalWeight = members.reduce((sum, member) => sum + weightOf(member), 0) || 1;
+  const quotas = members
+    .map((member) => ({ member: member.member, exact: (shardCount * weightOf(member)) / totalWeight }))
     .sort(
       (a, b) =>
         b.exact - Math.floor(b.exact) - (a.exact - Math.floor(a.exact)) || (a.member < b.member ? -1 : 1),
     );
-  let left = shards - rows.reduce((sum, r) => sum + Math.floor(r.exact), 0);
-  return new Map(rows.map((r) => [r.member, Math.floor(r.exact) + (left-- > 0 ? 1 : 0)]));
+  let remaining = shardCount - quotas.reduce((sum, quota) => sum + Math.floor(quota.exact), 0);
+  return new Map(quotas.map(({ member, exact }) => [member, Math.floor(exact) + (remaining-- > 0 ? 1 : 0)]));
 }
 
-/** Members that can own shares: those that their workers reach, or all if there is none. */
+/** Members that may own shards: those whose workers reach them, or all if there is none. */
 export function eligibleOwners<M extends { workersUnreachable: boolean }>(
   members: readonly M[],
 ): readonly M[] {
-  const reached = members.filter((m) => !m.workersUnreachable);
+  const reached = members.filter((member) => !member.workersUnreachable);
   return reached.length > 0 ? reached : members;
 }
 
 /**
- * Which shares get a new owner: all that have none, and one from a member that has more than its part to one
- * that has less.
+ * Shards that get a new owner: all that have no living one; if there are none, at most one shard of a member above its
+ * target goes to a member below its own.
  */
-export function planShardAssignments(
-  count: number,
-  owners: ReadonlyMap<number, ShardHolder>,
-  members: readonly AssignableMember[],
-  weights: ReadonlyMap<string, number>,
-): ShardAssignment[] {
-  if (members.length === 0) return [];
-  const want = targetShardCounts(members, weights, count);
-  const has = new Map<string, number[]>(members.map((m) => [m.member, []]));
-  const orphans: number[] = [];
-  for (let shard = 0; shard < count; shard++) {
-    const owner = owners.get(shard);
-    const alive = members.some(
-      (m) => m.member === owner?.member && m.nonce === owner.nonce && !hasResignedShard(m, shard),
+export function planShardAssignments(input: ShardAssignmentInput): ShardAssignment[] {
+  if (input.members.length === 0) return [];
+  const plan = new ShardPlan(input);
+  const assignments = plan.assignOrphans();
+  if (assignments.length > 0) return assignments;
+  const transfer = plan.rebalance();
+  return transfer ? [transfer] : [];
+}
+
+/** The shards of each member while an assignment is planned. */
+class ShardPlan {
+  private readonly members: readonly AssignableMember[];
+  private readonly targets: ReadonlyMap<string, number>;
+  private readonly ownedShards: Map<string, number[]>;
+  /** Shards without a living owner that keeps them. */
+  private readonly orphans: number[] = [];
+
+  constructor({ shardCount, owners, members, weights }: ShardAssignmentInput) {
+    this.members = members;
+    this.targets = targetShardCounts(members, weights, shardCount);
+    this.ownedShards = new Map(members.map(({ member }) => [member, []]));
+    for (let shard = 0; shard < shardCount; shard++) {
+      const owner = owners.get(shard);
+      if (owner && this.keepsShard(owner, shard)) this.ownedShards.get(owner.member)?.push(shard);
+      else this.orphans.push(shard);
+    }
+  }
+
+  assignOrphans(): ShardAssignment[] {
+    const assignments: ShardAssignment[] = [];
+    for (const shard of this.orphans) {
+      const [member] = this.byDeficit(this.candidatesFor(shard));
+      if (member === undefined) continue;
+      this.ownedShards.get(member)?.push(shard);
+      assignments.push({ shard, member });
+    }
+    return assignments;
+  }
+
+  /** Moves one shard from the member furthest above its target to the one furthest below, if both are by one or more. */
+  rebalance(): ShardAssignment | null {
+    const names = [...this.ownedShards.keys()];
+    const [receiver] = this.byDeficit(names);
+    const [donor] = this.bySurplus(names);
+    if (receiver === undefined || donor === undefined) return null;
+    const shard = this.ownedShards.get(donor)?.at(-1);
+    if (shard === undefined || !this.candidatesFor(shard).includes(receiver)) return null;
+    return this.deficit(receiver) >= 1 && this.deficit(donor) <= -1 ? { shard, member: receiver } : null;
+  }
+
+  /** The very process that owns the shard is still a member, and does not give it up. */
+  private keepsShard(owner: ShardHolder, shard: number): boolean {
+    return this.members.some(
+      (member) =>
+        member.member === owner.member && member.nonce === owner.nonce && !hasResignedShard(member, shard),
     );
-    if (owner && alive) has.get(owner.member)?.push(shard);
-    else orphans.push(shard);
   }
-  const lack = (member: string): number => (want.get(member) ?? 0) - (has.get(member)?.length ?? 0);
-  const neediest = (candidates: readonly string[]): string | undefined =>
-    [...candidates].sort((a, b) => lack(b) - lack(a) || (a < b ? -1 : 1))[0];
-  /** Who may have it: all but those that give it up, unless that is everybody. */
-  const takers = (shard: number): string[] => {
-    const names = members.filter((m) => !hasResignedShard(m, shard)).map((m) => m.member);
-    return names.length > 0 ? names : [...has.keys()];
-  };
-  const plan: ShardAssignment[] = [];
-  for (const shard of orphans) {
-    const member = neediest(takers(shard));
-    if (member === undefined) continue;
-    has.get(member)?.push(shard);
-    plan.push({ shard, member });
+
+  /** Members that may get the shard: all but those that give it up, unless that is everybody. */
+  private candidatesFor(shard: number): string[] {
+    const willing = this.members.filter((member) => !hasResignedShard(member, shard));
+    return willing.length > 0 ? willing.map(({ member }) => member) : [...this.ownedShards.keys()];
   }
-  if (plan.length > 0) return plan;
-  const poor = neediest([...has.keys()]);
-  const rich = [...has.keys()].sort((a, b) => lack(a) - lack(b) || (a < b ? -1 : 1))[0] as string;
-  const shard = has.get(rich)?.at(-1);
-  if (poor === undefined || shard === undefined || !takers(shard).includes(poor)) return plan;
-  if (lack(poor) >= 1 && lack(rich) <= -1) plan.push({ shard, member: poor });
-  return plan;
-}
 
-function hasResignedShard({ resignedShards: resigned = [] }: AssignableMember, shard: number): boolean {
-  return resigned.includes(shard);
-}
+  /** Number of shards that the member is below its target; negative above it. */
+  private deficit(member: string): number {
+    return (this.targets.get(member) ?? 0) - (this.ownedShards.get(member)?.length ?? 0);
+  }
 
-/** Pairs of zones that can't reach each other, as the members tell: `a|b` with a < b. */
-export function partitionedZonePairs(
-  members: readonly (AssignableMember & { unreachable: readonly string[] })[],
-): Set<string> {
-  const cuts = new Set<string>();
-  for (const m of members) {
-    for (const name of m.unreachable) {
-      const other = members.find((o) => o.member === name);
-      if (other && other.zone !== m.zone) cuts.add(zonePair(m.zone, other.zone));
-    }
+  private byDeficit(names: readonly string[]): string[] {
+    return [...names].sort((a, b) => this.deficit(b) - this.deficit(a) || (a < b ? -1 : 1));
+  }
+
+  private bySurplus(names: readonly string[]): string[] {
+    return [...names].sort((a, b) => this.deficit(a) - this.deficit(b) || (a < b ? -1 : 1));
   }
-  return cuts;
 }
 
-export function zonePair(a: string, b: string): string {
-  return a < b ? `${a}|${b}` : `${b}|${a}`;
+function hasResignedShard({ resignedShards = [] }: AssignableMember, shard: number): boolean {
+  return resignedShards.includes(shard);
 }
--- /dev/null
+++ b/packages/cluster/zone-partitions.test.ts
@@ -0,0 +1,14 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { partitionedZonePairs, type ZoneObserver } from './zone-partitions.js';
+
+const member = (name: string, zone = 'east', unreachable: string[] = []): ZoneObserver => ({
+  member: name,
+  zone,
+  unreachable,
+});
+
+test('a partition counts once either side publishes it, and only between zones', () => {
+  const a = member('a', 'east', ['b', 'c', 'unknown']);
+  assert.deepEqual([...partitionedZonePairs([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
+});
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -165,7 +165,12 @@
     const { replica, store, settings, writeLimits: limits, log, clock } = this.parts;
     if (this.assigning || replica.fencingToken.value === UNREADABLE_FENCING_TOKEN) return;
     const members = eligibleOwners([...replica.members.values()]);
-    const plan = planShardAssignments(settings.initialSize, replica.shardOwners, members, this.weights());
+    const plan = planShardAssignments({
+      shardCount: settings.initialSize,
+      owners: replica.shardOwners,
+      members,
+      weights: this.weights(),
+    });
     const orphaned = plan.some(({ shard }) => {
       const owner = replica.shardOwners.get(shard);
       const holder = members.find((m) => m.member === owner?.member && m.nonce === owner.nonce);
