--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -149,7 +149,16 @@
       this.isStateIntact(),
     );
     const { incarnation, random } = parts;
-    this.membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
+    this.membership = new Membership({
+      member,
+      zone: domain,
+      incarnation,
+      store,
+      replica,
+      clock,
+      random,
+      log,
+    });
     const { membership, workers } = this;
     const pace = new RateLimiter(clock, (used) => this.logWriteRate(used));
     const upkeep = new RateLimiter(clock, () => settings.stateWriteRps * this.checkpointWriteFraction());
@@ -157,7 +166,16 @@
     const { roles } = membership;
     const fencedStore = new FencedStore(store, roles);
     const cloud = new FencedCloud(new CloudClient(settings.cloud, call), roles);
-    this.logWriter = new LogWriter(fencedStore, replica, roles, clock, limits, pace, upkeep, log);
+    this.logWriter = new LogWriter({
+      store: fencedStore,
+      replica,
+      roles,
+      clock,
+      limits,
+      recordLimiter: pace,
+      checkpointLimiter: upkeep,
+      log,
+    });
     this.jobService = new JobService(settings, store, replica, clock);
     const runTimes = new RunTimeEstimator(clock, replica, workers, log);
     this.runTimeEstimator = runTimes;
