--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -159,14 +159,20 @@
     const cloud = new FencedCloud(new CloudClient(settings.cloud, call), roles);
     this.logWriter = new LogWriter(fencedStore, replica, roles, clock, limits, pace, upkeep, log);
     this.jobService = new JobService(settings, store, replica, clock);
-    const runTimes = new RunTimeEstimator(clock, replica, workers, log);
+    const runTimes = new RunTimeEstimator({ clock, replica, workers, log });
     this.runTimeEstimator = runTimes;
-    const input = new RoundInputBuilder(settings, parts.tuning, clock, replica, workers, runTimes);
-    const preemption = new Preemption(settings, clock, replica, workers, runTimes);
+    const input = new RoundInputBuilder({ settings, tuning, clock, replica, workers, runTimes });
+    const preemption = new Preemption({ settings, clock, replica, workers, runTimes });
     this.scheduler = new Scheduler({
       ...{ settings, tuning, random, replica, workers, input, preemption, log },
     });
-    const forecaster = new Forecaster(settings, replica, input, runTimes, this.scheduler);
+    const forecaster = new Forecaster({
+      settings,
+      replica,
+      input,
+      runTimes,
+      scheduler: this.scheduler,
+    });
     const { logWriter: writer } = this;
     const wake = (): void => {
       this.requestRound();
--- a/packages/scheduling/run-time-estimator.ts
+++ b/packages/scheduling/run-time-estimator.ts
@@ -1,71 +1,90 @@
-/** How long tasks run: what their owners estimate, put right by what was seen of their class. */
+/** Estimates how long tasks run: what the job's owner estimates, corrected by the observed run times of its class. */
 import type { Logger, Placement, Replica } from '#cluster';
 import { type Clock, fromSeconds, type JobSpec, type Micros, MS, SECOND } from '#wire';
 import { attemptKey, type TaskCompletion, type WorkerRegistry } from '#workers';
 
-/** A machine that refused a task gets none for so long. */
-const REFUSAL_PAUSE: Micros = 5 * SECOND;
-/** A task that ended within this part of its estimate was kept from an earlier attempt. */
+/** A machine that refused a task gets no new ones for this long. */
+const REFUSAL_BACKOFF: Micros = 5 * SECOND;
+/** A task that ended within this part of its estimate had its result kept from an earlier attempt. */
 const STORED_RESULT_RATIO = 0.1;
-/** How much of a newly seen ratio goes into what is known of its class, and the most that one may say. */
+/** Weight of a newly observed ratio in the moving average of its class. */
 const LEARNING_RATE = 0.1;
-const MOST_RATIO = 5;
+/** A single observed ratio counts for at most this much. */
+const MAX_RATIO = 5;
 
+/** What a run time estimator works with. */
+export interface RunTimeEstimatorOptions {
+  readonly clock: Clock;
+  readonly replica: Replica;
+  readonly workers: WorkerRegistry;
+  readonly log: Logger;
+}
+
+/** Learns from completions by how much the owners' estimates are off, by job class. */
 export class RunTimeEstimator {
-  /** By class: how long its tasks really run against the owners' estimates. */
+  /** By job class: moving average of observed run time by estimated run time. */
   private readonly ratios = new Map<string, number>();
 
-  constructor(
-    private readonly clock: Clock,
-    private readonly replica: Replica,
-    private readonly workers: WorkerRegistry,
-    private readonly log: Logger,
-  ) {}
+  constructor(private readonly options: RunTimeEstimatorOptions) {}
 
-  /** Takes in how a task ended. */
+  /** Learns from a completion. A machine that refused the task gets no new ones for a while. */
   onCompletion({ placement, outcome }: TaskCompletion): void {
-    const now = this.clock.now();
-    const session = this.workers.trackedWorkers.get(placement.host);
-    const job = this.replica.jobs.get(placement.job);
-    const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
-    session?.runningSince.delete(attemptKey(placement.taskName, placement.attempt));
-    if (outcome === 'refused' && session) {
-      session.avoidedUntil = Math.max(session.avoidedUntil, now + REFUSAL_PAUSE);
-    } else if (outcome === 'done' && job && began !== null && job.spec.estimateS > 0) {
-      const ratio = (now - began) / fromSeconds(job.spec.estimateS);
-      // A task whose result was kept from an earlier attempt ends at once and tells nothing of its class.
-      if (ratio < STORED_RESULT_RATIO) return;
-      const old = this.ratios.get(job.spec.jobClass) ?? 1;
-      this.ratios.set(job.spec.jobClass, old + LEARNING_RATE * (Math.min(MOST_RATIO, ratio) - old));
-      const beganMs = Math.round((this.clock.wall() - now + began) / MS - placement.startedAtMs);
-      this.log.debug(
-        { taskName: placement.taskName, beganMs, ranMs: Math.round((now - began) / MS) },
-        'task done',
-      );
+    const { clock, workers } = this.options;
+    const worker = workers.trackedWorkers.get(placement.host);
+    const startedAt = this.observedStart(placement);
+    worker?.runningSince.delete(attemptKey(placement.taskName, placement.attempt));
+    if (outcome === 'refused' && worker) {
+      worker.avoidedUntil = Math.max(worker.avoidedUntil, clock.now() + REFUSAL_BACKOFF);
+    } else if (outcome === 'done' && startedAt !== null) {
+      this.learn(placement, startedAt);
     }
   }
 
-  /** Run time of a task: its owner's estimate, put right by what was seen of its class. */
+  /** Expected run time of a task of this job from start to end. */
   expected(spec: JobSpec): Micros {
     return fromSeconds(spec.estimateS) * (this.ratios.get(spec.jobClass) ?? 1);
   }
 
-  /** Expected time a running task still takes; 0 if it should be over. */
+  /** Expected time until a running task ends; 0 if it should have ended already. */
   remaining(placement: Placement): Micros {
-    const job = this.replica.jobs.get(placement.job);
+    const { clock, replica } = this.options;
+    const job = replica.jobs.get(placement.job);
     if (!job) return 0;
-    const session = this.workers.trackedWorkers.get(placement.host);
-    const began = session?.runningSince.get(attemptKey(placement.taskName, placement.attempt)) ?? null;
-    const whole = this.expected(job.spec);
-    // On another owner's machine only the time of the start is known.
-    if (began === null) return Math.max(0, placement.startedAtMs * MS + whole - this.clock.wall());
-    return Math.max(0, began + whole - this.clock.now());
+    const startedAt = this.observedStart(placement);
+    const runTime = this.expected(job.spec);
+    // On another owner's machine only the recorded time of the start is known.
+    if (startedAt === null) return Math.max(0, placement.startedAtMs * MS + runTime - clock.wall());
+    return Math.max(0, startedAt + runTime - clock.now());
   }
 
-  /** Time until all that is on the machine should have ended. */
+  /** Expected time until all tasks on the machine have ended. */
   busyFor(host: string): Micros {
     let longest = 0;
-    for (const p of this.replica.ledger.placementsOn(host)) longest = Math.max(longest, this.remaining(p));
+    for (const placement of this.options.replica.ledger.placementsOn(host)) {
+      longest = Math.max(longest, this.remaining(placement));
+    }
     return longest;
   }
+
+  /** Steady time at which this node saw the attempt run first; null if it didn't see that. */
+  private observedStart({ host, taskName, attempt }: Placement): Micros | null {
+    const worker = this.options.workers.trackedWorkers.get(host);
+    return worker?.runningSince.get(attemptKey(taskName, attempt)) ?? null;
+  }
+
+  /** Corrects the ratio of the task's class by its run time. */
+  private learn(placement: Placement, startedAt: Micros): void {
+    const { clock, replica, log } = this.options;
+    const spec = replica.jobs.get(placement.job)?.spec;
+    if (!spec || spec.estimateS <= 0) return;
+    const runTime = clock.now() - startedAt;
+    const ratio = runTime / fromSeconds(spec.estimateS);
+    // A result that was kept from an earlier attempt is there at once and says nothing about the class.
+    if (ratio < STORED_RESULT_RATIO) return;
+    const average = this.ratios.get(spec.jobClass) ?? 1;
+    this.ratios.set(spec.jobClass, average + LEARNING_RATE * (Math.min(MAX_RATIO, ratio) - average));
+    const startDelayMs = Math.round((clock.wall() - runTime) / MS - placement.startedAtMs);
+    const runMs = Math.round(runTime / MS);
+    log.debug({ task: placement.taskName, startDelayMs, runMs }, 'task completed');
+  }
 }
