--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -64,7 +64,9 @@
   const replica = new Replica(store, STOPPED_CLOCK, SILENT, 1000);
   replica.state = 'following';
   for (const type of SAMPLE_TYPES) replica.machineTypes.set(type.name, type);
-  return { users: new JobService(sampleSettings(0, 1), store, replica, STOPPED_CLOCK), replica, commits };
+  const settings = sampleSettings(0, 1);
+  const users = new JobService({ settings, store, replica, clock: STOPPED_CLOCK });
+  return { users, replica, commits };
 }
 
 const absent: HttpReply = { status: 404, body: { Epoch: 0 } };
--- a/packages/daemon/job-service.ts
+++ b/packages/daemon/job-service.ts
@@ -1,79 +1,77 @@
+/** Serves what users ask for: submitting, showing and cancelling jobs. */
 import type { ServiceResponse } from '#api';
 import {
   encodeJobRow,
   encodeJobSpec,
-  terminalStatusWrite,
-  type TerminalStatus,
   jobKey,
-  terminalKey,
   type Replica,
+  terminalKey,
+  type TerminalStatus,
+  terminalStatusWrite,
 } from '#cluster';
-import { fits } from '#pricing';
 import type { Settings } from '#settings';
 import type { StoreClient } from '#store';
 import {
   type Clock,
   encodeJobState,
   isJobId,
-  jsonBytes,
+  type JobSpec,
   type JobState,
+  jsonBytes,
+  type Micros,
   MS,
   parseSubmission,
   sleep,
   submittedId,
-  type JobSpec,
 } from '#wire';
+import { infeasibleReason } from './job-feasibility.js';
+import { STORE_UNREACHABLE, unavailable } from './service-responses.js';
 
-/** Another node may be able to: a new connection lets the load balancer choose again. */
-const STORE_UNREACHABLE: ServiceResponse = {
-  status: 503,
-  body: { error: 'state not reachable' },
-  retryAfterS: 1,
-  closesConnection: true,
-};
-const TRIES = 3;
-/** Room that a job's record needs beside the job itself. */
+/** How often a write is tried while the state service turns it down. */
+const MAX_ATTEMPTS = 3;
+const SUBMIT_RETRY_DELAY: Micros = 150 * MS;
+const CANCEL_RETRY_DELAY: Micros = 100 * MS;
+/** HTTP status of the state service for a request beyond its rate limit. */
+const TOO_MANY_REQUESTS = 429;
+/** Bytes of a stored job besides the job's specification. */
 const RECORD_FRAME_BYTES = 100;
 
-export function unavailable(error: string): ServiceResponse {
-  return { status: 503, body: { error }, retryAfterS: 1 };
+const NO_SUCH_JOB: ServiceResponse = { status: 404, body: { error: 'no such job' } };
+
+/** What a {@link JobService} depends on. */
+export interface JobServiceOptions {
+  readonly settings: Settings;
+  readonly store: StoreClient;
+  readonly replica: Replica;
+  readonly clock: Clock;
 }
 
-/** What users ask for. Any node answers, and none before it has caught up with what any other may have said. */
+/**
+ * Serves users' requests. Any node may serve any request; a response is given only once this node's copy of the state
+ * includes everything that any node may have told a user before.
+ */
 export class JobService {
   /** Every node of the cluster, whether it is up or not. */
   private readonly allNodes: readonly string[];
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly store: StoreClient,
-    private readonly replica: Replica,
-    private readonly clock: Clock,
-  ) {
-    this.allNodes = [settings.member, ...settings.peers.map((peer) => peer.member)];
+  constructor(private readonly options: JobServiceOptions) {
+    const { member, peers } = options.settings;
+    this.allNodes = [member, ...peers.map((peer) => peer.member)];
   }
 
+  /** Accepts a job, unless its id is known already: then the response tells the state of that job. */
   async submitJob(body: unknown): Promise<ServiceResponse> {
     const parsed = parseSubmission(body);
-    if ('invalid' in parsed) {
-      const malformed: ServiceResponse = { status: 400, body: { error: `invalid: ${parsed.invalid}` } };
-      // The job that was accepted under an id stays the one it names, whatever else is sent under it later.
-      const id = submittedId(body);
-      return id === null ? malformed : this.currentState(id, malformed);
-    }
+    if ('invalid' in parsed) return this.rejectMalformed(body, parsed.invalid);
     const { job } = parsed;
-    if (this.replica.machineTypes.size === 0) return unavailable('machine types not known yet');
-    const never = this.infeasibleReason(job);
-    if (never !== null) return this.currentState(job.id, { status: 422, body: { error: never } });
-    if (job.shape === 'gang' && !this.replica.allSupport(this.allNodes, 'gangs')) {
-      // A node of an older version would run its tasks one by one.
-      return this.currentState(job.id, unavailable('gangs are not served by all nodes yet'));
-    }
-    const value = encodeJobRow(this.storable(job), Math.floor(this.clock.wall() / MS));
-    for (let i = 0; i < TRIES; i++) {
-      if (i > 0) await sleep(this.clock, 150 * MS);
+    const rejection = this.reject(job);
+    if (rejection !== null) return rejection;
+    const { clock, store } = this.options;
+    const value = encodeJobRow(this.storedSpec(job), Math.floor(clock.wall() / MS));
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (attempt > 0) await sleep(clock, SUBMIT_RETRY_DELAY);
       // Both keys must be absent: a repeat that comes after the job's end must not start it again.
-      const result = await this.store.compareAndSwap(
+      const result = await store.compareAndSwap(
         [
           { path: jobKey(job.id), revision: 0 },
           { path: terminalKey(job.id), revision: 0 },
@@ -83,104 +81,93 @@
       if (result.kind === 'applied')
         return { status: 201, body: encodeJobState({ id: job.id, status: 'pending' }) };
       if (result.kind === 'refused') return this.currentState(job.id, STORE_UNREACHABLE);
-      if (result.kind === 'not_executed' && result.status !== 429) return STORE_UNREACHABLE;
+      if (result.kind === 'not_executed' && result.status !== TOO_MANY_REQUESTS) return STORE_UNREACHABLE;
     }
     return STORE_UNREACHABLE;
   }
 
+  /** The state of a job. */
   async getJob(id: string): Promise<ServiceResponse> {
-    if (!isJobId(id)) return { status: 404, body: { error: 'no such job' } };
-    return this.currentState(id, { status: 404, body: { error: 'no such job' } });
+    if (!isJobId(id)) return NO_SUCH_JOB;
+    return this.currentState(id, NO_SUCH_JOB);
   }
 
+  /** Cancels a job that has not ended; the response tells the job's state. */
   async cancelJob(id: string): Promise<ServiceResponse> {
-    const missing: ServiceResponse = { status: 404, body: { error: 'no such job' } };
-    if (!isJobId(id)) return missing;
-    for (let i = 0; i < TRIES; i++) {
-      if (i > 0) await sleep(this.clock, 100 * MS);
-      if (!(await this.replica.barrier())) return STORE_UNREACHABLE;
-      const live = this.replica.jobs.get(id);
-      if (!live) return this.currentState(id, missing);
-      const result = await this.store.compareAndSwap(
+    const { replica, clock, store } = this.options;
+    if (!isJobId(id)) return NO_SUCH_JOB;
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (attempt > 0) await sleep(clock, CANCEL_RETRY_DELAY);
+      if (!(await replica.barrier())) return STORE_UNREACHABLE;
+      const live = replica.jobs.get(id);
+      if (!live) return this.currentState(id, NO_SUCH_JOB);
+      const result = await store.compareAndSwap(
         [
           { path: jobKey(id), revision: live.acceptedRevision },
           { path: terminalKey(id), revision: 0 },
         ],
         [terminalStatusWrite(id, 'cancelled')],
       );
-      if (result.kind === 'applied') return over(id, 'cancelled');
-      if (result.kind === 'not_executed' && result.status !== 429) return STORE_UNREACHABLE;
+      if (result.kind === 'applied') return terminalResponse(id, 'cancelled');
+      if (result.kind === 'not_executed' && result.status !== TOO_MANY_REQUESTS) return STORE_UNREACHABLE;
     }
     return STORE_UNREACHABLE;
   }
 
+  /** The job that was accepted under an id stays the one it names, whatever else is sent under it later. */
+  private rejectMalformed(body: unknown, reason: string): ServiceResponse | Promise<ServiceResponse> {
+    const malformed: ServiceResponse = { status: 400, body: { error: `invalid: ${reason}` } };
+    const id = submittedId(body);
+    return id === null ? malformed : this.currentState(id, malformed);
+  }
+
+  /** The response to a job that is not accepted now; null if it is acceptable. */
+  private reject(job: JobSpec): ServiceResponse | Promise<ServiceResponse> | null {
+    const { replica, settings } = this.options;
+    if (replica.machineTypes.size === 0) return unavailable('machine types not known yet');
+    const machineTypes = replica.machineTypes.values();
+    const reason = infeasibleReason(job, { teams: settings.teams, machineTypes });
+    if (reason !== null) return this.currentState(job.id, { status: 422, body: { error: reason } });
+    if (job.shape === 'gang' && !replica.allSupport(this.allNodes, 'gangs')) {
+      // A node of an older version would run its tasks one by one.
+      return this.currentState(job.id, unavailable('gangs are not served by all nodes yet'));
+    }
+    return null;
+  }
+
   /** The job's present state, or `otherwise` if there is no such job. */
   private async currentState(id: string, otherwise: ServiceResponse): Promise<ServiceResponse> {
-    const settled = this.replica.cachedTerminalStatus(id);
-    if (settled) return over(id, settled);
-    if (!(await this.replica.barrier())) return STORE_UNREACHABLE;
-    const live = this.replica.jobs.get(id);
-    if (live) return { status: 200, body: encodeJobState(this.describe(id)) };
+    const { replica } = this.options;
+    const cached = replica.cachedTerminalStatus(id);
+    if (cached) return terminalResponse(id, cached);
+    if (!(await replica.barrier())) return STORE_UNREACHABLE;
+    if (replica.jobs.has(id)) return { status: 200, body: encodeJobState(this.liveState(id)) };
     try {
-      const final = await this.replica.terminalStatus(id);
-      return final ? over(id, final) : otherwise;
+      const status = await replica.terminalStatus(id);
+      return status ? terminalResponse(id, status) : otherwise;
     } catch {
       return STORE_UNREACHABLE;
     }
   }
 
-  private describe(id: string): JobState {
-    const entry = this.replica.ledger.jobs.get(id);
+  private liveState(id: string): JobState {
+    const entry = this.options.replica.ledger.jobs.get(id);
     const running = entry?.placements.size ?? 0;
     const status = running > 0 ? 'running' : 'pending';
     return { id, status, done: entry?.done.count ?? 0, running };
   }
 
-  /** The job as it is stored: where its list of machine types is too long for a value, only those that exist. */
-  private storable(job: JobSpec): JobSpec {
-    if (
-      job.machineTypes === null ||
-      jsonBytes(encodeJobSpec(job)) <= this.settings.valueBytes - RECORD_FRAME_BYTES
-    )
-      return job;
-    const machineTypes = [...this.replica.machineTypes.keys()].filter((name) =>
-      job.machineTypes?.includes(name),
-    );
+  /** The job as it is stored: a list of machine types that is too long for a value is cut to those that exist. */
+  private storedSpec(job: JobSpec): JobSpec {
+    const { settings, replica } = this.options;
+    const maxBytes = settings.valueBytes - RECORD_FRAME_BYTES;
+    if (job.machineTypes === null || jsonBytes(encodeJobSpec(job)) <= maxBytes) return job;
+    const allowed = job.machineTypes;
+    const machineTypes = [...replica.machineTypes.keys()].filter((name) => allowed.includes(name));
     return { ...job, machineTypes };
   }
-
-  private infeasibleReason(job: JobSpec): string | null {
-    const team = this.settings.teams.find((t) => t.name === job.team);
-    if (!team) return `unknown team ${job.team}`;
-    const need = { cpus: job.cpus, gpus: job.gpus, memGb: job.memGb };
-    const open = [...this.replica.machineTypes.values()].some(
-      (t) =>
-        (job.machineTypes === null || job.machineTypes.includes(t.name)) &&
-        (job.zone === null || t.zones.includes(job.zone)) &&
-        fits(need, { cpus: t.cpus, gpus: t.gpus, memGb: t.memGb }),
-    );
-    if (!open) return 'a task fits no allowed machine type';
-    if (!fits(need, { cpus: team.cpusMax, gpus: team.gpusMax, memGb: Infinity })) {
-      return `a task needs more than the limit of team ${job.team}`;
-    }
-    if (job.shape === 'gang') return this.infeasibleGangReason(job);
-    return null;
-  }
-
-  /** Why the tasks of a gang can never run at the same time, or null. */
-  private infeasibleGangReason(job: JobSpec): string | null {
-    const team = this.settings.teams.find((t) => t.name === job.team);
-    const whole = { cpus: job.cpus * job.taskCount, gpus: job.gpus * job.taskCount, memGb: 0 };
-    if (!team || !fits(whole, { cpus: team.cpusMax, gpus: team.gpusMax, memGb: Infinity })) {
-      return `all tasks together need more than the limit of team ${job.team}`;
-    }
-    if (job.spreadZones && job.taskCount > 1 && (job.singleZone || job.zone !== null)) {
-      return 'all tasks can not be in one zone and spread over zones at the same time';
-    }
-    return null;
-  }
 }
 
-function over(id: string, final: TerminalStatus): ServiceResponse {
-  return { status: 200, body: encodeJobState({ id, status: final }) };
+function terminalResponse(id: string, status: TerminalStatus): ServiceResponse {
+  return { status: 200, body: encodeJobState({ id, status }) };
 }
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -77,7 +77,12 @@
     });
     const client = new StoreClient(STATE, call);
     this.replica = new Replica(client, this.view, SILENT, 10_000);
-    this.users = new JobService(sampleSettings(0, 1, { valueBytes }), client, this.replica, this.view);
+    this.users = new JobService({
+      settings: sampleSettings(0, 1, { valueBytes }),
+      store: client,
+      replica: this.replica,
+      clock: this.view,
+    });
     void this.replica.run();
   }
 
