--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -55,7 +55,8 @@
 /** A node whose copy of the state is complete up to epoch 0, with the sample's machine types. */
 function userBench(answer: StateService): UserBench {
   const commits: string[] = [];
-  const call: HttpClient = (_endpoint, method, path, body) => {
+  const call: HttpClient = (...request) => {
+    const [, method, path, body] = request;
     if (path === '/commit') commits.push(JSON.stringify(body));
     const reply = answer(method, path, body);
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
@@ -308,7 +309,7 @@
 ];
 
 /** A node alone in its deployment, on a state service that holds the rows above. */
-async function nodeBench(tuning: Partial<Tuning> = {}): Promise<NodeBench> {
+function nodeBench(tuning: Partial<Tuning> = {}): NodeBench {
   const clock = new SimClock();
   const random = (): number => 0.5;
   const net = new SimNet(clock, random);
@@ -322,12 +323,10 @@
   });
   net.serve(STATE, null, store.handler);
   for (const [path, value] of ROWS) store.spoil({ Set: path, V: value });
-  const controller = controllerOf(
-    clock,
-    settings,
-    net.caller('node-0', 'east', (step) => step()),
-    tuning,
-  );
+  const call = net.caller('node-0', 'east', (step) => {
+    step();
+  });
+  const controller = controllerOf({ clock, settings, call, tuning });
   const ask = async (body: unknown): Promise<string> => {
     let text = 'no answer';
     void controller.handleHeartbeat(body).then((answer) => (text = textOf(answer)));
@@ -337,16 +336,25 @@
   return { clock, store, controller, ask };
 }
 
-function controllerOf(
-  clock: SimClock,
-  settings: Settings,
-  call: HttpClient,
-  tuning: Partial<Tuning>,
-): Controller {
+interface ControllerParts {
+  clock: SimClock;
+  settings: Settings;
+  call: HttpClient;
+  tuning: Partial<Tuning>;
+}
+
+function controllerOf({ clock, settings, call, tuning }: ControllerParts): Controller {
+  const view = clock.view(
+    (step) => {
+      step();
+    },
+    0,
+    0,
+  );
   return new Controller({
     settings,
     tuning: { ...defaultTuning(), ...tuning },
-    clock: clock.view((step) => step(), 0, 0),
+    clock: view,
     random: () => 0.5,
     incarnation: 'i1',
     httpClient: call,
@@ -377,7 +385,7 @@
 }
 
 test('a worker of the node gets its token and a command of each kind', async () => {
-  const { clock, controller, ask } = await nodeBench();
+  const { clock, controller, ask } = nodeBench();
   controller.start();
   await pass(clock, 3 * SECOND);
   assert.equal(
@@ -399,7 +407,7 @@
 });
 
 test('a worker that this node does not act for is sent to the one that does, or refused with the reason', async () => {
-  const { clock, store, controller, ask } = await nodeBench();
+  const { clock, store, controller, ask } = nodeBench();
   assert.equal(await ask(reportOf('n-0', 1)), '503 {"error":"machine not known"}, after 1 s');
   controller.start();
   await pass(clock, 3 * SECOND);
@@ -421,7 +429,7 @@
 });
 
 test('a machine that is between two owners is refused until the node has taken it', async () => {
-  const { clock, store, controller, ask } = await nodeBench();
+  const { clock, store, controller, ask } = nodeBench();
   store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
   store.isLate = (writes) => writes.some((write) => String(write['Set']).startsWith('mw/now/log/0/'));
   controller.start();
@@ -431,7 +439,7 @@
 });
 
 test('a worker that shows more than the state does is refused where lost state is noticed', async () => {
-  const { clock, controller, ask } = await nodeBench({ detectsDataLoss: true });
+  const { clock, controller, ask } = nodeBench({ detectsDataLoss: true });
   controller.start();
   await pass(clock, 10 * SECOND);
   const pieces = [{ Piece: 'j-1/0', Try: 50 * 1024, Status: 'running' }];
@@ -443,13 +451,18 @@
 });
 
 test('a health check gets 200 once the node can take requests, and the reason until then', async () => {
-  const { clock, controller } = await nodeBench();
+  const { clock, controller } = nodeBench();
   assert.equal(textOf(controller.health()), '503 {"error":"not ready yet"}, after 1 s');
   controller.start();
   await pass(clock, 3 * SECOND);
   assert.equal(textOf(controller.health()), '200 {"Status":"ok"}');
   controller.stop();
   const none: HttpClient = () => Promise.reject(new Error('no response'));
-  const alone = controllerOf(new SimClock(), sampleSettings(0, 2), none, {});
+  const alone = controllerOf({
+    clock: new SimClock(),
+    settings: sampleSettings(0, 2),
+    call: none,
+    tuning: {},
+  });
   assert.equal(textOf(alone.health()), '503 {"error":"cut off from the state service"}, after 1 s');
 });
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -53,7 +53,13 @@
 class UserWorld {
   readonly clock = new SimClock();
   readonly view: Clock = {
-    ...this.clock.view((step) => step(), 0, 0),
+    ...this.clock.view(
+      (step) => {
+        step();
+      },
+      0,
+      0,
+    ),
     wall: () => AT * MS,
   };
   readonly store = new SimStore(this.clock, () => 0.5, {
@@ -220,8 +226,21 @@
 
 /** Fields of a record in the order in which they are stored. */
 const RECORD_FIELDS = [
-  ...['removed', 'machines', 'settledRentals', 'rentals', 'moves', 'ends', 'statuses', 'takes', 'releases'],
-  ...['prices', 'unmet', 'starts', 'sequence', 'at', 'order'],
+  'removed',
+  'machines',
+  'settledRentals',
+  'rentals',
+  'moves',
+  'ends',
+  'statuses',
+  'takes',
+  'releases',
+  'prices',
+  'unmet',
+  'starts',
+  'sequence',
+  'at',
+  'order',
 ];
 
 test('records that a whole node writes have these fields in this order', async () => {
