--- a/packages/daemon/main.ts
+++ b/packages/daemon/main.ts
@@ -2,31 +2,39 @@
 import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
 import { runNode } from './run-node.js';
 
-const USAGE_ERROR = 2;
+/** Exit status if the command line or a settings file is not understood. */
+const USAGE_EXIT_STATUS = 2;
+/** Exit status of any other failure. */
+const FAILURE_EXIT_STATUS = 1;
 const USAGE = 'usage: main --config FILE [--operator FILE]';
 
-interface Files {
-  config: string;
-  operator: string | null;
+const FLAGS = ['--config', '--operator'];
+
+interface SettingsFiles {
+  readonly config: string;
+  /** The operators' file; null if none is given. */
+  readonly operator: string | null;
 }
 
-function filesFrom(args: readonly string[]): Files {
-  const given = new Map<string, string>();
+/** Reads the command line. Throws a {@link SettingsError} with the usage if it is not understood. */
+function parseArguments(args: readonly string[]): SettingsFiles {
+  const files = new Map<string, string>();
   for (let i = 0; i < args.length; i += 2) {
-    const [flag, file] = [args[i] ?? '', args[i + 1]];
-    if (!['--config', '--operator'].includes(flag) || file === undefined) throw new SettingsError(USAGE);
-    given.set(flag, file);
+    const flag = args[i] ?? '';
+    const file = args[i + 1];
+    if (!FLAGS.includes(flag) || file === undefined) throw new SettingsError(USAGE);
+    files.set(flag, file);
   }
-  const config = given.get('--config');
+  const config = files.get('--config');
   if (config === undefined) throw new SettingsError(USAGE);
-  return { config, operator: given.get('--operator') ?? null };
+  return { config, operator: files.get('--operator') ?? null };
 }
 
 try {
-  const files = filesFrom(process.argv.slice(2));
+  const files = parseArguments(process.argv.slice(2));
   const tuning = files.operator === null ? defaultTuning() : await loadTuning(files.operator);
   await runNode(loadSettings(files.config), tuning);
-} catch (cause) {
-  process.stderr.write(`micaworks: ${cause instanceof Error ? cause.message : String(cause)}\n`);
-  process.exit(cause instanceof SettingsError ? USAGE_ERROR : 1);
+} catch (error) {
+  process.stderr.write(`micaworks: ${error instanceof Error ? error.message : String(error)}\n`);
+  process.exit(error instanceof SettingsError ? USAGE_EXIT_STATUS : FAILURE_EXIT_STATUS);
 }
