--- a/packages/daemon/peer-codec.ts
+++ b/packages/daemon/peer-codec.ts
@@ -76,17 +76,17 @@
     referred: status.redirectedWorkers,
   };
   const parts = [PING.toBuffer(ping)];
-  if (status.highWaterMark !== null) parts.push(encodeMemory(status.highWaterMark));
+  if (status.highWaterMark !== null) parts.push(encodeHighWaterMark(status.highWaterMark));
   const body = Buffer.concat(parts);
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(body.length);
   return Buffer.concat([length, body]);
 }
 
-function encodeMemory(memory: PeerHighWaterMark): Buffer {
+function encodeHighWaterMark({ revision, isInconsistent }: PeerHighWaterMark): Buffer {
   const extension: PingExtensionRecord = {
-    epoch: memory.revision,
-    isContradicted: memory.isInconsistent,
+    epoch: revision,
+    isContradicted: isInconsistent,
   };
   return PING_EXTENSION.toBuffer(extension);
 }
@@ -96,18 +96,20 @@
  * decoder where a field or what follows the ping can't be read.
  */
 export function decodePeerMessage(bytes: Buffer): PeerMessage {
-  const { value: ping, offset } = PING.decode(bytes, 0) as { value: PingRecord; offset: number };
+  const decoded = PING.decode(bytes, 0);
+  const ping = decoded.value as PingRecord;
+  const { offset } = decoded;
   if (offset < 0) throw new MalformedPeerMessageError(`cut off after ${bytes.length} bytes`);
   const status: PeerStatus = {
     fencingToken: ping.token,
     isStoreReachable: ping.served,
     redirectedWorkers: ping.referred,
-    highWaterMark: offset === bytes.length ? null : decodeMemory(bytes.subarray(offset)),
+    highWaterMark: offset === bytes.length ? null : decodeHighWaterMark(bytes.subarray(offset)),
   };
   return { sender: ping.member, sequence: ping.number, status };
 }
 
-function decodeMemory(bytes: Buffer): PeerHighWaterMark {
+function decodeHighWaterMark(bytes: Buffer): PeerHighWaterMark {
   const extension = PING_EXTENSION.fromBuffer(bytes) as PingExtensionRecord;
   return { revision: extension.epoch, isInconsistent: extension.isContradicted };
 }
--- a/packages/daemon/role-handover.ts
+++ b/packages/daemon/role-handover.ts
@@ -1,57 +1,65 @@
-/** Hands duties over on purpose, as before a planned stop. */
+/** Hands roles over on purpose, as before a planned stop. */
 import { LEADER_KEY, type Membership, type Replica } from '#cluster';
 import { type RoleName, type FencedStore, formatRoleName, type TermProof } from '#roles';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 import type { StateFreshness } from './state-freshness.js';
 
-export type HandoverResult = { kind: 'handed_over' } | { kind: 'refused'; reason: string };
+/** How a hand-over ended. `reason` is shown to operators. */
+export type HandoverResult =
+  { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
-/** How long requests that are under way are waited for, and the leader's dealing of a share. */
-const PATIENCE: Micros = 6 * SECOND;
-const STEP: Micros = 50 * MS;
-/** For how long a member that gave up a share is not dealt it again. */
-const SHARE_ABSTENTION: Micros = 30 * SECOND;
-/** The same for the lead: short, since a lead that nobody else takes must not stay vacant. */
-const LEAD_ABSTENTION: Micros = 3 * SECOND;
+/** How long to wait for requests that are under way, and for the leader to assign a shard to another member. */
+const HANDOVER_TIMEOUT: Micros = 6 * SECOND;
+/** Time between two checks while waiting. */
+const POLL_INTERVAL: Micros = 50 * MS;
+/** How long a member that gave up a shard is not assigned that shard again. */
+const SHARD_ABSTENTION: Micros = 30 * SECOND;
+/** How long a member that gave up leadership is no candidate: short, in case that nobody else takes it. */
+const LEADERSHIP_ABSTENTION: Micros = 3 * SECOND;
+/** The least number of members, this one included, at which another one can take a role. */
+const MIN_MEMBERS = 2;
 
+/** What a {@link RoleHandover} depends on. */
 export interface RoleHandoverOptions {
-  clock: Clock;
-  replica: Replica;
-  membership: Membership;
-  store: FencedStore;
-  freshness: StateFreshness;
+  readonly clock: Clock;
+  readonly replica: Replica;
+  readonly membership: Membership;
+  readonly store: FencedStore;
+  readonly freshness: StateFreshness;
   /** Every node of the cluster, whether it is up or not. */
-  allNodes: readonly string[];
+  readonly allNodes: readonly string[];
 }
 
+/** Hands over the roles that this node holds. */
 export class RoleHandover {
-  constructor(private readonly parts: RoleHandoverOptions) {}
+  constructor(private readonly options: RoleHandoverOptions) {}
 
-  /** Gives the duty up once nothing of it is under way; refused where nobody could take it, or it isn't held here. */
+  /** Gives a role up once no request under it is under way; refused if nobody could take it, or it isn't held here. */
   async resign(role: RoleName): Promise<HandoverResult> {
     const reason = this.refusalReason(role);
     if (reason !== null) return refused(reason);
-    const { roles } = this.parts.membership;
+    const { roles } = this.options.membership;
     const termProof = roles.proveHeld(role);
     if (!termProof || !roles.resign(role)) return refused(`${formatRoleName(role)} is not held for certain`);
-    const isDone = role === 'lead' ? await this.releaseLeadership(termProof) : await this.releaseShard(role);
-    if (isDone) return { kind: 'handed_over' };
+    const isReleased =
+      role === 'lead' ? await this.releaseLeadership(termProof) : await this.releaseShard(role);
+    if (isReleased) return { kind: 'handed_over' };
     roles.resignationFailed(role);
     return refused('it could not be handed over in time; it is held as before');
   }
 
   /**
-   * Gives everything up before a planned stop: the lead in an orderly way where another member can take it, then the
-   * grant on which the rest hangs. What is refused or not answered ends with the grant by itself, seconds later.
+   * Gives all roles up before a planned stop: leadership by a hand-over where another member can take it, then the
+   * membership lease on which the others depend. What is refused or not answered ends with that lease, seconds later.
    */
   async retire(): Promise<void> {
-    const { membership } = this.parts;
+    const { membership } = this.options;
     if (membership.roles.proveHeld('lead')) await this.resign('lead');
     await membership.retire();
   }
 
   private refusalReason(role: RoleName): string | null {
-    const { membership, replica, freshness, allNodes } = this.parts;
+    const { membership, replica, freshness, allNodes } = this.options;
     const name = formatRoleName(role);
     if (!freshness.isFresh()) return 'the state service does not serve this node';
     if (!membership.roles.proveHeld(role)) {
@@ -61,7 +69,7 @@
         ? `${name} is being handed over`
         : `${name} is not held here: ${holder}`;
     }
-    if (replica.members.size < 2) return 'no other member is alive to take it';
+    if (replica.members.size < MIN_MEMBERS) return 'no other member is alive to take it';
     if (role !== 'lead' && !replica.allSupport(allNodes, 'handover')) {
       return 'not every node has announced that it knows the hand-over of shares';
     }
@@ -69,9 +77,9 @@
   }
 
   private async releaseLeadership(termProof: TermProof): Promise<boolean> {
-    const { membership, store } = this.parts;
+    const { membership, store } = this.options;
     if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
-    membership.withdrawCandidacy(LEAD_ABSTENTION);
+    membership.withdrawCandidacy(LEADERSHIP_ABSTENTION);
     const result = await store.compareAndSwap(
       [termProof],
       'hand over the lead',
@@ -79,37 +87,39 @@
       [{ remove: LEADER_KEY }],
     );
     if (result.kind === 'applied') return true;
-    // It may land all the same: then the lead is vacant, and the others take it.
+    // It may be applied all the same: then leadership is vacant, and another member takes it.
     membership.withdrawCandidacy(0);
     return false;
   }
 
-  /** The leader deals it to another member, which raises the token. */
+  /** The leader assigns the shard to another member, which raises the fencing token. */
   private async releaseShard(shard: number): Promise<boolean> {
-    const { membership, replica, clock } = this.parts;
-    const isOurs = (): boolean => membership.ownedShards().has(shard);
+    const { membership, replica, clock } = this.options;
+    const isOwner = (): boolean => membership.ownedShards().has(shard);
     this.publishResigned(shard, true);
-    clock.after(SHARE_ABSTENTION, () => {
+    clock.after(SHARD_ABSTENTION, () => {
       this.publishResigned(shard, false);
     });
-    const isDealt = await this.waitUntil(() => !isOurs() && replica.shardOwners.has(shard));
-    if (!isDealt) this.publishResigned(shard, false);
-    return isDealt;
+    const isReassigned = await this.waitUntil(() => !isOwner() && replica.shardOwners.has(shard));
+    if (!isReassigned) this.publishResigned(shard, false);
+    return isReassigned;
   }
 
   private publishResigned(shard: number, isResigned: boolean): void {
-    const { membership } = this.parts;
+    const { membership } = this.options;
     const others = membership.resignedShards.filter((other) => other !== shard);
     void membership.publishStatus({ resignedShards: isResigned ? [...others, shard] : others });
   }
 
-  private async waitUntil(isOver: () => boolean): Promise<boolean> {
-    const { clock } = this.parts;
-    for (const end = clock.now() + PATIENCE; clock.now() < end;) {
-      if (isOver()) return true;
-      await sleep(clock, STEP);
+  /** Resolves with whether the condition came to hold in time. */
+  private async waitUntil(condition: () => boolean): Promise<boolean> {
+    const { clock } = this.options;
+    const deadline = clock.now() + HANDOVER_TIMEOUT;
+    while (clock.now() < deadline) {
+      if (condition()) return true;
+      await sleep(clock, POLL_INTERVAL);
     }
-    return isOver();
+    return condition();
   }
 }
 
