--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -146,7 +146,7 @@
     return this.status.leaderTerm();
   }
 
-  /** What this node tells its peers. */
+  /** The status that this node sends its peers. */
   peerStatus(): PeerStatus {
     return this.status.peerStatus();
   }
--- a/packages/daemon/job-feasibility.ts
+++ b/packages/daemon/job-feasibility.ts
@@ -11,7 +11,7 @@
   readonly machineTypes: Iterable<MachineType>;
 }
 
-/** Why the job can never run, as users are told; null if it can. */
+/** Why the job can never run, as the response to the user says; null if it can. */
 export function infeasibleReason(job: JobSpec, { teams, machineTypes }: FeasibilityLimits): string | null {
   const team = teams.find(({ name }) => name === job.team);
   if (!team) return `unknown team ${job.team}`;
--- a/packages/daemon/job-service.ts
+++ b/packages/daemon/job-service.ts
@@ -48,7 +48,7 @@
 
 /**
  * Serves users' requests. Any node may serve any request; a response is given only once this node's copy of the state
- * includes everything that any node may have told a user before.
+ * includes everything that any node may have answered a user before.
  */
 export class JobService {
   /** Every node of the cluster, whether it is up or not. */
@@ -59,7 +59,7 @@
     this.allNodes = [member, ...peers.map((peer) => peer.member)];
   }
 
-  /** Accepts a job, unless its id is known already: then the response tells the state of that job. */
+  /** Accepts a job, unless its id is known already: then the response is the state of that job. */
   async submitJob(body: unknown): Promise<ServiceResponse> {
     const parsed = parseSubmission(body);
     if ('invalid' in parsed) return this.rejectMalformed(body, parsed.invalid);
@@ -92,7 +92,7 @@
     return this.currentState(id, NO_SUCH_JOB);
   }
 
-  /** Cancels a job that has not ended; the response tells the job's state. */
+  /** Cancels a job that has not ended; the response is the job's state. */
   async cancelJob(id: string): Promise<ServiceResponse> {
     const { replica, clock, store } = this.options;
     if (!isJobId(id)) return NO_SUCH_JOB;
--- a/packages/daemon/node-status.ts
+++ b/packages/daemon/node-status.ts
@@ -82,7 +82,7 @@
     return this.options.membership.roles.proveHeld('lead')?.term ?? null;
   }
 
-  /** What this node tells its peers. */
+  /** The status that this node sends its peers. */
   peerStatus(): PeerStatus {
     const { workerReachability, clock, freshness, replica, dataLossDetector } = this.options;
     const redirectedWorkers = workerReachability.redirectCounts(clock.now());
--- a/packages/daemon/peer-codec.ts
+++ b/packages/daemon/peer-codec.ts
@@ -12,7 +12,7 @@
   readonly sender: string;
   /** Raised with every message on a connection; an answer repeats it. */
   readonly sequence: number;
-  /** What the sender of these bytes tells of itself. */
+  /** The status of the sender of these bytes. */
   readonly status: PeerStatus;
 }
 
@@ -45,8 +45,8 @@
 }
 
 /**
- * What may follow a ping, once every node has announced `memory`: versions before that take anything after a ping for a
- * broken message.
+ * What may follow a ping, once every node has announced `memory`: versions before that treat anything after a ping as
+ * a malformed message.
  */
 const PING_EXTENSION = avsc.Type.forSchema({
   type: 'record',
@@ -114,7 +114,7 @@
   return { revision: extension.epoch, isInconsistent: extension.isContradicted };
 }
 
-/** Cuts a stream of bytes into messages without their lengths. Fails on a message that is too long. */
+/** Splits a stream of bytes into messages without their lengths. Fails on a message that is too long. */
 export class PeerMessageSplitter extends Transform {
   private rest = Buffer.alloc(0);
 
--- a/packages/daemon/peer-links.ts
+++ b/packages/daemon/peer-links.ts
@@ -1,13 +1,13 @@
 /**
- * Connections between nodes. Each node pings its peers and answers their pings; either way it tells its own status.
- * It only hastens what nodes do: nothing is decided by it.
+ * Connections between nodes. Each node pings its peers and answers their pings; each ping and
+ * each answer carries the sender's status. This only lets nodes react sooner: no decision depends on it.
  */
 import { createServer, type Server, Socket } from 'node:net';
 import type { PeerStatus, Ping, PingReply, PingResult } from '#cluster';
 import { type Micros, MS, parseEndpoint } from '#wire';
 import { decodePeerMessage, encodePeerMessage, type PeerMessage, PeerMessageSplitter } from './peer-codec.js';
 
-/** Passes every message that comes to `onMessage`; anything else ends the connection. */
+/** Passes every message that arrives to `onMessage`; bytes that are not a message close the connection. */
 function readMessages(socket: Socket, onMessage: (message: PeerMessage) => void): void {
   const messages = socket.pipe(new PeerMessageSplitter());
   const fail = (): void => {
@@ -49,7 +49,7 @@
   readonly finish: (answer: PingReply) => void;
 }
 
-/** One kept connection to a peer, made anew when it has failed. A new ping takes the place of one without an answer. */
+/** A persistent connection to a peer, reopened after a failure. A new ping replaces one that has no answer yet. */
 class PeerLink {
   private socket: Socket | null = null;
   private lastSequence = 0;
@@ -110,7 +110,7 @@
   return { result, status: null };
 }
 
-/** Pings peers in the name of this member, over one kept connection for each endpoint. */
+/** Creates a function that pings peers as this member, over one persistent connection for each endpoint. */
 export function createPinger(member: string, status: () => PeerStatus): Ping {
   const links = new Map<string, PeerLink>();
   return (endpoint, timeout) => {
--- a/packages/daemon/role-handover.test.ts
+++ b/packages/daemon/role-handover.test.ts
@@ -1,4 +1,4 @@
-/** The reasons that operators are told when a duty is not handed over. */
+/** When a role is handed over, and the reasons that operators are shown when it is not. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Member, Membership, Replica, ShardOwner } from '#cluster';
@@ -8,7 +8,7 @@
 import type { StateFreshness } from './state-freshness.js';
 import { RoleHandover, type RoleHandoverOptions } from './role-handover.js';
 
-/** A clock on which whatever waits is done at once, and time has passed by then. */
+/** A clock whose timers fire at once, with their delay added to the time. */
 class LeapingClock implements Clock {
   private time: Micros = 0;
 
@@ -27,36 +27,37 @@
   }
 }
 
-/** What a node that hands over is like: a member of two that is served, unless changed. */
-interface Standing {
-  isServed: boolean;
+/** The situation of the node: one of two members, with access to the state service, unless changed. */
+interface Situation {
+  isStoreReachable: boolean;
   members: string[];
-  supportsHandOver: boolean;
+  supportsHandover: boolean;
   commit: CommitResult;
-  /** Shares that stay with this node, and those that have an owner. */
-  kept: number[];
-  owned: number[];
+  /** Shards that stay with this node. */
+  retainedShards: number[];
+  /** Shards that have an owner. */
+  ownedShards: number[];
 }
 
-const WELL: Standing = {
-  isServed: true,
+const HEALTHY: Situation = {
+  isStoreReachable: true,
   members: ['node-1', 'node-2'],
-  supportsHandOver: true,
+  supportsHandover: true,
   commit: { kind: 'applied', epoch: 9 },
-  kept: [],
-  owned: [1],
+  retainedShards: [],
+  ownedShards: [1],
 };
 
 interface Trial {
   clock: Clock;
-  handOver: RoleHandover;
-  duties: RoleRegistry;
-  /** Names that this node has given to the others as resigned, in their order. */
-  told: string[];
+  handover: RoleHandover;
+  roles: RoleRegistry;
+  /** The resigned shards that this node published, in their order. */
+  published: string[];
 }
 
-function trialOf(change: Partial<Standing> = {}): Trial {
-  const standing = { ...WELL, ...change };
+function trialOf(change: Partial<Situation> = {}): Trial {
+  const situation = { ...HEALTHY, ...change };
   const clock = new LeapingClock();
   const holders = new Map<RoleName, RoleHolder>([
     ['lead', { member: 'node-1', nonce: 'ours', term: 41 }],
@@ -70,85 +71,85 @@
     leaseLife: 600 * SECOND,
   });
   roles.onLeaseRenewed(0);
-  const told: string[] = [];
+  const published: string[] = [];
   const replica: Partial<Replica> = {
-    members: new Map(standing.members.map((member) => [member, {} as Member])),
-    shardOwners: new Map(standing.owned.map((shard) => [shard, {} as ShardOwner])),
-    allSupport: () => standing.supportsHandOver,
+    members: new Map(situation.members.map((member) => [member, {} as Member])),
+    shardOwners: new Map(situation.ownedShards.map((shard) => [shard, {} as ShardOwner])),
+    allSupport: () => situation.supportsHandover,
   };
   const membership: Partial<Membership> = {
     roles,
     resignedShards: [],
-    ownedShards: () => new Map(standing.kept.map((shard) => [shard, {} as ShardOwner])),
+    ownedShards: () => new Map(situation.retainedShards.map((shard) => [shard, {} as ShardOwner])),
     withdrawCandidacy: () => undefined,
     publishStatus: ({ resignedShards: resigned }) => {
-      told.push(String(resigned));
+      published.push(String(resigned));
       return Promise.resolve();
     },
   };
-  const freshness: Partial<StateFreshness> = { isFresh: () => standing.isServed };
+  const freshness: Partial<StateFreshness> = { isFresh: () => situation.isStoreReachable };
   const parts: RoleHandoverOptions = {
     clock,
     replica: replica as Replica,
     membership: membership as Membership,
-    store: new FencedStore({ compareAndSwap: () => Promise.resolve(standing.commit) }, roles),
+    store: new FencedStore({ compareAndSwap: () => Promise.resolve(situation.commit) }, roles),
     freshness: freshness as StateFreshness,
     allNodes: ['node-1', 'node-2'],
   };
-  return { clock, handOver: new RoleHandover(parts), duties: roles, told };
+  return { clock, handover: new RoleHandover(parts), roles, published };
 }
 
-/** The answer of a node to the request to hand a duty over, as text. */
-async function answerOf(role: RoleName, change: Partial<Standing> = {}): Promise<string> {
-  return JSON.stringify(await trialOf(change).handOver.resign(role));
+/** The result of handing a role over, as text. */
+async function resultOf(role: RoleName, change: Partial<Situation> = {}): Promise<string> {
+  return JSON.stringify(await trialOf(change).handover.resign(role));
 }
 
 function refusal(reason: string): string {
   return `{"kind":"refused","reason":"${reason}"}`;
 }
 
-test('the lead and a share are handed over', async () => {
-  assert.equal(await answerOf('lead'), '{"kind":"handed_over"}');
-  assert.equal(await answerOf(1), '{"kind":"handed_over"}');
+test('leadership and a shard are handed over', async () => {
+  assert.equal(await resultOf('lead'), '{"kind":"handed_over"}');
+  assert.equal(await resultOf(1), '{"kind":"handed_over"}');
 });
 
-test('a node that may not, or can not, hand a duty over tells why', async () => {
+test('a refused hand-over gives the reason', async () => {
   assert.equal(
-    await answerOf('lead', { isServed: false }),
+    await resultOf('lead', { isStoreReachable: false }),
     refusal('the state service does not serve this node'),
   );
-  assert.equal(await answerOf(2), refusal('share/2 is not held here: node-2 holds it'));
-  assert.equal(await answerOf(7), refusal('share/7 is not held here: nobody is known to hold it'));
+  assert.equal(await resultOf(2), refusal('share/2 is not held here: node-2 holds it'));
+  assert.equal(await resultOf(7), refusal('share/7 is not held here: nobody is known to hold it'));
   assert.equal(
-    await answerOf('lead', { members: ['node-1'] }),
+    await resultOf('lead', { members: ['node-1'] }),
     refusal('no other member is alive to take it'),
   );
   assert.equal(
-    await answerOf(1, { supportsHandOver: false }),
+    await resultOf(1, { supportsHandover: false }),
     refusal('not every node has announced that it knows the hand-over of shares'),
   );
-  assert.equal(await answerOf('lead', { supportsHandOver: false }), '{"kind":"handed_over"}');
+  assert.equal(await resultOf('lead', { supportsHandover: false }), '{"kind":"handed_over"}');
 });
 
-test('a duty that is being handed over, or is in doubt, is not handed over anew', async () => {
+test('a role that is being handed over, or may be lost, is not handed over again', async () => {
   const resigning = trialOf();
-  assert.ok(resigning.duties.resign('lead'));
-  assert.equal(JSON.stringify(await resigning.handOver.resign('lead')), refusal('lead is being handed over'));
+  assert.ok(resigning.roles.resign('lead'));
+  assert.equal(JSON.stringify(await resigning.handover.resign('lead')), refusal('lead is being handed over'));
   const doubtful = trialOf();
   // Time passes beyond the life of the lease.
   doubtful.clock.after(700 * SECOND, () => undefined);
   assert.equal(
-    JSON.stringify(await doubtful.handOver.resign('lead')),
+    JSON.stringify(await doubtful.handover.resign('lead')),
     refusal('lead is not held for certain'),
   );
 });
 
-test('what did not land in time is held as before', async () => {
+test('a role whose hand-over does not complete in time is held as before', async () => {
   const reason = 'it could not be handed over in time; it is held as before';
   assert.equal(
-    await answerOf('lead', { commit: { kind: 'refused', failed: [], epoch: 0 } }),
+    await resultOf('lead', { commit: { kind: 'refused', failed: [], epoch: 0 } }),
     refusal(reason),
   );
-  assert.equal(await answerOf(1, { kept: [1] }), refusal(reason));
-  assert.equal(await answerOf(1, { owned: [] }), refusal(reason));
+  assert.equal(await resultOf(1, { retainedShards: [1] }), refusal(reason));
+  assert.equal(await resultOf(1, { ownedShards: [] }), refusal(reason));
 });
--- a/packages/daemon/state-freshness.ts
+++ b/packages/daemon/state-freshness.ts
@@ -1,11 +1,11 @@
-/** How recent a node's copy of the state is, and what peers tell of theirs. */
+/** How recent a node's copy of the state is, and what the statuses of peers say about it. */
 import type { PeerStatus, Replica } from '#cluster';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 import type { ShardOwnership } from './shard-ownership.js';
 
 /** The state is fresh, so that tasks may be started, while it is known to be younger than this. */
 const MAX_FRESH_AGE: Micros = 3 * SECOND;
-/** How long the watch may take to bring a token that a peer has told of. */
+/** How long the watch may take to bring a fencing token that a peer has announced. */
 const PEER_TOKEN_GRACE: Micros = SECOND;
 /** For how long a peer's status is taken to hold. */
 const PEER_STATUS_LIFETIME: Micros = 2 * SECOND;
@@ -14,10 +14,10 @@
 /** The same of a node that owns none. */
 const IDLE_REFRESH_INTERVAL: Micros = 2 * SECOND;
 
-/** The highest fencing token that a peer told of. */
+/** The highest fencing token that a peer has announced. */
 interface PeerToken {
   readonly token: number;
-  /** When a peer first told of it. */
+  /** When a peer first announced it. */
   readonly since: Micros;
 }
 
@@ -26,21 +26,21 @@
   readonly replica: Replica;
   readonly clock: Clock;
   readonly hasPeers: boolean;
-  /** Whether the state service has lost no data, as far as this node can tell. */
+  /** Whether the state service has lost no data, as far as this node knows. */
   readonly isStateIntact: () => boolean;
 }
 
 /** Judges how recent this node's copy of the state is. */
 export class StateFreshness {
   private highestPeerToken: PeerToken = { token: 0, since: -Infinity };
-  /** When a peer last told that it reaches the state service. */
+  /** When a peer that reaches the state service last sent its status. */
   private peerReachedStoreAt: Micros = -Infinity;
-  /** When any peer last told its status. */
+  /** When any peer last sent its status. */
   private peerStatusAt: Micros = -Infinity;
 
   constructor(private readonly options: StateFreshnessOptions) {}
 
-  /** A peer has told its status. */
+  /** A peer has sent its status. */
   onPeerStatus({ fencingToken, isStoreReachable }: PeerStatus): void {
     const now = this.options.clock.now();
     this.peerStatusAt = now;
@@ -50,7 +50,7 @@
   }
 
   /**
-   * A peer told of a higher fencing token that the watch has not brought: the state service serves the others while
+   * A peer announced a higher fencing token that the watch has not brought: the state service serves the others while
    * this node is cut off from it, and they own by now what this node owned. A node that stops answering workers at
    * once sends them there long before its own lease ends.
    */
