--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -72,7 +72,12 @@
   private dueAssignments(): readonly ShardAssignment[] | null {
     const { replica, settings, writeLimits, clock } = this.options;
     const members = eligibleOwners([...replica.members.values()]);
-    const plan = planShardAssignments(settings.initialSize, replica.shardOwners, members, this.weights());
+    const plan = planShardAssignments({
+      shardCount: settings.initialSize,
+      owners: replica.shardOwners,
+      members,
+      weights: this.weights(),
+    });
     const isUrgent = plan.some(({ shard }) => this.isOrphaned(shard, members));
     const isResting = clock.now() - this.assignedAt < REBALANCE_INTERVAL;
     if (plan.length === 0 || (!isUrgent && isResting)) return null;
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -53,7 +53,13 @@
 class UserWorld {
   readonly clock = new SimClock();
   readonly view: Clock = {
-    ...this.clock.view((step) => step(), 0, 0),
+    ...this.clock.view(
+      (step) => {
+        step();
+      },
+      0,
+      0,
+    ),
     wall: () => AT * MS,
   };
   readonly store = new SimStore(this.clock, () => 0.5, {
@@ -77,7 +83,12 @@
     });
     const client = new StoreClient(STATE, call);
     this.replica = new Replica(client, this.view, SILENT, 10_000);
-    this.users = new JobService(sampleSettings(0, 1, { valueBytes }), client, this.replica, this.view);
+    this.users = new JobService({
+      settings: sampleSettings(0, 1, { valueBytes }),
+      store: client,
+      replica: this.replica,
+      clock: this.view,
+    });
     void this.replica.run();
   }
 
@@ -215,8 +226,21 @@
 
 /** Fields of a record in the order in which they are stored. */
 const RECORD_FIELDS = [
-  ...['removed', 'machines', 'settledRentals', 'rentals', 'moves', 'ends', 'statuses', 'takes', 'releases'],
-  ...['prices', 'unmet', 'starts', 'sequence', 'at', 'order'],
+  'removed',
+  'machines',
+  'settledRentals',
+  'rentals',
+  'moves',
+  'ends',
+  'statuses',
+  'takes',
+  'releases',
+  'prices',
+  'unmet',
+  'starts',
+  'sequence',
+  'at',
+  'order',
 ];
 
 test('records that a whole node writes have these fields in this order', async () => {
