--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -272,7 +272,16 @@
   const integrityCheck = dataLossDetector ?? NO_STATE_INTEGRITY_CHECK;
   const replica = new Replica(store, clock, log, settings.stateRps, integrityCheck);
   const { member, domain } = settings;
-  const membership = new Membership(member, domain, incarnation, store, replica, clock, random, log);
+  const membership = new Membership({
+    member,
+    zone: domain,
+    incarnation,
+    store,
+    replica,
+    clock,
+    random,
+    log,
+  });
   const { roles } = membership;
   return {
     replica,
--- a/packages/daemon/heartbeat-handler.ts
+++ b/packages/daemon/heartbeat-handler.ts
@@ -88,7 +88,11 @@
     // The machine may have left and come back while the response waited: then nothing is known of its worker.
     if (workers.trackedWorkers.get(host)?.heartbeat !== heartbeat) return unavailable('stale report');
     const now = clock.now();
-    const commands = workers.commands(host, replica.ledger, replica.jobs, freshness.isFresh());
+    const commands = workers.commands(host, {
+      ledger: replica.ledger,
+      jobs: replica.jobs,
+      allowsStarts: freshness.isFresh(),
+    });
     workers.onResponseSent(host, now);
     const allowed = this.isStateIntact() ? commands : commands.filter(isStop);
     const fencingToken = replica.fencingToken.value;
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -105,7 +105,16 @@
   const logs = new RateLimiter(clock, (ownRate) => budget.logWriteRate(ownRate));
   const checkpoints = new RateLimiter(clock, () => budget.checkpointWriteRate());
   const writeLimits = new WriteLimits(settings.valueBytes, settings.txnOps);
-  const logWriter = new LogWriter(fencedStore, replica, roles, clock, writeLimits, logs, checkpoints, log);
+  const logWriter = new LogWriter({
+    store: fencedStore,
+    replica,
+    roles,
+    clock,
+    limits: writeLimits,
+    recordLimiter: logs,
+    checkpointLimiter: checkpoints,
+    log,
+  });
   return { writeLimits, logWriter };
 }
 
@@ -123,9 +132,16 @@
   workers: WorkerRegistry,
 ): SchedulingComponents {
   const { settings, tuning, clock, random, log } = options;
-  const runTimeEstimator = new RunTimeEstimator(clock, replica, workers, log);
-  const input = new RoundInputBuilder(settings, tuning, clock, replica, workers, runTimeEstimator);
-  const preemption = new Preemption(settings, clock, replica, workers, runTimeEstimator);
+  const runTimeEstimator = new RunTimeEstimator({ clock, replica, workers, log });
+  const input = new RoundInputBuilder({
+    settings,
+    tuning,
+    clock,
+    replica,
+    workers,
+    runTimes: runTimeEstimator,
+  });
+  const preemption = new Preemption({ settings, clock, replica, workers, runTimes: runTimeEstimator });
   const scheduler = new Scheduler({
     settings,
     tuning,
@@ -136,6 +152,6 @@
     preemption,
     log,
   });
-  const forecaster = new Forecaster(settings, replica, input, runTimeEstimator, scheduler);
+  const forecaster = new Forecaster({ settings, replica, input, runTimes: runTimeEstimator, scheduler });
   return { runTimeEstimator, scheduler, forecaster };
 }
--- a/packages/daemon/shard-ownership.ts
+++ b/packages/daemon/shard-ownership.ts
@@ -23,6 +23,11 @@
   /** Makes the registry track the workers of exactly the machines of owned shards. */
   syncWorkers(): void {
     const { workers, replica, clock } = this.options;
-    workers.syncOwnership(replica.ledger, this.ownedShards(), replica.fencingToken.value, clock.now());
+    workers.syncOwnership({
+      ledger: replica.ledger,
+      owners: this.ownedShards(),
+      fencingToken: replica.fencingToken.value,
+      now: clock.now(),
+    });
   }
 }
