--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -21,7 +21,7 @@
   SimClock,
   SimNet,
   SimStore,
-  SimWorld,
+  SimCluster,
   STATE,
 } from '#testkit';
 import { type Clock, encodeSubmission, type WireFields, type JobSpec, MS, RANKS, SECOND } from '#wire';
@@ -199,7 +199,7 @@
 });
 
 test('rows of shares, of the token and of machine types, as a leader writes them', async () => {
-  const world = new SimWorld({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
+  const world = new SimCluster({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
   await world.run(10 * SECOND);
   const { store } = world;
   assert.deepEqual(textsOf(store, SHARD_PREFIX), {
@@ -220,7 +220,7 @@
 ];
 
 test('records that a whole node writes have these fields in this order', async () => {
-  const world = new SimWorld({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
+  const world = new SimCluster({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
   const seen = new Set<string>();
   const groups = new Set<string>();
   const { afterApply } = world.store;
--- /dev/null
+++ b/packages/testkit/data-loss-cluster.ts
@@ -0,0 +1,42 @@
+/** What the tests of lost state share. */
+import assert from 'node:assert/strict';
+import type { DataLossReport } from '#recovery';
+import { SECOND } from '#wire';
+import { randomJob } from './random-jobs.js';
+import { SimCluster, type SimClusterOptions } from './sim-cluster.js';
+
+/** A cluster whose nodes watch for lost state, with jobs that come for 100 s. */
+export function createDataLossCluster(options: SimClusterOptions): SimCluster {
+  const cluster = new SimCluster({ ...options, tuning: { detectsDataLoss: true, ...options.tuning } });
+  const { random, clock } = cluster;
+  let jobs = 0;
+  const arrive = (): void => {
+    if (clock.time > 100 * SECOND) return;
+    cluster.submit(randomJob(random, jobs++), random() < 0.2 ? random() * 30 * SECOND : null);
+    clock.at(random() * 4 * SECOND, arrive);
+  };
+  clock.at(SECOND, arrive);
+  return cluster;
+}
+
+export function dataLossReportOf(cluster: SimCluster, node: number): DataLossReport {
+  const loss = cluster.controller(node)?.dataLossReport().loss;
+  assert.ok(loss, `node ${node} is down, or does not watch`);
+  return loss;
+}
+
+export function assertDataLossStates(cluster: SimCluster, state: DataLossReport['state']): void {
+  for (let i = 0; i < cluster.nodeCount; i++) {
+    const loss = dataLossReportOf(cluster, i);
+    assert.equal(loss.state, state, `node ${i}: ${JSON.stringify(loss)}`);
+  }
+}
+
+/** The service comes back with all that it had before the loss; then all work has to end. */
+export async function finishAllJobs(cluster: SimCluster): Promise<void> {
+  cluster.invariants.faultsEnded(cluster.clock.time);
+  await cluster.run(200 * SECOND);
+  assertDataLossStates(cluster, 'serving');
+  assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
+  assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
+}
--- a/packages/testkit/lost-state-random.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { trouble } from './random-troubles.js';
-import { finish, lossOf, watchfulWorld } from './watchful-world.js';
+import { injectRandomFault } from './random-faults.js';
+import { finishAllJobs, dataLossReportOf, createDataLossCluster } from './data-loss-cluster.js';
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`state that is lost and brought back again beside random troubles, seed ${seed}`, async () => {
-    const world = watchfulWorld({ seed: 700 + seed });
-    const { random, clock, store } = world;
+    const cluster = createDataLossCluster({ seed: 700 + seed });
+    const { random, clock, store } = cluster;
     let losses = 0;
     let isBack = true;
     const harm = (): void => {
       if (clock.time > 130 * SECOND) return;
-      if (isBack) trouble(world);
+      if (isBack) injectRandomFault(cluster);
       clock.at((4 + random() * 20) * SECOND, harm);
     };
     const lose = (): void => {
@@ -36,25 +36,25 @@
     };
     clock.at(20 * SECOND, harm);
     clock.at(25 * SECOND, lose);
-    await world.run(160 * SECOND);
+    await cluster.run(160 * SECOND);
     assert.ok(losses > 1, `only ${losses} losses`);
-    await finish(world);
+    await finishAllJobs(cluster);
   });
 }
 
 for (let seed = FROM; seed < FROM + Math.ceil(RUNS / 3); seed++) {
   test(`random troubles alone raise no alarm, seed ${seed}`, async () => {
-    const world = watchfulWorld({ seed: 800 + seed });
-    const { random, clock } = world;
+    const cluster = createDataLossCluster({ seed: 800 + seed });
+    const { random, clock } = cluster;
     const harm = (): void => {
       if (clock.time > 130 * SECOND) return;
-      trouble(world);
+      injectRandomFault(cluster);
       clock.at((4 + random() * 10) * SECOND, harm);
     };
     clock.at(20 * SECOND, harm);
-    await world.run(160 * SECOND);
-    await finish(world);
-    const alarms = [...Array(world.nodeCount).keys()].map((i) => lossOf(world, i).falseAlarms);
+    await cluster.run(160 * SECOND);
+    await finishAllJobs(cluster);
+    const alarms = [...Array(cluster.nodeCount).keys()].map((i) => dataLossReportOf(cluster, i).falseAlarms);
     assert.deepEqual(
       alarms,
       alarms.map(() => 0),
--- a/packages/testkit/loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -4,9 +4,9 @@
 import { FENCING_TOKEN_KEY } from '#cluster';
 import type { DataLossState } from '#recovery';
 import { type Micros, MS, SECOND } from '#wire';
-import { DurationMeter } from './durations.js';
-import type { SimWorld } from './sim-world.js';
-import { lossOf, watchfulWorld } from './watchful-world.js';
+import { DurationMeter } from './duration-meter.js';
+import type { SimCluster } from './sim-cluster.js';
+import { dataLossReportOf, createDataLossCluster } from './data-loss-cluster.js';
 
 const RUNS = Number(process.env['LOSS_RUNS'] ?? 2);
 const STEP: Micros = 20 * MS;
@@ -17,37 +17,40 @@
 
 /** Runs until each node has been in the state, or the patience is over. */
 async function measure(
-  world: SimWorld,
+  cluster: SimCluster,
   name: string,
   states: readonly DataLossState[],
   meter: DurationMeter,
 ): Promise<void> {
-  const began = world.clock.time;
-  const waiting = new Set(Array(world.nodeCount).keys());
+  const began = cluster.clock.time;
+  const waiting = new Set(Array(cluster.nodeCount).keys());
   while (waiting.size > 0) {
-    assert.ok(world.clock.time < began + 20 * SECOND, `${name}: node ${[...waiting].join()} takes too long`);
+    assert.ok(
+      cluster.clock.time < began + 20 * SECOND,
+      `${name}: node ${[...waiting].join()} takes too long`,
+    );
     for (const node of waiting) {
-      if (!states.includes(lossOf(world, node).state)) continue;
+      if (!states.includes(dataLossReportOf(cluster, node).state)) continue;
       waiting.delete(node);
-      meter.record(name, world.clock.time - began);
+      meter.record(name, cluster.clock.time - began);
     }
-    await world.run(STEP);
+    await cluster.run(STEP);
   }
 }
 
 const LOSSES = {
-  'all of it': (world: SimWorld) => {
-    const whole = world.store.backup();
-    world.store.wipe();
+  'all of it': (cluster: SimCluster) => {
+    const whole = cluster.store.backup();
+    cluster.store.wipe();
     return () => {
-      world.store.restore(whole);
+      cluster.store.restore(whole);
     };
   },
-  'one key': (world: SimWorld) => {
-    const whole = world.store.backup();
-    const lost = world.store.lose((path) => path === FENCING_TOKEN_KEY, true);
+  'one key': (cluster: SimCluster) => {
+    const whole = cluster.store.backup();
+    const lost = cluster.store.loseKeys((path) => path === FENCING_TOKEN_KEY, true);
     return () => {
-      world.store.bringBack(whole, lost);
+      cluster.store.restoreKeys(whole, lost);
     };
   },
 };
@@ -56,15 +59,15 @@
   const meter = new DurationMeter();
   for (const [what, lose] of Object.entries(LOSSES)) {
     for (let run = 0; run < RUNS; run++) {
-      const world = watchfulWorld({ seed: 900 + run });
-      await world.run((30 + world.random() * 3) * SECOND);
-      const bringBack = lose(world);
-      const noticed = measure(world, `noticed, ${what}`, ['noticed', 'frozen'], meter);
+      const cluster = createDataLossCluster({ seed: 900 + run });
+      await cluster.run((30 + cluster.random() * 3) * SECOND);
+      const bringBack = lose(cluster);
+      const noticed = measure(cluster, `noticed, ${what}`, ['noticed', 'frozen'], meter);
       await noticed;
-      await measure(world, `frozen after it, ${what}`, ['frozen'], meter);
-      await world.run(10 * SECOND);
+      await measure(cluster, `frozen after it, ${what}`, ['frozen'], meter);
+      await cluster.run(10 * SECOND);
       bringBack();
-      await measure(world, `serving again, ${what}`, ['serving'], meter);
+      await measure(cluster, `serving again, ${what}`, ['serving'], meter);
     }
   }
   for (const line of meter.report()) t.diagnostic(line);
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { sampleJob } from './rules.js';
-import { SAMPLE_TYPES, SimWorld } from './sim-world.js';
+import { sampleJob } from './invariants.js';
+import { SAMPLE_TYPES, SimCluster } from './sim-cluster.js';
 
 /** When the troubles begin and end. */
 const TROUBLES = { from: 25 * SECOND, until: 110 * SECOND };
@@ -12,7 +12,7 @@
  * with hundreds of jobs of one task. The owners of shares end again and again, and are back at once or after seconds,
  * while the state service is slow, so that a node reads the live state while commits land.
  */
-async function fullFleet(seed: number): Promise<SimWorld> {
+async function fullFleet(seed: number): Promise<SimCluster> {
   const teams = [
     { name: 'blue', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
     { name: 'green', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
@@ -20,8 +20,8 @@
   ];
   const settings = { teams, stateRps: 200, stateWriteRps: 80, sockets: 2000 };
   const types = SAMPLE_TYPES.filter((t) => t.name === 'small');
-  const world = new SimWorld({ seed, settings, types, capacity: 5, pageRows: 8 });
-  const { random, clock } = world;
+  const cluster = new SimCluster({ seed, settings, types, capacity: 5, pageRows: 8 });
+  const { random, clock } = cluster;
   let jobs = 0;
   const nextId = (): string => `j-${String(jobs++).padStart(6, '0')}`;
   const cancelAfter = (shard: number): number | null => (random() < shard ? random() * 20 * SECOND : null);
@@ -35,7 +35,7 @@
       cpus: 0.5,
       memGb: 1,
     };
-    world.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelAfter(0.1));
+    cluster.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelAfter(0.1));
     clock.at(random() * 0.6 * SECOND, guests);
   };
   const teamJobs = (): void => {
@@ -46,36 +46,36 @@
       ...{ taskCount: 1 + Math.floor(random() * 8), cpus: random() < 0.5 ? 2 : 4, memGb: 6 },
       ...{ estimateS: 5 + random() * 15, checkpointS: saves ? 2 : 0, saveS: saves ? 1 : 0 },
     };
-    world.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
+    cluster.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
     clock.at(random() * 4 * SECOND, teamJobs);
   };
   const endNode = (): void => {
     if (clock.time > TROUBLES.until) return;
-    const node = Math.floor(random() * world.nodeCount);
-    world.killNode(node);
+    const node = Math.floor(random() * cluster.nodeCount);
+    cluster.killNode(node);
     clock.at((random() < 0.5 ? 0.3 : 6) * random() * SECOND, () => {
-      world.startNode(node);
+      cluster.startNode(node);
     });
     clock.at((3 + random() * 12) * SECOND, endNode);
   };
   clock.at(SECOND, guests);
   clock.at(SECOND, teamJobs);
   clock.at(TROUBLES.from, endNode);
-  clock.at(TROUBLES.from, () => world.net.slow.set('10.2.0.1:2379', 4));
-  clock.at(TROUBLES.until, () => world.net.slow.delete('10.2.0.1:2379'));
-  await world.run(TROUBLES.until + 15 * SECOND);
-  world.rules.troublesOver(clock.time);
-  await world.run(200 * SECOND);
-  return world;
+  clock.at(TROUBLES.from, () => cluster.net.slowdowns.set('10.2.0.1:2379', 4));
+  clock.at(TROUBLES.until, () => cluster.net.slowdowns.delete('10.2.0.1:2379'));
+  await cluster.run(TROUBLES.until + 15 * SECOND);
+  cluster.invariants.faultsEnded(clock.time);
+  await cluster.run(200 * SECOND);
+  return cluster;
 }
 
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 4)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`rules hold on a full fleet with guests while owners end, seed ${seed}`, async (t) => {
-    const world = await fullFleet(seed);
-    t.diagnostic(`${world.rules.starts} starts`);
-    assert.ok(world.rules.starts > 200, `only ${world.rules.starts} starts`);
-    assert.deepEqual(world.rules.unfinished(), []);
-    assert.deepEqual(world.rules.neglected(), []);
+    const cluster = await fullFleet(seed);
+    t.diagnostic(`${cluster.invariants.starts} starts`);
+    assert.ok(cluster.invariants.starts > 200, `only ${cluster.invariants.starts} starts`);
+    assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
+    assert.deepEqual(cluster.invariants.neglectedGroups(), []);
   });
 }
--- a/packages/testkit/rules.ts
+++ b/packages/testkit/invariants.ts
@@ -1,19 +1,19 @@
 import { type JobStatus, type Micros, SECOND, type JobSpec, type Rank } from '#wire';
 
 /** Once all troubles are over, a question about a job is answered within this time. */
-const ANSWER_WITHIN: Micros = 75 * SECOND;
+const ANSWER_DEADLINE: Micros = 75 * SECOND;
 /** So long no task waits while a machine that fits has room and its team is under its limit. */
-const IDLE_WITHIN: Micros = 90 * SECOND;
+const WAITING_DEADLINE: Micros = 90 * SECOND;
 /** Within this time the largest jobs begin, too. */
-const LARGEST_BEGINS: Micros = 240 * SECOND;
+const LARGEST_JOB_START_DEADLINE: Micros = 240 * SECOND;
 
 /** A broken rule of the protocol, by its name there. */
-export class BrokenRule extends Error {
+export class InvariantViolation extends Error {
   constructor(
-    readonly rule: string,
+    readonly invariant: string,
     detail: string,
   ) {
-    super(`${rule}: ${detail}`);
+    super(`${invariant}: ${detail}`);
   }
 }
 
@@ -25,52 +25,52 @@
 }
 
 /** A machine that works, with the room that it really has. */
-export interface FreeRoom {
+export interface FreeCapacity {
   machine: MachineFacts;
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-interface Running {
+interface RunningTask {
   taskName: string;
   job: string;
   machine: MachineFacts;
   attempt: number;
 }
 
-interface JobFacts {
+interface JobObservation {
   spec: JobSpec;
-  accepted: boolean;
-  done: Set<number>;
-  told: JobStatus | null;
-  cancelAsked: boolean;
+  isAccepted: boolean;
+  doneTasks: Set<number>;
+  lastStatus: JobStatus | null;
+  isCancellationRequested: boolean;
   /** When its user was first told that it is cancelled. */
   cancelledAt: Micros | null;
   /** When its user was first told of its end. */
-  finalAt: Micros | null;
+  endedAt: Micros | null;
   submittedAt: Micros;
   /** When a question about it was last answered. */
   answeredAt: Micros;
   /** When the first of its tasks began. */
-  beganAt: Micros | null;
+  startedAt: Micros | null;
   /** Since when it has waited though a machine had room; null while it does not. */
-  idleSince: Micros | null;
+  waitingSince: Micros | null;
 }
 
 /**
  * Sees what really happens on the simulated machines and what users are told, and throws as soon as a rule
  * of the protocol is broken. It knows nothing of the service.
  */
-export class RuleChecker {
-  private readonly jobs = new Map<string, JobFacts>();
-  private readonly running = new Map<string, Running>();
+export class InvariantChecker {
+  private readonly jobs = new Map<string, JobObservation>();
+  private readonly running = new Map<string, RunningTask>();
   private readonly used = new Map<string, { cpus: number; gpus: number }>();
   /** Jobs whose users were told that they are cancelled, until their time to be gone is up. */
   private readonly cancelled = new Set<string>();
   /** Jobs whose users have yet to be told of an end. */
-  private readonly asking = new Set<string>();
-  private calmSince: Micros = Infinity;
+  private readonly jobsAwaitingEnd = new Set<string>();
+  private faultsEndedAt: Micros = Infinity;
   starts = 0;
   /** No rule forbids them within the time to be gone, but they are of no use to anyone. */
   startsAfterConfirmation = 0;
@@ -79,83 +79,90 @@
 
   constructor(
     private readonly limits: ReadonlyMap<string, { cpus: number; gpus: number }>,
-    private readonly cancel: Micros,
+    private readonly cancellationDeadline: Micros,
   ) {}
 
-  submitted(spec: JobSpec, now: Micros): void {
+  jobSubmitted(spec: JobSpec, now: Micros): void {
     if (this.jobs.has(spec.id)) return;
     this.jobs.set(spec.id, {
       spec,
-      accepted: false,
-      done: new Set(),
-      told: null,
-      cancelAsked: false,
+      isAccepted: false,
+      doneTasks: new Set(),
+      lastStatus: null,
+      isCancellationRequested: false,
       cancelledAt: null,
-      finalAt: null,
+      endedAt: null,
       submittedAt: now,
       answeredAt: now,
-      beganAt: null,
-      idleSince: null,
+      startedAt: null,
+      waitingSince: null,
     });
-    this.asking.add(spec.id);
+    this.jobsAwaitingEnd.add(spec.id);
   }
 
-  cancelAsked(id: string): void {
+  cancellationRequested(id: string): void {
     const job = this.jobs.get(id);
-    if (job) job.cancelAsked = true;
+    if (job) job.isCancellationRequested = true;
   }
 
   /** A user got this answer about this job, to a request sent at `sentAt`. */
-  told(id: string, status: number, state: JobStatus | null, now: Micros, sentAt: Micros = now): void {
+  answerReceived(
+    id: string,
+    status: number,
+    state: JobStatus | null,
+    now: Micros,
+    sentAt: Micros = now,
+  ): void {
     const job = this.jobs.get(id);
     if (status === 200 || status === 201) {
-      if (!job) throw new BrokenRule('invented', `${id} is answered ${status}`);
-      job.accepted = true;
+      if (!job) throw new InvariantViolation('invented', `${id} is answered ${status}`);
+      job.isAccepted = true;
       job.answeredAt = now;
       // Asked before the end was told, an answer may have been given before it, too, and overtaken on its way.
-      if (sentAt < (job.finalAt ?? -Infinity) && !isFinal(state)) return;
-      this.toldState(id, job, state, now);
-    } else if (job?.accepted && (status === 404 || status === 400 || status === 422)) {
-      throw new BrokenRule('forgotten', `${id} is answered ${status}`);
+      if (sentAt < (job.endedAt ?? -Infinity) && !isTerminal(state)) return;
+      this.statusReceived(id, job, state, now);
+    } else if (job?.isAccepted && (status === 404 || status === 400 || status === 422)) {
+      throw new InvariantViolation('forgotten', `${id} is answered ${status}`);
     }
   }
 
   /** A task is on its machine: it has its image. */
-  began(taskName: string, machine: MachineFacts, now: Micros, attempt = 0): void {
+  taskStarted(taskName: string, machine: MachineFacts, now: Micros, attempt = 0): void {
     const cut = taskName.lastIndexOf('/');
     const id = taskName.slice(0, cut);
     const job = this.jobs.get(id);
-    if (!job) throw new BrokenRule('invented', `${taskName} starts but nobody submitted it`);
+    if (!job) throw new InvariantViolation('invented', `${taskName} starts but nobody submitted it`);
     const other = this.running.get(taskName);
-    if (other) throw new BrokenRule('ran_twice', `${taskName} on ${other.machine.host} and ${machine.host}`);
-    if (job.cancelledAt !== null && now > job.cancelledAt + this.cancel) {
-      throw new BrokenRule('ran_cancelled', `${taskName} starts`);
+    if (other)
+      throw new InvariantViolation('ran_twice', `${taskName} on ${other.machine.host} and ${machine.host}`);
+    if (job.cancelledAt !== null && now > job.cancelledAt + this.cancellationDeadline) {
+      throw new InvariantViolation('ran_cancelled', `${taskName} starts`);
     }
-    this.checkPlace(job.spec, taskName, machine);
+    this.checkPlacement(job.spec, taskName, machine);
     if (job.spec.shape === 'gang') this.checkAttempt(taskName, id, attempt);
     this.running.set(taskName, { taskName, job: id, machine, attempt });
-    this.charge(job.spec, 1);
-    job.beganAt ??= now;
-    job.idleSince = null;
+    this.updateUsage(job.spec, 1);
+    job.startedAt ??= now;
+    job.waitingSince = null;
     this.starts++;
     if (job.cancelledAt !== null) this.startsAfterConfirmation++;
   }
 
-  ended(taskName: string, done: boolean): void {
+  taskEnded(taskName: string, done: boolean): void {
     const was = this.running.get(taskName);
     const cut = taskName.lastIndexOf('/');
     const job = this.jobs.get(taskName.slice(0, cut));
     if (was && job) {
       this.running.delete(taskName);
-      this.charge(job.spec, -1);
+      this.updateUsage(job.spec, -1);
     }
     if (!done || !job) return;
-    job.done.add(Number(taskName.slice(cut + 1)));
-    if (job.done.size >= job.spec.taskCount) this.onEvent('last end');
+    job.doneTasks.add(Number(taskName.slice(cut + 1)));
+    if (job.doneTasks.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
   /** Tasks of the job that are on machines: name and machine of each. */
-  on(id: string): { taskName: string; host: string }[] {
+  runningTasks(id: string): { taskName: string; host: string }[] {
     const owned = [...this.running.values()].filter((r) => r.job === id);
     return owned.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
   }
@@ -164,25 +171,25 @@
    * Nothing waits without reason: looked at every so often once the troubles are over, with all machines that
    * work.
    */
-  checkIdle(now: Micros, rooms: readonly FreeRoom[]): void {
-    if (now < this.calmSince) return;
+  checkWaitingJobs(now: Micros, rooms: readonly FreeCapacity[]): void {
+    if (now < this.faultsEndedAt) return;
     for (const [id, job] of this.jobs) {
-      const waits = job.accepted && !job.cancelAsked && this.waiting(id, job) > 0;
-      const room = waits && this.isUnderLimit(job.spec) ? this.roomFor(job.spec, rooms) : undefined;
-      if (!room) job.idleSince = null;
-      else if (now > (job.idleSince ??= now) + IDLE_WITHIN) {
-        throw new BrokenRule('left_waiting', `${id} waits while ${room.machine.host} has room`);
+      const waits = job.isAccepted && !job.isCancellationRequested && this.waiting(id, job) > 0;
+      const room = waits && this.isUnderLimit(job.spec) ? this.capacityFor(job.spec, rooms) : undefined;
+      if (!room) job.waitingSince = null;
+      else if (now > (job.waitingSince ??= now) + WAITING_DEADLINE) {
+        throw new InvariantViolation('left_waiting', `${id} waits while ${room.machine.host} has room`);
       }
     }
   }
 
-  private waiting(id: string, job: JobFacts): number {
-    return job.spec.taskCount - job.done.size - this.on(id).length;
+  private waiting(id: string, job: JobObservation): number {
+    return job.spec.taskCount - job.doneTasks.size - this.runningTasks(id).length;
   }
 
   /** A machine with room for one of the job's tasks; for a gang, one of those that have room for all of them. */
-  private roomFor(spec: JobSpec, rooms: readonly FreeRoom[]): FreeRoom | undefined {
-    const open = rooms.filter((room) => this.takes(spec, room));
+  private capacityFor(spec: JobSpec, rooms: readonly FreeCapacity[]): FreeCapacity | undefined {
+    const open = rooms.filter((room) => this.fits(spec, room));
     if (spec.shape === 'array') return open[0];
     const slots = new Map<string, number>();
     return open.find((room) => {
@@ -199,43 +206,46 @@
     return !limit || (used.cpus + count * cpus <= limit.cpus && used.gpus + count * gpus <= limit.gpus);
   }
 
-  private takes(spec: JobSpec, { machine, cpus, gpus, memGb }: FreeRoom): boolean {
+  private fits(spec: JobSpec, { machine, cpus, gpus, memGb }: FreeCapacity): boolean {
     return (
-      spec.cpus <= cpus && spec.gpus <= gpus && spec.memGb <= memGb && this.misplaced(spec, machine) === null
+      spec.cpus <= cpus &&
+      spec.gpus <= gpus &&
+      spec.memGb <= memGb &&
+      this.placementViolation(spec, machine) === null
     );
   }
 
   /** All tasks of the job are done. */
   isComplete(id: string): boolean {
     const job = this.jobs.get(id);
-    return job !== undefined && job.done.size >= job.spec.taskCount;
+    return job !== undefined && job.doneTasks.size >= job.spec.taskCount;
   }
 
   isDone(taskName: string): boolean {
     const cut = taskName.lastIndexOf('/');
-    return this.jobs.get(taskName.slice(0, cut))?.done.has(Number(taskName.slice(cut + 1))) ?? false;
+    return this.jobs.get(taskName.slice(0, cut))?.doneTasks.has(Number(taskName.slice(cut + 1))) ?? false;
   }
 
   /** From now on nothing is in the way any more. */
-  troublesOver(now: Micros): void {
-    this.calmSince = now;
+  faultsEnded(now: Micros): void {
+    this.faultsEndedAt = now;
   }
 
   /** What must hold at every moment. */
   check(now: Micros): void {
-    for (const id of this.asking) {
+    for (const id of this.jobsAwaitingEnd) {
       const job = this.jobs.get(id);
-      if (!job || isFinal(job.told)) this.asking.delete(id);
-      else if (job.accepted && now > Math.max(this.calmSince, job.answeredAt) + ANSWER_WITHIN) {
-        throw new BrokenRule('forgotten', `no question about ${id} is answered`);
+      if (!job || isTerminal(job.lastStatus)) this.jobsAwaitingEnd.delete(id);
+      else if (job.isAccepted && now > Math.max(this.faultsEndedAt, job.answeredAt) + ANSWER_DEADLINE) {
+        throw new InvariantViolation('forgotten', `no question about ${id} is answered`);
       }
     }
     for (const id of this.cancelled) {
       const at = this.jobs.get(id)?.cancelledAt ?? now;
-      if (now <= at + this.cancel) continue;
+      if (now <= at + this.cancellationDeadline) continue;
       for (const task of this.running.values()) {
         if (task.job !== id) continue;
-        throw new BrokenRule('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
+        throw new InvariantViolation('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
       // Every later start of it is caught as it begins.
       this.cancelled.delete(id);
@@ -243,20 +253,20 @@
   }
 
   /** At the end of a run without further trouble every accepted job should have been told final. */
-  unfinished(): string[] {
-    return [...this.jobs].filter(([, j]) => j.accepted && !isFinal(j.told)).map(([id]) => id);
+  unfinishedJobs(): string[] {
+    return [...this.jobs].filter(([, j]) => j.isAccepted && !isTerminal(j.lastStatus)).map(([id]) => id);
   }
 
   /**
    * Classes, teams and largest jobs that were neglected: less than half of their jobs done (those that their
    * users cancelled apart), or a largest job that began too late.
    */
-  neglected(): string[] {
-    const groups = new Map<string, JobFacts[]>();
-    const into = (name: string, job: JobFacts): void => {
+  neglectedGroups(): string[] {
+    const groups = new Map<string, JobObservation[]>();
+    const into = (name: string, job: JobObservation): void => {
       groups.set(name, [...(groups.get(name) ?? []), job]);
     };
-    const jobs = [...this.jobs.values()].filter((j) => j.accepted && !j.cancelAsked);
+    const jobs = [...this.jobs.values()].filter((j) => j.isAccepted && !j.isCancellationRequested);
     for (const job of jobs) {
       into(`class ${job.spec.jobClass}`, job);
       into(`team ${job.spec.team}`, job);
@@ -268,27 +278,30 @@
         .sort((a, b) => b.spec.taskCount - a.spec.taskCount);
       for (const job of ranked.slice(0, Math.ceil(ranked.length / 10))) {
         into(`largest of ${lane}`, job);
-        const wait = (job.beganAt ?? Infinity) - job.submittedAt;
-        if (wait > LARGEST_BEGINS) complaints.push(`${job.spec.id} of ${lane} began too late`);
+        const wait = (job.startedAt ?? Infinity) - job.submittedAt;
+        if (wait > LARGEST_JOB_START_DEADLINE) complaints.push(`${job.spec.id} of ${lane} began too late`);
       }
     }
     for (const [name, members] of groups) {
-      const served = members.filter((j) => j.done.size >= j.spec.taskCount).length;
+      const served = members.filter((j) => j.doneTasks.size >= j.spec.taskCount).length;
       if (served * 2 < members.length) complaints.push(`${name}: ${served} of ${members.length} done`);
     }
     return complaints;
   }
 
-  private toldState(id: string, job: JobFacts, state: JobStatus | null, now: Micros): void {
-    if (state === 'done' && job.done.size < job.spec.taskCount) {
-      throw new BrokenRule('not_done', `${id} with ${job.done.size} of ${job.spec.taskCount} tasks done`);
+  private statusReceived(id: string, job: JobObservation, state: JobStatus | null, now: Micros): void {
+    if (state === 'done' && job.doneTasks.size < job.spec.taskCount) {
+      throw new InvariantViolation(
+        'not_done',
+        `${id} with ${job.doneTasks.size} of ${job.spec.taskCount} tasks done`,
+      );
     }
-    if (state === 'cancelled' && !job.cancelAsked)
-      throw new BrokenRule('went_back', `${id} was never cancelled`);
-    if (isFinal(job.told) && state !== job.told)
-      throw new BrokenRule('went_back', `${id}: ${job.told}, ${state}`);
-    job.told = state;
-    if (isFinal(state)) job.finalAt ??= now;
+    if (state === 'cancelled' && !job.isCancellationRequested)
+      throw new InvariantViolation('went_back', `${id} was never cancelled`);
+    if (isTerminal(job.lastStatus) && state !== job.lastStatus)
+      throw new InvariantViolation('went_back', `${id}: ${job.lastStatus}, ${state}`);
+    job.lastStatus = state;
+    if (isTerminal(state)) job.endedAt ??= now;
     if (state === 'cancelled' && job.cancelledAt === null) {
       job.cancelledAt = now;
       this.cancelled.add(id);
@@ -301,16 +314,16 @@
     const other = [...this.running.values()].find((r) => r.job === job && r.attempt !== attempt);
     if (!other) return;
     const detail = `${taskName} of attempt ${attempt} meets ${other.taskName} of ${other.attempt}`;
-    throw new BrokenRule('mixed_attempts', detail);
+    throw new InvariantViolation('mixed_attempts', detail);
   }
 
-  private checkPlace(spec: JobSpec, taskName: string, machine: MachineFacts): void {
-    const why = this.misplaced(spec, machine);
-    if (why !== null) throw new BrokenRule('wrong_place', `${taskName} on ${machine.host}: ${why}`);
+  private checkPlacement(spec: JobSpec, taskName: string, machine: MachineFacts): void {
+    const why = this.placementViolation(spec, machine);
+    if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
   }
 
   /** Why one more task of the job must not be on that machine now, or null. */
-  private misplaced(spec: JobSpec, machine: MachineFacts): string | null {
+  private placementViolation(spec: JobSpec, machine: MachineFacts): string | null {
     if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
     if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
     if (!spec.allowsSpot && machine.spot) return 'spot';
@@ -326,14 +339,14 @@
     return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
 
-  private charge(spec: JobSpec, sign: 1 | -1): void {
+  private updateUsage(spec: JobSpec, sign: 1 | -1): void {
     const used = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
     used.cpus += sign * spec.cpus;
     used.gpus += sign * spec.gpus;
     this.used.set(spec.team, used);
     const limit = this.limits.get(spec.team);
     if (limit && (used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6)) {
-      throw new BrokenRule(
+      throw new InvariantViolation(
         'quota',
         `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
       );
@@ -342,12 +355,12 @@
 }
 
 /** How many of the job's tasks the room takes. */
-function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeRoom): number {
+function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
   const part = (room: number, need: number): number => (need > 0 ? Math.floor(room / need + 1e-6) : Infinity);
   return Math.min(part(cpus, spec.cpus), part(gpus, spec.gpus), part(memGb, spec.memGb));
 }
 
-function isFinal(state: JobStatus | null): boolean {
+function isTerminal(state: JobStatus | null): boolean {
   return state === 'done' || state === 'cancelled';
 }
 
--- a/packages/testkit/agreement.ts
+++ b/packages/testkit/ledger-agreement.ts
@@ -11,16 +11,16 @@
   type ReplicaState,
 } from '#cluster';
 import { type Count, type WireFields, isWireFields } from '#wire';
-import { BrokenRule } from './rules.js';
+import { InvariantViolation } from './invariants.js';
 
 /** A machine as a ledger holds it, as far as copies are compared. */
 export interface ComparedMachine {
   readonly host: string;
-  readonly share: number | null;
+  readonly shard: number | null;
   readonly destination: Destination | null;
   readonly ownershipCount: number;
   readonly status: MachineStatus;
-  readonly lastReport: { readonly incarnation: Count; readonly sequence: Count } | null;
+  readonly lastHeartbeat: { readonly incarnation: Count; readonly sequence: Count } | null;
 }
 
 /** A placement as a ledger holds it, as far as copies are compared. */
@@ -28,7 +28,7 @@
   readonly taskName: string;
   readonly host: string;
   readonly attempt: number;
-  readonly session: Count;
+  readonly workerIncarnation: Count;
 }
 
 /** What is compared of a ledger, whichever version of the program keeps it. */
@@ -57,11 +57,11 @@
   private readonly reference = new Ledger();
 
   /** Takes in a transaction that the state service has just applied. */
-  applied(writes: readonly WireFields[]): void {
+  transactionApplied(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
       if (!path.startsWith(LOG_PREFIX) || !isWireFields(write['V'])) continue;
-      this.take(logIdOfKey(path), decodeRecord(write['V']));
+      this.apply(logIdOfKey(path), decodeRecord(write['V']));
     }
   }
 
@@ -73,13 +73,14 @@
     for (const { describeLedger, member } of current) {
       const actual = describe(describeLedger());
       const wrong = actual.find((line, i) => line !== expected[i]) ?? expected[actual.length];
-      if (wrong !== undefined) throw new BrokenRule('agreement', `${member} at epoch ${epoch}: ${wrong}`);
+      if (wrong !== undefined)
+        throw new InvariantViolation('agreement', `${member} at epoch ${epoch}: ${wrong}`);
     }
   }
 
-  private take(log: LogId, record: PlacementRecord): void {
+  private apply(log: LogId, record: PlacementRecord): void {
     if (!this.reference.apply(log, record)) {
-      throw new BrokenRule(
+      throw new InvariantViolation(
         'agreement',
         `record ${record.sequence} of log ${log} follows ${this.reference.position(log)}`,
       );
@@ -91,11 +92,11 @@
 export function factsOfLedger(ledger: Ledger): LedgerFacts {
   const machines = [...ledger.machines.values()].map((machine) => ({
     host: machine.host,
-    share: machine.shard,
+    shard: machine.shard,
     destination: machine.destination,
     ownershipCount: machine.ownershipCount,
     status: machine.status,
-    lastReport: machine.lastHeartbeat && {
+    lastHeartbeat: machine.lastHeartbeat && {
       incarnation: machine.lastHeartbeat[0],
       sequence: machine.lastHeartbeat[1],
     },
@@ -105,20 +106,21 @@
       taskName: placement.taskName,
       host: placement.host,
       attempt: placement.attempt,
-      session: placement.workerIncarnation,
+      workerIncarnation: placement.workerIncarnation,
     })),
   );
   return { machines, placements };
 }
 
-/** Machines with their shares, and placements, in an order that does not depend on how the ledger came about. */
+/** Machines with their shards, and placements, in an order that does not depend on how the ledger came about. */
 function describe({ machines, placements }: LedgerFacts): string[] {
   const machineLines = machines.map((machine) => {
-    const { host, share: shard, destination, ownershipCount, status, lastReport: lastHeartbeat } = machine;
+    const { host, shard, destination, ownershipCount, status, lastHeartbeat } = machine;
     return [host, shard, destination, ownershipCount, status, JSON.stringify(lastHeartbeat)].join(' ');
   });
   const placementLines = placements.map(
-    ({ taskName, host, attempt, session }) => `${taskName} on ${host} attempt ${attempt} session ${session}`,
+    ({ taskName, host, attempt, workerIncarnation }) =>
+      `${taskName} on ${host} attempt ${attempt} worker incarnation ${workerIncarnation}`,
   );
   return [...machineLines.sort(), ...placementLines.sort()];
 }
--- a/packages/testkit/loopback-main.ts
+++ b/packages/testkit/loopback-main.ts
@@ -18,7 +18,7 @@
 let bringBack: (() => void) | null = null;
 process.on('SIGUSR2', () => {
   if (bringBack) bringBack();
-  bringBack = bringBack ? null : trial.loseState();
+  bringBack = bringBack ? null : trial.loseData();
   process.stdout.write(`state service: ${bringBack ? 'has lost everything' : 'has it all again'}\n`);
 });
 process.once('SIGINT', () => {
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -19,17 +19,17 @@
   MS,
   SECOND,
 } from '#wire';
-import { DutyHistory, type EffectCounts } from './duty-history.js';
+import { RoleHistory, type EffectCounts } from './role-history.js';
 import { chooseAddresses, LoopbackNode } from './loopback-node.js';
 import { type LoopbackServer, serveOnLoopback } from './loopback-server.js';
 import { FirstFailure } from './first-failure.js';
 import { RealClock } from './real-clock.js';
-import { RuleChecker, sampleJob } from './rules.js';
+import { InvariantChecker, sampleJob } from './invariants.js';
 import { type CloudHost, SimCloud } from './sim-cloud.js';
 import { SimGangs } from './sim-gang.js';
 import { SimStore } from './sim-store.js';
 import { SimWorker } from './sim-worker.js';
-import { VacancyMeter } from './vacancy.js';
+import { VacancyMeter } from './vacancy-meter.js';
 
 const NODES = 3;
 const TEAMS = ['blue', 'green', 'red'];
@@ -70,8 +70,8 @@
   private readonly random: () => number;
   private readonly store: SimStore;
   private readonly cloud: SimCloud;
-  private readonly rules: RuleChecker;
-  private readonly history: DutyHistory;
+  private readonly invariants: InvariantChecker;
+  private readonly history: RoleHistory;
   private readonly gangs: SimGangs;
   private readonly vacancies = new VacancyMeter();
   private readonly workers = new Map<string, SimWorker>();
@@ -86,19 +86,19 @@
     const generator = xoroshiro128plus(options.seed);
     this.random = () => (generator.next() >>> 0) / 4294967296;
     const limits = new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }]));
-    this.rules = new RuleChecker(limits, 20 * SECOND);
+    this.invariants = new InvariantChecker(limits, 20 * SECOND);
     this.gangs = new SimGangs(this.clock, this.random, { wait: 20 * SECOND, peer: 3 * SECOND });
     this.store = new SimStore(this.clock, this.random, {
       ...{ rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
     });
-    this.history = new DutyHistory((path) => this.store.rows.get(path)?.revision ?? 0);
+    this.history = new RoleHistory((path) => this.store.rows.get(path)?.revision ?? 0);
     this.store.beforeApply = (guards, writes) => {
       this.history.beforeCommit(guards, writes);
     };
     this.store.afterApply = (writes) => {
-      if (this.store.hasLost) return;
+      if (this.store.hasLostData) return;
       this.history.afterCommit(writes, this.store.epoch);
-      this.noteHolders(writes);
+      this.recordNewHolders(writes);
     };
     this.cloud = new SimCloud(
       ...([this.clock, this.random, TYPES, 4, SECOND] as const),
@@ -110,13 +110,13 @@
         this.workers.delete(host.host);
       },
     );
-    this.cloud.lateRequests = 0.2;
-    this.cloud.lateBy = 10 * SECOND;
-    this.cloud.slowBoots = 0.2;
-    this.cloud.onRented = (name, sender) => {
-      this.history.rented(name, sender);
+    this.cloud.lateRequestRate = 0.2;
+    this.cloud.maxRequestDelay = 10 * SECOND;
+    this.cloud.slowBootRate = 0.2;
+    this.cloud.onScaleOut = (name, sender) => {
+      this.history.scaledOut(name, sender);
     };
-    this.cloud.onDeleted = ({ host, state }, sender) => {
+    this.cloud.onDeletion = ({ host, state }, sender) => {
       this.history.deleted(host, state === 'starting' || state === 'running', sender);
     };
   }
@@ -139,17 +139,17 @@
     const began = Date.now();
     const jobs = this.submitJobs(this.options.durationMs);
     await this.replaceFrozenLeader();
-    while (Date.now() < began + this.options.durationMs) await this.trouble();
-    this.cloud.lateRequests = 0;
+    while (Date.now() < began + this.options.durationMs) await this.injectRandomFault();
+    this.cloud.lateRequestRate = 0;
     const seconds = (Date.now() - began) / 1000;
-    const stateRequestRate = perSecond(this.store.asked, seconds);
-    const renewalRate = perSecond(this.store.renewals, seconds);
+    const stateRequestRate = perSecond(this.store.requestCount, seconds);
+    const renewalRate = perSecond(this.store.renewalCount, seconds);
     await this.waitFor(jobs, SETTLE_MS);
     return {
       ...this.counts,
-      starts: this.rules.starts,
+      starts: this.invariants.starts,
       jobs: this.specs.size,
-      unfinished: this.rules.unfinished(),
+      unfinished: this.invariants.unfinishedJobs(),
       effects: this.history.counts,
       ...{ stateRequestRate, renewalRate },
       vacancies: this.vacancies,
@@ -167,7 +167,7 @@
   }
 
   /** The state service loses everything; the function brings it back. */
-  loseState(): () => void {
+  loseData(): () => void {
     const whole = this.store.backup();
     this.store.wipe();
     return () => {
@@ -177,7 +177,7 @@
 
   /** Tasks started so far, and jobs that are not over yet. */
   get progress(): { starts: number; unfinished: string[] } {
-    return { starts: this.rules.starts, unfinished: this.rules.unfinished() };
+    return { starts: this.invariants.starts, unfinished: this.invariants.unfinishedJobs() };
   }
 
   /** Ends the trial's own children and servers; throws what broke on the way. */
@@ -215,14 +215,14 @@
     await this.pause(4000);
     const frozen = this.leader ?? old;
     this.counts.freezes++;
-    this.noteVacant(frozen, 'freeze');
+    this.recordVacancies(frozen, 'freeze');
     frozen.freeze();
     const next = await this.leaderWhere((leader) => leader !== frozen);
     frozen.thaw();
     if (!next) throw new Error('a frozen leader was not replaced');
   }
 
-  private async trouble(): Promise<void> {
+  private async injectRandomFault(): Promise<void> {
     const any = this.nodes[Math.floor(this.random() * NODES)];
     const node = this.random() < 0.7 ? (this.leader ?? any) : any;
     if (node?.isUp === true && !node.isFrozen) {
@@ -234,33 +234,33 @@
 
   private async freeze(node: LoopbackNode): Promise<void> {
     this.counts.freezes++;
-    this.noteVacant(node, 'freeze');
+    this.recordVacancies(node, 'freeze');
     node.freeze();
     await this.pause(300 + this.random() * 7000);
     node.thaw();
-    for (const role of this.dutiesOf(node)) this.vacancies.recovered(role);
+    for (const role of this.rolesOf(node)) this.vacancies.recovered(role);
   }
 
   private async kill(node: LoopbackNode): Promise<void> {
     this.counts.kills++;
-    this.noteVacant(node, 'crash');
+    this.recordVacancies(node, 'crash');
     node.kill();
     await this.pause(100 + this.random() * 3000);
     node.start();
   }
 
-  private dutiesOf(node: LoopbackNode): string[] {
+  private rolesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
       this.store.rows.get(path)?.value['Member'] === node.addresses.member;
     const shards = [...Array(NODES).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
     return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
 
-  private noteVacant(node: LoopbackNode, cause: 'freeze' | 'crash'): void {
-    for (const role of this.dutiesOf(node)) this.vacancies.began(role, cause, this.clock.time);
+  private recordVacancies(node: LoopbackNode, cause: 'freeze' | 'crash'): void {
+    for (const role of this.rolesOf(node)) this.vacancies.began(role, cause, this.clock.time);
   }
 
-  private noteHolders(writes: readonly WireFields[]): void {
+  private recordNewHolders(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
       if (path === LEADER_KEY) this.counts.terms++;
@@ -273,7 +273,7 @@
 
   private bootWorker(host: CloudHost): void {
     const worker = new SimWorker(host, {
-      ...{ clock: this.clock, random: this.random, rules: this.rules, gangs: this.gangs },
+      ...{ clock: this.clock, random: this.random, invariants: this.invariants, gangs: this.gangs },
       job: (id) => this.specs.get(id),
       nodes: this.nodes.map(({ addresses: { member, users } }) => ({ member, endpoint: users })),
       caller: (gate) => {
@@ -289,7 +289,7 @@
       },
       limits: { heartbeatInterval: SECOND, workerLease: 6 * SECOND },
       capacity: { cpus: 4, gpus: 0, memGb: 16 },
-      faulty: false,
+      isFaulty: false,
       onLaunch: (...launch) => {
         this.failure.guard(() => {
           this.history.launched(...launch);
@@ -307,27 +307,30 @@
       const team = TEAMS[i % TEAMS.length] ?? '';
       const taskCount = 1 + Math.floor(this.random() * 4);
       const estimateS = 1 + this.random() * 4;
-      users.push(this.userLife(sampleJob(`j-${i}`, { team, taskCount, estimateS, imageGb: 1 })));
+      users.push(this.simulateUser(sampleJob(`j-${i}`, { team, taskCount, estimateS, imageGb: 1 })));
       await this.pause(500 + this.random() * 1500);
     }
     await Promise.all(users);
   }
 
-  private async userLife(spec: JobSpec): Promise<void> {
+  private async simulateUser(spec: JobSpec): Promise<void> {
     this.specs.set(spec.id, spec);
-    this.rules.submitted(spec, this.clock.time);
+    this.invariants.jobSubmitted(spec, this.clock.time);
     const isTaken = (status: number): boolean => status === 200 || status === 201;
-    while (!this.isOver && !isTaken((await this.ask(spec.id, 'POST', encodeSubmission(spec))).status)) {
+    while (
+      !this.isOver &&
+      !isTaken((await this.sendUserRequest(spec.id, 'POST', encodeSubmission(spec))).status)
+    ) {
       await this.pause(500);
     }
     while (!this.isOver) {
-      const { state } = await this.ask(spec.id, 'GET');
+      const { state } = await this.sendUserRequest(spec.id, 'GET');
       if (state === 'done') return;
       await this.pause(1000);
     }
   }
 
-  private async ask(
+  private async sendUserRequest(
     id: string,
     method: 'GET' | 'POST',
     body?: WireFields,
@@ -340,14 +343,14 @@
     if (!reply) return { status: 0, state: null };
     const state = decodeJobStatus(reply.body);
     this.failure.guard(() => {
-      this.rules.told(id, reply.status, state, this.clock.time, sentAt);
+      this.invariants.answerReceived(id, reply.status, state, this.clock.time, sentAt);
     });
     return { status: reply.status, state };
   }
 
   private watch(): void {
     this.failure.guard(() => {
-      this.rules.check(this.clock.time);
+      this.invariants.check(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
       if (!this.isOver) this.watch();
--- a/packages/testkit/loopback.test.ts
+++ b/packages/testkit/loopback.test.ts
@@ -55,7 +55,7 @@
     assert.ok(await trial.leaderWhere(() => true), 'no leader was named');
     const jobs = trial.submitJobs(8_000);
     await pause(8_000);
-    const bringBack = trial.loseState();
+    const bringBack = trial.loseData();
     assert.ok(await untilAll('frozen'), 'not all nodes noticed');
     const { starts } = trial.progress;
     assert.ok(starts > 0, 'nothing was started');
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -8,7 +8,7 @@
 import type { ControllerOptions } from '#daemon';
 import type { Settings, Tuning } from '#settings';
 import type { HttpClient, Clock, Count, Micros } from '#wire';
-import type { LedgerFacts, ReplicaFacts } from './agreement.js';
+import type { LedgerFacts, ReplicaFacts } from './ledger-agreement.js';
 import type { SimulatedController } from './simulated-controller.js';
 
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
@@ -112,12 +112,12 @@
     start: () => {
       controller.start();
     },
-    report: (body) => controller.report(body),
-    submit: (body) => users.submit(body),
-    show: (id) => users.show(id),
-    cancel: (id) => users.cancel(id),
+    handleHeartbeat: (body) => controller.report(body),
+    submitJob: (body) => users.submit(body),
+    getJob: (id) => users.show(id),
+    cancelJob: (id) => users.cancel(id),
     health: () => controller.health(),
-    word: () => {
+    peerStatus: () => {
       const { token: fencingToken, served, referred } = controller.word();
       return { fencingToken, isStoreReachable: served, redirectedWorkers: referred, highWaterMark: null };
     },
@@ -173,11 +173,11 @@
 function ledgerFactsOf(ledger: ProductionLedger): LedgerFacts {
   const machines = [...ledger.hosts.values()].map((machine) => ({
     host: machine.host,
-    share: machine.share,
+    shard: machine.share,
     destination: machine.destination,
     ownershipCount: machine.ownershipCount,
     status: machine.status,
-    lastReport: machine.lastReport && {
+    lastHeartbeat: machine.lastReport && {
       incarnation: machine.lastReport[0],
       sequence: machine.lastReport[1],
     },
@@ -187,7 +187,7 @@
       taskName: placement.taskName,
       host: placement.host,
       attempt: placement.attempt,
-      session: placement.session,
+      workerIncarnation: placement.session,
     })),
   );
   return { machines, placements };
--- a/packages/testkit/random-troubles.ts
+++ b/packages/testkit/random-faults.ts
@@ -1,25 +1,25 @@
 /** Troubles for random runs of a deployment: everything that the operators have met, one at a time. */
 import { SECOND } from '#wire';
 import { pick } from './random-jobs.js';
-import type { SimWorld } from './sim-world.js';
+import type { SimCluster } from './sim-cluster.js';
 
 /** One thing that goes wrong for a while, chosen at random. */
-export function trouble(world: SimWorld): void {
-  const { random, clock } = world;
+export function injectRandomFault(cluster: SimCluster): void {
+  const { random, clock } = cluster;
   const during = (seconds: number, on: () => void, off: () => void): void => {
     on();
     clock.at(seconds * SECOND, off);
   };
-  const { store, net, cloud } = world;
-  const node = Math.floor(random() * world.nodeCount);
+  const { store, net, cloud } = cluster;
+  const node = Math.floor(random() * cluster.nodeCount);
   const restart = (i: number, after: number): void => {
     during(
       after,
       () => {
-        world.killNode(i);
+        cluster.killNode(i);
       },
       () => {
-        world.startNode(i);
+        cluster.startNode(i);
       },
     );
   };
@@ -27,21 +27,21 @@
     during(
       seconds,
       () => {
-        for (const link of links) net.refused.add(link);
+        for (const link of links) net.refusedLinks.add(link);
       },
       () => {
-        for (const link of links) net.refused.delete(link);
+        for (const link of links) net.refusedLinks.delete(link);
       },
     );
   };
-  const worker = [...world.workers.values()][Math.floor(random() * world.workers.size)];
-  const host = worker && world.cloud.hosts.get(worker.machine.host);
+  const worker = [...cluster.workers.values()][Math.floor(random() * cluster.workers.size)];
+  const host = worker && cluster.cloud.hosts.get(worker.machine.host);
   const kinds: (() => void)[] = [
     () => {
       restart(node, 0.2 + random() * 5);
     },
     () => {
-      for (let i = 0; i < world.nodeCount; i++) restart(i, 1 + random() * 6);
+      for (let i = 0; i < cluster.nodeCount; i++) restart(i, 1 + random() * 6);
     },
     () => {
       const set = (on: boolean) => () => {
@@ -59,23 +59,24 @@
     },
     () => {
       const set = (on: boolean) => () => {
-        net.cut('east', 'west', on);
+        net.setPartition('east', 'west', on);
       };
       during(3 + random() * 30, set(true), set(false));
     },
     () => {
       during(
         5 + random() * 10,
-        () => (net.weather = { trouble: 0.3, hold: 20 * SECOND }),
-        () => (net.weather = { trouble: 0, hold: 0 }),
+        () => (net.faults = { faultRate: 0.3, maxDelay: 20 * SECOND }),
+        () => (net.faults = { faultRate: 0, maxDelay: 0 }),
       );
     },
     () => {
       // Copies from seconds to well over a lease late: to the same owner, to a new one, to one started anew.
       during(
         5 + random() * 20,
-        () => (net.weather = { trouble: 0, hold: 0, copies: 0.3, copyAfter: 40 * SECOND }),
-        () => (net.weather = { trouble: 0, hold: 0 }),
+        () =>
+          (net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 0.3, maxDuplicateDelay: 40 * SECOND }),
+        () => (net.faults = { faultRate: 0, maxDelay: 0 }),
       );
     },
     () => {
@@ -83,14 +84,14 @@
       const name = worker.machine.host;
       during(
         5 + random() * 40,
-        () => net.mute.add(name),
-        () => net.mute.delete(name),
+        () => net.unansweredParties.add(name),
+        () => net.unansweredParties.delete(name),
       );
     },
     () => {
       // Loses the state service and the other controllers, not its workers.
       const name = `node-${node}`;
-      const others = [...Array(world.nodeCount).keys()].filter((i) => i !== node);
+      const others = [...Array(cluster.nodeCount).keys()].filter((i) => i !== node);
       const links = others.flatMap((i) => [`${name}>10.0.0.${i}:81`, `node-${i}>10.0.0.${node}:81`]);
       const seconds = 5 + random() * 40;
       refuse(links, seconds);
@@ -102,12 +103,12 @@
     },
     () => {
       // Loses the workers, and nothing else.
-      const links = [...world.workers.keys()].map((name) => `${name}>10.0.0.${node}:80`);
+      const links = [...cluster.workers.keys()].map((name) => `${name}>10.0.0.${node}:80`);
       refuse(links, 5 + random() * 40);
     },
     () => {
       // Connections between controllers are refused.
-      const all = [...Array(world.nodeCount).keys()];
+      const all = [...Array(cluster.nodeCount).keys()];
       const links = all.flatMap((i) => all.map((j) => `node-${i}>10.0.0.${j}:81`));
       refuse(links, 5 + random() * 20);
     },
@@ -128,8 +129,8 @@
       // Transactions get no answer and land late, after newer ones.
       during(
         5 + random() * 30,
-        () => (store.lateWrites = 0.4),
-        () => (store.lateWrites = 0),
+        () => (store.lateCommitRate = 0.4),
+        () => (store.lateCommitRate = 0),
       );
     },
     () => {
@@ -146,9 +147,9 @@
     },
     () => {
       // Machines reach no controller.
-      const some = [...world.workers.keys()].filter(() => random() < 0.5);
+      const some = [...cluster.workers.keys()].filter(() => random() < 0.5);
       refuse(
-        some.flatMap((name) => [...Array(world.nodeCount).keys()].map((i) => `${name}>10.0.0.${i}:80`)),
+        some.flatMap((name) => [...Array(cluster.nodeCount).keys()].map((i) => `${name}>10.0.0.${i}:80`)),
         3 + random() * 25,
       );
     },
@@ -177,8 +178,8 @@
       const name = pick(random, ['10.2.0.1:2379', `10.0.0.${node}:80`, `node-${node}`]);
       during(
         5 + random() * 30,
-        () => net.slow.set(name, 10 + random() * 60),
-        () => net.slow.delete(name),
+        () => net.slowdowns.set(name, 10 + random() * 60),
+        () => net.slowdowns.delete(name),
       );
     },
     () => {
@@ -191,26 +192,26 @@
     },
     () => {
       // Stands still while its clocks run on, for less than a grant's life up to well over a lease.
-      world.freezeNode(node, (1 + random() * 29) * SECOND);
+      cluster.freezeNode(node, (1 + random() * 29) * SECOND);
     },
     () => {
       // Many machines fail at once: some die, some hang for less or more than a lease.
-      for (const w of world.workers.values()) {
+      for (const w of cluster.workers.values()) {
         const there = cloud.hosts.get(w.machine.host);
         const luck = random();
         if (luck < 0.25 && there) cloud.die(there);
         else if (luck < 0.6) {
           during(
             2 + random() * 20,
-            () => (w.hanging = true),
-            () => (w.hanging = false),
+            () => (w.isHanging = true),
+            () => (w.isHanging = false),
           );
         }
       }
     },
     () => {
       const set = (on: boolean) => () => {
-        cloud.outage = on;
+        cloud.isOut = on;
       };
       during(3 + random() * 20, set(true), set(false));
     },
@@ -219,7 +220,7 @@
     },
     () => {
       if (!host || !worker) return;
-      worker.recallS = 4;
+      worker.reclaimInS = 4;
       clock.at(4 * SECOND, () => {
         if (cloud.hosts.get(host.host) === host) cloud.reclaim(host);
       });
@@ -228,8 +229,8 @@
       if (worker) {
         during(
           2 + random() * 20,
-          () => (worker.hanging = true),
-          () => (worker.hanging = false),
+          () => (worker.isHanging = true),
+          () => (worker.isHanging = false),
         );
       }
     },
--- a/packages/testkit/random-jobs.ts
+++ b/packages/testkit/random-jobs.ts
@@ -1,6 +1,6 @@
 /** Jobs for random runs of a deployment. */
 import type { JobSpec, Rank } from '#wire';
-import { sampleJob } from './rules.js';
+import { sampleJob } from './invariants.js';
 
 const RANKS: Rank[] = ['best_effort', 'normal', 'urgent', 'prod'];
 
--- a/packages/testkit/chaos.test.ts
+++ b/packages/testkit/randomized-faults.test.ts
@@ -2,73 +2,75 @@
 import { test } from 'node:test';
 import { SECOND } from '#wire';
 import { randomJob } from './random-jobs.js';
-import { trouble } from './random-troubles.js';
-import { SimWorld, type WorldEvent } from './sim-world.js';
+import { injectRandomFault } from './random-faults.js';
+import { SimCluster, type ClusterEvent } from './sim-cluster.js';
 
 /** A second trouble that follows upon an event, while what the event brings about is still on its way. */
-const EVENTS: WorldEvent[] = ['confirmed', 'last end', 'lead', 'release'];
+const EVENTS: ClusterEvent[] = ['confirmed', 'last end', 'lead', 'release'];
 /** How often one is met: changes of leader and withdrawals are few, releases many. */
-const CHANCE: Record<WorldEvent, number> = { confirmed: 0.4, 'last end': 0.1, lead: 0.4, release: 0.05 };
+const CHANCE: Record<ClusterEvent, number> = { confirmed: 0.4, 'last end': 0.1, lead: 0.4, release: 0.05 };
 const MOST_FOLLOW_UPS = 6;
 
 /** Lets troubles meet events: `met` counts how many did. */
-function drawFollowUps(world: SimWorld, until: number, met: Map<WorldEvent, number>): void {
-  const { random, clock } = world;
+function drawFollowUps(cluster: SimCluster, until: number, met: Map<ClusterEvent, number>): void {
+  const { random, clock } = cluster;
   let left = MOST_FOLLOW_UPS;
-  world.onEvent = (event) => {
+  cluster.onEvent = (event) => {
     if (clock.time < 20 * SECOND || clock.time > until || left === 0) return;
     if (random() > CHANCE[event]) return;
     left--;
     met.set(event, (met.get(event) ?? 0) + 1);
     // Some within a round of the event, some while leases are still running out.
     clock.at((random() < 0.6 ? 0.3 : 6) * random() * SECOND, () => {
-      trouble(world);
+      injectRandomFault(cluster);
     });
   };
 }
 
-async function chaos(seed: number, met: Map<WorldEvent, number>): Promise<SimWorld> {
+async function chaos(seed: number, met: Map<ClusterEvent, number>): Promise<SimCluster> {
   const say = (fields: object, text: string): void => {
-    process.stderr.write(`${(world.clock.time / SECOND).toFixed(3)} ${text} ${JSON.stringify(fields)}\n`);
+    process.stderr.write(`${(cluster.clock.time / SECOND).toFixed(3)} ${text} ${JSON.stringify(fields)}\n`);
   };
   const log = process.env['CHAOS_LOG'] === undefined ? undefined : { debug: say, info: say, error: say };
   // Every other deployment has small values, so that checkpoints take many commits.
   const settings = seed % 2 === 0 ? {} : { valueBytes: 700, txnOps: 3 };
   // A start of a node reads the live state in many pages, and commits land between them.
   const pageRows = seed % 3 === 0 ? 1000 : 5;
-  const world = new SimWorld({ seed, settings, pageRows, ...(log ? { log } : {}) });
-  const { random, clock } = world;
+  const cluster = new SimCluster({ seed, settings, pageRows, ...(log ? { log } : {}) });
+  const { random, clock } = cluster;
   let jobs = 0;
   const arrive = (): void => {
     if (clock.time > 150 * SECOND) return;
-    world.submit(randomJob(random, jobs++), random() < 0.2 ? random() * 20 * SECOND : null);
+    cluster.submit(randomJob(random, jobs++), random() < 0.2 ? random() * 20 * SECOND : null);
     clock.at(random() * 8 * SECOND, arrive);
   };
   const harm = (): void => {
     if (clock.time > 160 * SECOND) return;
-    trouble(world);
+    injectRandomFault(cluster);
     clock.at((2 + random() * 18) * SECOND, harm);
   };
   clock.at(SECOND, arrive);
   clock.at(20 * SECOND, harm);
-  drawFollowUps(world, 160 * SECOND, met);
-  await world.run(245 * SECOND);
-  world.rules.troublesOver(clock.time);
-  await world.run(155 * SECOND);
-  return world;
+  drawFollowUps(cluster, 160 * SECOND, met);
+  await cluster.run(245 * SECOND);
+  cluster.invariants.faultsEnded(clock.time);
+  await cluster.run(155 * SECOND);
+  return cluster;
 }
 
 /** Each run checks every rule after every step, and at the end that all work came to its end. */
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 12)];
-const met = new Map<WorldEvent, number>();
+const met = new Map<ClusterEvent, number>();
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`rules hold and work ends under random troubles, seed ${seed}`, async (t) => {
-    const world = await chaos(seed, met);
-    t.diagnostic(`${world.gangs.starts} gangs came together`);
-    t.diagnostic(`${world.rules.startsAfterConfirmation} of ${world.rules.starts} after a confirmation`);
-    assert.ok(world.rules.starts > 20, `only ${world.rules.starts} starts`);
-    assert.deepEqual(world.rules.unfinished(), []);
-    assert.deepEqual(world.rules.neglected(), []);
+    const cluster = await chaos(seed, met);
+    t.diagnostic(`${cluster.gangs.starts} gangs came together`);
+    t.diagnostic(
+      `${cluster.invariants.startsAfterConfirmation} of ${cluster.invariants.starts} after a confirmation`,
+    );
+    assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
+    assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
+    assert.deepEqual(cluster.invariants.neglectedGroups(), []);
   });
 }
 
--- a/packages/testkit/real-clock.ts
+++ b/packages/testkit/real-clock.ts
@@ -1,9 +1,9 @@
 /** The machine's own time for the stand-ins, where real processes take part. */
 import { hrtime } from 'node:process';
 import { type Micros, MS, type Timer } from '#wire';
-import type { WorldClock } from './sim-clock.js';
+import type { SimulationClock } from './sim-clock.js';
 
-export class RealClock implements WorldClock {
+export class RealClock implements SimulationClock {
   private readonly timers = new Set<NodeJS.Timeout>();
 
   get time(): Micros {
--- a/packages/testkit/duty-history.ts
+++ b/packages/testkit/role-history.ts
@@ -20,7 +20,7 @@
   MACHINE_TYPE_PREFIX,
 } from '#cluster';
 import { type WireFields, isWireFields, parseTaskName } from '#wire';
-import { BrokenRule } from './rules.js';
+import { InvariantViolation } from './invariants.js';
 
 /** Whose effects are judged: the version in production knows neither terms nor the record rule. */
 export interface Sender {
@@ -35,16 +35,16 @@
   /** Starts that workers executed, and those under a token that had been raised since. */
   launches: number;
   lateLaunches: number;
-  rentals: number;
+  scaleOuts: number;
   deletions: number;
-  lateRentals: number;
+  lateScaleOuts: number;
   lateDeletions: number;
   /** Deletions by the version in production that no record had named: a known fault of that version. */
   unrecordedByOld: number;
 }
 
 /** What a transaction has to guard: the duties under which each of its writes may be made. */
-function dutyKeysOf(write: WireFields): string[] {
+function requiredRoleKeys(write: WireFields): string[] {
   const path = String(write['Set'] ?? write['Remove']);
   if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
   const isLeaders = [SHARD_PREFIX, MACHINE_TYPE_PREFIX, CHECKPOINT_CHUNK_PREFIX, TERMINAL_PREFIX].some(
@@ -55,21 +55,21 @@
   return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
 
-export class DutyHistory {
+export class RoleHistory {
   readonly counts: EffectCounts = {
     ...{
       launches: 0,
       lateLaunches: 0,
       commits: 0,
-      rentals: 0,
+      scaleOuts: 0,
       deletions: 0,
-      lateRentals: 0,
+      lateScaleOuts: 0,
       lateDeletions: 0,
       unrecordedByOld: 0,
     },
   };
   private readonly ledger = new Ledger();
-  private readonly recordedRentals = new Set<string>();
+  private readonly recordedScaleOuts = new Set<string>();
   private term = 0;
   private token = 0;
 
@@ -79,9 +79,9 @@
   beforeCommit(guards: readonly WireFields[], writes: readonly WireFields[]): void {
     this.counts.commits++;
     for (const write of writes) {
-      for (const key of dutyKeysOf(write)) this.checkGuard(key, guards, write);
+      for (const key of requiredRoleKeys(write)) this.checkGuard(key, guards, write);
       const isEnd = isWireFields(write['V']) && write['V']['Status'] === 'done';
-      if (isEnd && String(write['Set']).startsWith(JOB_PREFIX)) this.checkShareGuard(guards, write);
+      if (isEnd && String(write['Set']).startsWith(JOB_PREFIX)) this.checkShardGuard(guards, write);
     }
   }
 
@@ -90,8 +90,8 @@
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
       if (path === LEADER_KEY) this.term = epoch;
-      if (path === FENCING_TOKEN_KEY) this.takeToken(write['V']);
-      if (path.startsWith(LOG_PREFIX)) this.takeRecord(path, decodeRecord(write['V'] as WireFields));
+      if (path === FENCING_TOKEN_KEY) this.advanceToken(write['V']);
+      if (path.startsWith(LOG_PREFIX)) this.applyRecord(path, decodeRecord(write['V'] as WireFields));
     }
   }
 
@@ -101,24 +101,25 @@
     const at = parseTaskName(taskName);
     const placement = at ? this.ledger.placement(at.job, at.index) : undefined;
     if (fencingToken > this.token) {
-      throw new BrokenRule(
+      throw new InvariantViolation(
         'unrecorded',
         `${taskName} starts under token ${fencingToken}, the highest is ${this.token}`,
       );
     }
     if (fencingToken < this.token) this.counts.lateLaunches++;
     if (placement?.attempt === attempt && placement.host === host) return;
-    throw new BrokenRule(
+    throw new InvariantViolation(
       'unrecorded',
       `attempt ${attempt} of ${taskName} starts on ${host} without a record`,
     );
   }
 
   /** The cloud rents machines under this name for the first time. */
-  rented(name: string, sender: Sender): void {
-    this.counts.rentals++;
-    if (this.isOver(sender)) this.counts.lateRentals++;
-    if (!this.recordedRentals.has(name)) throw new BrokenRule('unrecorded', `rental ${name} is in no record`);
+  scaledOut(name: string, sender: Sender): void {
+    this.counts.scaleOuts++;
+    if (this.isOver(sender)) this.counts.lateScaleOuts++;
+    if (!this.recordedScaleOuts.has(name))
+      throw new InvariantViolation('unrecorded', `rental ${name} is in no record`);
   }
 
   /** The cloud deletes a machine that was there; `works`: it had not stopped by itself. */
@@ -131,7 +132,7 @@
     if (sender.isOld) this.counts.unrecordedByOld++;
     else {
       const state = entry ? `share ${entry.shard}, destination ${entry.destination}` : 'in no record';
-      throw new BrokenRule(
+      throw new InvariantViolation(
         'unrecorded',
         `${host} is deleted in term ${sender.term} of ${this.term}: ${state}`,
       );
@@ -145,25 +146,29 @@
   private checkGuard(key: string, guards: readonly WireFields[], write: WireFields): void {
     const revision = this.revisionOf(key);
     if (revision > 0 && guards.some((g) => g['Path'] === key && Number(g['Stamp']) === revision)) return;
-    throw new BrokenRule('ownership', `${String(write['Set'] ?? write['Remove'])} landed without ${key}`);
+    throw new InvariantViolation(
+      'ownership',
+      `${String(write['Set'] ?? write['Remove'])} landed without ${key}`,
+    );
   }
 
-  private checkShareGuard(guards: readonly WireFields[], write: WireFields): void {
+  private checkShardGuard(guards: readonly WireFields[], write: WireFields): void {
     if (guards.some((g) => String(g['Path']).startsWith(SHARD_PREFIX))) return;
-    throw new BrokenRule('ownership', `${String(write['Set'])} was ended by no owner of a share`);
+    throw new InvariantViolation('ownership', `${String(write['Set'])} was ended by no owner of a share`);
   }
 
-  private takeToken(value: unknown): void {
+  private advanceToken(value: unknown): void {
     const fencingToken = isWireFields(value) ? Number(value['Token']) : NaN;
     if (!(fencingToken > this.token))
-      throw new BrokenRule('token', `${this.token} is followed by ${fencingToken}`);
+      throw new InvariantViolation('token', `${this.token} is followed by ${fencingToken}`);
     this.token = fencingToken;
   }
 
-  private takeRecord(path: string, record: PlacementRecord): void {
+  private applyRecord(path: string, record: PlacementRecord): void {
     for (const [name] of record.scaleOuts ?? []) {
-      if (this.recordedRentals.has(name)) throw new BrokenRule('unrecorded', `rental ${name} is named twice`);
-      this.recordedRentals.add(name);
+      if (this.recordedScaleOuts.has(name))
+        throw new InvariantViolation('unrecorded', `rental ${name} is named twice`);
+      this.recordedScaleOuts.add(name);
     }
     this.ledger.apply(logIdOfKey(path), record);
   }
--- a/packages/testkit/duties.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -3,47 +3,47 @@
 import { test } from 'node:test';
 import { SECOND } from '#wire';
 import { randomJob } from './random-jobs.js';
-import { trouble } from './random-troubles.js';
-import { SimWorld } from './sim-world.js';
+import { injectRandomFault } from './random-faults.js';
+import { SimCluster } from './sim-cluster.js';
 
 /** Within a run and yet longer than any retry, boot or lease: late requests meet successors of their sender's successor. */
 const LATE_BY = 300 * SECOND;
 
 /** Random troubles beside rentals and deletions that are carried out up to five minutes late, and slow boots. */
-async function lateRequests(seed: number): Promise<SimWorld> {
-  const world = new SimWorld({ seed });
-  const { random, clock, cloud } = world;
-  cloud.lateRequests = 0.3;
-  cloud.lateBy = LATE_BY;
-  cloud.slowBoots = 0.3;
+async function lateRequests(seed: number): Promise<SimCluster> {
+  const cluster = new SimCluster({ seed });
+  const { random, clock, cloud } = cluster;
+  cloud.lateRequestRate = 0.3;
+  cloud.maxRequestDelay = LATE_BY;
+  cloud.slowBootRate = 0.3;
   let jobs = 0;
   const arrive = (): void => {
     if (clock.time > 150 * SECOND) return;
-    world.submit(randomJob(random, jobs++), random() < 0.15 ? random() * 20 * SECOND : null);
+    cluster.submit(randomJob(random, jobs++), random() < 0.15 ? random() * 20 * SECOND : null);
     clock.at(random() * 5 * SECOND, arrive);
   };
   const harm = (): void => {
     if (clock.time > 150 * SECOND) return;
-    trouble(world);
+    injectRandomFault(cluster);
     clock.at((4 + random() * 20) * SECOND, harm);
   };
   clock.at(SECOND, arrive);
   clock.at(20 * SECOND, harm);
-  await world.run(220 * SECOND);
-  cloud.lateRequests = 0;
+  await cluster.run(220 * SECOND);
+  cloud.lateRequestRate = 0;
   // Slow boots are a trouble, too: with one machine type a job can meet four of them in a row (seed 108).
-  cloud.slowBoots = 0;
-  world.rules.troublesOver(clock.time);
-  await world.run(160 * SECOND);
-  return world;
+  cloud.slowBootRate = 0;
+  cluster.invariants.faultsEnded(clock.time);
+  await cluster.run(160 * SECOND);
+  return cluster;
 }
 
 const [FROM, RUNS] = [Number(process.env['DUTIES_FROM'] ?? 1), Number(process.env['DUTIES_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`late rentals and deletions harm no machine in use, seed ${seed}`, async () => {
-    const world = await lateRequests(seed);
-    assert.ok(world.rules.starts > 20, `only ${world.rules.starts} starts`);
-    assert.ok(world.history.counts.deletions > 0, 'nothing was deleted');
-    assert.deepEqual(world.rules.unfinished(), []);
+    const cluster = await lateRequests(seed);
+    assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
+    assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
+    assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
   });
 }
--- a/packages/testkit/duty-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -4,9 +4,9 @@
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
 import { formatRoleName } from '#roles';
 import { type WireFields, SECOND } from '#wire';
-import { sampleJob } from './rules.js';
-import { SimWorld, STATE } from './sim-world.js';
-import { type VacancyCause, VacancyMeter } from './vacancy.js';
+import { sampleJob } from './invariants.js';
+import { SimCluster, STATE } from './sim-cluster.js';
+import { type VacancyCause, VacancyMeter } from './vacancy-meter.js';
 
 const RUNS = Number(process.env['VACANCY_RUNS'] ?? 4);
 const CAUSES: VacancyCause[] = ['freeze', 'crash', 'cut'];
@@ -16,16 +16,16 @@
 const MOST_LEAD_MS = 4_500;
 const MOST_SHARE_MS = 6_500;
 
-function holderOf(world: SimWorld, path: string): number {
-  return Number(String(world.store.rows.get(path)?.value['Member']).slice('node-'.length));
+function holderOf(cluster: SimCluster, path: string): number {
+  return Number(String(cluster.store.rows.get(path)?.value['Member']).slice('node-'.length));
 }
 
 async function replaceLeader(seed: number, cause: VacancyCause, meter: VacancyMeter): Promise<void> {
-  const world = new SimWorld({ seed });
-  const { clock, store, net } = world;
-  world.submit(sampleJob('j-1', { taskCount: 6, estimateS: 60 }));
-  await world.run((20 + world.random() * 5) * SECOND);
-  const leader = holderOf(world, LEADER_KEY);
+  const cluster = new SimCluster({ seed });
+  const { clock, store, net } = cluster;
+  cluster.submit(sampleJob('j-1', { taskCount: 6, estimateS: 60 }));
+  await cluster.run((20 + cluster.random() * 5) * SECOND);
+  const leader = holderOf(cluster, LEADER_KEY);
   const { afterApply } = store;
   store.afterApply = (writes: WireFields[]) => {
     afterApply(writes);
@@ -37,19 +37,19 @@
     }
   };
   meter.began('lead', cause, clock.time);
-  for (let shard = 0; shard < world.nodeCount; shard++) {
-    if (holderOf(world, SHARD_PREFIX + String(shard)) === leader) {
+  for (let shard = 0; shard < cluster.nodeCount; shard++) {
+    if (holderOf(cluster, SHARD_PREFIX + String(shard)) === leader) {
       meter.began(formatRoleName(shard), cause, clock.time);
     }
   }
   const link = `node-${leader}>${STATE}`;
-  if (cause === 'freeze') world.freezeNode(leader, TROUBLE);
-  else if (cause === 'crash') world.killNode(leader);
-  else net.refused.add(link);
-  await world.run(TROUBLE);
-  net.refused.delete(link);
-  world.startNode(leader);
-  await world.run(10 * SECOND);
+  if (cause === 'freeze') cluster.freezeNode(leader, TROUBLE);
+  else if (cause === 'crash') cluster.killNode(leader);
+  else net.refusedLinks.add(link);
+  await cluster.run(TROUBLE);
+  net.refusedLinks.delete(link);
+  cluster.startNode(leader);
+  await cluster.run(10 * SECOND);
 }
 
 test('a duty is vacant for little longer than a grant lives, whatever happened to its holder', async (t) => {
--- a/packages/testkit/sim-clock.ts
+++ b/packages/testkit/sim-clock.ts
@@ -13,13 +13,13 @@
 export type Gate = (step: () => void) => void;
 
 /** Time as the stand-ins see it: simulated, or that of the machine. */
-export interface WorldClock {
+export interface SimulationClock {
   readonly time: Micros;
   at(delay: Micros, run: () => void): Timer;
 }
 
 /** Simulated time: events in order, each followed by everything that it made ready. */
-export class SimClock implements WorldClock {
+export class SimClock implements SimulationClock {
   time: Micros = 1_000_000;
   private heap: Event[] = [];
   private order = 0;
@@ -38,10 +38,10 @@
    * A process's own view: its steady clock runs a little off, its time of day too; its timers die with it. Both
    * clocks run on while it stands still.
    */
-  view(gate: Gate, drift: number, wallOff: Micros): Clock {
+  view(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
     return {
       now: () => Math.floor(this.time * (1 + drift)),
-      wall: () => 1_790_000_000_000_000 + this.time + wallOff,
+      wall: () => 1_790_000_000_000_000 + this.time + wallClockOffset,
       after: (delay, run) => {
         let cancelled = false;
         const timer = this.at(delay / (1 + drift), () => {
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -1,12 +1,12 @@
 import { type WireFields, isWireFields, type MachineType, type Micros, SECOND } from '#wire';
-import type { Sender } from './duty-history.js';
-import type { MachineFacts } from './rules.js';
-import type { WorldClock } from './sim-clock.js';
-import type { Handler, Served } from './sim-net.js';
+import type { Sender } from './role-history.js';
+import type { MachineFacts } from './invariants.js';
+import type { SimulationClock } from './sim-clock.js';
+import type { Handler, SimResponse } from './sim-net.js';
 
 export interface CloudHost extends MachineFacts {
   state: 'starting' | 'running' | 'died' | 'failed';
-  rentedAt: Micros;
+  createdAt: Micros;
 }
 
 interface Snapshot {
@@ -14,7 +14,7 @@
   rows: WireFields[];
 }
 
-/** Who sent a request, as the simulated world notes it beside the protocol's own fields. */
+/** Who sent a request, as the simulated cluster notes it beside the protocol's own fields. */
 function senderOf(body: WireFields): Sender {
   const term = body['SenderTerm'];
   return { term: typeof term === 'number' ? term : null, isOld: body['SenderIsOld'] === true };
@@ -38,21 +38,21 @@
 /** The cloud: rents machines, whose workers `boot` starts and `destroy` ends. */
 export class SimCloud {
   readonly hosts = new Map<string, CloudHost>();
-  outage = false;
+  isOut = false;
   /** Share of rental and deletion requests that get no answer and are carried out up to `lateBy` later. */
-  lateRequests = 0;
-  lateBy: Micros = 60 * SECOND;
+  lateRequestRate = 0;
+  maxRequestDelay: Micros = 60 * SECOND;
   /** Share of machines that take several times as long to boot. */
-  slowBoots = 0;
+  slowBootRate = 0;
   /** Called when machines are rented under a name for the first time, and for each machine that is deleted. */
-  onRented: (name: string, sender: Sender) => void = () => undefined;
-  onDeleted: (host: CloudHost, sender: Sender) => void = () => undefined;
+  onScaleOut: (name: string, sender: Sender) => void = () => undefined;
+  onDeletion: (host: CloudHost, sender: Sender) => void = () => undefined;
   private readonly answers = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
   private count = 0;
 
   constructor(
-    private readonly clock: WorldClock,
+    private readonly clock: SimulationClock,
     private readonly random: () => number,
     private readonly types: readonly MachineType[],
     /** How many machines a type, zone and kind holds. */
@@ -65,16 +65,18 @@
   }
 
   readonly handler: Handler = (_from, method, path, body) => {
-    if (this.outage) return { status: 503, body: { error: 'trouble' } };
+    if (this.isOut) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(path, 'http://cloud');
     const fields = isWireFields(body) ? body : {};
     if (url.pathname === '/machine_types')
       return { status: 200, body: { Builds: this.types.map(encodeType) } };
     if (method !== 'POST') return this.list(url.searchParams);
-    const act = (): Served =>
-      url.pathname === '/rentals' ? this.rent(fields) : this.remove(fields['Hosts'] as string[], fields);
-    if (this.lateRequests === 0 || this.random() >= this.lateRequests) return act();
-    this.clock.at(this.random() * this.lateBy, act);
+    const act = (): SimResponse =>
+      url.pathname === '/rentals'
+        ? this.createMachines(fields)
+        : this.deleteMachines(fields['Hosts'] as string[], fields);
+    if (this.lateRequestRate === 0 || this.random() >= this.lateRequestRate) return act();
+    this.clock.at(this.random() * this.maxRequestDelay, act);
     return new Promise(() => undefined);
   };
 
@@ -93,7 +95,7 @@
     this.hosts.delete(host.host);
   }
 
-  private rent(body: WireFields): Served {
+  private createMachines(body: WireFields): SimResponse {
     const request = String(body['Hire']);
     const known = this.answers.get(request);
     if (known) return { status: 200, body: { Hosts: known } };
@@ -107,17 +109,17 @@
     ).length;
     const number = Math.min(Number(body['Number']), this.capacity - taken);
     if (number <= 0) return { status: 503, body: { error: 'no capacity' } };
-    this.onRented(request, senderOf(body));
+    this.onScaleOut(request, senderOf(body));
     const Hosts: string[] = [];
     for (let i = 0; i < number; i++) {
       const name = `n-${String(this.count++).padStart(6, '0')}`;
-      const host: CloudHost = { host: name, ...facts, state: 'starting', rentedAt: this.clock.time };
+      const host: CloudHost = { host: name, ...facts, state: 'starting', createdAt: this.clock.time };
       this.hosts.set(name, host);
       Hosts.push(name);
       const never = this.random() < 0.05;
       const boot = (this.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
       if (never) continue;
-      const slowness = this.slowBoots > 0 && this.random() < this.slowBoots ? 6 : 1;
+      const slowness = this.slowBootRate > 0 && this.random() < this.slowBootRate ? 6 : 1;
       this.clock.at(slowness * boot * (0.6 + this.random() * 0.9), () => {
         if (this.hosts.get(name) !== host) return;
         host.state = 'running';
@@ -128,18 +130,18 @@
     return { status: 200, body: { Hosts } };
   }
 
-  private remove(names: string[], body: WireFields): Served {
+  private deleteMachines(names: string[], body: WireFields): SimResponse {
     for (const name of names) {
       const host = this.hosts.get(name);
       if (!host) continue;
-      this.onDeleted(host, senderOf(body));
+      this.onDeletion(host, senderOf(body));
       this.destroy(host);
       this.hosts.delete(name);
     }
     return { status: 200, body: {} };
   }
 
-  private list(query: URLSearchParams): Served {
+  private list(query: URLSearchParams): SimResponse {
     const lag = this.listLag * (1 + (this.random() < 0.1 ? 1 : 0));
     const old = this.snapshots.filter((s) => s.at <= this.clock.time - lag).at(-1);
     const after = query.get('After') ?? '';
@@ -156,7 +158,7 @@
       Hall: h.zone,
       Loaners: h.spot,
       Status: h.state === 'died' ? 'running' : h.state,
-      AgeS: (this.clock.time - h.rentedAt) / SECOND,
+      AgeS: (this.clock.time - h.createdAt) / SECOND,
     }));
     this.snapshots.push({ at: this.clock.time, rows });
     this.snapshots = this.snapshots.filter((s) => s.at > this.clock.time - 4 * this.listLag - 5 * SECOND);
--- a/packages/testkit/sim-world.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -24,11 +24,11 @@
   type JobSpec,
 } from '#wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { LedgerAgreement } from './agreement.js';
+import { LedgerAgreement } from './ledger-agreement.js';
 import type { ProductionVersion } from './production-version.js';
-import { DutyHistory } from './duty-history.js';
+import { RoleHistory } from './role-history.js';
 import { FirstFailure } from './first-failure.js';
-import { BrokenRule, type FreeRoom, RuleChecker, sampleJob } from './rules.js';
+import { InvariantViolation, type FreeCapacity, InvariantChecker, sampleJob } from './invariants.js';
 import { type Gate, SimClock } from './sim-clock.js';
 import { SimGangs } from './sim-gang.js';
 import { type CloudHost, SimCloud } from './sim-cloud.js';
@@ -94,28 +94,28 @@
   /** The same, where it is of the present version. */
   present: Controller | null;
   index: number;
-  life: Life;
+  life: ProcessLife;
   /** Its process comes back with the version in production. */
   isOld: boolean;
 }
 
 /** One start of a node's process. */
-interface Life {
-  on: boolean;
+interface ProcessLife {
+  isRunning: boolean;
   /** Until then the process stands still, while its clocks run on. */
-  thaws: Micros;
+  frozenUntil: Micros;
 }
 
 /** A withdrawal was confirmed, a job's last task ended, the lead changed, an owner let a machine go. */
-export type WorldEvent = 'confirmed' | 'last end' | 'lead' | 'release';
+export type ClusterEvent = 'confirmed' | 'last end' | 'lead' | 'release';
 
 /** By what part the steady clock runs fast, and how far the time of day is off. */
 export interface ClockError {
   drift: number;
-  wallOff: Micros;
+  wallClockOffset: Micros;
 }
 
-export interface WorldOptions {
+export interface SimClusterOptions {
   seed: number;
   nodes?: number;
   log?: Logger;
@@ -139,37 +139,37 @@
 const SILENT: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
 /** Controllers, state service, cloud, workers and users on one simulated clock, with the rules watched. */
-export class SimWorld {
+export class SimCluster {
   readonly clock = new SimClock();
   readonly random: () => number;
   readonly net: SimNet;
   readonly store: SimStore;
   readonly cloud: SimCloud;
-  readonly rules: RuleChecker;
+  readonly invariants: InvariantChecker;
   readonly gangs: SimGangs;
   /** What was done under which term. */
-  readonly history: DutyHistory;
+  readonly history: RoleHistory;
   private readonly agreement = new LedgerAgreement();
   readonly workers = new Map<string, SimWorker>();
   readonly specs = new Map<string, JobSpec>();
   /** Answers the users got, by job: the last state each was told. */
-  readonly told = new Map<string, JobStatus>();
+  readonly lastStatuses = new Map<string, JobStatus>();
   /** Told of what a second trouble may follow upon. */
-  onEvent: (event: WorldEvent) => void = () => undefined;
+  onEvent: (event: ClusterEvent) => void = () => undefined;
   /** Told how a node answered the report of a machine's worker. */
-  onReport: (host: string, node: number, status: number) => void = () => undefined;
+  onHeartbeat: (host: string, node: number, status: number) => void = () => undefined;
   private readonly nodes: Node[] = [];
-  private readonly renewals = new Map<number, number>();
+  private readonly heartbeatCounts = new Map<number, number>();
   private readonly types: readonly MachineType[];
   private starts = 0;
-  private faultyShare = 0;
+  private faultyWorkerRate = 0;
   private nextIdleCheck: Micros = 0;
   /** By copy of the ledger: the epoch at which it was last compared. */
   private readonly checkedAt = new WeakMap<object, number>();
   /** The first thing that went wrong in a callback; thrown by {@link run}. */
   private readonly failure = new FirstFailure();
 
-  constructor(private readonly options: WorldOptions) {
+  constructor(private readonly options: SimClusterOptions) {
     const generator = xoroshiro128plus(options.seed);
     this.random = () => (generator.next() >>> 0) / 4294967296;
     this.types = options.types ?? SAMPLE_TYPES;
@@ -182,22 +182,22 @@
       valueBytes: settings.valueBytes,
       pageRows: options.pageRows ?? 1000,
     });
-    this.history = new DutyHistory((path) => this.store.rows.get(path)?.revision ?? 0);
+    this.history = new RoleHistory((path) => this.store.rows.get(path)?.revision ?? 0);
     this.store.beforeApply = (guards, writes) => {
       this.history.beforeCommit(guards, writes);
     };
     this.store.afterApply = (writes) => {
       // What is written to another history is in no record of this one.
-      if (this.store.hasLost) return;
+      if (this.store.hasLostData) return;
       this.history.afterCommit(writes, this.store.epoch);
-      this.agreement.applied(writes);
+      this.agreement.transactionApplied(writes);
       this.checkCheckpoint(writes);
-      this.tellOf(writes);
+      this.notifyOfEvents(writes);
     };
     const limits = new Map(settings.teams.map((t) => [t.name, { cpus: t.cpusMax, gpus: t.gpusMax }]));
-    this.rules = new RuleChecker(limits, options.promisedCancel ?? settings.cancellationDeadline);
+    this.invariants = new InvariantChecker(limits, options.promisedCancel ?? settings.cancellationDeadline);
     this.gangs = new SimGangs(this.clock, this.random, { wait: settings.gangWait, peer: settings.gangPeer });
-    this.rules.onEvent = (event) => {
+    this.invariants.onEvent = (event) => {
       this.onEvent(event);
     };
     this.cloud = new SimCloud(
@@ -214,12 +214,12 @@
         this.workers.delete(host.host);
       },
     );
-    this.cloud.onRented = (name, sender) => {
+    this.cloud.onScaleOut = (name, sender) => {
       this.failure.guard(() => {
-        this.history.rented(name, sender);
+        this.history.scaledOut(name, sender);
       });
     };
-    this.cloud.onDeleted = ({ host, state }, sender) => {
+    this.cloud.onDeletion = ({ host, state }, sender) => {
       this.failure.guard(() => {
         this.history.deleted(host, state === 'starting' || state === 'running', sender);
       });
@@ -228,7 +228,7 @@
     this.net.serve(CLOUD, null, this.cloud.handler);
     for (let i = 0; i < (options.nodes ?? 3); i++) {
       const isOld = options.production !== undefined;
-      const life: Life = { on: false, thaws: 0 };
+      const life: ProcessLife = { isRunning: false, frozenUntil: 0 };
       this.nodes.push({ controller: null, present: null, index: i, life, isOld });
       this.startNode(i);
     }
@@ -239,8 +239,8 @@
   }
 
   /** Reports that this node has answered 200. */
-  workerReports(index: number): number {
-    return this.renewals.get(index) ?? 0;
+  heartbeatCount(index: number): number {
+    return this.heartbeatCounts.get(index) ?? 0;
   }
 
   /** A node of the present version that is up; null while it is down or of the version in production. */
@@ -258,27 +258,27 @@
     return sampleSettings(index, this.options.nodes ?? 3, this.options.settings);
   }
 
-  setFaulty(shard: number): void {
-    this.faultyShare = shard;
+  setFaultyWorkerRate(shard: number): void {
+    this.faultyWorkerRate = shard;
   }
 
   startNode(index: number): void {
     const node = this.nodes[index] as Node;
-    if (node.life.on) return;
-    const life: Life = { on: true, thaws: 0 };
+    if (node.life.isRunning) return;
+    const life: ProcessLife = { isRunning: true, frozenUntil: 0 };
     node.life = life;
     const gate = this.gateOf(life);
     const settings = this.settingsOf(index);
     const old = node.isOld ? this.options.production : undefined;
     const allowed = {
       drift: (this.random() - 0.5) * 0.001,
-      wallOff: Math.floor((this.random() - 0.5) * 100 * MS),
+      wallClockOffset: Math.floor((this.random() - 0.5) * 100 * MS),
     };
-    const { drift, wallOff } = this.options.clockError?.(index) ?? allowed;
+    const { drift, wallClockOffset } = this.options.clockError?.(index) ?? allowed;
     const options: ControllerOptions = {
       settings: old ? { ...settings, ...old.settings } : settings,
       tuning: { ...defaultTuning(), ...this.options.tuning },
-      clock: this.clock.view(gate, drift, wallOff),
+      clock: this.clock.view(gate, drift, wallClockOffset),
       random: this.random,
       incarnation: `i${++this.starts}`,
       httpClient: this.callerOf(node, this.net.caller(settings.member, settings.domain, gate)),
@@ -298,7 +298,7 @@
         isStoreReachable: served,
         redirectedWorkers: referred,
         highWaterMark: memory,
-      } = controller.word();
+      } = controller.peerStatus();
       return {
         status: 200,
         body: { Token: fencingToken, Served: served, Referred: referred, Memory: memory },
@@ -308,17 +308,17 @@
       await awake();
       const answer =
         path === '/v1/report'
-          ? await controller.report(body)
+          ? await controller.handleHeartbeat(body)
           : path === '/submissions' && method === 'POST'
-            ? await controller.submit(body)
+            ? await controller.submitJob(body)
             : method === 'POST'
-              ? await controller.cancel(path.split('/')[2] ?? '')
-              : await controller.show(path.split('/')[2] ?? '');
+              ? await controller.cancelJob(path.split('/')[2] ?? '')
+              : await controller.getJob(path.split('/')[2] ?? '');
       if (path === '/v1/report') {
-        if (answer.status === 200) this.renewals.set(index, this.workerReports(index) + 1);
-        this.onReport(isWireFields(body) ? String(body['Host']) : '', index, answer.status);
+        if (answer.status === 200) this.heartbeatCounts.set(index, this.heartbeatCount(index) + 1);
+        this.onHeartbeat(isWireFields(body) ? String(body['Host']) : '', index, answer.status);
       }
-      return life.on ? answer : await new Promise(() => undefined);
+      return life.isRunning ? answer : await new Promise(() => undefined);
     });
   }
 
@@ -333,8 +333,8 @@
 
   killNode(index: number): void {
     const node = this.nodes[index] as Node;
-    if (!node.life.on) return;
-    node.life.on = false;
+    if (!node.life.isRunning) return;
+    node.life.isRunning = false;
     node.controller = null;
     node.present = null;
     const settings = this.settingsOf(index);
@@ -359,25 +359,25 @@
   /** The node's process stands still: timers, answers and requests wait for it, clocks don't. */
   freezeNode(index: number, duration: Micros): void {
     const { life } = this.nodes[index] as Node;
-    life.thaws = this.clock.time + duration;
+    life.frozenUntil = this.clock.time + duration;
   }
 
   /** Connections between this node and its peers are refused, either way. */
   refusePeers(index: number, on: boolean): void {
     for (let i = 0; i < this.nodeCount; i++) {
       for (const link of [`node-${index}>10.0.0.${i}:81`, `node-${i}>10.0.0.${index}:81`]) {
-        if (on) this.net.refused.add(link);
-        else this.net.refused.delete(link);
+        if (on) this.net.refusedLinks.add(link);
+        else this.net.refusedLinks.delete(link);
       }
     }
   }
 
-  private gateOf(life: Life): Gate {
+  private gateOf(life: ProcessLife): Gate {
     const pass: Gate = (step) => {
-      if (!life.on) return;
-      if (this.clock.time >= life.thaws) step();
+      if (!life.isRunning) return;
+      if (this.clock.time >= life.frozenUntil) step();
       // In no order: of what has gathered meanwhile, anything may come first.
-      else this.clock.at(life.thaws - this.clock.time + this.random() * 20 * MS, () => pass(step));
+      else this.clock.at(life.frozenUntil - this.clock.time + this.random() * 20 * MS, () => pass(step));
     };
     return pass;
   }
@@ -385,24 +385,24 @@
   /** Submits a job as a user does: again and again until it is taken, then polls until it is over. */
   submit(spec: JobSpec, cancelAfter: Micros | null = null): void {
     this.specs.set(spec.id, spec);
-    this.rules.submitted(spec, this.clock.time);
-    void this.userLife(spec, cancelAfter);
+    this.invariants.jobSubmitted(spec, this.clock.time);
+    void this.simulateUser(spec, cancelAfter);
   }
 
   async run(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => {
       this.failure.rethrow();
-      this.rules.check(this.clock.time);
+      this.invariants.check(this.clock.time);
       this.checkAgreement();
       if (this.clock.time < this.nextIdleCheck) return;
       this.nextIdleCheck = this.clock.time + SECOND;
-      this.rules.checkIdle(this.clock.time, this.freeRooms());
+      this.invariants.checkWaitingJobs(this.clock.time, this.freeCapacities());
     });
   }
 
   /** Once for each epoch: a node's copy changes with nothing else. */
   private checkAgreement(): void {
-    const { epoch, hasLost } = this.store;
+    const { epoch, hasLostData: hasLost } = this.store;
     // Epochs of another history: those of the copies that are compared name other commits.
     if (hasLost) return;
     const copies = this.nodes.flatMap((n) => (n.controller ? [n.controller.replicaFacts()] : []));
@@ -411,19 +411,27 @@
     this.agreement.check(current, epoch);
   }
 
-  private freeRooms(): FreeRoom[] {
-    const working = [...this.workers.values()].filter((w) => w.alive && !w.isFaulty && w.recallS === null);
-    return working.map((w) => ({ machine: w.machine, ...w.room() }));
+  private freeCapacities(): FreeCapacity[] {
+    const working = [...this.workers.values()].filter(
+      (w) => w.isAlive && !w.isFaulty && w.reclaimInS === null,
+    );
+    return working.map((w) => ({ machine: w.machine, ...w.freeCapacity() }));
   }
 
   /** Asks for the job's withdrawal at one node, once; the status that the user is told. */
-  async withdraw(id: string, node: number): Promise<number> {
-    this.rules.cancelAsked(id);
-    return this.ask(id, node, 'POST', `/submissions/${id}/withdraw`);
+  async cancelJob(id: string, node: number): Promise<number> {
+    this.invariants.cancellationRequested(id);
+    return this.sendUserRequest(id, node, 'POST', `/submissions/${id}/withdraw`);
   }
 
   /** One request of a job's user, once; 0 if no answer comes in time. */
-  async ask(id: string, node: number, method: 'GET' | 'POST', path: string, body?: unknown): Promise<number> {
+  async sendUserRequest(
+    id: string,
+    node: number,
+    method: 'GET' | 'POST',
+    path: string,
+    body?: unknown,
+  ): Promise<number> {
     const call = this.net.caller(`user-${id}`, null, (step) => {
       step();
     });
@@ -432,17 +440,18 @@
     if (!reply) return 0;
     const state = decodeJobStatus(reply.body);
     this.failure.guard(() => {
-      this.rules.told(id, reply.status, state, this.clock.time, sentAt);
+      this.invariants.answerReceived(id, reply.status, state, this.clock.time, sentAt);
     });
-    if (state && !['done', 'cancelled'].includes(this.told.get(id) ?? '')) this.told.set(id, state);
+    if (state && !['done', 'cancelled'].includes(this.lastStatuses.get(id) ?? ''))
+      this.lastStatuses.set(id, state);
     return reply.status;
   }
 
-  private async userLife(spec: JobSpec, cancelAfter: Micros | null): Promise<void> {
+  private async simulateUser(spec: JobSpec, cancelAfter: Micros | null): Promise<void> {
     const began = this.clock.time;
     const pause = (d: Micros): Promise<void> => new Promise((done) => this.clock.at(d, done));
     const ask = (method: 'GET' | 'POST', path: string, body?: unknown): Promise<number> =>
-      this.ask(spec.id, Math.floor(this.random() * this.nodes.length), method, path, body);
+      this.sendUserRequest(spec.id, Math.floor(this.random() * this.nodes.length), method, path, body);
     for (;;) {
       const status = await ask('POST', '/submissions', encodeSubmission(spec));
       if (status === 200 || status === 201) break;
@@ -451,7 +460,7 @@
     }
     for (;;) {
       await pause(3 * SECOND);
-      const state = this.told.get(spec.id);
+      const state = this.lastStatuses.get(spec.id);
       if (state === 'done' || state === 'cancelled') {
         // Long after the end a repeat of the submission still gets the same answer.
         await pause(20 * SECOND);
@@ -459,7 +468,7 @@
         return;
       }
       if (cancelAfter !== null && this.clock.time > began + cancelAfter) {
-        this.rules.cancelAsked(spec.id);
+        this.invariants.cancellationRequested(spec.id);
         await ask('POST', `/submissions/${spec.id}/withdraw`);
       } else await ask('GET', `/submissions/${spec.id}`);
     }
@@ -470,14 +479,14 @@
     const worker = new SimWorker(host, {
       clock: this.clock,
       random: this.random,
-      rules: this.rules,
+      invariants: this.invariants,
       gangs: this.gangs,
       job: (id) => this.specs.get(id),
       nodes: this.nodes.map((n) => ({ member: `node-${n.index}`, endpoint: `10.0.0.${n.index}:80` })),
       caller: (gate) => this.net.caller(host.host, host.zone, gate),
       limits: this.settingsOf(0),
       capacity: { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb },
-      faulty: this.random() < this.faultyShare,
+      isFaulty: this.random() < this.faultyWorkerRate,
       onLaunch: (...launch) => {
         this.failure.guard(() => {
           this.history.launched(...launch);
@@ -507,7 +516,7 @@
       );
   }
 
-  private tellOf(writes: WireFields[]): void {
+  private notifyOfEvents(writes: WireFields[]): void {
     for (const w of writes) {
       const path = String(w['Set'] ?? '');
       if (path === LEADER_KEY) this.onEvent('lead');
@@ -524,7 +533,7 @@
     const head = this.store.rows.get(CHECKPOINT_HEAD_KEY)?.value;
     for (let i = 0; i < Number(head?.['Chunks'] ?? 0); i++) {
       const key = checkpointChunkKey(String(head?.['Id']), i);
-      if (!this.store.rows.has(key)) throw new BrokenRule('checkpoint', `${key} is missing`);
+      if (!this.store.rows.has(key)) throw new InvariantViolation('checkpoint', `${key} is missing`);
     }
   }
 }
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -1,6 +1,6 @@
 /** Gangs as the workers run them: tasks of one attempt find each other, start together and complete together. */
 import { fromSeconds, type JobSpec, type Micros, SECOND } from '#wire';
-import type { WorldClock } from './sim-clock.js';
+import type { SimulationClock } from './sim-clock.js';
 
 /** A gang's task on its machine, as the others of the gang see it. */
 export interface GangMember {
@@ -40,7 +40,7 @@
   starts = 0;
 
   constructor(
-    private readonly clock: WorldClock,
+    private readonly clock: SimulationClock,
     private readonly random: () => number,
     readonly times: GangTimes,
   ) {}
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -12,7 +12,7 @@
 } from '#wire';
 import type { Gate, SimClock } from './sim-clock.js';
 
-export interface Served {
+export interface SimResponse {
   status: number;
   body: unknown;
 }
@@ -22,16 +22,16 @@
   method: HttpMethod,
   path: string,
   body: unknown,
-) => Promise<Served> | Served;
+) => Promise<SimResponse> | SimResponse;
 
-export interface Weather {
+export interface NetworkFaults {
   /** Chance that a request or an answer is lost or held back. */
-  trouble: number;
+  faultRate: number;
   /** How long held requests are held at most. */
-  hold: Micros;
+  maxDelay: Micros;
   /** Chance that a copy of a worker's report comes late, by up to `copyAfter`. */
-  copies?: number;
-  copyAfter?: Micros;
+  duplicateRate?: number;
+  maxDuplicateDelay?: Micros;
 }
 
 /**
@@ -39,19 +39,19 @@
  * after their sender gave up, and cuts between places.
  */
 export class SimNet {
-  weather: Weather = { trouble: 0, hold: 0 };
+  faults: NetworkFaults = { faultRate: 0, maxDelay: 0 };
   private readonly handlers = new Map<string, { handler: Handler; place: string | null }>();
-  private readonly cuts = new Set<string>();
+  private readonly partitions = new Set<string>();
   /** Zones that reach nothing outside, and whether connections to them are reset at once or just hang. */
   private readonly isolated = new Map<string, 'hold' | 'reset'>();
   /** Parties whose requests arrive while no answer comes back. */
-  readonly mute = new Set<string>();
+  readonly unansweredParties = new Set<string>();
   /** Links (`from>endpoint`, or `from>` for all) whose requests are held on the way, and what is held. */
   private readonly held = new Map<string, (() => void)[]>();
   /** Connections that are refused: `from>endpoint`. */
-  readonly refused = new Set<string>();
+  readonly refusedLinks = new Set<string>();
   /** Parties and endpoints that take so many times as long. */
-  readonly slow = new Map<string, number>();
+  readonly slowdowns = new Map<string, number>();
 
   constructor(
     private readonly clock: SimClock,
@@ -67,10 +67,10 @@
   }
 
   /** Cuts two zones from each other. The region's own services (place null) stay reachable. */
-  cut(a: string, b: string, on: boolean): void {
+  setPartition(a: string, b: string, on: boolean): void {
     for (const key of [`${a}|${b}`, `${b}|${a}`]) {
-      if (on) this.cuts.add(key);
-      else this.cuts.delete(key);
+      if (on) this.partitions.add(key);
+      else this.partitions.delete(key);
     }
   }
 
@@ -114,7 +114,7 @@
           });
         });
         const wire = body === undefined ? undefined : decode(encode(body));
-        this.carry(from, place, endpoint, method, path, wire, (served) => {
+        this.deliver(from, place, endpoint, method, path, wire, (served) => {
           finish(() => {
             if (!served) reject(new Error('refused'));
             else {
@@ -126,34 +126,34 @@
       });
   }
 
-  private carry(
+  private deliver(
     from: string,
     place: string | null,
     endpoint: string,
     method: HttpMethod,
     path: string,
     body: unknown,
-    answer: (served: Served | null) => void,
+    answer: (served: SimResponse | null) => void,
   ): void {
     const queue = this.held.get(`${from}>`) ?? this.held.get(`${from}>${endpoint}`);
     if (queue) {
       queue.push(() => {
-        this.carry(from, place, endpoint, method, path, body, answer);
+        this.deliver(from, place, endpoint, method, path, body, answer);
       });
       return;
     }
     const there = this.handlers.get(endpoint);
-    if (this.refused.has(`${from}>${endpoint}`) || this.isReset(place, there?.place ?? null)) {
+    if (this.refusedLinks.has(`${from}>${endpoint}`) || this.isReset(place, there?.place ?? null)) {
       this.clock.at(this.latency(), () => {
         answer(null);
       });
       return;
     }
-    if (this.isCut(place, there?.place ?? null)) return;
-    this.copy(from, endpoint, method, path, body);
-    const pace = Math.max(this.slow.get(from) ?? 1, this.slow.get(endpoint) ?? 1);
+    if (this.isPartitioned(place, there?.place ?? null)) return;
+    this.maybeDuplicate(from, endpoint, method, path, body);
+    const pace = Math.max(this.slowdowns.get(from) ?? 1, this.slowdowns.get(endpoint) ?? 1);
     const luck = this.random();
-    const { trouble, hold } = this.weather;
+    const { faultRate: trouble, maxDelay: hold } = this.faults;
     const lateRequest = luck < trouble / 3;
     const lostAnswer = !lateRequest && luck < (2 * trouble) / 3;
     const lostRequest = !lateRequest && !lostAnswer && luck < trouble;
@@ -166,7 +166,7 @@
         return;
       }
       void Promise.resolve(now.handler(from, method, path, body)).then((served) => {
-        if (lostAnswer || this.mute.has(from) || this.isCut(place, now.place)) return;
+        if (lostAnswer || this.unansweredParties.has(from) || this.isPartitioned(place, now.place)) return;
         this.clock.at(this.latency() * pace, () => {
           answer(served);
         });
@@ -175,18 +175,24 @@
   }
 
   /** A copy of a report comes long after it, whoever has the machine by then; nobody hears the answer. */
-  private copy(from: string, endpoint: string, method: HttpMethod, path: string, body: unknown): void {
-    const { copies = 0, copyAfter = 0 } = this.weather;
+  private maybeDuplicate(
+    from: string,
+    endpoint: string,
+    method: HttpMethod,
+    path: string,
+    body: unknown,
+  ): void {
+    const { duplicateRate: copies = 0, maxDuplicateDelay: copyAfter = 0 } = this.faults;
     if (path !== '/v1/report' || copies === 0 || this.random() >= copies) return;
     this.clock.at(this.random() * copyAfter, () => {
       void this.handlers.get(endpoint)?.handler(from, method, path, body);
     });
   }
 
-  private isCut(a: string | null, b: string | null): boolean {
+  private isPartitioned(a: string | null, b: string | null): boolean {
     if (a === b) return false;
     if ((a !== null && this.isolated.has(a)) || (b !== null && this.isolated.has(b))) return true;
-    return a !== null && b !== null && this.cuts.has(`${a}|${b}`);
+    return a !== null && b !== null && this.partitions.has(`${a}|${b}`);
   }
 
   private isReset(a: string | null, b: string | null): boolean {
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,6 +1,6 @@
 import { type WireFields, isWireFields, jsonBytes, type HttpMethod, type Micros, MS, SECOND } from '#wire';
-import type { WorldClock } from './sim-clock.js';
-import type { Handler, Served } from './sim-net.js';
+import type { SimulationClock } from './sim-clock.js';
+import type { Handler, SimResponse } from './sim-net.js';
 
 interface Row {
   value: WireFields;
@@ -12,7 +12,7 @@
 export interface StoreBackup {
   rows: ReadonlyMap<string, Row>;
   /** How long each grant lives. */
-  grants: ReadonlyMap<number, Micros>;
+  leases: ReadonlyMap<number, Micros>;
   /** The latest changes, for watches. */
   history: readonly StoredChange[];
   epoch: number;
@@ -42,38 +42,38 @@
   after: number;
   /** When it is answered even without news. */
   until: Micros;
-  answer: (served: Served) => void;
+  answer: (served: SimResponse) => void;
 }
 
 /** The state service, as its page describes it. */
 export class SimStore {
   readonly rows = new Map<string, Row>();
   epoch = 0;
-  outage = false;
+  isOut = false;
   /** Requests that came, and those that were over a limit. */
-  asked = 0;
-  refused = 0;
+  requestCount = 0;
+  refusedRequestCount = 0;
   /** Renewals of grants among them. */
-  renewals = 0;
+  renewalCount = 0;
   /** Writes that were larger than lowered limits allow. */
-  tooLarge = 0;
+  oversizedWriteCount = 0;
   /** Nodes that alone get 503. */
   readonly refusedNodes = new Set<string>();
   /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
-  lateWrites = 0;
+  lateCommitRate = 0;
   /** Whether this very transaction gets no answer and is carried out late, too. */
   isLate: (writes: readonly WireFields[]) => boolean = () => false;
   /** Transactions that came to their turn late, and how many of those still changed something. */
-  late = { came: 0, applied: 0 };
+  lateCommits = { came: 0, applied: 0 };
   /** Called with every transaction that is applied, before it is. */
   beforeApply: (guards: WireFields[], writes: WireFields[]) => void = () => undefined;
   /** Called with every transaction that was applied. */
   afterApply: (writes: WireFields[]) => void = () => undefined;
   /** What it shows is not what was committed: see {@link restore}. */
-  hasLost = false;
+  hasLostData = false;
   private newest = 0;
-  private readonly grants = new Map<number, { life: Micros; until: Micros }>();
-  private nextGrant = 1;
+  private readonly leases = new Map<number, { life: Micros; until: Micros }>();
+  private nextLeaseId = 1;
   private history: StoredChange[] = [];
   private forgotten = 0;
   private watches: Watch[] = [];
@@ -82,7 +82,7 @@
   private changes = { tokens: 0, at: 0 };
 
   constructor(
-    private readonly clock: WorldClock,
+    private readonly clock: SimulationClock,
     private readonly random: () => number,
     private limits: StoreLimits,
   ) {
@@ -98,19 +98,19 @@
   }
 
   setOutage(on: boolean): void {
-    this.outage = on;
+    this.isOut = on;
     // After an outage every grant gets its full time again.
-    if (!on) for (const g of this.grants.values()) g.until = this.clock.time + g.life;
+    if (!on) for (const g of this.leases.values()) g.until = this.clock.time + g.life;
     if (!on) this.wakeWatches();
   }
 
   readonly handler: Handler = (from, method, path, body) => {
-    this.asked++;
+    this.requestCount++;
     if (!this.admit(this.requests, this.limits.rps, 1)) return { status: 429, body: {} };
-    if (this.outage || this.refusedNodes.has(from)) return { status: 503, body: {} };
+    if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: {} };
     if (path === '/commit' && isWireFields(body)) {
       const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
-      const isUnlucky = this.lateWrites > 0 && this.random() < this.lateWrites;
+      const isUnlucky = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
       if (isUnlucky || this.isLate(writes)) return this.commitLate(body);
     }
     return this.route(from, method, path, body);
@@ -125,29 +125,29 @@
   }
 
   backup(): StoreBackup {
-    const grants = new Map([...this.grants].map(([id, { life }]) => [id, life]));
-    return { rows: new Map(this.rows), grants, history: [...this.history], epoch: this.epoch };
+    const grants = new Map([...this.leases].map(([id, { life }]) => [id, life]));
+    return { rows: new Map(this.rows), leases: grants, history: [...this.history], epoch: this.epoch };
   }
 
   /** Holds what it held at the backup, and knows nothing of what was committed since; grants get their full time. */
-  restore({ rows, grants, history, epoch }: StoreBackup): void {
-    if (!this.hasLost) this.newest = this.epoch;
-    this.hasLost = epoch < this.newest;
+  restore({ rows, leases: grants, history, epoch }: StoreBackup): void {
+    if (!this.hasLostData) this.newest = this.epoch;
+    this.hasLostData = epoch < this.newest;
     this.rows.clear();
     for (const [path, row] of rows) this.rows.set(path, row);
-    this.grants.clear();
-    for (const [id, life] of grants) this.grants.set(id, { life, until: this.clock.time + life });
+    this.leases.clear();
+    for (const [id, life] of grants) this.leases.set(id, { life, until: this.clock.time + life });
     this.epoch = epoch;
     this.history = [...history];
   }
 
   /** Loses everything, as one that was set up anew. */
   wipe(): void {
-    this.restore({ rows: new Map(), grants: new Map(), history: [], epoch: 0 });
+    this.restore({ rows: new Map(), leases: new Map(), history: [], epoch: 0 });
   }
 
   /** Loses some keys; open watches are told of it, or nobody is. */
-  lose(isLost: (path: string) => boolean, isTold: boolean): string[] {
+  loseKeys(isLost: (path: string) => boolean, isTold: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
     if (isTold) this.epoch++;
     for (const path of lost) {
@@ -159,14 +159,19 @@
   }
 
   /** Puts lost keys back as they were, under their own revisions. */
-  bringBack({ rows }: StoreBackup, paths: Iterable<string>): void {
+  restoreKeys({ rows }: StoreBackup, paths: Iterable<string>): void {
     for (const path of paths) {
       const row = rows.get(path);
       if (row) this.rows.set(path, row);
     }
   }
 
-  private route(from: string, method: HttpMethod, path: string, body: unknown): Served | Promise<Served> {
+  private route(
+    from: string,
+    method: HttpMethod,
+    path: string,
+    body: unknown,
+  ): SimResponse | Promise<SimResponse> {
     const url = new URL(path, 'http://state');
     const fields = isWireFields(body) ? body : {};
     if (method === 'GET' && url.pathname === '/store') return this.list(url.searchParams);
@@ -175,33 +180,33 @@
     if (method === 'POST' && url.pathname === '/commit') return this.commit(fields);
     if (method === 'POST' && url.pathname === '/grants') {
       const life = Number(fields['LifeMs']) * MS;
-      const id = this.nextGrant++;
-      this.grants.set(id, { life, until: this.clock.time + life });
+      const id = this.nextLeaseId++;
+      this.leases.set(id, { life, until: this.clock.time + life });
       return { status: 200, body: { Permit: id } };
     }
-    const grant = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
-    if (grant) return this.grant(Number(grant[1]), method);
+    const handleLease = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
+    if (handleLease) return this.grant(Number(handleLease[1]), method);
     return { status: 400, body: {} };
   }
 
-  private grant(id: number, method: HttpMethod): Served {
-    const grant = this.grants.get(id);
+  private grant(id: number, method: HttpMethod): SimResponse {
+    const grant = this.leases.get(id);
     if (!grant) return { status: 404, body: {} };
     if (method === 'DELETE') this.expire(id);
     else {
-      this.renewals++;
+      this.renewalCount++;
       grant.until = this.clock.time + grant.life;
     }
     return { status: 200, body: {} };
   }
 
-  private get(key: string): Served {
+  private get(key: string): SimResponse {
     const row = this.rows.get(key);
     if (!row) return { status: 404, body: { Epoch: this.epoch } };
     return { status: 200, body: { Path: key, V: row.value, Stamp: row.revision, Permit: row.leaseId } };
   }
 
-  private list(query: URLSearchParams): Served {
+  private list(query: URLSearchParams): SimResponse {
     const prefix = query.get('Starts') ?? '';
     const after = query.get('After') ?? '';
     const limit = Math.min(this.limits.pageRows, Number(query.get('Limit') ?? this.limits.pageRows));
@@ -217,7 +222,7 @@
     return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.epoch } };
   }
 
-  private commit(body: WireFields): Served {
+  private commit(body: WireFields): SimResponse {
     const guards = (body['Guards'] as WireFields[] | undefined) ?? [];
     const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
     if (writes.length > this.limits.txnOps || guards.length > 4 * this.limits.txnOps)
@@ -227,11 +232,11 @@
       if (w['Set'] === undefined) continue;
       if (jsonBytes(w['V']) > this.limits.valueBytes) {
         if (!this.areLowered) throw new Error(`value of ${String(w['Set'])} is over the limit`);
-        this.tooLarge++;
+        this.oversizedWriteCount++;
         return { status: 400, body: {} };
       }
       const leaseId = w['Permit'];
-      if (leaseId !== undefined && leaseId !== null && !this.grants.has(Number(leaseId))) {
+      if (leaseId !== undefined && leaseId !== null && !this.leases.has(Number(leaseId))) {
         return { status: 400, body: { error: 'no such lease' } };
       }
     }
@@ -258,17 +263,17 @@
     return { status: 200, body: { Epoch: this.epoch } };
   }
 
-  private tooManyWrites(): Served {
-    this.tooLarge++;
+  private tooManyWrites(): SimResponse {
+    this.oversizedWriteCount++;
     return { status: 400, body: {} };
   }
 
-  private commitLate(body: WireFields): Promise<Served> {
+  private commitLate(body: WireFields): Promise<SimResponse> {
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
       const before = this.epoch;
       this.commit(body);
-      this.late.came++;
-      if (this.epoch > before) this.late.applied++;
+      this.lateCommits.came++;
+      if (this.epoch > before) this.lateCommits.applied++;
     });
     return new Promise(() => undefined);
   }
@@ -287,7 +292,7 @@
     if (this.history.length > 10_000) this.forgotten = this.history.shift()?.revision ?? this.forgotten;
   }
 
-  private follow(from: string, query: URLSearchParams): Promise<Served> | Served {
+  private follow(from: string, query: URLSearchParams): Promise<SimResponse> | SimResponse {
     const after = Number(query.get('After'));
     const prefix = query.get('Starts') ?? '';
     if (after < this.forgotten) return { status: 410, body: {} };
@@ -299,7 +304,7 @@
   }
 
   private wakeWatches(): void {
-    if (this.outage) return;
+    if (this.isOut) return;
     for (const w of [...this.watches]) {
       // A node that alone is refused waits as all do in an outage, also beyond the time it asked for.
       if (this.refusedNodes.has(w.from)) continue;
@@ -319,7 +324,7 @@
   }
 
   private expire(id: number): void {
-    this.grants.delete(id);
+    this.leases.delete(id);
     const keys = [...this.rows].filter(([, r]) => r.leaseId === id).map(([k]) => k);
     if (keys.length === 0) return;
     this.epoch++;
@@ -328,8 +333,8 @@
   }
 
   private sweep(): void {
-    if (!this.outage) {
-      for (const [id, g] of this.grants) if (g.until < this.clock.time) this.expire(id);
+    if (!this.isOut) {
+      for (const [id, g] of this.leases) if (g.until < this.clock.time) this.expire(id);
     }
     this.wakeWatches();
     this.clock.at(50 * MS, () => {
@@ -341,7 +346,7 @@
     bucket.tokens = Math.min(rate, bucket.tokens + ((this.clock.time - bucket.at) * rate) / SECOND);
     bucket.at = this.clock.time;
     if (bucket.tokens < cost) {
-      this.refused++;
+      this.refusedRequestCount++;
       return false;
     }
     bucket.tokens -= cost;
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -8,16 +8,16 @@
   SECOND,
   type JobSpec,
 } from '#wire';
-import type { MachineFacts, RuleChecker } from './rules.js';
-import type { Gate, WorldClock } from './sim-clock.js';
+import type { MachineFacts, InvariantChecker } from './invariants.js';
+import type { Gate, SimulationClock } from './sim-clock.js';
 import type { GangMember, SimGangs } from './sim-gang.js';
 
 interface Task {
-  piece: string;
-  try: number;
+  taskName: string;
+  attempt: number;
   status: 'pulling' | 'gathering' | 'running' | 'saving' | 'exited';
   cause: string | null;
-  stored: boolean;
+  isCheckpointed: boolean;
   /** How the others of its gang see it, once it has its image. */
   member: GangMember | null;
 }
@@ -27,10 +27,10 @@
   workerLease: Micros;
 }
 
-export interface WorkerWorld {
-  clock: WorldClock;
+export interface SimWorkerOptions {
+  clock: SimulationClock;
   random: () => number;
-  rules: RuleChecker;
+  invariants: InvariantChecker;
   gangs: SimGangs;
   job: (id: string) => JobSpec | undefined;
   /** Addresses of the controller nodes by name. */
@@ -39,49 +39,49 @@
   limits: WorkerLimits;
   capacity: { cpus: number; gpus: number; memGb: number };
   /** Every task fails here. */
-  faulty: boolean;
+  isFaulty: boolean;
   /** Told of every start that the worker executes, with the token of the answer that carried it. */
   onLaunch: (task: string, attempt: number, host: string, fencingToken: number) => void;
 }
 
 /** A machine's worker, as the protocol describes it. */
 export class SimWorker {
-  alive = true;
+  isAlive = true;
   /** Executes nothing while it hangs, but may go on later. */
-  hanging = false;
-  recallS: number | null = null;
+  isHanging = false;
+  reclaimInS: number | null = null;
   /** Tasks that were stopped by command. */
-  halts = 0;
-  private shift = 1;
-  private tally = 0;
-  private baton = 0;
-  private leaseFrom: Micros;
+  stopCount = 0;
+  private incarnation = 1;
+  private sequence = 0;
+  private fencingToken = 0;
+  private leaseStart: Micros;
   private node = 0;
-  private changed = false;
-  private lastReport: Micros = -Infinity;
-  private inFlight = false;
+  private hasChanged = false;
+  private lastHeartbeatAt: Micros = -Infinity;
+  private isHeartbeatInFlight = false;
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
   private readonly call: HttpClient;
 
   constructor(
     readonly machine: MachineFacts,
-    private readonly world: WorkerWorld,
+    private readonly options: SimWorkerOptions,
   ) {
-    this.leaseFrom = world.clock.time;
-    this.node = Math.floor(world.random() * world.nodes.length);
-    this.call = world.caller((step) => {
-      if (this.alive) step();
+    this.leaseStart = options.clock.time;
+    this.node = Math.floor(options.random() * options.nodes.length);
+    this.call = options.caller((step) => {
+      if (this.isAlive) step();
     });
     this.tick();
   }
 
   get isFaulty(): boolean {
-    return this.world.faulty;
+    return this.options.isFaulty;
   }
 
   /** The node that it reports to, by its place among them. */
-  get reportsTo(): number {
+  get nodeIndex(): number {
     return this.node;
   }
 
@@ -91,20 +91,20 @@
 
   /** The machine is gone, with all that is on it. */
   destroy(): void {
-    if (!this.alive) return;
-    this.alive = false;
+    if (!this.isAlive) return;
+    this.isAlive = false;
     this.killAll();
   }
 
   private tick(): void {
-    if (!this.alive) return;
-    const { clock, limits, random } = this.world;
-    if (!this.hanging) {
-      if (clock.time - this.leaseFrom > limits.workerLease) this.loseLease();
-      const due = this.lastReport + limits.heartbeatInterval * (0.75 + random() * 0.5);
-      const early = this.changed && clock.time - this.lastReport >= 500 * MS;
-      if (!this.inFlight && (clock.time >= due || early)) void this.report();
-    } else if (clock.time - this.leaseFrom > limits.workerLease) {
+    if (!this.isAlive) return;
+    const { clock, limits, random } = this.options;
+    if (!this.isHanging) {
+      if (clock.time - this.leaseStart > limits.workerLease) this.loseLease();
+      const due = this.lastHeartbeatAt + limits.heartbeatInterval * (0.75 + random() * 0.5);
+      const early = this.hasChanged && clock.time - this.lastHeartbeatAt >= 500 * MS;
+      if (!this.isHeartbeatInFlight && (clock.time >= due || early)) void this.sendHeartbeat();
+    } else if (clock.time - this.leaseStart > limits.workerLease) {
       this.loseLease();
     }
     clock.at(100 * MS, () => {
@@ -114,27 +114,27 @@
 
   private loseLease(): void {
     this.killAll();
-    this.shift++;
-    this.tally = 0;
-    this.leaseFrom = this.world.clock.time;
-    this.changed = true;
+    this.incarnation++;
+    this.sequence = 0;
+    this.leaseStart = this.options.clock.time;
+    this.hasChanged = true;
   }
 
   private killAll(): void {
     for (const t of this.tasks.values()) {
-      this.off(t);
+      this.leaveMachine(t);
       t.status = 'exited';
     }
     this.tasks.clear();
   }
 
-  private async report(): Promise<void> {
-    const { clock, nodes } = this.world;
-    this.inFlight = true;
-    this.changed = false;
-    this.lastReport = clock.time;
+  private async sendHeartbeat(): Promise<void> {
+    const { clock, nodes } = this.options;
+    this.isHeartbeatInFlight = true;
+    this.hasChanged = false;
+    this.lastHeartbeatAt = clock.time;
     const sentAt = clock.time;
-    const shift = this.shift;
+    const shift = this.incarnation;
     const node = nodes[this.node % nodes.length] as { member: string; endpoint: string };
     const body = {
       ...{
@@ -143,37 +143,37 @@
         Build: this.machine.machineType,
         Hall: this.machine.zone,
       },
-      ...{ Loaners: this.machine.spot, Shift: shift, Tally: ++this.tally, Baton: this.baton },
-      RecallS: this.recallS,
+      ...{ Loaners: this.machine.spot, Shift: shift, Tally: ++this.sequence, Baton: this.fencingToken },
+      RecallS: this.reclaimInS,
       Pieces: [...this.tasks.values()].map((t) => ({
-        ...{ Piece: t.piece, Try: t.try, Status: t.status },
-        ...(t.cause === null ? {} : { Cause: t.cause, Stored: t.stored }),
+        ...{ Piece: t.taskName, Try: t.attempt, Status: t.status },
+        ...(t.cause === null ? {} : { Cause: t.cause, Stored: t.isCheckpointed }),
       })),
     };
     const reply = await this.call(node.endpoint, 'POST', '/v1/report', body, 4 * SECOND).catch(() => null);
-    this.inFlight = false;
+    this.isHeartbeatInFlight = false;
     if (reply?.status === 421) {
       const at = nodes.findIndex((n) => n.member === reply.body['Foreman']);
       if (at >= 0 && at !== this.node) {
         this.node = at;
-        this.changed = true;
+        this.hasChanged = true;
         return;
       }
     }
     if (reply?.status !== 200) {
       this.node = (this.node + 1) % nodes.length;
-      this.lastReport = clock.time - this.world.limits.heartbeatInterval + SECOND;
+      this.lastHeartbeatAt = clock.time - this.options.limits.heartbeatInterval + SECOND;
       return;
     }
-    this.obey(reply.body, sentAt, shift);
+    this.applyResponse(reply.body, sentAt, shift);
   }
 
-  private obey(answer: WireFields, sentAt: Micros, shift: number): void {
+  private applyResponse(answer: WireFields, sentAt: Micros, shift: number): void {
     const fencingToken = Number(answer['Baton'] ?? 0);
-    if (fencingToken < this.baton || shift !== this.shift || this.hanging) return;
-    if (fencingToken > this.baton) this.changed = true;
-    this.baton = fencingToken;
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+    if (fencingToken < this.fencingToken || shift !== this.incarnation || this.isHanging) return;
+    if (fencingToken > this.fencingToken) this.hasChanged = true;
+    this.fencingToken = fencingToken;
+    this.leaseStart = Math.max(this.leaseStart, sentAt);
     const orders = Array.isArray(answer['Orders']) ? answer['Orders'].filter(isWireFields) : [];
     for (const o of orders) this.execute(String(o['Verb']), String(o['Piece']), Number(o['Try']), o);
   }
@@ -187,25 +187,32 @@
       if (task) this.halt(task, Number(order['WindDownS'] ?? 0));
     } else if (task?.status === 'exited') {
       this.tasks.delete(key);
-      this.changed = true;
+      this.hasChanged = true;
     }
   }
 
   private launch(key: string, piece: string, attempt: number): void {
-    const { clock, random } = this.world;
-    const spec = this.world.job(piece.slice(0, piece.lastIndexOf('/')));
-    const task: Task = { piece, try: attempt, status: 'pulling', cause: null, stored: false, member: null };
-    const other = [...this.tasks.values()].some((t) => t.piece === piece && t.status !== 'exited');
+    const { clock, random } = this.options;
+    const spec = this.options.job(piece.slice(0, piece.lastIndexOf('/')));
+    const task: Task = {
+      taskName: piece,
+      attempt,
+      status: 'pulling',
+      cause: null,
+      isCheckpointed: false,
+      member: null,
+    };
+    const other = [...this.tasks.values()].some((t) => t.taskName === piece && t.status !== 'exited');
     this.tasks.set(key, task);
-    this.changed = true;
-    this.world.onLaunch(piece, attempt, this.machine.host, this.baton);
+    this.hasChanged = true;
+    this.options.onLaunch(piece, attempt, this.machine.host, this.fencingToken);
     if (!spec) this.exit(task, 'unknown');
     else if (other) this.exit(task, 'in_use');
-    else if (!this.hasRoom()) this.exit(task, 'full');
+    else if (!this.hasCapacity()) this.exit(task, 'full');
     else {
       const fetch = this.images.has(spec.image) ? 0 : SECOND * spec.imageGb * (0.7 + random() * 0.6);
       clock.at(fetch, () => {
-        if (!this.alive || this.tasks.get(key) !== task || task.status !== 'pulling') return;
+        if (!this.isAlive || this.tasks.get(key) !== task || task.status !== 'pulling') return;
         this.images.add(spec.image);
         this.begin(key, task, spec);
       });
@@ -213,20 +220,20 @@
   }
 
   private begin(key: string, task: Task, spec: JobSpec): void {
-    const { clock, rules, random } = this.world;
-    rules.began(task.piece, this.machine, clock.time, task.try);
+    const { clock, invariants: rules, random } = this.options;
+    rules.taskStarted(task.taskName, this.machine, clock.time, task.attempt);
     if (spec.shape === 'gang') {
       this.joinGang(task, spec);
       return;
     }
     task.status = 'running';
-    this.changed = true;
-    const known = rules.isDone(task.piece);
+    this.hasChanged = true;
+    const known = rules.isDone(task.taskName);
     const run = known ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
-    const fails = this.world.faulty || spec.jobClass === 'broken';
+    const fails = this.options.isFaulty || spec.jobClass === 'broken';
     const finish = (): void => {
-      if (!this.alive || this.tasks.get(key) !== task || task.status !== 'running') return;
-      if (this.hanging) clock.at(500 * MS, finish);
+      if (!this.isAlive || this.tasks.get(key) !== task || task.status !== 'running') return;
+      if (this.isHanging) clock.at(500 * MS, finish);
       else this.exit(task, fails ? 'error' : 'done');
     };
     clock.at(fails ? run * 0.2 : run, finish);
@@ -234,22 +241,22 @@
 
   /** Waits for the other tasks of its attempt: it is on its machine meanwhile, and makes no progress. */
   private joinGang(task: Task, spec: JobSpec): void {
-    const { clock, gangs, rules } = this.world;
-    if (rules.isDone(task.piece)) {
+    const { clock, gangs, invariants: rules } = this.options;
+    if (rules.isDone(task.taskName)) {
       // The result of an earlier attempt was kept.
       this.exit(task, 'done');
       return;
     }
-    const isOn = (): boolean => this.alive && task.status !== 'exited';
+    const isOn = (): boolean => this.isAlive && task.status !== 'exited';
     const member: GangMember = {
-      task: task.piece,
-      isAnswering: () => isOn() && !this.hanging,
+      task: task.taskName,
+      isAnswering: () => isOn() && !this.isHanging,
       started: () => {
         task.status = 'running';
-        this.changed = true;
+        this.hasChanged = true;
       },
       completed: () => {
-        if (isOn()) this.exit(task, this.world.faulty ? 'error' : 'done');
+        if (isOn()) this.exit(task, this.options.isFaulty ? 'error' : 'done');
       },
       lostPeer: () => {
         if (isOn()) this.exit(task, 'peers');
@@ -257,24 +264,24 @@
     };
     task.status = 'gathering';
     task.member = member;
-    this.changed = true;
+    this.hasChanged = true;
     clock.at(gangs.times.wait, () => {
-      if (this.alive && task.status === 'gathering') this.exit(task, 'alone');
+      if (this.isAlive && task.status === 'gathering') this.exit(task, 'alone');
     });
-    gangs.arrive(spec, task.try, member);
+    gangs.arrive(spec, task.attempt, member);
   }
 
   private halt(task: Task, windDownS: number): void {
-    const spec = this.world.job(task.piece.slice(0, task.piece.lastIndexOf('/')));
+    const spec = this.options.job(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
     if (task.status === 'exited') return;
-    if (task.status !== 'saving') this.halts++;
+    if (task.status !== 'saving') this.stopCount++;
     const saves = spec !== undefined && spec.shape === 'array' && spec.checkpointS > 0;
     if (task.status === 'running' && saves && windDownS >= spec.saveS) {
       task.status = 'saving';
-      this.changed = true;
-      this.world.clock.at(fromSeconds(spec.saveS), () => {
-        if (this.alive && task.status === 'saving') {
-          task.stored = true;
+      this.hasChanged = true;
+      this.options.clock.at(fromSeconds(spec.saveS), () => {
+        if (this.isAlive && task.status === 'saving') {
+          task.isCheckpointed = true;
           this.exit(task, 'halted');
         }
       });
@@ -282,34 +289,34 @@
   }
 
   private exit(task: Task, cause: string): void {
-    this.off(task);
-    if (cause === 'done') this.world.rules.ended(task.piece, true);
+    this.leaveMachine(task);
+    if (cause === 'done') this.options.invariants.taskEnded(task.taskName, true);
     task.status = 'exited';
     task.cause = cause;
-    this.changed = true;
+    this.hasChanged = true;
   }
 
-  private off(task: Task): void {
+  private leaveMachine(task: Task): void {
     if (!['running', 'saving', 'gathering'].includes(task.status)) return;
-    this.world.rules.ended(task.piece, false);
-    const spec = this.world.job(task.piece.slice(0, task.piece.lastIndexOf('/')));
+    this.options.invariants.taskEnded(task.taskName, false);
+    const spec = this.options.job(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
     const { member } = task;
     task.member = null;
-    if (spec && member) this.world.gangs.leave(spec, task.try, member);
+    if (spec && member) this.options.gangs.leave(spec, task.attempt, member);
   }
 
   /** Room for all that is on it, the task just put there included. */
-  private hasRoom(): boolean {
-    const left = this.room();
+  private hasCapacity(): boolean {
+    const left = this.freeCapacity();
     return left.cpus > -1e-6 && left.gpus > -1e-6 && left.memGb > -1e-6;
   }
 
   /** What its tasks leave of the machine. */
-  room(): { cpus: number; gpus: number; memGb: number } {
-    const left = { ...this.world.capacity };
+  freeCapacity(): { cpus: number; gpus: number; memGb: number } {
+    const left = { ...this.options.capacity };
     for (const t of this.tasks.values()) {
       if (t.status === 'exited') continue;
-      const other = this.world.job(t.piece.slice(0, t.piece.lastIndexOf('/')));
+      const other = this.options.job(t.taskName.slice(0, t.taskName.lastIndexOf('/')));
       left.cpus -= other?.cpus ?? 0;
       left.gpus -= other?.gpus ?? 0;
       left.memGb -= other?.memGb ?? 0;
--- a/packages/testkit/simulated-controller.ts
+++ b/packages/testkit/simulated-controller.ts
@@ -2,17 +2,17 @@
 import type { ServiceResponse } from '#api';
 import type { PeerStatus } from '#cluster';
 import type { Controller } from '#daemon';
-import { factsOfLedger, type ReplicaFacts } from './agreement.js';
+import { factsOfLedger, type ReplicaFacts } from './ledger-agreement.js';
 
 /** One controller of either version. */
 export interface SimulatedController {
   start(): void;
-  report(body: unknown): Promise<ServiceResponse>;
-  submit(body: unknown): Promise<ServiceResponse>;
-  show(id: string): Promise<ServiceResponse>;
-  cancel(id: string): Promise<ServiceResponse>;
+  handleHeartbeat(body: unknown): Promise<ServiceResponse>;
+  submitJob(body: unknown): Promise<ServiceResponse>;
+  getJob(id: string): Promise<ServiceResponse>;
+  cancelJob(id: string): Promise<ServiceResponse>;
   health(): ServiceResponse;
-  word(): PeerStatus;
+  peerStatus(): PeerStatus;
   /** This controller's copy of the state, in a form that is common to both versions. */
   replicaFacts(): ReplicaFacts;
 }
@@ -24,12 +24,12 @@
     start: () => {
       controller.start();
     },
-    report: (body) => controller.handleHeartbeat(body),
-    submit: (body) => users.submitJob(body),
-    show: (id) => users.getJob(id),
-    cancel: (id) => users.cancelJob(id),
+    handleHeartbeat: (body) => controller.handleHeartbeat(body),
+    submitJob: (body) => users.submitJob(body),
+    getJob: (id) => users.getJob(id),
+    cancelJob: (id) => users.cancelJob(id),
     health: () => controller.health(),
-    word: () => controller.peerStatus(),
+    peerStatus: () => controller.peerStatus(),
     replicaFacts: () => {
       const { member, state, appliedRevision: applied, ledger } = controller.replicaSnapshot();
       return { member, state, applied, ledger, describeLedger: () => factsOfLedger(ledger) };
--- a/packages/testkit/vacancy.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -1,6 +1,6 @@
 /** How long a duty stays without a holder that can act, after something happened to the one it had. */
 import type { Micros } from '#wire';
-import { DurationMeter } from './durations.js';
+import { DurationMeter } from './duration-meter.js';
 
 export type VacancyCause = 'freeze' | 'crash' | 'cut';
 
