--- /dev/null
+++ b/packages/testkit/network-faults.ts
@@ -0,0 +1,148 @@
+/** Faults of the network between nodes, workers and services. */
+import { SECOND } from '#wire';
+import type { FaultTarget } from './fault-target.js';
+import { pick } from './random-jobs.js';
+import { STATE } from './sim-cluster.js';
+import type { NetworkFaults } from './sim-net.js';
+
+function withNetworkFaults(target: FaultTarget, seconds: number, faults: NetworkFaults): void {
+  const { net } = target.cluster;
+  target.during(
+    seconds,
+    () => {
+      net.faults = faults;
+    },
+    () => {
+      net.faults = { faultRate: 0, maxDelay: 0 };
+    },
+  );
+}
+
+/** The two zones can't reach each other. */
+export function partitionZones(target: FaultTarget): void {
+  const { net } = target.cluster;
+  target.during(
+    target.randomSeconds(3, 30),
+    () => {
+      net.setPartition('east', 'west', true);
+    },
+    () => {
+      net.setPartition('east', 'west', false);
+    },
+  );
+}
+
+/** Requests and answers are lost or delayed. */
+export function loseMessages(target: FaultTarget): void {
+  withNetworkFaults(target, target.randomSeconds(5, 10), { faultRate: 0.3, maxDelay: 20 * SECOND });
+}
+
+/**
+ * Copies of heartbeats arrive from seconds to well over a lease late: at the same owner, at a new one, or at one that
+ * was restarted.
+ */
+export function duplicateHeartbeats(target: FaultTarget): void {
+  withNetworkFaults(target, target.randomSeconds(5, 20), {
+    faultRate: 0,
+    maxDelay: 0,
+    duplicateRate: 0.3,
+    maxDuplicateDelay: 40 * SECOND,
+  });
+}
+
+/** A worker's heartbeats arrive, but no answer reaches it. */
+export function loseAnswersToWorker(target: FaultTarget): void {
+  if (!target.worker) return;
+  const { unansweredParties } = target.cluster.net;
+  const { host } = target.worker.machine;
+  target.during(
+    target.randomSeconds(5, 40),
+    () => {
+      unansweredParties.add(host);
+    },
+    () => {
+      unansweredParties.delete(host);
+    },
+  );
+}
+
+/** A node loses the state service and its peers, but not its workers. */
+export function isolateNodeFromStoreAndPeers(target: FaultTarget): void {
+  const { nodeIndex, nodeName } = target;
+  const peers = target.nodeIndexes.filter((index) => index !== nodeIndex);
+  const links = peers.flatMap((peer) => [
+    `${nodeName}>10.0.0.${peer}:81`,
+    `node-${peer}>10.0.0.${nodeIndex}:81`,
+  ]);
+  const seconds = target.randomSeconds(5, 40);
+  target.refuseLinks(links, seconds);
+  target.refuseNodeAtStore(seconds);
+}
+
+/** A node loses its workers and nothing else. */
+export function isolateNodeFromWorkers(target: FaultTarget): void {
+  const links = [...target.cluster.workers.keys()].map((name) => `${name}>10.0.0.${target.nodeIndex}:80`);
+  target.refuseLinks(links, target.randomSeconds(5, 40));
+}
+
+/** Connections between all controllers are refused. */
+export function refuseAllPeers(target: FaultTarget): void {
+  const indexes = target.nodeIndexes;
+  const links = indexes.flatMap((from) => indexes.map((to) => `node-${from}>10.0.0.${to}:81`));
+  target.refuseLinks(links, target.randomSeconds(5, 20));
+}
+
+/** A zone reaches nothing outside; connections to it hang or are reset. */
+export function isolateZone(target: FaultTarget): void {
+  const { net, random } = target.cluster;
+  const zone = pick(random, ['east', 'west']);
+  const mode = pick(random, ['hold', 'reset'] as const);
+  target.during(
+    target.randomSeconds(3, 30),
+    () => {
+      net.isolate(zone, mode);
+    },
+    () => {
+      net.isolate(zone, null);
+    },
+  );
+}
+
+/** What a machine sends is held back, for less or more than a lease, and then delivered. */
+export function holdWorkerMessages(target: FaultTarget): void {
+  if (!target.worker) return;
+  const { net } = target.cluster;
+  const { host } = target.worker.machine;
+  target.during(
+    target.randomSeconds(2, 25),
+    () => {
+      net.hold(host);
+    },
+    () => {
+      net.release(host);
+    },
+  );
+}
+
+/** About half of the machines reach no controller. */
+export function isolateWorkers(target: FaultTarget): void {
+  const { workers, random } = target.cluster;
+  const hosts = [...workers.keys()].filter(() => random() < 0.5);
+  const links = hosts.flatMap((host) => target.nodeIndexes.map((index) => `${host}>10.0.0.${index}:80`));
+  target.refuseLinks(links, target.randomSeconds(3, 25));
+}
+
+/** The state service, or one node, is slow. */
+export function slowDownEndpoint(target: FaultTarget): void {
+  const { net, random } = target.cluster;
+  const name = pick(random, [STATE, `10.0.0.${target.nodeIndex}:80`, target.nodeName]);
+  target.during(
+    target.randomSeconds(5, 30),
+    () => {
+      net.slowdowns.set(name, 10 + random() * 60);
+    },
+    () => {
+      net.slowdowns.delete(name);
+    },
+  );
+}
