--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -2,8 +2,11 @@
 import { test } from 'node:test';
 import { FENCING_TOKEN_KEY, LEADER_KEY } from '#cluster';
 import { encodeSubmission, type WireFields, isWireFields, type Micros, SECOND, type JobSpec } from '#wire';
-import { InvariantViolation, sampleJob } from './invariants.js';
-import { SAMPLE_TYPES, SimCluster, type SimClusterOptions } from './sim-cluster.js';
+import { InvariantViolation } from './invariants.js';
+import { sampleJob } from './sample-job.js';
+import { SAMPLE_TYPES } from './sample-settings.js';
+import { SimCluster } from './sim-cluster.js';
+import type { SimClusterOptions } from './sim-cluster-options.js';
 
 /** The combined failures of `docs/combined-failures.md`: each test brings one about, and asserts that it did occur. */
 
@@ -370,7 +373,9 @@
     const from = cluster.clock.time;
     const statuses: number[] = [];
     for (let node = 0; node < 3; node++) {
-      void cluster.sendUserRequest('j-11', node, 'GET', '/submissions/j-11').then((s) => statuses.push(s));
+      void cluster
+        .sendUserRequest('j-11', { node, method: 'GET', path: '/submissions/j-11' })
+        .then((s) => statuses.push(s));
     }
     await cluster.run(SECOND);
     assert.equal(statuses.length, 3, `no answer at ${from}`);
@@ -404,7 +409,9 @@
 
 async function answerOf(cluster: SimCluster, job: string, node: number): Promise<number> {
   let status = 0;
-  void cluster.sendUserRequest(job, node, 'GET', `/submissions/${job}`).then((s) => (status = s));
+  void cluster
+    .sendUserRequest(job, { node, method: 'GET', path: `/submissions/${job}` })
+    .then((s) => (status = s));
   await cluster.run(2 * SECOND);
   return status;
 }
@@ -498,9 +505,16 @@
       cluster.clock.at(late, () => {
         const spec = cluster.specs.get(id);
         void cluster.cancelJob(id, 0).then((s) => answers.push(s));
-        void cluster.sendUserRequest(id, 1, 'GET', `/submissions/${id}`).then((s) => answers.push(s));
         void cluster
-          .sendUserRequest(id, 2, 'POST', '/submissions', spec && encodeSubmission(spec))
+          .sendUserRequest(id, { node: 1, method: 'GET', path: `/submissions/${id}` })
+          .then((s) => answers.push(s));
+        void cluster
+          .sendUserRequest(id, {
+            node: 2,
+            method: 'POST',
+            path: '/submissions',
+            body: spec && encodeSubmission(spec),
+          })
           .then((s) => answers.push(s));
       });
     }
--- a/packages/testkit/data-loss-cluster.ts
+++ b/packages/testkit/data-loss-cluster.ts
@@ -3,7 +3,8 @@
 import type { DataLossReport } from '#recovery';
 import { SECOND } from '#wire';
 import { randomJob } from './random-jobs.js';
-import { SimCluster, type SimClusterOptions } from './sim-cluster.js';
+import { SimCluster } from './sim-cluster.js';
+import type { SimClusterOptions } from './sim-cluster-options.js';
 
 /** A cluster whose nodes watch for lost state, with jobs that come for 100 s. */
 export function createDataLossCluster(options: SimClusterOptions): SimCluster {
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -13,7 +13,7 @@
 } from '#cluster';
 import { SECOND } from '#wire';
 import { loadProductionVersion } from './production-version.js';
-import { sampleJob } from './invariants.js';
+import { sampleJob } from './sample-job.js';
 import { SimCluster } from './sim-cluster.js';
 import {
   assertDataLossStates,
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -2,8 +2,9 @@
 import { test } from 'node:test';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
 import { encodeSubmission, type Micros, SECOND, type JobSpec } from '#wire';
-import { sampleJob } from './invariants.js';
-import { SimCluster, type SimClusterOptions } from './sim-cluster.js';
+import { sampleJob } from './sample-job.js';
+import { SimCluster } from './sim-cluster.js';
+import type { SimClusterOptions } from './sim-cluster-options.js';
 
 /** A cluster in which work has begun: one long job of each team. */
 async function createBusyCluster(options: SimClusterOptions): Promise<SimCluster> {
@@ -172,7 +173,9 @@
   const never = { team: 'blue', cpus: 64 };
   const post = async (id: string, node: number, body: unknown): Promise<number> => {
     let status = 0;
-    void cluster.sendUserRequest(id, node, 'POST', '/submissions', body).then((s) => (status = s));
+    void cluster
+      .sendUserRequest(id, { node, method: 'POST', path: '/submissions', body })
+      .then((s) => (status = s));
     await cluster.run(2.5 * SECOND);
     return status;
   };
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { sampleJob } from './invariants.js';
-import { SAMPLE_TYPES, SimCluster } from './sim-cluster.js';
+import { sampleJob } from './sample-job.js';
+import { SAMPLE_TYPES } from './sample-settings.js';
+import { SimCluster } from './sim-cluster.js';
 
 /** When the troubles begin and end. */
 const TROUBLES = { from: 25 * SECOND, until: 110 * SECOND };
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { LOG_PREFIX } from '#cluster';
 import { encodeSubmission, type JobSpec, SECOND } from '#wire';
-import { sampleJob } from './invariants.js';
+import { sampleJob } from './sample-job.js';
 import { SimCluster } from './sim-cluster.js';
 
 function gang(id: string, change: Partial<JobSpec> = {}): JobSpec {
@@ -44,13 +44,18 @@
     cluster.specs.set(spec.id, spec);
     cluster.invariants.jobSubmitted(spec, cluster.clock.time);
     void cluster
-      .sendUserRequest(spec.id, 0, 'POST', '/submissions', encodeSubmission(spec))
+      .sendUserRequest(spec.id, {
+        node: 0,
+        method: 'POST',
+        path: '/submissions',
+        body: encodeSubmission(spec),
+      })
       .then((status) => answers.push(status));
     await cluster.run(SECOND);
   }
   const service = { ...encodeSubmission(gang('j-6')), Shape: 'service' };
   void cluster
-    .sendUserRequest('j-6', 0, 'POST', '/submissions', service)
+    .sendUserRequest('j-6', { node: 0, method: 'POST', path: '/submissions', body: service })
     .then((status) => answers.push(status));
   await cluster.run(SECOND);
   assert.deepEqual(answers, [201, 200, 422, 422, 422, 422, 400]);
--- a/packages/testkit/invariants.ts
+++ b/packages/testkit/invariants.ts
@@ -1,4 +1,4 @@
-import { type JobStatus, type Micros, SECOND, type JobSpec, type Rank } from '#wire';
+import { type JobStatus, type Micros, SECOND, type JobSpec } from '#wire';
 
 /** Once all troubles are over, a question about a job is answered within this time. */
 const ANSWER_DEADLINE: Micros = 75 * SECOND;
@@ -17,6 +17,10 @@
   }
 }
 
+/** Resources that the running tasks of each team may use together. */
+export type TeamLimits = ReadonlyMap<string, { readonly cpus: number; readonly gpus: number }>;
+
+/** What an invariant needs to know about a machine. */
 export interface MachineFacts {
   host: string;
   machineType: string;
@@ -24,6 +28,22 @@
   spot: boolean;
 }
 
+/** An answer that a user received about a job. */
+export interface UserAnswer {
+  readonly status: number;
+  readonly state: JobStatus | null;
+  readonly now: Micros;
+  /** When its request was sent; `now` by default. */
+  readonly sentAt?: Micros;
+}
+
+/** When a task started, and in which attempt. */
+export interface TaskStart {
+  readonly now: Micros;
+  /** 0 by default. */
+  readonly attempt?: number;
+}
+
 /** A machine that works, with the room that it really has. */
 export interface FreeCapacity {
   machine: MachineFacts;
@@ -78,7 +98,7 @@
   onEvent: (event: 'confirmed' | 'last end') => void = () => undefined;
 
   constructor(
-    private readonly limits: ReadonlyMap<string, { cpus: number; gpus: number }>,
+    private readonly limits: TeamLimits,
     private readonly cancellationDeadline: Micros,
   ) {}
 
@@ -106,13 +126,7 @@
   }
 
   /** A user got this answer about this job, to a request sent at `sentAt`. */
-  answerReceived(
-    id: string,
-    status: number,
-    state: JobStatus | null,
-    now: Micros,
-    sentAt: Micros = now,
-  ): void {
+  answerReceived(id: string, { status, state, now, sentAt = now }: UserAnswer): void {
     const job = this.jobs.get(id);
     if (status === 200 || status === 201) {
       if (!job) throw new InvariantViolation('invented', `${id} is answered ${status}`);
@@ -127,7 +141,7 @@
   }
 
   /** A task is on its machine: it has its image. */
-  taskStarted(taskName: string, machine: MachineFacts, now: Micros, attempt = 0): void {
+  taskStarted(taskName: string, machine: MachineFacts, { now, attempt = 0 }: TaskStart): void {
     const cut = taskName.lastIndexOf('/');
     const id = taskName.slice(0, cut);
     const job = this.jobs.get(id);
@@ -363,22 +377,3 @@
 function isTerminal(state: JobStatus | null): boolean {
   return state === 'done' || state === 'cancelled';
 }
-
-/** A job as users might submit it, for tests to vary. */
-export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
-  const rank: Rank = 'normal';
-  return {
-    ...{ id, jobClass: 'batch', team: 'blue', shape: 'array', rank, taskCount: 3 },
-    ...{ cpus: 2, gpus: 0, memGb: 4, image: 'img-1', imageGb: 1, machineTypes: null, zone: null },
-    ...{
-      singleZone: false,
-      spreadZones: false,
-      allowsSpot: true,
-      estimateS: 10,
-      checkpointS: 0,
-      saveS: 0,
-      deadlineS: null,
-    },
-    ...change,
-  };
-}
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -19,24 +19,29 @@
   MS,
   SECOND,
 } from '#wire';
-import { RoleHistory, type EffectCounts } from './role-history.js';
+import type { EffectCounts } from './role-history.js';
 import { chooseAddresses, LoopbackNode } from './loopback-node.js';
 import { type LoopbackServer, serveOnLoopback } from './loopback-server.js';
-import { FirstFailure } from './first-failure.js';
 import { RealClock } from './real-clock.js';
-import { InvariantChecker, sampleJob } from './invariants.js';
-import { type CloudHost, SimCloud } from './sim-cloud.js';
-import { SimGangs } from './sim-gang.js';
-import { SimStore } from './sim-store.js';
-import { SimWorker } from './sim-worker.js';
+import { sampleJob } from './sample-job.js';
+import { SimServices, type WorkerSetup } from './sim-services.js';
+import type { SimStore } from './sim-store.js';
 import { VacancyMeter } from './vacancy-meter.js';
 
 const NODES = 3;
 const TEAMS = ['blue', 'green', 'red'];
 const TYPES: MachineType[] = [
   {
-    ...{ name: 'small', cpus: 4, gpus: 0, memGb: 16, cacheGb: 40, fetchGbPerS: 4, price: 1, spotPrice: 0.3 },
-    ...{ bootS: 1.5, zones: ['east', 'west'] },
+    name: 'small',
+    cpus: 4,
+    gpus: 0,
+    memGb: 16,
+    cacheGb: 40,
+    fetchGbPerS: 4,
+    price: 1,
+    spotPrice: 0.3,
+    bootS: 1.5,
+    zones: ['east', 'west'],
   },
 ];
 /** How long a frozen leader is left frozen at most until another one is named. */
@@ -68,63 +73,43 @@
   readonly nodes: LoopbackNode[] = [];
   private readonly clock = new RealClock();
   private readonly random: () => number;
-  private readonly store: SimStore;
-  private readonly cloud: SimCloud;
-  private readonly invariants: InvariantChecker;
-  private readonly history: RoleHistory;
-  private readonly gangs: SimGangs;
+  private readonly services: SimServices;
   private readonly vacancies = new VacancyMeter();
-  private readonly workers = new Map<string, SimWorker>();
-  private readonly specs = new Map<string, JobSpec>();
   private readonly servers: LoopbackServer[] = [];
   private readonly folder = mkdtempSync(join(tmpdir(), 'micaworks-loopback-'));
   private readonly counts = { terms: 0, freezes: 0, kills: 0 };
-  private readonly failure = new FirstFailure();
   private isOver = false;
 
   constructor(private readonly options: TrialOptions) {
     const generator = xoroshiro128plus(options.seed);
     this.random = () => (generator.next() >>> 0) / 4294967296;
-    const limits = new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }]));
-    this.invariants = new InvariantChecker(limits, 20 * SECOND);
-    this.gangs = new SimGangs(this.clock, this.random, { wait: 20 * SECOND, peer: 3 * SECOND });
-    this.store = new SimStore(this.clock, this.random, {
-      ...{ rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
-    });
-    this.history = new RoleHistory((path) => this.store.rows.get(path)?.revision ?? 0);
-    this.store.beforeApply = (guards, writes) => {
-      this.history.beforeCommit(guards, writes);
-    };
-    this.store.afterApply = (writes) => {
-      if (this.store.hasLostData) return;
-      this.history.afterCommit(writes, this.store.epoch);
-      this.recordNewHolders(writes);
-    };
-    this.cloud = new SimCloud(
-      ...([this.clock, this.random, TYPES, 4, SECOND] as const),
-      (host) => {
-        this.bootWorker(host);
-      },
-      (host) => {
-        this.workers.get(host.host)?.destroy();
-        this.workers.delete(host.host);
+    this.services = this.createServices();
+    const { cloud } = this.services;
+    cloud.lateRequestRate = 0.2;
+    cloud.maxRequestDelay = 10 * SECOND;
+    cloud.slowBootRate = 0.2;
+  }
+
+  private createServices(): SimServices {
+    return new SimServices({
+      clock: this.clock,
+      random: this.random,
+      storeLimits: { rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
+      cloud: { types: TYPES, capacity: 4, listLag: SECOND },
+      gangTimes: { wait: 20 * SECOND, peer: 3 * SECOND },
+      teamLimits: new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }])),
+      cancellationDeadline: 20 * SECOND,
+      onCommit: (writes) => {
+        this.recordNewHolders(writes);
       },
-    );
-    this.cloud.lateRequestRate = 0.2;
-    this.cloud.maxRequestDelay = 10 * SECOND;
-    this.cloud.slowBootRate = 0.2;
-    this.cloud.onScaleOut = (name, sender) => {
-      this.history.scaledOut(name, sender);
-    };
-    this.cloud.onDeletion = ({ host, state }, sender) => {
-      this.history.deleted(host, state === 'starting' || state === 'running', sender);
-    };
+      setUpWorker: () => this.setUpWorker(),
+    });
   }
 
   /** Starts all processes; the trial's own checks run from here on. */
   async start(): Promise<void> {
-    const state = await this.serve((...args) => this.store.handler(...args));
-    const cloud = await this.serve((...args) => this.cloud.handler(...args));
+    const state = await this.serve((...args) => this.services.store.handler(...args));
+    const cloud = await this.serve((...args) => this.services.cloud.handler(...args));
     const all = await Promise.all([...Array(NODES).keys()].map(chooseAddresses));
     for (const addresses of all) {
       this.nodes.push(new LoopbackNode(addresses, all, { state, cloud }, this.folder));
@@ -140,18 +125,19 @@
     const jobs = this.submitJobs(this.options.durationMs);
     await this.replaceFrozenLeader();
     while (Date.now() < began + this.options.durationMs) await this.injectRandomFault();
-    this.cloud.lateRequestRate = 0;
+    this.services.cloud.lateRequestRate = 0;
     const seconds = (Date.now() - began) / 1000;
-    const stateRequestRate = perSecond(this.store.requestCount, seconds);
-    const renewalRate = perSecond(this.store.renewalCount, seconds);
+    const stateRequestRate = perSecond(this.services.store.requestCount, seconds);
+    const renewalRate = perSecond(this.services.store.renewalCount, seconds);
     await this.waitFor(jobs, SETTLE_MS);
     return {
       ...this.counts,
-      starts: this.invariants.starts,
-      jobs: this.specs.size,
-      unfinished: this.invariants.unfinishedJobs(),
-      effects: this.history.counts,
-      ...{ stateRequestRate, renewalRate },
+      starts: this.services.invariants.starts,
+      jobs: this.services.specs.size,
+      unfinished: this.services.invariants.unfinishedJobs(),
+      effects: this.services.history.counts,
+      stateRequestRate,
+      renewalRate,
       vacancies: this.vacancies,
     };
   }
@@ -168,37 +154,37 @@
 
   /** The state service loses everything; the function brings it back. */
   loseData(): () => void {
-    const whole = this.store.backup();
-    this.store.wipe();
+    const whole = this.services.store.backup();
+    this.services.store.wipe();
     return () => {
-      this.store.restore(whole);
+      this.services.store.restore(whole);
     };
   }
 
   /** Tasks started so far, and jobs that are not over yet. */
   get progress(): { starts: number; unfinished: string[] } {
-    return { starts: this.invariants.starts, unfinished: this.invariants.unfinishedJobs() };
+    return { starts: this.services.invariants.starts, unfinished: this.services.invariants.unfinishedJobs() };
   }
 
   /** Ends the trial's own children and servers; throws what broke on the way. */
   stop(): void {
     this.isOver = true;
     for (const node of this.nodes) node.kill();
-    for (const worker of this.workers.values()) worker.destroy();
+    for (const worker of this.services.workers.values()) worker.destroy();
     for (const server of this.servers) server.close();
     this.clock.stop();
     rmSync(this.folder, { recursive: true, force: true });
-    this.failure.rethrow();
+    this.services.failure.rethrow();
   }
 
   /** The node that leads, as the state service has it. */
   get leader(): LoopbackNode | undefined {
-    const member = this.store.rows.get(LEADER_KEY)?.value['Member'];
+    const member = this.services.store.rows.get(LEADER_KEY)?.value['Member'];
     return this.nodes.find((node) => node.addresses.member === member);
   }
 
   private async serve(handler: SimStore['handler']): Promise<string> {
-    const server = await serveOnLoopback((...args) => this.failure.guard(() => handler(...args)));
+    const server = await serveOnLoopback((...args) => this.services.failure.guard(() => handler(...args)));
     this.servers.push(server);
     return server.address;
   }
@@ -251,7 +237,7 @@
 
   private rolesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
-      this.store.rows.get(path)?.value['Member'] === node.addresses.member;
+      this.services.store.rows.get(path)?.value['Member'] === node.addresses.member;
     const shards = [...Array(NODES).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
     return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
@@ -271,10 +257,8 @@
     }
   }
 
-  private bootWorker(host: CloudHost): void {
-    const worker = new SimWorker(host, {
-      ...{ clock: this.clock, random: this.random, invariants: this.invariants, gangs: this.gangs },
-      job: (id) => this.specs.get(id),
+  private setUpWorker(): WorkerSetup {
+    return {
       nodes: this.nodes.map(({ addresses: { member, users } }) => ({ member, endpoint: users })),
       caller: (gate) => {
         const call = createHttpClient(1);
@@ -290,13 +274,7 @@
       limits: { heartbeatInterval: SECOND, workerLease: 6 * SECOND },
       capacity: { cpus: 4, gpus: 0, memGb: 16 },
       isFaulty: false,
-      onLaunch: (...launch) => {
-        this.failure.guard(() => {
-          this.history.launched(...launch);
-        });
-      },
-    });
-    this.workers.set(host.host, worker);
+    };
   }
 
   /** Users: jobs come for so long, each is submitted until taken and polled until it is over. */
@@ -314,8 +292,8 @@
   }
 
   private async simulateUser(spec: JobSpec): Promise<void> {
-    this.specs.set(spec.id, spec);
-    this.invariants.jobSubmitted(spec, this.clock.time);
+    this.services.specs.set(spec.id, spec);
+    this.services.invariants.jobSubmitted(spec, this.clock.time);
     const isTaken = (status: number): boolean => status === 200 || status === 201;
     while (
       !this.isOver &&
@@ -342,15 +320,20 @@
     const reply = await createHttpClient(1)(address, method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return { status: 0, state: null };
     const state = decodeJobStatus(reply.body);
-    this.failure.guard(() => {
-      this.invariants.answerReceived(id, reply.status, state, this.clock.time, sentAt);
+    this.services.failure.guard(() => {
+      this.services.invariants.answerReceived(id, {
+        status: reply.status,
+        state,
+        now: this.clock.time,
+        sentAt,
+      });
     });
     return { status: reply.status, state };
   }
 
   private watch(): void {
-    this.failure.guard(() => {
-      this.invariants.check(this.clock.time);
+    this.services.failure.guard(() => {
+      this.services.invariants.check(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
       if (!this.isOver) this.watch();
--- a/packages/testkit/network-faults.ts
+++ b/packages/testkit/network-faults.ts
@@ -2,7 +2,7 @@
 import { SECOND } from '#wire';
 import type { FaultTarget } from './fault-target.js';
 import { pick } from './random-jobs.js';
-import { STATE } from './sim-cluster.js';
+import { STATE } from './sample-settings.js';
 import type { NetworkFaults } from './sim-net.js';
 
 function withNetworkFaults(target: FaultTarget, seconds: number, faults: NetworkFaults): void {
--- a/packages/testkit/random-jobs.ts
+++ b/packages/testkit/random-jobs.ts
@@ -1,6 +1,6 @@
 /** Jobs for random runs of a deployment. */
 import type { JobSpec, Rank } from '#wire';
-import { sampleJob } from './invariants.js';
+import { sampleJob } from './sample-job.js';
 
 const RANKS: Rank[] = ['best_effort', 'normal', 'urgent', 'prod'];
 
--- a/packages/testkit/randomized-faults.test.ts
+++ b/packages/testkit/randomized-faults.test.ts
@@ -3,7 +3,8 @@
 import { SECOND } from '#wire';
 import { randomJob } from './random-jobs.js';
 import { injectRandomFault } from './random-faults.js';
-import { SimCluster, type ClusterEvent } from './sim-cluster.js';
+import { SimCluster } from './sim-cluster.js';
+import type { ClusterEvent } from './sim-cluster-options.js';
 
 /** A second trouble that follows upon an event, while what the event brings about is still on its way. */
 const EVENTS: ClusterEvent[] = ['confirmed', 'last end', 'lead', 'release'];
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -10,8 +10,10 @@
 import { loadProductionVersion } from './production-version.js';
 import { randomArray } from './random-jobs.js';
 import { injectRandomFault } from './random-faults.js';
-import { sampleJob } from './invariants.js';
-import { CLOUD, SimCluster, type SimClusterOptions } from './sim-cluster.js';
+import { sampleJob } from './sample-job.js';
+import { CLOUD } from './sample-settings.js';
+import { SimCluster } from './sim-cluster.js';
+import type { SimClusterOptions } from './sim-cluster-options.js';
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
 /** Longer than the life of the grant on which all duties hang, and than a worker's lease. */
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -4,8 +4,9 @@
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
 import { formatRoleName } from '#roles';
 import { type WireFields, SECOND } from '#wire';
-import { sampleJob } from './invariants.js';
-import { SimCluster, STATE } from './sim-cluster.js';
+import { sampleJob } from './sample-job.js';
+import { STATE } from './sample-settings.js';
+import { SimCluster } from './sim-cluster.js';
 import { type VacancyCause, VacancyMeter } from './vacancy-meter.js';
 
 const RUNS = Number(process.env['VACANCY_RUNS'] ?? 4);
--- /dev/null
+++ b/packages/testkit/sample-job.ts
@@ -0,0 +1,29 @@
+/** A sample job for tests. */
+import type { JobSpec } from '#wire';
+
+/** A job as users might submit it, for tests to vary. */
+export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
+  return {
+    id,
+    jobClass: 'batch',
+    team: 'blue',
+    shape: 'array',
+    rank: 'normal',
+    taskCount: 3,
+    cpus: 2,
+    gpus: 0,
+    memGb: 4,
+    image: 'img-1',
+    imageGb: 1,
+    machineTypes: null,
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    allowsSpot: true,
+    estimateS: 10,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
+    ...change,
+  };
+}
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -2,8 +2,9 @@
 import { test } from 'node:test';
 import { jobKey, terminalKey } from '#cluster';
 import { SECOND } from '#wire';
-import { sampleJob } from './invariants.js';
-import { SAMPLE_TYPES, SimCluster } from './sim-cluster.js';
+import { sampleJob } from './sample-job.js';
+import { SAMPLE_TYPES } from './sample-settings.js';
+import { SimCluster } from './sim-cluster.js';
 
 test('a job of 100,000 tasks is taken and worked on, and a small one beside it is not held up', async () => {
   const cluster = new SimCluster({ seed: 77 });
@@ -142,7 +143,8 @@
   for (let node = 0; node < 3; node++) cluster.killNode(node);
   for (let node = 0; node < 3; node++) cluster.startNode(node);
   await cluster.run(10 * SECOND);
-  for (const id of ids.slice(0, 10)) void cluster.sendUserRequest(id, 1, 'GET', `/submissions/${id}`);
+  for (const id of ids.slice(0, 10))
+    void cluster.sendUserRequest(id, { node: 1, method: 'GET', path: `/submissions/${id}` });
   await cluster.run(3 * SECOND);
   for (const id of ids) assert.equal(cluster.lastStatuses.get(id), 'done');
 });
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -35,7 +35,22 @@
   };
 }
 
-/** The cloud: rents machines, whose workers `boot` starts and `destroy` ends. */
+/** Stock and behaviour of the simulated cloud. */
+export interface SimCloudOptions {
+  readonly clock: SimulationClock;
+  readonly random: () => number;
+  readonly types: readonly MachineType[];
+  /** How many machines there are of each machine type, zone and kind. */
+  readonly capacity: number;
+  /** Age of the machine list that requests are answered with. */
+  readonly listLag: Micros;
+  /** Starts the worker of a machine that has booted. */
+  readonly boot: (host: CloudHost) => void;
+  /** Ends the worker of a machine that is gone. */
+  readonly destroy: (host: CloudHost) => void;
+}
+
+/** The simulated cloud. */
 export class SimCloud {
   readonly hosts = new Map<string, CloudHost>();
   isOut = false;
@@ -51,16 +66,7 @@
   private snapshots: Snapshot[] = [];
   private count = 0;
 
-  constructor(
-    private readonly clock: SimulationClock,
-    private readonly random: () => number,
-    private readonly types: readonly MachineType[],
-    /** How many machines a type, zone and kind holds. */
-    private readonly capacity: number,
-    private readonly listLag: Micros,
-    private readonly boot: (host: CloudHost) => void,
-    private readonly destroy: (host: CloudHost) => void,
-  ) {
+  constructor(private readonly options: SimCloudOptions) {
     this.snap();
   }
 
@@ -69,29 +75,29 @@
     const url = new URL(path, 'http://cloud');
     const fields = isWireFields(body) ? body : {};
     if (url.pathname === '/machine_types')
-      return { status: 200, body: { Builds: this.types.map(encodeType) } };
+      return { status: 200, body: { Builds: this.options.types.map(encodeType) } };
     if (method !== 'POST') return this.list(url.searchParams);
     const act = (): SimResponse =>
       url.pathname === '/rentals'
         ? this.createMachines(fields)
         : this.deleteMachines(fields['Hosts'] as string[], fields);
-    if (this.lateRequestRate === 0 || this.random() >= this.lateRequestRate) return act();
-    this.clock.at(this.random() * this.maxRequestDelay, act);
+    if (this.lateRequestRate === 0 || this.options.random() >= this.lateRequestRate) return act();
+    this.options.clock.at(this.options.random() * this.maxRequestDelay, act);
     return new Promise(() => undefined);
   };
 
   /** The machine stops with all that is on it; the list shows it only later. */
   die(host: CloudHost): void {
-    this.destroy(host);
+    this.options.destroy(host);
     host.state = 'died';
-    this.clock.at(30 * SECOND, () => {
+    this.options.clock.at(30 * SECOND, () => {
       if (this.hosts.has(host.host)) host.state = 'failed';
     });
   }
 
   /** Taken back by the cloud, with all that is on it. */
   reclaim(host: CloudHost): void {
-    this.destroy(host);
+    this.options.destroy(host);
     this.hosts.delete(host.host);
   }
 
@@ -107,23 +113,23 @@
     const taken = [...this.hosts.values()].filter(
       (h) => h.machineType === facts.machineType && h.zone === facts.zone && h.spot === facts.spot,
     ).length;
-    const number = Math.min(Number(body['Number']), this.capacity - taken);
+    const number = Math.min(Number(body['Number']), this.options.capacity - taken);
     if (number <= 0) return { status: 503, body: { error: 'no capacity' } };
     this.onScaleOut(request, senderOf(body));
     const Hosts: string[] = [];
     for (let i = 0; i < number; i++) {
       const name = `n-${String(this.count++).padStart(6, '0')}`;
-      const host: CloudHost = { host: name, ...facts, state: 'starting', createdAt: this.clock.time };
+      const host: CloudHost = { host: name, ...facts, state: 'starting', createdAt: this.options.clock.time };
       this.hosts.set(name, host);
       Hosts.push(name);
-      const never = this.random() < 0.05;
-      const boot = (this.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
+      const never = this.options.random() < 0.05;
+      const boot = (this.options.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
       if (never) continue;
-      const slowness = this.slowBootRate > 0 && this.random() < this.slowBootRate ? 6 : 1;
-      this.clock.at(slowness * boot * (0.6 + this.random() * 0.9), () => {
+      const slowness = this.slowBootRate > 0 && this.options.random() < this.slowBootRate ? 6 : 1;
+      this.options.clock.at(slowness * boot * (0.6 + this.options.random() * 0.9), () => {
         if (this.hosts.get(name) !== host) return;
         host.state = 'running';
-        this.boot(host);
+        this.options.boot(host);
       });
     }
     this.answers.set(request, Hosts);
@@ -135,15 +141,15 @@
       const host = this.hosts.get(name);
       if (!host) continue;
       this.onDeletion(host, senderOf(body));
-      this.destroy(host);
+      this.options.destroy(host);
       this.hosts.delete(name);
     }
     return { status: 200, body: {} };
   }
 
   private list(query: URLSearchParams): SimResponse {
-    const lag = this.listLag * (1 + (this.random() < 0.1 ? 1 : 0));
-    const old = this.snapshots.filter((s) => s.at <= this.clock.time - lag).at(-1);
+    const lag = this.options.listLag * (1 + (this.options.random() < 0.1 ? 1 : 0));
+    const old = this.snapshots.filter((s) => s.at <= this.options.clock.time - lag).at(-1);
     const after = query.get('After') ?? '';
     const rows = (old?.rows ?? []).filter((r) => String(r['Uid']) > after);
     const limit = Number(query.get('Limit') ?? 500);
@@ -158,11 +164,13 @@
       Hall: h.zone,
       Loaners: h.spot,
       Status: h.state === 'died' ? 'running' : h.state,
-      AgeS: (this.clock.time - h.createdAt) / SECOND,
+      AgeS: (this.options.clock.time - h.createdAt) / SECOND,
     }));
-    this.snapshots.push({ at: this.clock.time, rows });
-    this.snapshots = this.snapshots.filter((s) => s.at > this.clock.time - 4 * this.listLag - 5 * SECOND);
-    this.clock.at(SECOND, () => {
+    this.snapshots.push({ at: this.options.clock.time, rows });
+    this.snapshots = this.snapshots.filter(
+      (s) => s.at > this.options.clock.time - 4 * this.options.listLag - 5 * SECOND,
+    );
+    this.options.clock.at(SECOND, () => {
       this.snap();
     });
   }
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -24,7 +24,8 @@
   revision: number;
 }
 
-interface StoreLimits {
+/** Limits of the simulated state service. */
+export interface StoreLimits {
   rps: number;
   writeRps: number;
   txnOps: number;
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -22,11 +22,20 @@
   member: GangMember | null;
 }
 
+/** Times that a worker keeps. */
 export interface WorkerLimits {
   heartbeatInterval: Micros;
   workerLease: Micros;
 }
 
+/** Resources of a worker's machine. */
+export interface WorkerCapacity {
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memGb: number;
+}
+
+/** What a simulated worker is made of. */
 export interface SimWorkerOptions {
   clock: SimulationClock;
   random: () => number;
@@ -37,7 +46,7 @@
   nodes: { member: string; endpoint: string }[];
   caller: (gate: Gate) => HttpClient;
   limits: WorkerLimits;
-  capacity: { cpus: number; gpus: number; memGb: number };
+  capacity: WorkerCapacity;
   /** Every task fails here. */
   isFaulty: boolean;
   /** Told of every start that the worker executes, with the token of the answer that carried it. */
@@ -221,7 +230,7 @@
 
   private begin(key: string, task: Task, spec: JobSpec): void {
     const { clock, invariants: rules, random } = this.options;
-    rules.taskStarted(task.taskName, this.machine, clock.time, task.attempt);
+    rules.taskStarted(task.taskName, this.machine, { now: clock.time, attempt: task.attempt });
     if (spec.shape === 'gang') {
       this.joinGang(task, spec);
       return;
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -5,7 +5,7 @@
 import { loadProductionVersion } from './production-version.js';
 import { randomArray, randomJob } from './random-jobs.js';
 import { injectRandomFault } from './random-faults.js';
-import { sampleJob } from './invariants.js';
+import { sampleJob } from './sample-job.js';
 import { SimCluster } from './sim-cluster.js';
 
 const version = await loadProductionVersion();
@@ -75,7 +75,12 @@
   const cluster = new SimCluster({ seed: 5, production: { version } });
   const gang = sampleJob('j-000001', { shape: 'gang', taskCount: 3 });
   const submit = (node: number): Promise<number> =>
-    cluster.sendUserRequest(gang.id, node, 'POST', '/submissions', encodeSubmission(gang));
+    cluster.sendUserRequest(gang.id, {
+      node,
+      method: 'POST',
+      path: '/submissions',
+      body: encodeSubmission(gang),
+    });
   cluster.specs.set(gang.id, gang);
   cluster.invariants.jobSubmitted(gang, 0);
   const answers: (string | number)[] = [];
