--- a/packages/daemon/machine-rebalancer.ts
+++ b/packages/daemon/machine-rebalancer.ts
@@ -17,7 +17,9 @@
 
 /** A transferred machine stays with its new owner for this long. */
 const TRANSFER_COOLDOWN: Micros = 6 * SECOND;
+/** Least difference of prices for a transfer of a machine without free capacity, in units of priority. */
 const MIN_PRICE_GAP = 0.5;
+/** Machines that one owner gives in a round for the guarantee deficit of another, at most. */
 const MAX_DEFICIT_TRANSFERS = 10;
 
 /** What a machine rebalancer works with. */
--- a/packages/scheduling/forecaster.ts
+++ b/packages/scheduling/forecaster.ts
@@ -62,10 +62,8 @@
     const members = [...new Set([...owners.values()].map((owner) => owner.member))].sort();
     return members.map((member) => {
       const owned = [...owners].filter(([, owner]) => owner.member === member);
-      return this.forecastOwner(
-        member,
-        owned.map(([shard]) => shard),
-      );
+      const shards = owned.map(([shard]) => shard);
+      return this.forecastOwner(member, shards);
     });
   }
 
--- /dev/null
+++ b/packages/scheduling/run-time-estimator.test.ts
@@ -0,0 +1,74 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Logger, Placement, Replica } from '#cluster';
+import { type JobSpec, type Micros, SECOND } from '#wire';
+import { attemptKey, type WorkerRegistry } from '#workers';
+import { RunTimeEstimator } from './run-time-estimator.js';
+
+const NOW: Micros = 1000 * SECOND;
+const SPEC = { jobClass: 'batch', estimateS: 100 } as JobSpec;
+const PLACEMENT = {
+  job: 'j',
+  taskName: 'j/0',
+  attempt: 1,
+  host: 'machine-1',
+  startedAtMs: 990_000,
+} as Placement;
+
+/** An estimator at time NOW, for one worker that has run the task since the given time. */
+function estimatorWith(startedAt: Micros | null) {
+  const worker = {
+    avoidedUntil: -Infinity,
+    runningSince: new Map([[attemptKey(PLACEMENT.taskName, PLACEMENT.attempt), startedAt]]),
+  };
+  const replica = {
+    jobs: new Map([['j', { spec: SPEC }]]),
+    ledger: { placementsOn: () => [PLACEMENT] },
+  };
+  const estimator = new RunTimeEstimator({
+    clock: { now: () => NOW, wall: () => NOW, after: () => ({ cancel: () => undefined }) },
+    replica: replica as unknown as Replica,
+    workers: { trackedWorkers: new Map([['machine-1', worker]]) } as unknown as WorkerRegistry,
+    log: { debug: () => undefined } as unknown as Logger,
+  });
+  return { estimator, worker };
+}
+
+test('a completion moves the estimate of its class a tenth of the way to the observed run time', () => {
+  const { estimator, worker } = estimatorWith(NOW - 200 * SECOND);
+  estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
+  assert.equal(Math.round(estimator.expected(SPEC) / SECOND), 110);
+  assert.equal(worker.runningSince.size, 0);
+});
+
+test('one run time of many times the estimate counts as five times', () => {
+  const { estimator } = estimatorWith(NOW - 900 * SECOND);
+  estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
+  assert.equal(Math.round(estimator.expected(SPEC) / SECOND), 140);
+});
+
+test('a result that was stored already, a failure and a start that nobody saw leave the estimate as it is', () => {
+  const cases = [
+    { startedAt: NOW - 9 * SECOND, outcome: 'done' },
+    { startedAt: NOW - 200 * SECOND, outcome: 'failed' },
+    { startedAt: null, outcome: 'done' },
+  ] as const;
+  for (const { startedAt, outcome } of cases) {
+    const { estimator } = estimatorWith(startedAt);
+    estimator.onCompletion({ placement: PLACEMENT, outcome });
+    assert.equal(estimator.expected(SPEC), 100 * SECOND);
+  }
+});
+
+test('a machine that refuses a task is avoided for five seconds', () => {
+  const { estimator, worker } = estimatorWith(null);
+  estimator.onCompletion({ placement: PLACEMENT, outcome: 'refused' });
+  assert.equal(worker.avoidedUntil, NOW + 5 * SECOND);
+});
+
+test('the remaining time counts from the observed start, or from the recorded one if nobody saw the start', () => {
+  assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.remaining(PLACEMENT), 70 * SECOND);
+  assert.equal(estimatorWith(null).estimator.remaining(PLACEMENT), 90 * SECOND);
+  assert.equal(estimatorWith(NOW - 300 * SECOND).estimator.remaining(PLACEMENT), 0);
+  assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.busyFor('machine-1'), 70 * SECOND);
+});
