--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -60,10 +60,10 @@
   };
 }
 
-function play(
+function runRound(
   jobs: PendingJob[],
   machines: CandidateMachine[],
-  { most = 1000, seed = 1 }: { most?: number; seed?: number } = {},
+  { cpuLimit = 1000, seed = 1 }: { cpuLimit?: number; seed?: number } = {},
 ): PricingRoundResult {
   const generator = xoroshiro128plus(seed);
   const input: PricingRoundInput = {
@@ -76,7 +76,7 @@
         name: 'blue',
         used: { cpus: 0, gpus: 0, memGb: 0 },
         guaranteed: { cpus: 0, gpus: 0 },
-        limit: { cpus: most, gpus: 0 },
+        limit: { cpus: cpuLimit, gpus: 0 },
       },
     ],
     random: () => (generator.next() >>> 0) / 4294967296,
@@ -87,56 +87,70 @@
 const startsOf = (result: PricingRoundResult, id: string): string[] =>
   result.starts.filter((start) => start.job === id).map((start) => start.host);
 
-test('of a gang all tasks are placed or none, in one zone where it has to be, and room is put back', () => {
+test('a gang is placed whole or not at all, in one zone if bound to one, and unused capacity is given back', () => {
   const anyGang = fc.record({ size: fc.integer({ min: 1, max: 8 }), singleZone: fc.boolean() });
   const anyMachine = fc.record({ zone: fc.constantFrom('east', 'west'), free: fc.constantFrom(0, 2, 4) });
   fc.assert(
-    fc.property(fc.array(anyGang, { maxLength: 6 }), fc.array(anyMachine, { maxLength: 12 }), (gs, ms) => {
-      const jobs = gs.map((g, i) => gang(`j-${i}`, g.size, { singleZone: g.singleZone, acceptanceOrder: i }));
-      const machines = ms.map((m, i) => machine(`n-${i}`, m.zone, m.free));
-      const result = play(jobs, machines);
-      const used = new Map<string, number>();
-      for (const job of jobs) {
-        const hosts = startsOf(result, job.id);
-        assert.ok(hosts.length === 0 || hosts.length === job.taskCount, 'all or none');
-        const zones = new Set(hosts.map((host) => machines.find((m) => m.host === host)?.zone));
-        assert.ok(!job.singleZone || zones.size <= 1, 'one zone');
-        for (const host of hosts) used.set(host, (used.get(host) ?? 0) + job.need.cpus);
-      }
-      for (const m of machines) {
-        const left = result.free.get(m.host)?.cpus ?? 0;
-        const expected = m.free.cpus - (used.get(m.host) ?? 0);
-        assert.ok(
-          result.reservedHosts.has(m.host) ? left <= expected : left === expected,
-          `room of ${m.host}`,
+    fc.property(
+      fc.array(anyGang, { maxLength: 6 }),
+      fc.array(anyMachine, { maxLength: 12 }),
+      (gangs, specs) => {
+        const jobs = gangs.map(({ size, singleZone }, i) =>
+          gang(`j-${i}`, size, { singleZone, acceptanceOrder: i }),
         );
-      }
-    }),
+        const machines = specs.map(({ zone, free }, i) => machine(`n-${i}`, zone, free));
+        const result = runRound(jobs, machines);
+        const used = new Map<string, number>();
+        for (const job of jobs) {
+          const hosts = startsOf(result, job.id);
+          assert.ok(hosts.length === 0 || hosts.length === job.taskCount, 'all or none');
+          const zones = new Set(hosts.map((host) => machines.find((m) => m.host === host)?.zone));
+          assert.ok(!job.singleZone || zones.size <= 1, 'one zone');
+          for (const host of hosts) used.set(host, (used.get(host) ?? 0) + job.need.cpus);
+        }
+        for (const { host, free } of machines) {
+          const freeCpus = result.free.get(host)?.cpus ?? 0;
+          const expected = free.cpus - (used.get(host) ?? 0);
+          assert.ok(
+            result.reservedHosts.has(host) ? freeCpus <= expected : freeCpus === expected,
+            `free capacity of ${host}`,
+          );
+        }
+      },
+    ),
     { seed: 4, numRuns: 400 },
   );
 });
 
-test('the zone that has room for the whole gang and its image is chosen', () => {
-  const cold = ['a', 'b', 'c'].map((name) => machine(name, 'east', 4));
-  const warm = ['d', 'e'].map((name) => ({ ...machine(name, 'west', 4), cachedImages: ['img-1'] }));
-  assert.deepEqual(startsOf(play([gang('j-1', 4)], [...cold, ...warm]), 'j-1').sort(), ['d', 'd', 'e', 'e']);
-  assert.equal(startsOf(play([gang('j-1', 6)], [...cold, ...warm]), 'j-1').length, 6);
-  assert.equal(startsOf(play([gang('j-1', 7)], [...cold, ...warm]), 'j-1').length, 0);
+test('a gang goes to the zone that has capacity for all of it and its image', () => {
+  const withoutImage = ['a', 'b', 'c'].map((name) => machine(name, 'east', 4));
+  const withImage = ['d', 'e'].map((name): CandidateMachine => ({
+    ...machine(name, 'west', 4),
+    cachedImages: ['img-1'],
+  }));
+  assert.deepEqual(startsOf(runRound([gang('j-1', 4)], [...withoutImage, ...withImage]), 'j-1').sort(), [
+    'd',
+    'd',
+    'e',
+    'e',
+  ]);
+  assert.equal(startsOf(runRound([gang('j-1', 6)], [...withoutImage, ...withImage]), 'j-1').length, 6);
+  assert.equal(startsOf(runRound([gang('j-1', 7)], [...withoutImage, ...withImage]), 'j-1').length, 0);
 });
 
-// A gang starts with its last task: told one by one, its machines would keep each other waiting.
-test('of the machines of the best shape a gang goes to those whose workers report next', () => {
-  const machines = [900, 0, 800, 100, 700, 950].map((milliseconds, i) => ({
+// A gang starts with its last task: machines that get their starts one by one would wait for each other.
+test('of the machines of the best shape a gang goes to those whose heartbeats come next', () => {
+  const machines = [900, 0, 800, 100, 700, 950].map((milliseconds, i): CandidateMachine => ({
     ...machine(`n-${i}`, 'east', 4),
     nextHeartbeatIn: milliseconds * 1000,
   }));
   for (let seed = 1; seed < 20; seed++) {
-    const hosts = startsOf(play([gang('j-1', 4)], machines, { seed }), 'j-1');
+    const hosts = startsOf(runRound([gang('j-1', 4)], machines, { seed }), 'j-1');
     for (const host of hosts) assert.ok(['n-1', 'n-3', 'n-4'].includes(host), host);
   }
 });
 
-test('room is kept for a gang only where the rest comes free soon, and what ranks lower does not take it', () => {
+test('capacity is reserved for a gang only where the rest becomes free soon, and lower ranks do not take it', () => {
   const small = gang('j-2', 1, {
     isGang: false,
     singleZone: false,
@@ -144,16 +158,19 @@
     taskCount: 4,
     priority: 1,
   });
-  const soon = ['a', 'b'].map((name) => ({ ...machine(name, 'east', 2), busyFor: () => 10 * SECOND }));
-  const gathering = play([gang('j-1', 4), small], soon);
-  assert.deepEqual(gathering.starts, []);
-  assert.equal(gathering.unmet.get('j-1'), 2);
-  assert.equal(gathering.gatheringZones.get('j-1'), 'east');
+  const soon = ['a', 'b'].map((name): CandidateMachine => ({
+    ...machine(name, 'east', 2),
+    busyFor: () => 10 * SECOND,
+  }));
+  const reserving = runRound([gang('j-1', 4), small], soon);
+  assert.deepEqual(reserving.starts, []);
+  assert.equal(reserving.unmet.get('j-1'), 2);
+  assert.equal(reserving.gatheringZones.get('j-1'), 'east');
   const late = [machine('a', 'east', 2), machine('b', 'east', 2)];
-  assert.equal(startsOf(play([gang('j-1', 4), small], late), 'j-2').length, 2);
+  assert.equal(startsOf(runRound([gang('j-1', 4), small], late), 'j-2').length, 2);
 });
 
-test('a gang that has to be spread and finds room in one zone only is released, and its room put back', () => {
+test('a gang that has to be spread and finds capacity in one zone only is not placed, and its capacity given back', () => {
   const machines = ['a', 'b'].map((name) => machine(name, 'east', 4));
   const spread = gang('j-1', 4, { singleZone: false, spreadZones: true });
   const small = gang('j-2', 1, {
@@ -163,23 +180,23 @@
     taskCount: 4,
     priority: 1,
   });
-  const result = play([spread, small], machines);
+  const result = runRound([spread, small], machines);
   assert.deepEqual(startsOf(result, 'j-1'), []);
   assert.equal(startsOf(result, 'j-2').length, 4);
   const both = [...machines, machine('c', 'west', 4)];
-  assert.equal(startsOf(play([spread], both), 'j-1').length, 4);
+  assert.equal(startsOf(runRound([spread], both), 'j-1').length, 4);
 });
 
-test('of two gangs that each could have half, one gets all', () => {
+test('of two gangs that could each be placed in half, one is placed whole', () => {
   const machines = [machine('a', 'east', 4), machine('b', 'east', 4)];
-  const result = play(
+  const result = runRound(
     [gang('j-1', 3, { acceptanceOrder: 1 }), gang('j-2', 3, { acceptanceOrder: 2 })],
     machines,
   );
   assert.equal(result.starts.length, 3);
 });
 
-test('small tasks of its team do not keep a gang from the room that the limit leaves', () => {
+test('small tasks of its team do not keep a gang from what remains of the limit', () => {
   const machines = ['a', 'b', 'c', 'd'].map((name) => machine(name, 'east', 4));
   const small = gang('j-2', 1, {
     isGang: false,
@@ -188,12 +205,12 @@
     taskCount: 8,
     priority: 1,
   });
-  // A limit of 6 CPUs leaves no room for four tasks of two: until it does, nothing of lower rank begins.
-  assert.deepEqual(play([gang('j-1', 4), small], machines, { most: 6 }).starts, []);
-  assert.equal(startsOf(play([gang('j-1', 4), small], machines, { most: 8 }), 'j-1').length, 4);
+  // A limit of 6 CPUs is not enough for four tasks of two: until it is, nothing of lower rank starts.
+  assert.deepEqual(runRound([gang('j-1', 4), small], machines, { cpuLimit: 6 }).starts, []);
+  assert.equal(startsOf(runRound([gang('j-1', 4), small], machines, { cpuLimit: 8 }), 'j-1').length, 4);
 });
 
-test('for a gang as many tasks are stopped as it needs, or none', () => {
+test('for a gang as many tasks are preempted as it needs, or none', () => {
   const victim = (host: string, cpus: number): Victim => ({
     taskName: `v/${host}`,
     host,
@@ -204,7 +221,7 @@
     gpus: 0,
     memGb: 4,
   });
-  const stopsFor = (count: number): number =>
+  const preemptionsFor = (count: number): number =>
     planPreemptions({
       requests: [{ job: gang('j-1', 4), count, rank: 2, guaranteed: false }],
       machines: ['a', 'b'].map((host) => ({
@@ -215,6 +232,6 @@
       victims: [victim('a', 2), victim('b', 2)],
       maxPreemptions: 6,
     }).length;
-  assert.equal(stopsFor(2), 2);
-  assert.equal(stopsFor(3), 0);
+  assert.equal(preemptionsFor(2), 2);
+  assert.equal(preemptionsFor(3), 0);
 });
--- a/packages/pricing/preemption.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -36,29 +36,29 @@
   };
 }
 
-function stopped(victims: Victim[], claim: { rank?: number; guaranteed?: boolean } = {}): string[] {
+function preempted(victims: Victim[], change: { rank?: number; guaranteed?: boolean } = {}): string[] {
   const left = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, left, allowed: () => true }));
-  const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...claim }];
-  return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map((v) => v.taskName);
+  const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...change }];
+  return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map(({ taskName }) => taskName);
 }
 
-test('work of lower rank makes room, on the machine where the fewest tasks have to', () => {
+test('tasks of lower rank are preempted, on the machine where the fewest have to be', () => {
   const two = [victim('a/0'), victim('a/1')];
-  assert.deepEqual(stopped([...two, victim('b/0', { host: 'n-2', cpus: 4 })]), ['b/0']);
-  assert.deepEqual(stopped(two), ['a/0', 'a/1']);
+  assert.deepEqual(preempted([...two, victim('b/0', { host: 'n-2', cpus: 4 })]), ['b/0']);
+  assert.deepEqual(preempted(two), ['a/0', 'a/1']);
 });
 
-test('equal or higher rank stays, and so does what would lose its work', () => {
-  assert.deepEqual(stopped([victim('a/0', { rank: 2 }), victim('a/1', { rank: 3 })]), []);
-  assert.deepEqual(stopped([victim('a/0', { canCheckpoint: false }), victim('a/1')]), []);
+test('tasks of equal or higher rank and tasks without checkpoints are not preempted', () => {
+  assert.deepEqual(preempted([victim('a/0', { rank: 2 }), victim('a/1', { rank: 3 })]), []);
+  assert.deepEqual(preempted([victim('a/0', { canCheckpoint: false }), victim('a/1')]), []);
 });
 
-test('for a team within its guarantee, what runs beyond another guarantee makes room at any rank', () => {
+test('for a team within its guarantee, tasks beyond another guarantee are preempted at any rank', () => {
   const high = [
     victim('a/0', { rank: 3, isAboveGuarantee: true }),
     victim('a/1', { rank: 3, isAboveGuarantee: true }),
   ];
-  assert.deepEqual(stopped(high, { rank: 1 }), []);
-  assert.deepEqual(stopped(high, { rank: 1, guaranteed: true }), ['a/0', 'a/1']);
+  assert.deepEqual(preempted(high, { rank: 1 }), []);
+  assert.deepEqual(preempted(high, { rank: 1, guaranteed: true }), ['a/0', 'a/1']);
 });
--- a/packages/pricing/pricing-round.test.ts
+++ b/packages/pricing/pricing-round.test.ts
@@ -6,7 +6,7 @@
 import { fits, subtractResources } from './resources.js';
 import { shapeOf } from './shape-pools.js';
 import { runPricingRound } from './pricing-round.js';
-import type { CandidateMachine, PricingRoundInput, PricingOptions, PendingJob } from './types.js';
+import type { CandidateMachine, PricingRoundInput, PricingOptions, PendingJob, Resources } from './types.js';
 
 const OPTIONS: PricingOptions = {
   passes: 30,
@@ -19,8 +19,8 @@
 };
 
 function random(seed: number): () => number {
-  const g = xoroshiro128plus(seed);
-  return () => (g.next() >>> 0) / 4294967296;
+  const generator = xoroshiro128plus(seed);
+  return () => (generator.next() >>> 0) / 4294967296;
 }
 
 function job(id: string, change: Partial<PendingJob> = {}): PendingJob {
@@ -76,18 +76,32 @@
   return { jobs, machines, teams, prices: new Map(), options: OPTIONS, random: random(1), ...change };
 }
 
-const anyJob = fc.record({
+/** Typed, so that a renamed field can't drop out of what is generated. */
+type JobSpec = Resources &
+  Pick<
+    PendingJob,
+    | 'team'
+    | 'priority'
+    | 'pendingTasks'
+    | 'zone'
+    | 'machineTypes'
+    | 'singleZone'
+    | 'spreadZones'
+    | 'allowsSpot'
+  >;
+
+const anyJob = fc.record<JobSpec>({
   team: fc.constantFrom('blue', 'green'),
   cpus: fc.constantFrom(0.5, 1, 2, 4),
   memGb: fc.constantFrom(1, 4, 15),
   gpus: fc.constantFrom(0, 0, 1),
   priority: fc.integer({ min: 1, max: 20 }),
-  waiting: fc.integer({ min: 1, max: 9 }),
+  pendingTasks: fc.integer({ min: 1, max: 9 }),
   zone: fc.constantFrom(null, 'east', 'west'),
   machineTypes: fc.constantFrom(null, ['small'], ['large']),
   singleZone: fc.boolean(),
   spreadZones: fc.boolean(),
-  spot: fc.boolean(),
+  allowsSpot: fc.boolean(),
 });
 const anyMachine = fc.record({
   zone: fc.constantFrom('east', 'west'),
@@ -96,60 +110,71 @@
   used: fc.constantFrom(0, 1, 3),
 });
 
-test('whatever waits, no start breaks a limit, a constraint or a machine', () => {
+test('no start violates a limit, a constraint or the capacity of a machine, whatever is pending', () => {
   fc.assert(
-    fc.property(fc.array(anyJob, { maxLength: 12 }), fc.array(anyMachine, { maxLength: 12 }), (js, ms) => {
-      const jobs = js.map((j, i) =>
-        job(`j-${i}`, {
-          ...j,
-          need: { cpus: j.cpus, gpus: j.gpus, memGb: j.memGb },
-          acceptanceOrder: i,
-          taskCount: j.waiting,
-        }),
-      );
-      const machines = ms.map((m, i) => {
-        const total = m.large ? { cpus: 8, gpus: 1, memGb: 64 } : { cpus: 4, gpus: 0, memGb: 16 };
-        const room = { ...total, cpus: total.cpus - m.used };
-        return machine(`n-${i}`, { ...m, machineType: m.large ? 'large' : 'small', total, free: room });
-      });
-      const result = runPricingRound(input(jobs, machines));
-      const room = new Map(machines.map((m) => [m.host, { ...m.free }]));
-      const used = new Map<string, { cpus: number; gpus: number; memGb: number }>();
-      const zones = new Map<string, string[]>();
-      const count = new Map<string, number>();
-      for (const { job: id, host } of result.starts) {
-        const j = jobs.find((x) => x.id === id)!;
-        const m = machines.find((x) => x.host === host)!;
-        const left = room.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
-        assert.ok(fits(j.need, left), 'room');
-        subtractResources(left, j.need, 1);
-        assert.ok(j.machineTypes?.includes(m.machineType) ?? true, 'type');
-        assert.ok(j.zone === null || j.zone === m.zone, 'zone');
-        assert.ok(j.allowsSpot || !m.spot, 'kind');
-        const u = used.get(j.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
-        subtractResources(u, j.need, -1);
-        used.set(j.team, u);
-        zones.set(id, [...(zones.get(id) ?? []), m.zone]);
-        count.set(id, (count.get(id) ?? 0) + 1);
-      }
-      for (const u of used.values()) assert.ok(u.cpus <= 12 + 1e-6 && u.gpus <= 1 + 1e-6, 'limit');
-      for (const j of jobs) {
-        const where = zones.get(j.id) ?? [];
-        if (j.singleZone) assert.ok(new Set(where).size <= 1, 'one zone');
-        if (j.spreadZones) {
-          for (const h of ['east', 'west']) {
-            assert.ok(where.filter((x) => x === h).length <= Math.ceil(j.taskCount / 2), 'scattered');
+    fc.property(
+      fc.array(anyJob, { maxLength: 12 }),
+      fc.array(anyMachine, { maxLength: 12 }),
+      (jobSpecs, machineSpecs) => {
+        const jobs = jobSpecs.map((spec, i) =>
+          job(`j-${i}`, {
+            ...spec,
+            need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
+            acceptanceOrder: i,
+            taskCount: spec.pendingTasks,
+          }),
+        );
+        const machines = machineSpecs.map((spec, i) => {
+          const total = spec.large ? { cpus: 8, gpus: 1, memGb: 64 } : { cpus: 4, gpus: 0, memGb: 16 };
+          const free = { ...total, cpus: total.cpus - spec.used };
+          return machine(`n-${i}`, {
+            ...spec,
+            machineType: spec.large ? 'large' : 'small',
+            total,
+            free,
+          });
+        });
+        const result = runPricingRound(input(jobs, machines));
+        const freeByHost = new Map(machines.map(({ host, free }) => [host, { ...free }]));
+        const used = new Map<string, { cpus: number; gpus: number; memGb: number }>();
+        const zones = new Map<string, string[]>();
+        const count = new Map<string, number>();
+        for (const { job: id, host } of result.starts) {
+          const started = jobs.find((candidate) => candidate.id === id)!;
+          const target = machines.find((candidate) => candidate.host === host)!;
+          const free = freeByHost.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
+          assert.ok(fits(started.need, free), 'capacity');
+          subtractResources(free, started.need, 1);
+          assert.ok(started.machineTypes?.includes(target.machineType) ?? true, 'type');
+          assert.ok(started.zone === null || started.zone === target.zone, 'zone');
+          assert.ok(started.allowsSpot || !target.spot, 'kind');
+          const usage = used.get(started.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
+          subtractResources(usage, started.need, -1);
+          used.set(started.team, usage);
+          zones.set(id, [...(zones.get(id) ?? []), target.zone]);
+          count.set(id, (count.get(id) ?? 0) + 1);
+        }
+        for (const { cpus, gpus } of used.values()) assert.ok(cpus <= 12 + 1e-6 && gpus <= 1 + 1e-6, 'limit');
+        for (const { id, singleZone, spreadZones, taskCount, pendingTasks } of jobs) {
+          const taskZones = zones.get(id) ?? [];
+          if (singleZone) assert.ok(new Set(taskZones).size <= 1, 'one zone');
+          if (spreadZones) {
+            for (const zone of ['east', 'west']) {
+              const inZone = taskZones.filter((taskZone) => taskZone === zone).length;
+              assert.ok(inZone <= Math.ceil(taskCount / 2), 'spread');
+            }
           }
+          assert.ok((count.get(id) ?? 0) + (result.unmet.get(id) ?? 0) <= pendingTasks, 'count');
         }
-        assert.ok((count.get(j.id) ?? 0) + (result.unmet.get(j.id) ?? 0) <= j.pendingTasks, 'count');
-      }
-      for (const p of result.prices.values()) assert.ok(p.cpu >= 0 && p.mem >= 0 && p.gpu >= 0, 'price');
-    }),
+        for (const { cpu, mem, gpu } of result.prices.values())
+          assert.ok(cpu >= 0 && mem >= 0 && gpu >= 0, 'price');
+      },
+    ),
     { seed: 8, numRuns: 400 },
   );
 });
 
-test('prices start from the last round, rise where more is asked than there is, and fall back to zero', () => {
+test('prices start from the last round, rise where demand exceeds capacity, and fall back to zero', () => {
   const crowd = [job('j-1', { pendingTasks: 6, taskCount: 6, priority: 5 })];
   const first = runPricingRound(input(crowd, [machine('n-1')])).prices.get('small');
   assert.ok(first && first.cpu > 0);
@@ -163,21 +188,21 @@
   assert.equal(idle.get('small')?.cpu, 0);
 });
 
-test('a shape that is dear is left for the next best, and even negative utility is placed', () => {
-  const dear = new Map([[shapeOf('small', false), { cpu: 50, gpu: 0, mem: 0 }]]);
+test('an expensive shape is passed over for the next best, and even negative utility is placed', () => {
+  const expensive = new Map([[shapeOf('small', false), { cpu: 50, gpu: 0, mem: 0 }]]);
   const options = { ...OPTIONS, passes: 0 };
   const large = machine('n-2', { machineType: 'large' });
-  const both = runPricingRound(input([job('j-1')], [machine('n-1'), large], { prices: dear, options }));
+  const both = runPricingRound(input([job('j-1')], [machine('n-1'), large], { prices: expensive, options }));
   assert.deepEqual(both.starts, [{ job: 'j-1', host: 'n-2' }]);
-  const only = runPricingRound(input([job('j-1')], [machine('n-1')], { prices: dear, options }));
+  const only = runPricingRound(input([job('j-1')], [machine('n-1')], { prices: expensive, options }));
   assert.deepEqual(only.starts, [{ job: 'j-1', host: 'n-1' }]);
 });
 
-test('of two teams the one within its guarantee goes first, and rank decides within a team', () => {
+test('of two teams the one within its guarantee is placed first, and rank decides within a team', () => {
   const one = [machine('n-1', { free: { cpus: 2, gpus: 0, memGb: 16 } })];
-  const teams = input([], []).teams.map((t) => ({
-    ...t,
-    used: { ...t.used, cpus: t.name === 'blue' ? 4 : 0 },
+  const teams = input([], []).teams.map((team) => ({
+    ...team,
+    used: { ...team.used, cpus: team.name === 'blue' ? 4 : 0 },
   }));
   const jobs = [job('j-1', { acceptanceOrder: 1 }), job('j-2', { team: 'green', acceptanceOrder: 2 })];
   assert.equal(runPricingRound(input(jobs, one, { teams })).starts[0]?.job, 'j-2');
@@ -185,7 +210,7 @@
   assert.equal(runPricingRound(input(ranks, one)).starts[0]?.job, 'j-2');
 });
 
-test('of shapes of equal utility the cheaper to keep is taken', () => {
+test('of shapes of equal utility the one of lower hourly cost is taken', () => {
   const machines = [
     machine('n-1', { hourlyCostPerCpu: 3 }),
     machine('n-2', { spot: true, hourlyCostPerCpu: 1 }),
@@ -195,7 +220,7 @@
   }
 });
 
-test('a task that needs a whole machine gets the half that is free soonest kept, and no smaller task takes it', () => {
+test('for a task that needs a whole machine the half-free one that is free soonest is reserved', () => {
   const half = { cpus: 2, gpus: 0, memGb: 8 };
   const machines = [
     machine('n-1', { free: { ...half }, busyFor: () => 20 * SECOND }),
@@ -206,10 +231,10 @@
   const small = job('j-2', { pendingTasks: 3 });
   const hosts = (jobs: PendingJob[]): string[] =>
     runPricingRound(input(jobs, machines))
-      .starts.map((s) => `${s.job} ${s.host}`)
+      .starts.map((start) => `${start.job} ${start.host}`)
       .sort();
   assert.deepEqual(hosts([whole, small]), ['j-2 n-1', 'j-2 n-3']);
-  // None is kept longer than is worth it, nor for what ranks lower.
+  // None is reserved beyond the longest reservation, nor for what ranks lower.
   assert.deepEqual(
     hosts([
       { ...whole, pendingTasks: 2 },
@@ -220,7 +245,7 @@
   assert.deepEqual(hosts([{ ...whole, priority: 1 }, small]), ['j-2 n-1', 'j-2 n-2', 'j-2 n-3']);
 });
 
-/** A round of an owner whose machines have just come up one by one, while far more waits. */
+/** A round of an owner whose machines have just come up one by one, while far more is pending. */
 function afterBoot(jobs: PendingJob[]) {
   let prices: PricingRoundInput['prices'] = new Map();
   const teams = [
@@ -231,13 +256,13 @@
       limit: { cpus: 1e4, gpus: 0 },
     },
   ];
-  const play = (machines: CandidateMachine[]) =>
+  const runRound = (machines: CandidateMachine[]) =>
     runPricingRound({ jobs, machines, teams, prices, options: OPTIONS, random: random(3) });
   for (let up = 1; up <= 20; up++) {
     const busy = { free: { cpus: 0, gpus: 0, memGb: 0 } };
-    prices = play([...Array(up).keys()].map((i) => machine(`n-${i}`, i < up - 1 ? busy : {}))).prices;
+    prices = runRound([...Array(up).keys()].map((i) => machine(`n-${i}`, i < up - 1 ? busy : {}))).prices;
   }
-  return { prices, play };
+  return { prices, runRound };
 }
 
 // Once prices stood at 171 while nobody would pay more than 12, and urgent tasks waited longest for minutes.
@@ -251,16 +276,16 @@
     acceptanceOrder: 2,
   });
   const normal = job('j-1', { pendingTasks: 400, taskCount: 400, acceptanceOrder: 1 });
-  const { prices, play } = afterBoot([normal, urgent]);
+  const { prices, runRound } = afterBoot([normal, urgent]);
   const cpu = prices.get('small')?.cpu ?? 0;
   assert.ok(cpu < 3, `${cpu} a CPU, where 2 is the most that anyone pays`);
-  assert.equal(play([machine('n-0')]).starts[0]?.job, 'j-2');
+  assert.equal(runRound([machine('n-0')]).starts[0]?.job, 'j-2');
 });
 
 // A job of highest rank that only machines of a type that never came could take held its team's whole limit for
 // minutes, while small machines stood idle beside a best-effort job: docs/incidents/upgrade-132.md.
-test('a job that no machine suits holds its team back only for as long as a machine takes to come', () => {
-  const play = (isOverdue: boolean): string[] => {
+test('a job without feasible machines holds its team back only for as long as a machine takes to boot', () => {
+  const startedJobs = (isOverdue: boolean): string[] => {
     const waitsForLarge = job('j-1', { priority: 24, pendingTasks: 8, machineTypes: ['large'], isOverdue });
     const runsAnywhere = job('j-2', { priority: 1, acceptanceOrder: 2, pendingTasks: 2 });
     const team = {
@@ -277,9 +302,9 @@
       options: OPTIONS,
       random: random(1),
     });
-    assert.equal(result.unmet.get('j-1'), 8, 'machines for it are still asked for');
+    assert.equal(result.unmet.get('j-1'), 8, 'machines for it are still requested');
     return result.starts.map((start) => start.job);
   };
-  assert.deepEqual(play(false), []);
-  assert.deepEqual(play(true), ['j-2', 'j-2']);
+  assert.deepEqual(startedJobs(false), []);
+  assert.deepEqual(startedJobs(true), ['j-2', 'j-2']);
 });
