--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -33,7 +33,7 @@
   return `${answer.status} ${JSON.stringify(answer.body)}${after}${close}`;
 }
 
-/** Time stands still, and whatever waits goes on at once. */
+/** A clock that stands still and whose timers fire at once. */
 const STOPPED_CLOCK: Clock = {
   now: () => 0,
   wall: () => 1_790_000_000_123_456,
@@ -48,11 +48,11 @@
 interface UserBench {
   users: JobService;
   replica: Replica;
-  /** What the state service was asked to commit. */
+  /** The commits that the state service got. */
   commits: string[];
 }
 
-/** A node whose copy of the state is complete up to epoch 0, with the sample's machine types. */
+/** A node whose copy of the state is complete up to revision 0, with the sample's machine types. */
 function userBench(answer: StateService): UserBench {
   const commits: string[] = [];
   const call: HttpClient = (...request) => {
@@ -114,7 +114,7 @@
 
 const BODY = encodeSubmission(sampleJob('j-1'));
 
-test('a new job is accepted with 201, and stored under its name if that never was one before', async () => {
+test('a new job is accepted with 201, and stored under its id if that was never used before', async () => {
   const { users, commits } = userBench(EMPTY);
   assert.equal(textOf(await users.submitJob(BODY)), '201 {"Uid":"j-1","Status":"pending"}');
   assert.deepEqual(commits, [
@@ -126,7 +126,7 @@
   ]);
 });
 
-test('a submission that is malformed gets 400 with the field', async () => {
+test('a malformed submission gets 400 with the field', async () => {
   const { users } = userBench(EMPTY);
   assert.equal(textOf(await users.submitJob('x')), '400 {"error":"invalid: body"}');
   for (const field of Object.keys(BODY)) {
@@ -160,7 +160,7 @@
   assert.deepEqual(commits, []);
 });
 
-test('a node that can not decide yet says why, and to come back after a second', async () => {
+test('a node that can not decide yet answers why, and to retry after a second', async () => {
   const unready = userBench(EMPTY);
   unready.replica.machineTypes.clear();
   assert.equal(
@@ -183,7 +183,7 @@
   ['shown', (users) => users.getJob('j-1')],
 ];
 
-test('a known job is answered 200 with its state, whatever is asked', async () => {
+test('a known job gets 200 with its state, whatever is requested', async () => {
   for (const [what, ask] of ASKED) {
     const pending = userBench(REFUSING);
     live(pending.replica);
@@ -213,7 +213,7 @@
   }
 });
 
-test('a node that does not reach the state sends its users to another', async () => {
+test('a node that does not reach the state service sends its users to another node', async () => {
   for (const [what, ask] of [
     ...ASKED,
     ['cancelled', (users: JobService) => users.cancelJob('j-1')] as const,
@@ -239,7 +239,7 @@
   }
 });
 
-test('a cancelled job is withdrawn, one that is over stays what it is', async () => {
+test('a cancelled job is withdrawn, one with a terminal status keeps it', async () => {
   const { users, replica, commits } = userBench(EMPTY);
   live(replica);
   assert.equal(textOf(await users.cancelJob('j-1')), '200 {"Uid":"j-1","Status":"withdrawn"}');
@@ -269,7 +269,7 @@
   ask: (body: unknown) => Promise<string>;
 }
 
-/** Rows that make node-0 own share 0; nobody owns share 2, node-1 leads and owns the others. */
+/** Rows that make node-0 own shard 0; nobody owns shard 2, node-1 leads and owns the others. */
 const ROWS: [path: string, value: WireFields][] = [
   ['mw/now/lead', { Member: 'node-1', Nonce: 'other.1' }],
   ['mw/now/token', { Token: 41 }],
@@ -363,12 +363,12 @@
   });
 }
 
-/** Lets simulated time pass, with something to do in between so that whatever is under way settles. */
+/** Advances simulated time, with a step in between so that whatever is under way settles. */
 async function pass(clock: SimClock, duration: Micros): Promise<void> {
   await clock.run(clock.time + duration, () => undefined);
 }
 
-function reportOf(host: string, sequence: number, change: object = {}): WireFields {
+function heartbeatOf(host: string, sequence: number, change: object = {}): WireFields {
   return {
     Host: host,
     Endpoint: '10.1.0.1:9000',
@@ -384,12 +384,12 @@
   };
 }
 
-test('a worker of the node gets its token and a command of each kind', async () => {
+test('a worker of the node gets the fencing token and a command of each kind', async () => {
   const { clock, controller, ask } = nodeBench();
   controller.start();
   await pass(clock, 3 * SECOND);
   assert.equal(
-    await ask(reportOf('n-0', 1)),
+    await ask(heartbeatOf('n-0', 1)),
     '200 {"Baton":41,"Orders":[{"Verb":"launch","Piece":"j-1/0","Try":1024}]}',
   );
   const pieces = [
@@ -398,59 +398,62 @@
     { Piece: 'j-9/1', Try: 3, Status: 'exited', Cause: 'done' },
   ];
   assert.equal(
-    await ask(reportOf('n-0', 2, { Pieces: pieces })),
+    await ask(heartbeatOf('n-0', 2, { Pieces: pieces })),
     '200 {"Baton":41,"Orders":[{"Verb":"halt","Piece":"j-9/0","Try":3,"WindDownS":0},' +
       '{"Verb":"reap","Piece":"j-9/1","Try":3}]}',
   );
-  assert.equal(await ask(reportOf('n-0', 3, { Pieces: pieces.slice(0, 1) })), '200 {"Baton":41,"Orders":[]}');
+  assert.equal(
+    await ask(heartbeatOf('n-0', 3, { Pieces: pieces.slice(0, 1) })),
+    '200 {"Baton":41,"Orders":[]}',
+  );
   controller.stop();
 });
 
-test('a worker that this node does not act for is sent to the one that does, or refused with the reason', async () => {
+test('a worker of another node is redirected to its owner, or refused with the reason', async () => {
   const { clock, store, controller, ask } = nodeBench();
-  assert.equal(await ask(reportOf('n-0', 1)), '503 {"error":"machine not known"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-0', 1)), '503 {"error":"machine not known"}, after 1 s');
   controller.start();
   await pass(clock, 3 * SECOND);
   assert.equal(await ask({ Host: 'n-0' }), '400 {"error":"not a report"}');
-  assert.equal(await ask(reportOf('n-9', 1)), '503 {"error":"machine not known"}, after 1 s');
-  assert.equal(await ask(reportOf('n-1', 1)), '421 {"Foreman":"node-1"}');
-  assert.equal(await ask(reportOf('n-2', 1)), '503 {"error":"no owner known"}, after 1 s');
-  assert.equal(await ask(reportOf('n-3', 1)), '503 {"error":"not ready yet"}, after 1 s');
-  assert.equal(await ask(reportOf('n-0', 1, { Baton: 42 })), '503 {"error":"superseded"}, after 1 s');
-  assert.match(await ask(reportOf('n-0', 7)), /^200 /);
-  assert.equal(await ask(reportOf('n-0', 6)), '503 {"error":"stale report"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-9', 1)), '503 {"error":"machine not known"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-1', 1)), '421 {"Foreman":"node-1"}');
+  assert.equal(await ask(heartbeatOf('n-2', 1)), '503 {"error":"no owner known"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-3', 1)), '503 {"error":"not ready yet"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-0', 1, { Baton: 42 })), '503 {"error":"superseded"}, after 1 s');
+  assert.match(await ask(heartbeatOf('n-0', 7)), /^200 /);
+  assert.equal(await ask(heartbeatOf('n-0', 6)), '503 {"error":"stale report"}, after 1 s');
   store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
   store.setOutage(true);
   await pass(clock, SECOND);
-  assert.match(await ask(reportOf('n-0', 8)), /^200 /);
+  assert.match(await ask(heartbeatOf('n-0', 8)), /^200 /);
   await pass(clock, 20 * SECOND);
-  assert.equal(await ask(reportOf('n-0', 9)), '503 {"error":"state not reachable"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-0', 9)), '503 {"error":"state not reachable"}, after 1 s');
   controller.stop();
 });
 
-test('a machine that is between two owners is refused until the node has taken it', async () => {
+test('a machine in transfer between two shards is refused until the node has acquired it', async () => {
   const { clock, store, controller, ask } = nodeBench();
   store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
   store.isLate = (writes) => writes.some((write) => String(write['Set']).startsWith('mw/now/log/0/'));
   controller.start();
   await pass(clock, 2 * SECOND);
-  assert.equal(await ask(reportOf('n-4', 1)), '503 {"error":"machine on the move"}, after 1 s');
+  assert.equal(await ask(heartbeatOf('n-4', 1)), '503 {"error":"machine on the move"}, after 1 s');
   controller.stop();
 });
 
-test('a worker that shows more than the state does is refused where lost state is noticed', async () => {
+test('a worker ahead of the state is refused where data loss is detected', async () => {
   const { clock, controller, ask } = nodeBench({ detectsDataLoss: true });
   controller.start();
   await pass(clock, 10 * SECOND);
   const pieces = [{ Piece: 'j-1/0', Try: 50 * 1024, Status: 'running' }];
   assert.equal(
-    await ask(reportOf('n-0', 1, { Pieces: pieces })),
+    await ask(heartbeatOf('n-0', 1, { Pieces: pieces })),
     '503 {"error":"state behind the worker"}, after 1 s',
   );
   controller.stop();
 });
 
-test('a health check gets 200 once the node can take requests, and the reason until then', async () => {
+test('a health check gets 200 once the node can serve requests, and the reason until then', async () => {
   const { clock, controller } = nodeBench();
   assert.equal(textOf(controller.health()), '503 {"error":"not ready yet"}, after 1 s');
   controller.start();
--- a/packages/daemon/peer-format.test.ts
+++ b/packages/daemon/peer-format.test.ts
@@ -29,20 +29,20 @@
   redirectedWorkers: { 'node-2': 300, 'node-3': 0 },
   highWaterMark: { revision: 431, isInconsistent: true },
 };
-const CALM: PeerStatus = { ...EMPTY, highWaterMark: { revision: 0, isInconsistent: false } };
+const CONSISTENT: PeerStatus = { ...EMPTY, highWaterMark: { revision: 0, isInconsistent: false } };
 
-/** Each frame: its length, the sender's name, the number of the message, then what the sender tells. */
+/** Each frame: its length, the sender's name, the sequence number of the message, then the sender's status. */
 const HEAD = '0c6e6f64652d31' + '02';
 const PLAIN_FRAME = '00000014' + HEAD + '0e' + '01' + '020c6e6f64652d320600';
 const EMPTY_FRAME = '0000000b' + HEAD + '00' + '00' + '00';
 const FULL_FRAME =
   '00000027' + HEAD + 'fcffffffffffff1f' + '00' + '040c6e6f64652d32d8040c6e6f64652d330000' + 'de06' + '01';
-const CALM_FRAME = '0000000d' + HEAD + '00' + '00' + '00' + '00' + '00';
+const CONSISTENT_FRAME = '0000000d' + HEAD + '00' + '00' + '00' + '00' + '00';
 const CASES: [PeerStatus, string][] = [
   [PLAIN, PLAIN_FRAME],
   [EMPTY, EMPTY_FRAME],
   [FULL, FULL_FRAME],
-  [CALM, CALM_FRAME],
+  [CONSISTENT, CONSISTENT_FRAME],
 ];
 
 function endpointOf(server: Server): string {
@@ -62,45 +62,45 @@
   });
 }
 
-/** A peer that answers each chunk that comes with these bytes, and notes what came. */
-async function rawPeer(t: TestContext, answer: string): Promise<{ endpoint: string; came: string[] }> {
-  const came: string[] = [];
+/** A peer that answers each chunk with these bytes, and records the chunks that arrived. */
+async function rawPeer(t: TestContext, answer: string): Promise<{ endpoint: string; received: string[] }> {
+  const received: string[] = [];
   const server = createServer((socket) => {
     socket.on('data', (chunk: Buffer) => {
-      came.push(chunk.toString('hex'));
+      received.push(chunk.toString('hex'));
       socket.write(Buffer.from(answer, 'hex'));
     });
   });
   closeAfter(t, server);
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
-  return { endpoint: endpointOf(server), came };
+  return { endpoint: endpointOf(server), received };
 }
 
-test('a node that pings sends these bytes, with its memory behind them where it tells of it', async (t) => {
+test('a ping has these bytes, followed by the high-water mark if the sender has one', async (t) => {
   for (const [status, frame] of CASES) {
-    const { endpoint, came } = await rawPeer(t, EMPTY_FRAME);
+    const { endpoint, received } = await rawPeer(t, EMPTY_FRAME);
     await createPinger('node-1', () => status)(endpoint, 2 * SECOND);
-    assert.deepEqual(came, [frame]);
+    assert.deepEqual(received, [frame]);
   }
 });
 
-test('what a peer tells is read back, without a memory where it sends none, as older versions do', async (t) => {
+test('the status of a peer is decoded, without a high-water mark if it sends none, as older versions do', async (t) => {
   for (const [status, frame] of CASES) {
     const { endpoint } = await rawPeer(t, frame);
     const answer = await createPinger('node-1', () => EMPTY)(endpoint, 2 * SECOND);
-    // What is read may be of a class of its own; what it holds counts.
+    // The decoded status may have a prototype of its own; only its fields matter.
     assert.deepEqual(structuredClone(answer), { result: 'ok', status });
   }
 });
 
-test('a node that is pinged answers under the name and number of the ping with what it tells itself', async (t) => {
+test('the answer to a ping repeats its sender and sequence number, and carries the status of the node', async (t) => {
   for (const [status, frame] of CASES) {
     for (const asked of [PLAIN_FRAME, FULL_FRAME]) {
       const server = await servePeers('127.0.0.1:0', () => status);
       closeAfter(t, server);
       const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
-      // In two pieces, as the network may cut it.
+      // In two pieces, as the network may split it.
       socket.write(Buffer.from(asked.slice(0, 10), 'hex'));
       await once(socket, 'connect');
       socket.write(Buffer.from(asked.slice(10), 'hex'));
@@ -111,8 +111,8 @@
   }
 });
 
-test('the number of a ping grows with each, and an answer to another one is passed over', async (t) => {
-  const { endpoint, came } = await rawPeer(t, EMPTY_FRAME);
+test('the sequence number rises with each ping, and an answer to another ping is ignored', async (t) => {
+  const { endpoint, received } = await rawPeer(t, EMPTY_FRAME);
   const ping = createPinger('node-1', () => EMPTY);
   const answers: PingReply[] = [];
   answers.push(await ping(endpoint, 2 * SECOND));
@@ -121,12 +121,12 @@
     { result: 'ok', status: EMPTY },
     { result: 'silent', status: null },
   ]);
-  assert.deepEqual(came, [EMPTY_FRAME, EMPTY_FRAME.replace(HEAD, '0c6e6f64652d3104')]);
+  assert.deepEqual(received, [EMPTY_FRAME, EMPTY_FRAME.replace(HEAD, '0c6e6f64652d3104')]);
 });
 
-test('bytes that are no message end the connection', async (t) => {
+test('bytes that are not a message close the connection', async (t) => {
   const broken = [
-    // Cut off within the message, bytes behind the memory, a frame that is too long.
+    // Cut off within the message, bytes after the high-water mark, a frame that is too long.
     '0000000a' + HEAD + '0000',
     '0000000e' + HEAD + '000000' + '0000' + '00',
     '00001001' + HEAD,
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -179,7 +179,7 @@
   assert.deepEqual(reader.replica.jobs.get('j-1')?.spec, { ...ARRAY_JOB, machineTypes: ['large', 'small'] });
 });
 
-test('the words for the ranks of jobs', async () => {
+test('the stored names of job ranks', async () => {
   const world = new UserWorld(TYPE_ROWS);
   await world.pass();
   for (const [i, rank] of RANKS.entries()) {
@@ -209,7 +209,7 @@
   assert.deepEqual(textsOf(world.store, JOB_PREFIX), { 'mw/now/job/j-1': '{"Status":"cancelled"}' });
 });
 
-test('rows of shares, of the token and of machine types, as a leader writes them', async () => {
+test('rows of shards, of the fencing token and of machine types, as a leader writes them', async () => {
   const world = new SimWorld({ seed: 1, nodes: 1, settings: { initialSize: 2 } });
   await world.run(10 * SECOND);
   const { store } = world;
