--- /dev/null
+++ b/packages/cli/duties-output.test.ts
@@ -0,0 +1,232 @@
+/** What `micaworks duties` prints, to the letter: scripts of the operators read these lines. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { type NodeDutyReport } from '#operations';
+import { answerAlways, CLOSED, listen, run } from './command-test-support.js';
+
+/** A node that has just started and knows of nobody. */
+const NEW_NODE: NodeDutyReport = {
+  member: 'node-3',
+  membership: 'joining',
+  knowledgeAgeS: null,
+  duties: [
+    {
+      duty: 'lead',
+      state: 'vacant',
+      holder: null,
+      term: null,
+      sinceS: 0,
+      leaseLeftS: null,
+      openIntents: { rentals: [], returns: [] },
+      lastRefused: null,
+    },
+  ],
+};
+
+test('duties prints this table', async (t) => {
+  const nodes = [await listen(t), await listen(t, { dutyReport: () => NEW_NODE })];
+  assert.deepEqual(await run(['duties', '--node', ...nodes, CLOSED]), [
+    'exit 0',
+    'NODE    DUTY     STATE      HOLDER  TERM  SINCE   LEASE  OPEN                  LAST REFUSED',
+    'node-1  lead     held       node-1  41    12.5 s  2.4 s  1 rentals, 2 returns  deal shares: the duty has changed hands (term 38, 90 s ago)',
+    'node-1  share/0  held       node-2  40    3 s     -      -                     -',
+    'node-1  share/1  vacant     -       -     0 s     -      -                     -',
+    'node-1  share/2  acquiring  -       -     0.1 s   -      -                     -',
+    'node-1  share/3  suspected  node-1  37    1.2 s   0.3 s  -                     -',
+    'node-1  share/4  lost       -       36    100 s   -      -                     -',
+    'node-1  share/5  resigning  node-1  35    0.7 s   2.4 s  -                     -',
+    'node-3  lead     vacant     -       -     0 s     -      0 rentals, 0 returns  -',
+    'node-1: member; what it knows is 0.4 s old',
+    'node-3: joining; what it knows is never complete',
+    '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
+  ]);
+});
+
+test('duties --json prints this object', async (t) => {
+  const [first, second] = [await listen(t), await listen(t, { dutyReport: () => NEW_NODE })];
+  const names = { [first]: 'FIRST', [second]: 'SECOND' };
+  assert.deepEqual(await run(['duties', '--json', '--node', first, second, CLOSED], names), [
+    'exit 0',
+    '{',
+    '  "nodes": [',
+    '    {',
+    '      "node": "FIRST",',
+    '      "member": "node-1",',
+    '      "membership": "member",',
+    '      "knowledgeAgeS": 0.4,',
+    '      "duties": [',
+    '        {',
+    '          "duty": "lead",',
+    '          "state": "held",',
+    '          "holder": "node-1",',
+    '          "term": 41,',
+    '          "sinceS": 12.5,',
+    '          "leaseLeftS": 2.4,',
+    '          "openIntents": {',
+    '            "rentals": [',
+    '              "hire-1-41-1"',
+    '            ],',
+    '            "returns": [',
+    '              "n-000003",',
+    '              "n-000004"',
+    '            ]',
+    '          },',
+    '          "lastRefused": {',
+    '            "action": "deal shares",',
+    '            "reason": "the duty has changed hands",',
+    '            "term": 38,',
+    '            "ageS": 90',
+    '          }',
+    '        },',
+    '        {',
+    '          "duty": "share/0",',
+    '          "state": "held",',
+    '          "holder": "node-2",',
+    '          "term": 40,',
+    '          "sinceS": 3,',
+    '          "leaseLeftS": null,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        },',
+    '        {',
+    '          "duty": "share/1",',
+    '          "state": "vacant",',
+    '          "holder": null,',
+    '          "term": null,',
+    '          "sinceS": 0,',
+    '          "leaseLeftS": null,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        },',
+    '        {',
+    '          "duty": "share/2",',
+    '          "state": "acquiring",',
+    '          "holder": null,',
+    '          "term": null,',
+    '          "sinceS": 0.1,',
+    '          "leaseLeftS": null,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        },',
+    '        {',
+    '          "duty": "share/3",',
+    '          "state": "suspected",',
+    '          "holder": "node-1",',
+    '          "term": 37,',
+    '          "sinceS": 1.2,',
+    '          "leaseLeftS": 0.3,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        },',
+    '        {',
+    '          "duty": "share/4",',
+    '          "state": "lost",',
+    '          "holder": null,',
+    '          "term": 36,',
+    '          "sinceS": 100,',
+    '          "leaseLeftS": null,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        },',
+    '        {',
+    '          "duty": "share/5",',
+    '          "state": "resigning",',
+    '          "holder": "node-1",',
+    '          "term": 35,',
+    '          "sinceS": 0.7,',
+    '          "leaseLeftS": 2.4,',
+    '          "openIntents": null,',
+    '          "lastRefused": null',
+    '        }',
+    '      ]',
+    '    },',
+    '    {',
+    '      "node": "SECOND",',
+    '      "member": "node-3",',
+    '      "membership": "joining",',
+    '      "knowledgeAgeS": null,',
+    '      "duties": [',
+    '        {',
+    '          "duty": "lead",',
+    '          "state": "vacant",',
+    '          "holder": null,',
+    '          "term": null,',
+    '          "sinceS": 0,',
+    '          "leaseLeftS": null,',
+    '          "openIntents": {',
+    '            "rentals": [],',
+    '            "returns": []',
+    '          },',
+    '          "lastRefused": null',
+    '        }',
+    '      ]',
+    '    }',
+    '  ],',
+    '  "silent": [',
+    '    {',
+    '      "node": "127.0.0.1:1",',
+    '      "reason": "connect ECONNREFUSED 127.0.0.1:1"',
+    '    }',
+    '  ]',
+    '}',
+  ]);
+});
+
+test('duties fails in these words if no node answers', async (t) => {
+  const text = await answerAlways(t, 200, 'no JSON');
+  const number = await answerAlways(t, 200, '7');
+  const error = await answerAlways(t, 500, '{"error":"internal error"}');
+  const long = await answerAlways(t, 200, 'x'.repeat(5 * 1024 * 1024));
+  const names = { [text]: 'TEXT', [number]: 'NUMBER', [error]: 'ERROR', [long]: 'LONG' };
+  const nodes = ['--node', text, number, error, long, CLOSED];
+  assert.deepEqual(await run(['duties', ...nodes], names), [
+    'exit 1',
+    'NODE  DUTY  STATE  HOLDER  TERM  SINCE  LEASE  OPEN  LAST REFUSED',
+    'TEXT: no answer (its answer is not JSON)',
+    'NUMBER: no answer (its answer is not JSON)',
+    'ERROR: no answer (internal error)',
+    'LONG: no answer (its answer is too large)',
+    '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
+    '! micaworks: no node answered; is operations/listen set in their XML?',
+  ]);
+  assert.deepEqual(await run(['duties', '--json', '--node', CLOSED]), [
+    'exit 1',
+    '{',
+    '  "nodes": [],',
+    '  "silent": [',
+    '    {',
+    '      "node": "127.0.0.1:1",',
+    '      "reason": "connect ECONNREFUSED 127.0.0.1:1"',
+    '    }',
+    '  ]',
+    '}',
+    '! micaworks: no node answered; is operations/listen set in their XML?',
+  ]);
+});
+
+test('duties resign prints one of these lines', async (t) => {
+  const done = await listen(t);
+  const refusing = await listen(t, {
+    resign: () => Promise.resolve({ kind: 'refused', reason: 'share/1 is not held here: node-2 holds it' }),
+  });
+  const failing = await listen(t, { resign: () => Promise.reject(new Error('unforeseen')) });
+  const strange = await answerAlways(t, 200, '{"kind":"later"}');
+  const names = { [failing]: 'FAILING' };
+  const resign = (role: string, node: string): Promise<string[]> =>
+    run(['duties', 'resign', role, '--node', node], names);
+  assert.deepEqual(await resign('lead', done), ['exit 0', 'lead was handed over']);
+  assert.deepEqual(await resign('share/12', done), ['exit 0', 'share/12 was handed over']);
+  assert.deepEqual(await resign('share/1', refusing), [
+    'exit 1',
+    '! micaworks: share/1 was not handed over: share/1 is not held here: node-2 holds it',
+  ]);
+  assert.deepEqual(await resign('lead', failing), [
+    'exit 1',
+    '! micaworks: FAILING: internal error; the log of the node says more',
+  ]);
+  assert.deepEqual(await resign('lead', strange), ['exit 1', '! micaworks: lead was not handed over: ?']);
+  assert.deepEqual(await resign('lead', CLOSED), [
+    'exit 1',
+    '! micaworks: 127.0.0.1:1: connect ECONNREFUSED 127.0.0.1:1',
+  ]);
+});
--- /dev/null
+++ b/packages/cli/recover-output.test.ts
@@ -0,0 +1,164 @@
+/** What `micaworks recover status` prints, to the letter: scripts of the operators read these lines. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { type NodeLossReport } from '#operations';
+import { CLOSED, listen, run, SERVING } from './command-test-support.js';
+
+const FROZEN: NodeLossReport = {
+  member: 'node-2',
+  loss: {
+    state: 'frozen',
+    sinceS: 12.5,
+    evidence: [
+      {
+        source: 'own requests',
+        inconsistency: { kind: 'revision_regressed', known: 431, shown: 9 },
+        text: 'own requests: epoch 9 is shown, 431 was seen',
+      },
+      {
+        source: 'worker n-000001',
+        inconsistency: { kind: 'log_regressed', log: '0', known: 12, shown: 0 },
+        text: 'worker n-000001: log 0 ends at 0, record 12 was seen',
+      },
+    ],
+    falseAlarms: 1,
+    seen: { revision: 431, fencingToken: 7, positions: { '0': 12, lead: 3 } },
+  },
+};
+
+const NOTICED: NodeLossReport = {
+  member: 'node-3',
+  loss: {
+    state: 'noticed',
+    sinceS: 0.2,
+    evidence: [
+      {
+        source: 'own watch',
+        inconsistency: { kind: 'key_missing', key: 'mw/now/token' },
+        text: 'own watch: mw/now/token is gone, and no node removes it',
+      },
+    ],
+    falseAlarms: 0,
+    seen: { revision: 431, fencingToken: 7, positions: {} },
+  },
+};
+
+const NOT_WATCHED: NodeLossReport = { member: 'node-4', loss: null };
+
+test('recover status prints this table, and fails if state is lost', async (t) => {
+  const nodes: string[] = [];
+  for (const report of [FROZEN, SERVING, NOTICED, NOT_WATCHED]) {
+    nodes.push(await listen(t, { lossReport: () => report }));
+  }
+  assert.deepEqual(await run(['recover', 'status', '--node', ...nodes, CLOSED]), [
+    'exit 1',
+    'NODE    STATE        SINCE   FALSE ALARMS  HIGHEST EPOCH  HIGHEST TOKEN',
+    'node-2  frozen       12.5 s  1             431            7',
+    'node-1  serving      100 s   0             432            0',
+    'node-3  noticed      0.2 s   0             431            7',
+    'node-4  not watched  -       -             -              -',
+    'node-2: own requests: epoch 9 is shown, 431 was seen',
+    'node-2: worker n-000001: log 0 ends at 0, record 12 was seen',
+    'node-3: own watch: mw/now/token is gone, and no node removes it',
+    '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
+    '! micaworks: the state service has lost state, as node-2, node-3 found; see docs/operations/recovery.md',
+  ]);
+  const [, serving = '', , unwatched = ''] = nodes;
+  assert.deepEqual(await run(['recover', 'status', '--node', serving, unwatched]), [
+    'exit 0',
+    'NODE    STATE        SINCE  FALSE ALARMS  HIGHEST EPOCH  HIGHEST TOKEN',
+    'node-1  serving      100 s  0             432            0',
+    'node-4  not watched  -      -             -              -',
+  ]);
+  assert.deepEqual(await run(['recover', 'status', '--node', CLOSED]), [
+    'exit 1',
+    'NODE  STATE  SINCE  FALSE ALARMS  HIGHEST EPOCH  HIGHEST TOKEN',
+    '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
+    '! micaworks: no node answered; is operations/listen set in their XML?',
+  ]);
+});
+
+test('recover status --json prints this object', async (t) => {
+  const frozen = await listen(t, { lossReport: () => FROZEN });
+  const unwatched = await listen(t, { lossReport: () => NOT_WATCHED });
+  const names = { [frozen]: 'FROZEN', [unwatched]: 'UNWATCHED' };
+  assert.deepEqual(await run(['recover', 'status', '--json', '--node', frozen, unwatched, CLOSED], names), [
+    'exit 1',
+    '{',
+    '  "nodes": [',
+    '    {',
+    '      "node": "FROZEN",',
+    '      "member": "node-2",',
+    '      "loss": {',
+    '        "state": "frozen",',
+    '        "sinceS": 12.5,',
+    '        "evidence": [',
+    '          {',
+    '            "source": "own requests",',
+    '            "contradiction": {',
+    '              "kind": "epoch_went_back",',
+    '              "known": 431,',
+    '              "shown": 9',
+    '            },',
+    '            "text": "own requests: epoch 9 is shown, 431 was seen"',
+    '          },',
+    '          {',
+    '            "source": "worker n-000001",',
+    '            "contradiction": {',
+    '              "kind": "log_went_back",',
+    '              "log": "0",',
+    '              "known": 12,',
+    '              "shown": 0',
+    '            },',
+    '            "text": "worker n-000001: log 0 ends at 0, record 12 was seen"',
+    '          }',
+    '        ],',
+    '        "falseAlarms": 1,',
+    '        "seen": {',
+    '          "epoch": 431,',
+    '          "token": 7,',
+    '          "positions": {',
+    '            "0": 12,',
+    '            "lead": 3',
+    '          }',
+    '        }',
+    '      }',
+    '    },',
+    '    {',
+    '      "node": "UNWATCHED",',
+    '      "member": "node-4",',
+    '      "loss": null',
+    '    }',
+    '  ],',
+    '  "silent": [',
+    '    {',
+    '      "node": "127.0.0.1:1",',
+    '      "reason": "connect ECONNREFUSED 127.0.0.1:1"',
+    '    }',
+    '  ]',
+    '}',
+    '! micaworks: the state service has lost state, as node-2 found; see docs/operations/recovery.md',
+  ]);
+  const serving = await listen(t, { lossReport: () => SERVING });
+  assert.deepEqual(await run(['recover', 'status', '--json', '--node', serving], { [serving]: 'SERVING' }), [
+    'exit 0',
+    '{',
+    '  "nodes": [',
+    '    {',
+    '      "node": "SERVING",',
+    '      "member": "node-1",',
+    '      "loss": {',
+    '        "state": "serving",',
+    '        "sinceS": 100,',
+    '        "evidence": [],',
+    '        "falseAlarms": 0,',
+    '        "seen": {',
+    '          "epoch": 432',
+    '        }',
+    '      }',
+    '    }',
+    '  ],',
+    '  "silent": []',
+    '}',
+  ]);
+});
