--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -19,7 +19,7 @@
 import { sampleJob } from '#testkit';
 import { execute, FAILURE_EXIT, USAGE_EXIT } from './index.js';
 
-/** A node whose state service shows an epoch below one that it has shown before. */
+/** A node whose state service shows a lower revision than before. */
 const LOSS: NodeLossReport = {
   member: 'node-2',
   loss: {
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -3,8 +3,8 @@
 import {
   askRoles,
   askToResign,
-  type DutiesAnswer,
-  type DutyAnswer,
+  type RolesAnswer,
+  type RoleAnswer,
   type OpenIntentsAnswer,
   type RefusalAnswer,
 } from '#operations';
@@ -35,7 +35,7 @@
   print(`${name} was handed over`);
 }
 
-function printTable(answers: NodeAnswers<DutiesAnswer>, print: Print): void {
+function printTable(answers: NodeAnswers<RolesAnswer>, print: Print): void {
   const { nodes } = answers;
   const rows = nodes.flatMap((answer) => answer.duties.map((role) => rowOf(answer.member, role)));
   for (const line of formatTable([HEADING, ...rows])) print(line);
@@ -47,7 +47,7 @@
 }
 
 /** The cells of one role, under {@link HEADING}. */
-function rowOf(member: string, role: DutyAnswer): string[] {
+function rowOf(member: string, role: RoleAnswer): string[] {
   return [
     member,
     role.duty,
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -7,16 +7,16 @@
 import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
 
 /** Of `GET /duties`. */
-export interface DutiesAnswer {
+export interface RolesAnswer {
   readonly member: string;
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
   /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
-  readonly duties: readonly DutyAnswer[];
+  readonly duties: readonly RoleAnswer[];
 }
 
 /** One role, as the node that answers knows it. */
-export interface DutyAnswer {
+export interface RoleAnswer {
   /** `lead` or `share/N`. */
   readonly duty: string;
   readonly state: 'vacant' | 'acquiring' | 'held' | 'suspected' | 'lost' | 'resigning';
@@ -99,7 +99,7 @@
 }
 
 /** The answer to `GET /duties`. */
-export function encodeRoles(report: NodeDutyReport): DutiesAnswer {
+export function encodeRoles(report: NodeDutyReport): RolesAnswer {
   return {
     member: report.member,
     membership: report.membership,
@@ -123,7 +123,7 @@
   }
 }
 
-function encodeRole(role: RoleReport): DutyAnswer {
+function encodeRole(role: RoleReport): RoleAnswer {
   return {
     duty: role.duty,
     state: role.state,
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -188,17 +188,17 @@
 });
 
 test('GET /duties names each membership', async () => {
-  const words: [state: Membership['state'], word: string][] = [
+  const memberships: [state: Membership['state'], answered: string][] = [
     ['outside', 'outside'],
     ['joining', 'joining'],
     ['member', 'member'],
     ['stopped', 'stopped'],
   ];
-  for (const [membership, word] of words) {
+  for (const [membership, answered] of memberships) {
     const report = { member: 'node-1', membership, knowledgeAgeS: 0, duties: [] };
     assert.equal(
       await answerOf({ dutyReport: () => report }, '/duties'),
-      `200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"${word}","knowledgeAgeS":0,"duties":[]}`,
+      `200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"${answered}","knowledgeAgeS":0,"duties":[]}`,
     );
   }
 });
@@ -431,26 +431,26 @@
 test('the client returns the answer, or the reason why there is none', async () => {
   await withListener({}, async (address) => {
     const nodes = [address];
-    const told = async (answers: Promise<unknown>): Promise<string> =>
+    const outcomeOf = async (answers: Promise<unknown>): Promise<string> =>
       JSON.stringify(await answers).replaceAll(address, 'ADDRESS');
     assert.equal(
-      await told(askRoles(nodes)),
+      await outcomeOf(askRoles(nodes)),
       '[{"node":"ADDRESS","kind":"answered","value":{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[]}}]',
     );
     assert.equal(
-      await told(askLoss(nodes)),
+      await outcomeOf(askLoss(nodes)),
       '[{"node":"ADDRESS","kind":"answered","value":{"member":"node-1","loss":null}}]',
     );
     assert.equal(
-      await told(askToResign(address, 'lead')),
+      await outcomeOf(askToResign(address, 'lead')),
       '{"node":"ADDRESS","kind":"answered","value":{"kind":"handed_over"}}',
     );
     assert.equal(
-      await told(askToResign(address, 'nothing')),
+      await outcomeOf(askToResign(address, 'nothing')),
       '{"node":"ADDRESS","kind":"silent","reason":"duty: must be lead or share/N"}',
     );
     assert.equal(
-      await told(askRoles(['127.0.0.1:1'])),
+      await outcomeOf(askRoles(['127.0.0.1:1'])),
       '[{"node":"127.0.0.1:1","kind":"silent","reason":"connect ECONNREFUSED 127.0.0.1:1"}]',
     );
     await assert.rejects(openSnapshot(address), { message: 'this node holds no copy of the state yet' });
--- a/packages/operations/client.ts
+++ b/packages/operations/client.ts
@@ -1,7 +1,7 @@
 /** A client of the operators' listeners. */
 import { type ClientRequest, type IncomingMessage, request } from 'node:http';
 import { parseEndpoint } from '#wire';
-import type { DutiesAnswer, RecoveryAnswer, ResignAnswer } from './answer-codec.js';
+import type { RolesAnswer, RecoveryAnswer, ResignAnswer } from './answer-codec.js';
 
 /** Result of a request to one node: its answer, or the reason why there is none. */
 export type NodeAnswer<T> =
@@ -30,8 +30,8 @@
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
 /** Asks every node at the same time for its view of the roles; the result names those that don't answer, with the reason. */
-export function askRoles(nodes: readonly string[]): Promise<NodeAnswer<DutiesAnswer>[]> {
-  return Promise.all(nodes.map((node) => get<DutiesAnswer>(node, '/duties')));
+export function askRoles(nodes: readonly string[]): Promise<NodeAnswer<RolesAnswer>[]> {
+  return Promise.all(nodes.map((node) => get<RolesAnswer>(node, '/duties')));
 }
 
 /** Asks every node at the same time for its data-loss report. */
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -23,7 +23,7 @@
 const INCOMPLETE_READINGS_LIMIT = 3;
 /** Added to the heartbeat interval for workers that try another node first. */
 const STARTUP_MARGIN: Micros = SECOND;
-/** First words of the sources of evidence: this node, and a peer. */
+/** Prefixes of the sources of evidence: this node, and a peer. */
 const OWN = 'own';
 const PEER = 'peer';
 /** Below every revision: a node that has accepted no reading yet believes every peer that disagrees. */
--- a/packages/recovery/data-loss-report.ts
+++ b/packages/recovery/data-loss-report.ts
@@ -12,7 +12,7 @@
   /** `own requests`, `own copy`, `own watch`, `own reading`, `worker HOST` or `peer MEMBER`. */
   readonly source: string;
   readonly inconsistency: Inconsistency;
-  /** Source and inconsistency in words, as operators and the log get them. */
+  /** Source and inconsistency as a sentence, for operators and the log. */
   readonly text: string;
 }
 
--- a/packages/recovery/inconsistencies.ts
+++ b/packages/recovery/inconsistencies.ts
@@ -54,7 +54,7 @@
   };
 }
 
-/** The inconsistency in the words that operators read; they call a revision an epoch. */
+/** The inconsistency as a sentence for operators, who call a revision an epoch. */
 export function describeInconsistency(inconsistency: Inconsistency): string {
   switch (inconsistency.kind) {
     case 'revision_regressed':
--- a/packages/recovery/snapshot-error.ts
+++ b/packages/recovery/snapshot-error.ts
@@ -16,7 +16,7 @@
   }
 }
 
-/** The fault of a file that an error of its decompression tells; the error itself if it tells none. */
+/** The fault of a file that an error of its decompression shows; the error itself if it shows none. */
 export function faultOfDecompression(cause: unknown): unknown {
   switch ((cause as { code?: unknown }).code) {
     case 'Z_BUF_ERROR':
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -12,7 +12,7 @@
 import { readSnapshot } from './snapshot-reader.js';
 import { type TerminalStatusPages, writeSnapshot } from './snapshot-writer.js';
 
-/** A state with machines in every condition, an open rental, prices, array and gang tasks, and tasks that are done. */
+/** A state with machines in every condition, an open scale-out request, prices, array and gang tasks, and tasks that are done. */
 function sampleLedger(): Ledger {
   const ledger = new Ledger();
   ledger.apply('lead', {
@@ -146,7 +146,7 @@
   loss: null,
 };
 
-/** Two pages of final answers, asked for by the last name of the page before. */
+/** Two pages of terminal statuses, requested by the last job id of the page before. */
 const terminalStatusPages: TerminalStatusPages = (after) => {
   if (after === '') {
     return Promise.resolve([
@@ -197,7 +197,7 @@
 
 const WHOLE = [HEADER, ...BODY, TRAILER];
 
-/** What {@link readSnapshot} tells of the file in numbers, as `snapshot show --json` prints it. */
+/** The counts that {@link readSnapshot} returns, as `snapshot show --json` prints them. */
 const SUMMARY =
   '{"header":{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":null,"epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}},"jobs":2,"finals":5,"machines":8,"rentals":1,"tasks":3,"machineTypes":1,"lines":24,"hasAllFinals":true,"positions":{"0":2,"1":1,"lead":1}}';
 
@@ -226,7 +226,7 @@
   assert.deepEqual(
     lines.slice(1, -1),
     BODY.slice(0, -3).map((line) => `${line}\n`),
-    'all but the final answers that the pages would have given',
+    'all but the terminal statuses that the pages would have given',
   );
 });
 
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -1,4 +1,4 @@
-/** A snapshot of a large fleet: read back whole, and written without keeping the node from its rounds. */
+/** A snapshot of a large fleet: read back completely, and written without delaying the node's scheduling rounds. */
 import assert from 'node:assert/strict';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
