--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -19,7 +19,8 @@
   TaskRow,
 } from './placement.js';
 import { PlacementIndex } from './placement-index.js';
-import { type CheckpointRow, readRows } from './stored/checkpoint-codec.js';
+import { readRows } from './stored/checkpoint-codec.js';
+import type { CheckpointRow } from './stored/checkpoint-row.js';
 
 /** Images that a machine is taken to have: those of its last starts. */
 const MAX_CACHED_IMAGES = 16;
@@ -115,8 +116,8 @@
       this.positions.set(log === 'lead' ? 'lead' : Number(log), seq);
     }
     readRows(rows, {
-      host: (machine) => this.machines.set(machine.host, machine),
-      id: (scaleOut) => this.pendingScaleOuts.set(scaleOut.id, scaleOut),
+      machine: (machine) => this.machines.set(machine.host, machine),
+      scaleOut: (scaleOut) => this.pendingScaleOuts.set(scaleOut.id, scaleOut),
       price: (shard, shape, row) => {
         this.setPrice(shard, shape, row);
       },
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -14,7 +14,8 @@
 } from './keys.js';
 import { Ledger } from './ledger.js';
 import type { RowDifferences } from './state-integrity-check.js';
-import { type CheckpointRow, decodeCheckpointHead, decodeChunk } from './stored/checkpoint-codec.js';
+import { decodeCheckpointHead, decodeChunk } from './stored/checkpoint-codec.js';
+import type { CheckpointRow } from './stored/checkpoint-row.js';
 import { decodeFencingToken, UNREADABLE_FENCING_TOKEN } from './stored/holder-codec.js';
 import { isTerminal } from './stored/job-codec.js';
 import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -4,71 +4,21 @@
  * machines are given once and then go by their number, times count from the first row's, and trailing cells with their
  * usual values are left out.
  */
-import { type Count, type WireFields, jsonBytes } from '#wire';
 import type {
   MachineEntry,
-  MachineStatus,
+  PendingScaleOut,
   Placement,
   Positions,
-  PendingScaleOut,
+  PriceRow,
   ShapePrice,
   StartGroup,
+  TaskRow,
 } from '../placement.js';
-import {
-  decodeDestination,
-  encodeDestination,
-  type StoredDestination,
-  type StoredHeartbeatPosition,
-  type StoredResources,
-} from './record-codec.js';
-
-/** Each is small enough to be packed into a value. */
-export type CheckpointRow =
-  | [k: 't', base: number]
-  | [k: 'n', ...names: string[]]
-  | [k: 'h', ...cells: StoredMachineCells]
-  | [k: 'q', row: StoredRental]
-  | [k: 'p', shard: number, shape: string, cpu: number, gpu: number, mem: number]
-  | [
-      k: 's',
-      job: string,
-      team: number,
-      at: number,
-      attempt: number,
-      need: StoredResources,
-      tasks: StoredPlacedTask[],
-      gangSize?: number,
-    ]
-  | [k: 'd', job: string, ranges: string];
-
-type StoredPlacedTask = [index: number, machine: number, incarnation: Count];
-
-type StoredMachineCells = [
-  host: string,
-  machineType: number,
-  zone: number,
-  spot: 0 | 1,
-  since: number,
-  shard: number | null,
-  status?: number,
-  images?: number[],
-  ownershipCount?: number,
-  lastReport?: StoredHeartbeatPosition | null,
-  to?: StoredDestination | null,
-  errors?: number,
-  failedAt?: number,
-];
-
-/** A request for machines that is not settled yet. */
-export interface StoredRental {
-  id: string;
-  machineType: string;
-  zone: string;
-  spot: boolean;
-  number: number;
-  share: number;
-  at: number;
-}
+import type { CheckpointRow, StoredPlacedTask, StoredRental } from './checkpoint-row.js';
+import { decodeMachine, encodeMachine } from './machine-cells.js';
+import { NameTable } from './name-table.js';
+import type { StoredResources } from './record-codec.js';
+import { jsonBytes, type WireFields } from '#wire';
 
 /** What the head of a checkpoint says. */
 export interface CheckpointHead {
@@ -93,21 +43,16 @@
 
 /** What a checkpoint is read back into. */
 export interface CheckpointSink {
-  host(entry: MachineEntry): void;
-  id(entry: PendingScaleOut): void;
-  price(shard: number, shape: string, row: [number, number, number]): void;
+  machine(entry: MachineEntry): void;
+  scaleOut(entry: PendingScaleOut): void;
+  price(shard: number, shape: string, row: PriceRow): void;
   done(job: string, ranges: string): void;
-  start(group: StartGroup, attempt: number, at: number): void;
+  start(group: StartGroup, attempt: number, startedAtMs: number): void;
 }
 
-/** Machine statuses by the number that stands for each. */
-const STATUSES: readonly MachineStatus[] = ['up', 'new', 'silent', 'recalled', 'faulty', 'lost'];
 /** Tasks in one row, so that a row fits into any value. */
 const ROW_TASKS = 40;
 const ROW_RANGES = 60;
-/** Names in one row, and how long they may be together. */
-const ROW_NAMES = 20;
-const ROW_NAME_LENGTH = 300;
 /** What the frame of a chunk takes, and the comma after a row. */
 const CHUNK_FRAME_BYTES = 12;
 const SEPARATOR_BYTES = 1;
@@ -152,34 +97,6 @@
   return chunks;
 }
 
-/** Names in the order in which they were first met: each stands for its number in the rows after the names. */
-class NameTable {
-  private readonly numbers = new Map<string, number>();
-
-  numberOf(name: string): number {
-    let number = this.numbers.get(name);
-    if (number === undefined) this.numbers.set(name, (number = this.numbers.size));
-    return number;
-  }
-
-  rows(): CheckpointRow[] {
-    const rows: CheckpointRow[] = [];
-    let names: string[] = [];
-    let length = 0;
-    for (const name of this.numbers.keys()) {
-      if (names.length === ROW_NAMES || (names.length > 0 && length + name.length > ROW_NAME_LENGTH)) {
-        rows.push(['n', ...names]);
-        names = [];
-        length = 0;
-      }
-      names.push(name);
-      length += name.length;
-    }
-    if (names.length > 0) rows.push(['n', ...names]);
-    return rows;
-  }
-}
-
 /** All rows of a checkpoint, in their order. Done tasks are written only of jobs that are live. */
 export function checkpointRows(source: CheckpointSource, isLive: (job: string) => boolean): CheckpointRow[] {
   const names = new NameTable();
@@ -196,7 +113,7 @@
     for (const [shape, price] of shapes) rows.push(['p', shard, shape, price.cpu, price.gpu, price.mem]);
   }
   for (const [job, entry] of source.jobs) {
-    rows.push(...placementRows(job, entry, { base, names, machines }));
+    rows.push(...placementRows(entry, { base, names, machines }));
     if (isLive(job)) rows.push(...doneRows(job, entry));
   }
   return [['t', base], ...names.rows(), ...rows];
@@ -210,19 +127,15 @@
   machines: ReadonlyMap<string, number>;
 }
 
-function placementRows(
-  job: string,
-  { placements: placed }: CheckpointJob,
-  context: RowContext,
-): CheckpointRow[] {
+function placementRows({ placements }: CheckpointJob, context: RowContext): CheckpointRow[] {
   const rows: CheckpointRow[] = [];
   const openRows = new Map<number, StoredPlacedTask[]>();
-  for (const placement of placed.values()) {
+  for (const placement of placements.values()) {
     let tasks = openRows.get(placement.attempt);
     if (!tasks || tasks.length === ROW_TASKS) {
       tasks = [];
       openRows.set(placement.attempt, tasks);
-      rows.push(placementRow(job, placement, tasks, context));
+      rows.push(placementRow(placement, tasks, context));
     }
     tasks.push([placement.index, context.machines.get(placement.host) ?? -1, placement.workerIncarnation]);
   }
@@ -230,14 +143,13 @@
 }
 
 function placementRow(
-  job: string,
   placement: Placement,
   tasks: StoredPlacedTask[],
   { base, names }: RowContext,
 ): CheckpointRow {
-  const { team, startedAtMs: at, attempt, gangSize } = placement;
+  const { job, team, startedAtMs, attempt, gangSize } = placement;
   const need: StoredResources = [placement.cpus, placement.gpus, placement.memGb];
-  const row: CheckpointRow = ['s', job, names.numberOf(team), at - base, attempt, need, tasks];
+  const row: CheckpointRow = ['s', job, names.numberOf(team), startedAtMs - base, attempt, need, tasks];
   if (gangSize !== null) row.push(gangSize);
   return row;
 }
@@ -263,13 +175,13 @@
     else if (row[0] === 'h') {
       const [, ...cells] = row;
       machines.push(cells[0]);
-      sink.host(decodeMachine(cells, base, name));
-    } else if (row[0] === 'q') sink.id(decodeRental(row[1]));
+      sink.machine(decodeMachine(cells, base, name));
+    } else if (row[0] === 'q') sink.scaleOut(decodeRental(row[1]));
     else if (row[0] === 'p') sink.price(row[1], row[2], [row[3], row[4], row[5]]);
     else if (row[0] === 'd') sink.done(row[1], row[2]);
     else {
       const [, job, team, at, attempt, need, placed, gangSize] = row;
-      const tasks = placed.map(([index, machine, incarnation]): StartGroup['tasks'][number] => [
+      const tasks = placed.map(([index, machine, incarnation]): TaskRow => [
         index,
         machines[machine] ?? '',
         incarnation,
@@ -304,60 +216,3 @@
     requestedAtMs: stored.at,
   };
 }
-
-/** Cells from this one on are left out at the end while they have their usual value. */
-const FIRST_OPTIONAL_CELL = 6;
-/** Usual values of the cells from that one on; for the images, an empty list. */
-const USUAL_CELLS = [0, undefined, 0, null, null, 0, 0] as const;
-
-function encodeMachine(machine: MachineEntry, base: number, names: NameTable): StoredMachineCells {
-  const { lastHeartbeat, destination } = machine;
-  // Images come before the type and the zone in the table of names.
-  const images = machine.cachedImages.map((image) => names.numberOf(image));
-  const cells: StoredMachineCells = [
-    machine.host,
-    names.numberOf(machine.machineType),
-    names.numberOf(machine.zone),
-    machine.spot ? 1 : 0,
-    machine.acquiredAtMs - base,
-    machine.shard,
-    STATUSES.indexOf(machine.status),
-    images,
-    machine.ownershipCount,
-    lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]],
-    destination === null ? null : encodeDestination(destination),
-    machine.consecutiveFailures,
-    machine.lastFailureAtMs,
-  ];
-  while (cells.length > FIRST_OPTIONAL_CELL && isUsual(cells.at(-1), cells.length - 1)) cells.pop();
-  return cells;
-}
-
-function isUsual(cell: unknown, position: number): boolean {
-  if (Array.isArray(cell)) return cell.length === 0;
-  return cell === USUAL_CELLS[position - FIRST_OPTIONAL_CELL];
-}
-
-function decodeMachine(
-  cells: StoredMachineCells,
-  base: number,
-  name: (number: number) => string,
-): MachineEntry {
-  const [host, machineType, zone, spot, since, shard, status, images, ...rest] = cells;
-  const [ownershipCount, lastHeartbeat, destination, errors, failedAt] = rest;
-  return {
-    host,
-    machineType: name(machineType),
-    zone: name(zone),
-    spot: spot === 1,
-    acquiredAtMs: base + since,
-    shard,
-    destination: destination === undefined || destination === null ? null : decodeDestination(destination),
-    status: STATUSES[status ?? 0] ?? 'up',
-    ownershipCount: ownershipCount ?? 0,
-    lastHeartbeat: lastHeartbeat ? [lastHeartbeat[0], lastHeartbeat[1]] : null,
-    cachedImages: (images ?? []).map(name),
-    consecutiveFailures: errors ?? 0,
-    lastFailureAtMs: failedAt ?? 0,
-  };
-}
--- a/packages/cluster/stored/index.ts
+++ b/packages/cluster/stored/index.ts
@@ -3,6 +3,7 @@
  * stored: fields of the domain types may be renamed freely, while every version reads what another has written.
  */
 export * from './checkpoint-codec.js';
+export * from './checkpoint-row.js';
 export * from './holder-codec.js';
 export * from './job-codec.js';
 export * from './machine-type-codec.js';
