--- a/packages/cluster/change-applier.ts
+++ b/packages/cluster/change-applier.ts
@@ -151,7 +151,7 @@
     return holder;
   }
 
-  private logUnreadable(path: string, revision: number): void {
-    this.log.error({ path, revision }, 'the row of a duty can not be read: the duty is closed');
+  private logUnreadable(key: string, revision: number): void {
+    this.log.error({ key, revision }, 'role record unreadable');
   }
 }
--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -11,6 +11,7 @@
 export * from './live-state.js';
 export * from './logger.js';
 export * from './cluster-state.js';
+export * from './replica-state.js';
 export * from './replica.js';
 export * from './state-integrity-check.js';
 export * from './stored/index.js';
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -7,7 +7,6 @@
 import { ClusterState } from './cluster-state.js';
 import type { TerminalStatus } from './jobs.js';
 import { LOG_PREFIX, logIdOfKey, ROOT_PREFIX, TERMINAL_PREFIX, terminalKey } from './keys.js';
-import type { Ledger } from './ledger.js';
 import {
   byCommitOrder,
   compareRows,
@@ -19,6 +18,7 @@
 import type { Logger } from './logger.js';
 import { ReadBarrier } from './read-barrier.js';
 import { type LoadedState, ReplicaLoader } from './replica-loader.js';
+import type { ReplicaState } from './replica-state.js';
 import { RevisionWaiters } from './revision-waiters.js';
 import {
   type HighWaterMarks,
@@ -30,21 +30,6 @@
 import { type Change, RateLimiter, RateMeter, type StoreClient, StoreError } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/**
- * `loading`: reads all live state, page by page. `catching_up`: applies what was committed while it read.
- * `following`: complete up to the applied revision, and kept so by the watch.
- */
-export type ReplicaState = 'loading' | 'catching_up' | 'following' | 'stopped';
-
-/** What a node's copy of the state holds at this moment, for tests and tools. */
-export interface ReplicaSnapshot {
-  member: string;
-  state: ReplicaState;
-  /** Revision up to which every commit is applied. */
-  appliedRevision: number;
-  ledger: Ledger;
-}
-
 /** How long the state service may keep a watch open before it answers without changes. */
 const WATCH_TIMEOUT: Micros = 10 * SECOND;
 /** Parts of the requests that the state service allows which the watch and the read barrier may take. */
@@ -136,7 +121,7 @@
         if (this.state === 'loading' || !this.check.isOpen()) await this.load();
         else await this.watch();
       } catch (cause) {
-        this.log.debug({ cause: String(cause) }, 'watch interrupted');
+        this.log.debug({ error: String(cause) }, 'state watch interrupted');
         if (cause instanceof IncompleteStateError) this.check.reportIncompleteRead(cause.message);
         const isRefusal = cause instanceof StoreError && this.check.isOpen();
         await sleep(this.clock, isRefusal ? RETRY_DELAY : RELOAD_INTERVAL);
@@ -189,7 +174,7 @@
 
   private transitionTo(state: ReplicaState): void {
     if (this.state === state || this.state === 'stopped') return;
-    this.log.debug({ from: this.state, to: state }, 'replica');
+    this.log.debug({ from: this.state, to: state }, 'replica state changed');
     this.state = state;
   }
 
@@ -220,7 +205,12 @@
     this.appliedRevision = live.from;
     this.catchUpRevision = live.to;
     this.log.info(
-      { jobs: this.jobs.size, records: this.ledger.totalRecords, revision: live.from, to: live.to },
+      {
+        jobs: this.jobs.size,
+        records: this.ledger.totalRecords,
+        revision: live.from,
+        catchUpRevision: live.to,
+      },
       'state loaded',
     );
     this.transitionTo('catching_up');
@@ -245,7 +235,7 @@
     );
     if (this.isStopped()) return;
     if (!answer) {
-      this.log.info({ applied: this.appliedRevision }, 'watch too old, reading all live state again');
+      this.log.info({ revision: this.appliedRevision }, 'state watch expired');
       this.transitionTo('loading');
       return;
     }
--- a/packages/testkit/duty-hard-cases.test.ts
+++ b/packages/testkit/duty-hard-cases.test.ts
@@ -388,7 +388,7 @@
 test('the row of a duty that can not be read closes that duty alone, is named in the log and ends no node', async () => {
   const errors: string[] = [];
   const note = (fields: object): void => {
-    if ('path' in fields) errors.push(String(fields.path));
+    if ('key' in fields) errors.push(String(fields.key));
   };
   const log = { debug: () => undefined, info: () => undefined, error: note };
   const world = busyWorld({ seed: 295, log });
