--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -31,7 +31,7 @@
       return Promise.resolve({ kind: 'applied', epoch: sent.length });
     },
   } as unknown as StoreClient;
-  const replica = new Replica(store, view, SILENT, 70);
+  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
   for (let seq = 1; seq <= 100; seq++) {
     const host = (i: number): MachineRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
     replica.ledger.apply('lead', {
@@ -77,7 +77,7 @@
     },
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
-  const replica = new Replica(store, view, SILENT, 70);
+  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
   const roles = dutiesOf(view, new Map([[0, 7]]));
   const pace = new RateLimiter(view, () => 10);
   const limits = new WriteLimits(2048, 6);
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -100,7 +100,12 @@
   for (const commit of COMMITS.slice(0, committed)) store.commit(commit);
   const clock = new SimClock();
   const view = clock.view((step) => step(), 0, 0);
-  const replica = new Replica(store as unknown as StoreClient, view, SILENT, 1000);
+  const replica = new Replica({
+    store: store as unknown as StoreClient,
+    clock: view,
+    log: SILENT,
+    stateRps: 1000,
+  });
   void replica.run();
   await pass(clock, 5 * SECOND);
   for (const commit of later) store.commit(commit);
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -42,6 +42,17 @@
 /** Time between two looks at whether the integrity check is ready. */
 const READY_POLL_INTERVAL: Micros = 50 * MS;
 
+/** What a replica needs. */
+export interface ReplicaOptions {
+  readonly store: StoreClient;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** Requests a second that the state service allows all nodes together. */
+  readonly stateRps: number;
+  /** Judges what the state service shows; by default everything is accepted. */
+  readonly check?: StateIntegrityCheck;
+}
+
 /** Follows the live state of the cluster. Every node has one; what it holds is a {@link ClusterState}. */
 export class Replica extends ClusterState {
   state: ReplicaState = 'loading';
@@ -49,6 +60,10 @@
   private catchUpRevision = 0;
   private listeners: (() => void)[] = [];
   private interruptWatch: () => void = () => undefined;
+  private readonly store: StoreClient;
+  private readonly clock: Clock;
+  private readonly log: Logger;
+  private readonly check: StateIntegrityCheck;
   private readonly terminalStatuses = new TerminalStatusCache();
   private readonly applier: ChangeApplier;
   private readonly loader: ReplicaLoader;
@@ -57,15 +72,12 @@
   private readonly watchLimiter: RateLimiter;
   private readonly readBarrier: ReadBarrier;
 
-  constructor(
-    private readonly store: StoreClient,
-    private readonly clock: Clock,
-    private readonly log: Logger,
-    /** Requests a second that the state service allows all nodes. */
-    stateRps: number,
-    private readonly check: StateIntegrityCheck = NO_STATE_INTEGRITY_CHECK,
-  ) {
+  constructor({ store, clock, log, stateRps, check = NO_STATE_INTEGRITY_CHECK }: ReplicaOptions) {
     super();
+    this.store = store;
+    this.clock = clock;
+    this.log = log;
+    this.check = check;
     check.onClose(() => {
       this.interruptWatch();
     });
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -118,7 +118,12 @@
 
   /** The copy of a node that starts now. */
   async load(): Promise<Replica> {
-    const replica = new Replica(this.client(), this.view, SILENT, 10_000);
+    const replica = new Replica({
+      store: this.client(),
+      clock: this.view,
+      log: SILENT,
+      stateRps: 10_000,
+    });
     void replica.run();
     await this.pass(SECOND);
     assert.equal(replica.state, 'following');
@@ -129,7 +134,12 @@
 
 /** One member that leads and owns share 0, and writes through the real code. */
 class Writer extends NodeService {
-  readonly replica = new Replica(this.client(), this.view, SILENT, 10_000);
+  readonly replica = new Replica({
+    store: this.client(),
+    clock: this.view,
+    log: SILENT,
+    stateRps: 10_000,
+  });
   readonly membership = new Membership(
     'node-1',
     'east',
--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -61,7 +61,7 @@
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
   };
   const store = new StoreClient(STATE, call);
-  const replica = new Replica(store, STOPPED_CLOCK, SILENT, 1000);
+  const replica = new Replica({ store, clock: STOPPED_CLOCK, log: SILENT, stateRps: 1000 });
   replica.state = 'following';
   for (const type of SAMPLE_TYPES) replica.machineTypes.set(type.name, type);
   return { users: new JobService(sampleSettings(0, 1), store, replica, STOPPED_CLOCK), replica, commits };
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -139,9 +139,13 @@
     this.dataLossDetector = tuning.detectsDataLoss ? new DataLossDetector(watch) : null;
     const { dataLossDetector: lossWatch } = this;
     const store = new StoreClient(settings.state, call, lossWatch ?? NO_REVISION_CHECK);
-    const replica = new Replica(
-      ...([store, clock, log, settings.stateRps, lossWatch ?? NO_STATE_INTEGRITY_CHECK] as const),
-    );
+    const replica = new Replica({
+      store,
+      clock,
+      log,
+      stateRps: settings.stateRps,
+      check: lossWatch ?? NO_STATE_INTEGRITY_CHECK,
+    });
     this.replica = replica;
     this.workers = new WorkerRegistry(settings);
     this.workerReachability = new WorkerReachability(settings);
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -76,7 +76,7 @@
       step();
     });
     const client = new StoreClient(STATE, call);
-    this.replica = new Replica(client, this.view, SILENT, 10_000);
+    this.replica = new Replica({ store: client, clock: this.view, log: SILENT, stateRps: 10_000 });
     this.users = new JobService(sampleSettings(0, 1, { valueBytes }), client, this.replica, this.view);
     void this.replica.run();
   }
