--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -15,6 +15,7 @@
 export * from './membership.js';
 export * from './peer-monitor.js';
 export * from './placement.js';
+export * from './replica-state.js';
 export * from './replica.js';
 export * from './shard-assignment.js';
 export * from './state-integrity-check.js';
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -37,7 +37,7 @@
       return Promise.resolve({ kind: 'applied', epoch: sent.length });
     },
   } as unknown as StoreClient;
-  const replica = new Replica(store, view, SILENT, 70);
+  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
   for (let seq = 1; seq <= 100; seq++) {
     const host = (i: number): MachineRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
     replica.ledger.apply('lead', {
@@ -97,7 +97,7 @@
     },
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
-  const replica = new Replica(store, view, SILENT, 70);
+  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
   const roles = rolesOf(view, new Map([[0, 7]]));
   const limiter = new RateLimiter(view, () => 10);
   const writer = new LogWriter({
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -7,7 +7,6 @@
 import { ClusterState } from './cluster-state.js';
 import type { TerminalStatus } from './jobs.js';
 import { LOG_PREFIX, logIdOfKey, ROOT_PREFIX, TERMINAL_PREFIX, terminalKey } from './keys.js';
-import type { Ledger } from './ledger.js';
 import {
   byCommitOrder,
   compareRows,
@@ -19,6 +18,7 @@
 import type { Logger } from './logger.js';
 import { ReadBarrier } from './read-barrier.js';
 import { type LoadedState, ReplicaLoader } from './replica-loader.js';
+import type { ReplicaState } from './replica-state.js';
 import { RevisionWaiters } from './revision-waiters.js';
 import {
   type HighWaterMarks,
@@ -30,21 +30,6 @@
 import { type Change, RateLimiter, RateMeter, type StoreClient, StoreError } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/**
- * `loading`: reads all live state, page by page. `catching_up`: applies what was committed while it read.
- * `following`: complete up to the applied revision, and kept so by the watch.
- */
-export type ReplicaState = 'loading' | 'catching_up' | 'following' | 'stopped';
-
-/** What a node's copy of the state holds at this moment, for tests and tools. */
-export interface ReplicaSnapshot {
-  member: string;
-  state: ReplicaState;
-  /** Revision up to which every commit is applied. */
-  appliedRevision: number;
-  ledger: Ledger;
-}
-
 /** How long the state service may keep a watch open before it answers without changes. */
 const WATCH_TIMEOUT: Micros = 10 * SECOND;
 /** Parts of the requests that the state service allows which the watch and the read barrier may take. */
@@ -57,6 +42,17 @@
 /** Time between two looks at whether the integrity check is ready. */
 const READY_POLL_INTERVAL: Micros = 50 * MS;
 
+/** What a replica needs. */
+export interface ReplicaOptions {
+  readonly store: StoreClient;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** Requests a second that the state service allows all nodes together. */
+  readonly stateRps: number;
+  /** Judges what the state service shows; by default everything is accepted. */
+  readonly check?: StateIntegrityCheck;
+}
+
 /** Follows the live state of the cluster. Every node has one; what it holds is a {@link ClusterState}. */
 export class Replica extends ClusterState {
   state: ReplicaState = 'loading';
@@ -64,6 +60,10 @@
   private catchUpRevision = 0;
   private listeners: (() => void)[] = [];
   private interruptWatch: () => void = () => undefined;
+  private readonly store: StoreClient;
+  private readonly clock: Clock;
+  private readonly log: Logger;
+  private readonly check: StateIntegrityCheck;
   private readonly terminalStatuses = new TerminalStatusCache();
   private readonly applier: ChangeApplier;
   private readonly loader: ReplicaLoader;
@@ -72,15 +72,12 @@
   private readonly watchLimiter: RateLimiter;
   private readonly readBarrier: ReadBarrier;
 
-  constructor(
-    private readonly store: StoreClient,
-    private readonly clock: Clock,
-    private readonly log: Logger,
-    /** Requests a second that the state service allows all nodes. */
-    stateRps: number,
-    private readonly check: StateIntegrityCheck = NO_STATE_INTEGRITY_CHECK,
-  ) {
+  constructor({ store, clock, log, stateRps, check = NO_STATE_INTEGRITY_CHECK }: ReplicaOptions) {
     super();
+    this.store = store;
+    this.clock = clock;
+    this.log = log;
+    this.check = check;
     check.onClose(() => {
       this.interruptWatch();
     });
@@ -136,7 +133,7 @@
         if (this.state === 'loading' || !this.check.isOpen()) await this.load();
         else await this.watch();
       } catch (cause) {
-        this.log.debug({ cause: String(cause) }, 'watch interrupted');
+        this.log.debug({ error: String(cause) }, 'state watch interrupted');
         if (cause instanceof IncompleteStateError) this.check.reportIncompleteRead(cause.message);
         const isRefusal = cause instanceof StoreError && this.check.isOpen();
         await sleep(this.clock, isRefusal ? RETRY_DELAY : RELOAD_INTERVAL);
@@ -189,7 +186,7 @@
 
   private transitionTo(state: ReplicaState): void {
     if (this.state === state || this.state === 'stopped') return;
-    this.log.debug({ from: this.state, to: state }, 'replica');
+    this.log.debug({ from: this.state, to: state }, 'replica state changed');
     this.state = state;
   }
 
@@ -220,7 +217,12 @@
     this.appliedRevision = live.from;
     this.catchUpRevision = live.to;
     this.log.info(
-      { jobs: this.jobs.size, records: this.ledger.totalRecords, revision: live.from, to: live.to },
+      {
+        jobs: this.jobs.size,
+        records: this.ledger.totalRecords,
+        revision: live.from,
+        catchUpRevision: live.to,
+      },
       'state loaded',
     );
     this.transitionTo('catching_up');
@@ -245,7 +247,7 @@
     );
     if (this.isStopped()) return;
     if (!answer) {
-      this.log.info({ applied: this.appliedRevision }, 'watch too old, reading all live state again');
+      this.log.info({ revision: this.appliedRevision }, 'state watch expired');
       this.transitionTo('loading');
       return;
     }
