--- a/packages/roles/fenced-store.ts
+++ b/packages/roles/fenced-store.ts
@@ -1,15 +1,16 @@
-/** The state service, for whoever acts under a duty: every commit carries a guard on the term it is made under. */
+/** The state service, for whoever acts under a role: every commit carries a guard on the term it is made under. */
 import type { CommitResult, Guard, StoreClient, Write } from '#store';
 import type { RoleRegistry } from './role-registry.js';
 import type { TermProof } from './term-proof.js';
 
+/** Compare-and-swap that the state service refuses once a term it was made under is over. */
 export class FencedStore {
   constructor(
     private readonly store: Pick<StoreClient, 'compareAndSwap'>,
-    private readonly duties: RoleRegistry,
+    private readonly roles: RoleRegistry,
   ) {}
 
-  /** `action` names what is done, for operators who ask why it was refused. */
+  /** Commits under all these terms. `action` says what is done, for operators who ask why it was refused. */
   async compareAndSwap(
     proofs: readonly [TermProof, ...TermProof[]],
     action: string,
@@ -18,15 +19,15 @@
   ): Promise<CommitResult> {
     const fences = proofs.map((termProof) => termProof.guard);
     const sent = this.store.compareAndSwap([...fences, ...guards], writes);
-    const result = await this.duties.track(proofs[0].role, sent);
-    if (result.kind === 'refused') this.noteRefusal(proofs, action, result.failed);
+    const result = await this.roles.track(proofs[0].role, sent);
+    if (result.kind === 'refused') this.recordRefusals(proofs, action, result.failed);
     return result;
   }
 
-  private noteRefusal(proofs: readonly TermProof[], action: string, failed: readonly string[]): void {
+  private recordRefusals(proofs: readonly TermProof[], action: string, failed: readonly string[]): void {
     for (const termProof of proofs) {
       if (!failed.includes(termProof.guard.path)) continue;
-      this.duties.recordRefusal(termProof, action, 'the state service: the duty has changed hands');
+      this.roles.recordRefusal(termProof, action, 'the state service: the duty has changed hands');
     }
   }
 }
--- a/packages/roles/role-report.ts
+++ b/packages/roles/role-report.ts
@@ -1,40 +1,49 @@
-/** What a node knows of its cluster's duties, for operators. It proves nothing: see {@link DutyMachine}. */
+/** What a node knows of its cluster's roles, for operators. It proves nothing: see the role state machine. */
 import { type Micros, SECOND } from '#wire';
 import { type RoleName, formatRoleName } from './role.js';
 import type { RoleStateName } from './role-state-machine.js';
 import { type IntentLedger, openIntents, type OpenIntents } from './scale-intents.js';
 import type { RoleRegistry } from './role-registry.js';
 
+/** The last refused action of a role. */
 export interface RefusalReport {
-  action: string;
-  reason: string;
-  term: number;
-  /** Seconds since. */
-  ageS: number;
+  readonly action: string;
+  readonly reason: string;
+  readonly term: number;
+  /** Seconds since the refusal. */
+  readonly ageS: number;
 }
 
+/** What a node knows of one role. */
 export interface RoleReport {
-  duty: string;
-  state: RoleStateName;
+  /** Name of the role, as {@link formatRoleName} writes it. */
+  readonly duty: string;
+  readonly state: RoleStateName;
   /** Member that holds it, as far as this node knows. */
-  holder: string | null;
-  term: number | null;
-  /** Seconds since this node has known the duty to be in this state. */
-  sinceS: number;
-  /** Seconds that the lease has left by the holder's own clock; null on nodes that don't hold the duty. */
-  leaseLeftS: number | null;
-  /** What was asked of the cloud, or is to be, and is not known to be done; of the lead only. */
-  openIntents: OpenIntents | null;
-  lastRefused: RefusalReport | null;
+  readonly holder: string | null;
+  readonly term: number | null;
+  /** Seconds for which the role has been in this state, as far as this node knows. */
+  readonly sinceS: number;
+  /** Seconds until the lease expires by the holder's own clock; null on nodes that don't hold the role. */
+  readonly leaseLeftS: number | null;
+  /** Cloud requests that are recorded and not known to be carried out; of the leader only. */
+  readonly openIntents: OpenIntents | null;
+  readonly lastRefused: RefusalReport | null;
 }
 
-/** Every duty that this node knows of, at this steady time. */
+/** Every role that this node has observed, at this steady time. */
 export function reportRoles(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleReport[] {
   registry.refresh();
-  return registry.knownRoles().map((role) => reportRole(registry, role, ledger, now));
+  return registry.knownRoles().map((role) => ({
+    ...reportRole(registry, role, now),
+    openIntents: role === 'lead' ? openIntents(ledger) : null,
+    lastRefused: reportRefusal(registry, role, now),
+  }));
 }
 
-function reportRole(registry: RoleRegistry, role: RoleName, ledger: IntentLedger, now: Micros): RoleReport {
+type RoleStateReport = Omit<RoleReport, 'openIntents' | 'lastRefused'>;
+
+function reportRole(registry: RoleRegistry, role: RoleName, now: Micros): RoleStateReport {
   const state = registry.state(role);
   const holder = 'holder' in state ? state.holder : null;
   const isOurs = state.name === 'held' ? state.isOurs : holder !== null;
@@ -45,8 +54,6 @@
     term: holder?.term ?? (state.name === 'lost' ? state.term : null),
     sinceS: inSeconds(now - state.since),
     leaseLeftS: isOurs ? inSeconds(registry.remainingLease()) : null,
-    openIntents: role === 'lead' ? openIntents(ledger) : null,
-    lastRefused: reportRefusal(registry, role, now),
   };
 }
 
@@ -57,7 +64,7 @@
   return { action, reason, term, ageS: inSeconds(now - at) };
 }
 
-/** Seconds with one digit after the point. */
+/** Seconds, rounded to one decimal. */
 function inSeconds(duration: Micros): number {
   return Math.round((duration / SECOND) * 10) / 10;
 }
--- a/packages/roles/role-state-machine.ts
+++ b/packages/roles/role-state-machine.ts
@@ -1,27 +1,30 @@
 /**
- * What one node believes of one duty: an explicit state machine with one function for every change. Belief proves
- * nothing: whether an action takes effect is decided by the guard on the duty's key, and by the record rule where
- * nothing can guard (see docs/duties.md).
+ * What one node believes of one role: an explicit state machine with one function for every change. A belief proves
+ * nothing: whether an action takes effect is decided by the guard on the role's key, and by the intent recorded first
+ * where nothing can guard (see docs/duties.md).
  */
 import type { Micros } from '#wire';
 import type { RoleHolder } from './role.js';
 
+/** State of a role as one node believes it; `since` is steady time. */
 export type RoleState =
   /** Nobody holds it. */
-  | { name: 'vacant'; since: Micros }
-  /** This node has asked for it and does not know the outcome yet. */
-  | { name: 'acquiring'; since: Micros }
+  | { readonly name: 'vacant'; readonly since: Micros }
+  /** This node has requested it and does not know the outcome yet. */
+  | { readonly name: 'acquiring'; readonly since: Micros }
   /** The holder is entitled to act. */
-  | { name: 'held'; since: Micros; holder: RoleHolder; isOurs: boolean }
+  | { readonly name: 'held'; readonly since: Micros; readonly holder: RoleHolder; readonly isOurs: boolean }
   /** This node holds it, as far as it knows, but its lease was not confirmed for so long that it may be over. */
-  | { name: 'suspected'; since: Micros; holder: RoleHolder }
-  /** This node held it until it learnt that the term is over; nobody is known to hold it since. */
-  | { name: 'lost'; since: Micros; term: number }
-  /** This node hands it over on purpose: nothing new is begun, what is under way is waited for. */
-  | { name: 'resigning'; since: Micros; holder: RoleHolder };
+  | { readonly name: 'suspected'; readonly since: Micros; readonly holder: RoleHolder }
+  /** This node held it until it observed that the term is over; no other holder has been observed since. */
+  | { readonly name: 'lost'; readonly since: Micros; readonly term: number }
+  /** This node gives it up on purpose: no new action is begun, pending ones are waited for. */
+  | { readonly name: 'resigning'; readonly since: Micros; readonly holder: RoleHolder };
 
+/** Names of the states, as operators see them. */
 export type RoleStateName = RoleState['name'];
 
+/** The state of one role on one node. All times are steady times of the node's clock. */
 export class RoleStateMachine {
   private current: RoleState;
 
@@ -40,7 +43,7 @@
     return current.name === 'held' && current.isOurs ? current.holder.term : null;
   }
 
-  /** The node's copy of the state names this holder, or none. */
+  /** The node's replica names this holder, or none. */
   observe(holder: RoleHolder | null, isOurs: boolean, now: Micros): void {
     const { current } = this;
     if (!holder) this.observeVacancy(now);
@@ -49,14 +52,14 @@
     }
   }
 
-  /** This node asks for the duty. */
+  /** This node requests the role. */
   acquire(now: Micros): void {
     if (this.current.name === 'vacant' || this.current.name === 'lost') {
       this.current = { name: 'acquiring', since: now };
     }
   }
 
-  /** It did not get it, or can't know. */
+  /** The request was refused, or its outcome is unknown. */
   acquisitionFailed(now: Micros): void {
     if (this.current.name === 'acquiring') this.current = { name: 'vacant', since: now };
   }
@@ -75,7 +78,7 @@
     this.current = { name: 'held', since: now, holder: current.holder, isOurs: true };
   }
 
-  /** This node begins to hand the duty over; false if it does not hold it for certain. */
+  /** This node begins to give the role up; false if it does not hold it for certain. */
   resign(now: Micros): boolean {
     const { current } = this;
     if (current.name !== 'held' || !current.isOurs) return false;
@@ -83,7 +86,7 @@
     return true;
   }
 
-  /** The hand-over was called off: the term goes on. */
+  /** The resignation was called off: the term goes on. */
   resignationFailed(now: Micros): void {
     const { current } = this;
     if (current.name !== 'resigning') return;
--- a/packages/roles/role.ts
+++ b/packages/roles/role.ts
@@ -1,29 +1,30 @@
 /**
- * Duties: tasks that exactly one controller may do at a time. There are as many as there are logs: the lead, under
- * which shares are dealt, machines rented, returned and moved, checkpoints written and old keys cleared; and one for
- * each share, under which its owner places tasks and answers the workers of its machines.
+ * Roles: leased singletons, each held by at most one node at a time. There are as many as there are logs: the leader,
+ * which assigns shards, scales out and in, transfers machines between shards, writes checkpoints and removes stale
+ * keys; and the owner of each shard, which places tasks and answers the heartbeats of the workers on its machines.
  */
 import type { Micros } from '#wire';
 
-/** `lead`, or the number of a share. */
+/** `lead` for the leader, or the number of the shard that is owned. */
 export type RoleName = 'lead' | number;
 
-/** Who holds a duty. Its term is the revision of the duty's key: a new one each time that it changes hands. */
+/** Who holds a role. */
 export interface RoleHolder {
-  member: string;
-  /** Tells one process of a member from another. */
-  nonce: string;
-  term: number;
+  readonly member: string;
+  /** Distinguishes the processes of a member. */
+  readonly nonce: string;
+  /** Revision of the role's key: a new one each time that the role changes hands. */
+  readonly term: number;
 }
 
 const SHARD_ROLE_PREFIX = 'share/';
 
-/** The name that operators see: `lead` or `share/3`. */
+/** The name of the role that operators see: `lead` or `share/3`. */
 export function formatRoleName(role: RoleName): string {
   return role === 'lead' ? 'lead' : `${SHARD_ROLE_PREFIX}${role}`;
 }
 
-/** The duty of this name, or null if there can be none. */
+/** Parses a name as {@link formatRoleName} writes it; null if no role can have it. */
 export function parseRoleName(text: string): RoleName | null {
   if (text === 'lead') return 'lead';
   const digits = text.startsWith(SHARD_ROLE_PREFIX) ? text.slice(SHARD_ROLE_PREFIX.length) : '';
@@ -32,8 +33,9 @@
 
 /** The last action that was refused because its term was over, or in doubt. */
 export interface RefusedAction {
-  action: string;
-  reason: string;
-  term: number;
-  at: Micros;
+  readonly action: string;
+  readonly reason: string;
+  readonly term: number;
+  /** Steady time of the refusal. */
+  readonly at: Micros;
 }
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -1,5 +1,5 @@
 /**
- * Random histories of three nodes that take, lose, renew and resign the lead, and act under proofs old and new, against
+ * Random histories of three nodes that acquire, lose, renew and resign the leadership, and act under proofs old and new, against
  * a small reference model. A failing history is shrunk to the few steps that it takes.
  */
 import assert from 'node:assert/strict';
@@ -64,11 +64,11 @@
   }
 }
 
-/** One node of the product: its duties, and what it believes. */
+/** One node: its roles, and what it believes. */
 class Node {
   believed: RoleHolder | null = null;
   kept: TermProof | null = null;
-  rentals = 0;
+  scaleOutRequests = 0;
   readonly registry: RoleRegistry;
   readonly store: FencedStore;
   readonly cloud: FencedCloud;
@@ -80,14 +80,13 @@
   ) {
     const holders = (): Map<RoleName, RoleHolder> => new Map(this.believed ? [['lead', this.believed]] : []);
     const isOurs = (nonce: string): boolean => nonce === `process-${index}`;
-    this.registry = new RoleRegistry({
-      ...{ source: { holders, isOurs }, clock, keyOf: () => KEY, leaseLife: LIFE },
-    });
+    const source = { holders, isOurs };
+    this.registry = new RoleRegistry({ source, clock, keyOf: () => KEY, leaseLife: LIFE });
     const compareAndSwap = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
       new Promise((answer) => service.inFlight.push({ guards, term: writes.length, answer }));
     this.store = new FencedStore({ compareAndSwap }, this.registry);
     const requestMachines = (): Promise<{ kind: 'no_capacity' }> => {
-      this.rentals++;
+      this.scaleOutRequests++;
       return Promise.resolve({ kind: 'no_capacity' });
     };
     this.cloud = new FencedCloud({ requestMachines } as unknown as CloudClient, this.registry);
@@ -160,9 +159,9 @@
       const isCurrent = mayAct(model, index) && model.nodes[index]?.term === node.kept.term;
       assert.equal(node.kept.isCurrent(), isCurrent);
       node.act(node.kept);
-      const before = node.rentals;
+      const before = node.scaleOutRequests;
       await node.cloud.requestMachines(node.kept, ScaleOutIntent.fromRecord(INTENT));
-      assert.equal(node.rentals > before, isCurrent && !isInDoubt(model, index));
+      assert.equal(node.scaleOutRequests > before, isCurrent && !isInDoubt(model, index));
     }),
   (index) =>
     step(`${index + 1} s pass`, (model, { time }) => {
--- a/packages/roles/roles.test.ts
+++ b/packages/roles/roles.test.ts
@@ -5,7 +5,7 @@
 
 const HOLDER = { member: 'node-1', nonce: 'p1', term: 7 };
 
-test('a duty goes through its states by one function for every change', () => {
+test('a role goes through its states by one function for every change', () => {
   const machine = new RoleStateMachine(0);
   const name = (): string => machine.state.name;
   assert.equal(name(), 'vacant');
@@ -49,16 +49,22 @@
   assert.equal(machine.actingTerm, null, 'others hold it');
 });
 
-test('a machine may be deleted only once it is named for return, and released, stopped or gone', () => {
+test('a machine may be deleted only once it is recorded for scale-in, and released, stopped or gone', () => {
   const intent = (shard: number | null, destination: number | 'return' | null, listing: 'failed' | null) =>
     ScaleInIntent.fromRecord({ host: 'n-1', shard, destination }, listing)?.reason ?? null;
-  assert.equal(intent(0, null, 'failed'), null, 'not named');
-  assert.equal(intent(null, 1, null), null, 'on its way to another share');
+  assert.equal(intent(0, null, 'failed'), null, 'not recorded');
+  assert.equal(intent(null, 1, null), null, 'in transfer to another shard');
   assert.equal(intent(0, 'return', null), null, 'not released');
   assert.equal(intent(null, 'return', null), 'released');
   assert.equal(intent(0, 'return', 'failed'), 'failed');
   const listed = (state: ListedMachine['state']): ListedMachine => ({
-    ...{ host: 'n-2', address: '', machineType: 'small', zone: 'east', spot: false, ageS: 1, state },
+    host: 'n-2',
+    address: '',
+    machineType: 'small',
+    zone: 'east',
+    spot: false,
+    ageS: 1,
+    state,
   });
   assert.equal(ScaleInIntent.fromStoppedMachine(listed('running')), null);
   assert.equal(ScaleInIntent.fromStoppedMachine(listed('failed'))?.host, 'n-2');
@@ -78,7 +84,7 @@
   assert.deepEqual(openIntents(ledger), { pendingScaleOuts: ['hire-1'], returns: ['n-1', 'n-2'] });
 });
 
-test('names of duties are read as they are written', () => {
+test('names of roles are parsed as they are formatted', () => {
   for (const role of ['lead', 0, 17] as const) assert.equal(parseRoleName(formatRoleName(role)), role);
   for (const text of ['', 'leader', 'share/', 'share/-1', 'share/1.5', 'share/x', 'share/12345678']) {
     assert.equal(parseRoleName(text), null, text);
--- a/packages/roles/scale-intents.ts
+++ b/packages/roles/scale-intents.ts
@@ -1,38 +1,41 @@
 /**
- * The cloud knows no terms, and what it is asked may be executed minutes late. So whatever is asked of it is named in
- * the leader's log first, and is final from then on: a machine named for return is never used again by any holder,
- * and the name of a rental is never used twice. Late or repeated, the request then harms nobody.
+ * Recorded intents to scale out or in. The cloud knows no terms, and may execute a request minutes late. So every
+ * request is recorded in the leader's log first, and is final from then on: a machine that is recorded for scale-in is
+ * never used again by any shard, and the id of a scale-out request is never used twice. Late or repeated, the request
+ * is then harmless.
  */
 import type { ListedMachine, ScaleOutRequest } from '#wire';
 
-/** What the ledger says of a machine, as far as its return is concerned. */
+/** The fields of a machine in the ledger that decide whether it may be deleted. */
 export interface MachineRecord {
-  host: string;
-  /** The share it belongs to; null once its owner has let it go. */
-  shard: number | null;
-  destination: number | 'return' | null;
+  readonly host: string;
+  /** The shard it belongs to; null once the shard's owner has released it. */
+  readonly shard: number | null;
+  /** Where it is to go: another shard, back to the cloud, or nowhere. */
+  readonly destination: number | 'return' | null;
 }
 
-/** What the ledger says of a rental that was named and is not settled yet. */
+/** A scale-out request in the ledger that is not settled yet. */
 export interface ScaleOutRecord {
-  id: string;
-  machineType: string;
-  zone: string;
-  spot: boolean;
-  count: number;
+  readonly id: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly count: number;
 }
 
-/** A rental that is named in the log. */
+/** A scale-out request that is recorded in the log. */
 export class ScaleOutIntent {
   readonly #recorded = true;
 
   private constructor(readonly request: ScaleOutRequest) {}
 
-  /** The intent that a record of the ledger stands for. */
-  static fromRecord({ id, machineType, zone, spot, count: number }: ScaleOutRecord): ScaleOutIntent {
-    return new ScaleOutIntent({ id, machineType, zone, spot, count: number });
+  /** The intent of an entry of the ledger. */
+  static fromRecord({ id, machineType, zone, spot, count }: ScaleOutRecord): ScaleOutIntent {
+    return new ScaleOutIntent({ id, machineType, zone, spot, count });
   }
 
+  /** Always true: intents are made from records only. */
   get isRecorded(): boolean {
     return this.#recorded;
   }
@@ -50,35 +53,42 @@
     readonly reason: ScaleInReason,
   ) {}
 
-  /** Named for return and let go by its owner, or, once named, known by the cloud's list to have stopped or gone. */
+  /**
+   * Null unless the machine is recorded for scale-in, and either released by its owner or, by the cloud's list, stopped
+   * or gone.
+   */
   static fromRecord(machine: MachineRecord, listing: 'failed' | 'not listed' | null): ScaleInIntent | null {
     if (machine.destination !== 'return') return null;
     if (machine.shard === null) return new ScaleInIntent(machine.host, 'released');
     return listing === null ? null : new ScaleInIntent(machine.host, listing);
   }
 
-  /** In no record, and stopped by itself: the cloud never starts such a machine again. */
+  /** For a machine without a record that stopped by itself: the cloud never starts it again. */
   static fromStoppedMachine({ host, state }: ListedMachine): ScaleInIntent | null {
     return state === 'failed' ? new ScaleInIntent(host, 'failed') : null;
   }
 
+  /** Always true: intents are made from records only. */
   get isRecorded(): boolean {
     return this.#recorded;
   }
 }
 
-/** Where the open intents are found: the placement ledger. */
+/** The part of the placement ledger that holds the open intents. */
 export interface IntentLedger {
-  pendingScaleOuts: ReadonlyMap<string, ScaleOutRecord>;
-  machines: ReadonlyMap<string, MachineRecord>;
+  readonly pendingScaleOuts: ReadonlyMap<string, ScaleOutRecord>;
+  readonly machines: ReadonlyMap<string, MachineRecord>;
 }
 
-/** What was named and is not known to be carried out: a successor finds all of it here, and finishes it. */
+/** Intents that are recorded and not known to be carried out: a new leader finds all of them here, and finishes them. */
 export interface OpenIntents {
-  rentals: string[];
-  returns: string[];
+  /** Ids of scale-out requests. */
+  readonly rentals: readonly string[];
+  /** Hosts of machines to be scaled in. */
+  readonly returns: readonly string[];
 }
 
+/** The open intents of the ledger. */
 export function openIntents(ledger: IntentLedger): OpenIntents {
   const returns: string[] = [];
   for (const { host, destination } of ledger.machines.values())
