--- a/packages/cluster/capabilities.ts
+++ b/packages/cluster/capabilities.ts
@@ -1,28 +1,30 @@
 /**
- * What the versions of this program can read of each other's data. During an upgrade old and new versions serve side
- * by side; formats and jobs that an old one would misread come into use only once every node has announced that it
- * understands them.
+ * Capabilities: what the versions of this program can read of each other's data. During an upgrade old and new versions
+ * run side by side; formats and jobs that an old one would misread come into use only once every node has announced
+ * that it understands them.
  */
+
 /**
- * `gangs`: jobs whose tasks start together, their starts in the logs and in checkpoints. `handover`: the shares that a
- * member gives up, in its record; the leader deals them to others. `memory`: peers tell each other what they
- * remember of the state, after what older versions read of a message.
+ * `gangs`: gang jobs, their starts in the logs and in checkpoints. `handover`: resigned shards in the member record,
+ * which the leader assigns to other members. `memory`: high-water marks of the state in peer messages, after the part
+ * that older versions read.
  */
 export type Capability = 'gangs' | 'handover' | 'memory';
 
-/** What this version announces. */
+/** The capabilities that this version announces. */
 export const OWN_CAPABILITIES: readonly Capability[] = ['gangs', 'handover', 'memory'];
 
+/** The capabilities that nodes have announced. */
 export interface Announcements {
-  /** By living member: what its present process announces. */
-  living: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
-  /** By member: what its last process of a version that announces anything could read. */
-  lasting: ReadonlyMap<string, ReadonlySet<string>>;
+  /** By living member: what its current process announces. */
+  readonly living: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
+  /** By member: what its last process of a version that announces anything did announce. */
+  readonly lasting: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
 /**
- * Every one of the nodes understands it: a living one by what its present process says, so that one that came back
- * with an older version counts as old; one that is down by what it last announced.
+ * Whether all these nodes have the capability: a living one by what its current process announces, so that one that came
+ * back with an older version counts as old; one that is down by what it last announced.
  */
 export function allSupport(
   members: readonly string[],
--- a/packages/cluster/peer-monitor.ts
+++ b/packages/cluster/peer-monitor.ts
@@ -1,92 +1,116 @@
+/** Pings between nodes: which peers can be reached, and what they publish of themselves. */
 import type { Logger } from './logger.js';
 import { type Clock, type Micros, MS, sleep } from '#wire';
 
-/** What came of a ping: `refused` hints at a dead process, `silent` at a cut. Neither proves anything. */
+/** Outcome of a ping: `refused` hints at a dead process, `silent` at a network partition. Neither proves anything. */
 export type PingResult = 'ok' | 'refused' | 'silent';
 
-/** What a node tells its peers. */
+/** What a node publishes to its peers with every ping. */
 export interface PeerStatus {
-  /** The highest token that it knows. */
+  /** The highest fencing token that it has seen. */
   fencingToken: number;
-  /** The state service serves it. */
+  /** Whether it reaches the state service. */
   isStoreReachable: boolean;
-  /** By owner: how many machines' workers it has sent there of late. */
+  /** By owner: number of machines whose workers it has lately redirected there. */
   redirectedWorkers: Record<string, number>;
-  /** What it remembers of the state; null if it doesn't tell. */
+  /** What it has seen of the state; null if it does not publish that. */
   highWaterMark: PeerHighWaterMark | null;
 }
 
-/** What a peer remembers of the state, for those that remember less. */
+/** What a peer has seen of the state, for nodes that have seen less. */
 export interface PeerHighWaterMark {
-  /** The highest epoch that the state service has shown it. */
+  /** The highest revision that the state service has shown it. */
   revision: number;
-  /** What it remembers itself contradicts what the state service shows now. */
+  /** What it has seen contradicts what the state service shows now. */
   isInconsistent: boolean;
 }
 
+/** Outcome of a ping, and what the peer published with its answer. */
 export interface PingReply {
   result: PingResult;
-  /** What the peer told with its answer. */
   status: PeerStatus | null;
 }
+
+/** Pings the peer at this endpoint; `silent` once the timeout has passed. Never rejects. */
 export type Ping = (endpoint: string, timeout: Micros) => Promise<PingReply>;
 
-const EVERY: Micros = 500 * MS;
-const TIMEOUT: Micros = 1200 * MS;
+const PING_INTERVAL: Micros = 500 * MS;
+const PING_TIMEOUT: Micros = 1200 * MS;
+/** A peer that does not answer counts as unreachable this long after its last answer. */
 const UNREACHABLE_SILENT: Micros = 1700 * MS;
-/** A process that died is refused too; by then its member key is gone, and it counts as dead, not cut off. */
+/**
+ * The same for a peer whose host refuses the connection. A dead process does, too; by then its member key is gone, and
+ * it counts as dead rather than partitioned.
+ */
 const UNREACHABLE_REFUSED: Micros = 4500 * MS;
 
+/** A peer of this node. */
+export interface Peer {
+  readonly member: string;
+  readonly endpoint: string;
+}
+
+/** What a {@link PeerMonitor} works with. */
+export interface PeerMonitorOptions {
+  readonly peers: readonly Peer[];
+  readonly ping: Ping;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** Called after each ping with the members out of reach, sorted. */
+  readonly onReachabilityChange: (unreachable: string[]) => void;
+  readonly onStatus: (status: PeerStatus, member: string) => void;
+}
+
+/** A peer, and the outcome of its pings. */
+interface PeerState extends Peer {
+  lastAnswerAt: Micros;
+  lastResult: PingResult;
+}
+
 /**
- * Watches which peers can be reached. Only a hint that hastens the leader's moves when zones are cut from
- * each other: no rule depends on it.
+ * Monitors which peers can be reached. Only a hint, by which the leader transfers machines sooner when zones are
+ * partitioned from each other: no invariant depends on it.
  */
 export class PeerMonitor {
-  private readonly states: { member: string; endpoint: string; okAt: Micros; last: PingResult }[];
-  private running = true;
+  private readonly peers: PeerState[];
+  private isRunning = true;
 
-  constructor(
-    peers: readonly { member: string; endpoint: string }[],
-    private readonly ping: Ping,
-    private readonly clock: Clock,
-    private readonly log: Logger,
-    private readonly onReachabilityChange: (unreachable: string[]) => void,
-    private readonly onStatus: (status: PeerStatus, member: string) => void,
-  ) {
-    this.states = peers.map((p) => ({ ...p, okAt: clock.now(), last: 'ok' }));
+  constructor(private readonly options: PeerMonitorOptions) {
+    const { peers, clock } = options;
+    this.peers = peers.map((peer) => ({ ...peer, lastAnswerAt: clock.now(), lastResult: 'ok' }));
   }
 
+  /** Starts one ping loop for each peer; they run until {@link stop}. */
   start(): void {
-    for (const state of this.states) void this.watch(state);
+    for (const peer of this.peers) void this.monitor(peer);
   }
 
+  /** Every loop ends after the ping that is under way. */
   stop(): void {
-    this.running = false;
+    this.isRunning = false;
   }
 
-  /** Members out of reach for long enough to act on it. */
+  /** Members out of reach for long enough to act on it, sorted. */
   unreachable(): string[] {
-    const now = this.clock.now();
-    return this.states
-      .filter((s) => now - s.okAt > (s.last === 'refused' ? UNREACHABLE_REFUSED : UNREACHABLE_SILENT))
-      .map((s) => s.member)
+    const now = this.options.clock.now();
+    return this.peers
+      .filter(({ lastAnswerAt, lastResult }) => {
+        return now - lastAnswerAt > (lastResult === 'refused' ? UNREACHABLE_REFUSED : UNREACHABLE_SILENT);
+      })
+      .map(({ member }) => member)
       .sort();
   }
 
-  private async watch(state: {
-    member: string;
-    endpoint: string;
-    okAt: Micros;
-    last: PingResult;
-  }): Promise<void> {
-    while (this.running) {
-      const { result, status } = await this.ping(state.endpoint, TIMEOUT);
-      if (status) this.onStatus(status, state.member);
-      if (result !== state.last) this.log.debug({ peer: state.member, result }, 'peer link');
-      state.last = result;
-      if (result === 'ok') state.okAt = this.clock.now();
-      this.onReachabilityChange(this.unreachable());
-      await sleep(this.clock, EVERY);
+  private async monitor(peer: PeerState): Promise<void> {
+    const { ping, clock, log, onReachabilityChange, onStatus } = this.options;
+    while (this.isRunning) {
+      const { result, status } = await ping(peer.endpoint, PING_TIMEOUT);
+      if (status) onStatus(status, peer.member);
+      if (result !== peer.lastResult) log.debug({ peer: peer.member, result }, 'peer link changed');
+      peer.lastResult = result;
+      if (result === 'ok') peer.lastAnswerAt = clock.now();
+      onReachabilityChange(this.unreachable());
+      await sleep(clock, PING_INTERVAL);
     }
   }
 }
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -209,21 +209,21 @@
       ...{ clock, replica, membership, store: fencedStore, freshness: this.freshness },
       allNodes: this.allNodes,
     });
-    this.peers = new PeerMonitor(
-      settings.peers,
-      parts.ping,
+    this.peers = new PeerMonitor({
+      peers: settings.peers,
+      ping: parts.ping,
       clock,
       log,
-      (unreachable) => {
+      onReachabilityChange: (unreachable) => {
         // A peer without a member key is dead, not out of reach.
         void membership.publishStatus({
           unreachable: unreachable.filter((name) => replica.members.has(name)),
         });
       },
-      (status, peer) => {
+      onStatus: (status, peer) => {
         this.onPeerStatus(status, peer);
       },
-    );
+    });
     replica.onChange(wake);
   }
 
