--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -79,8 +79,9 @@
     const { store, clock, rateLimiter } = this.options;
     await sleep(clock, rateLimiter.delay());
     rateLimiter.consume(paths.length);
-    const removals = paths.map((remove) => ({ remove }));
-    const result = await store.compareAndSwap([termProof], 'clear old checkpoints', [], removals);
+    const writes = paths.map((remove) => ({ remove }));
+    const action = 'clear old checkpoints';
+    const result = await store.compareAndSwap({ proofs: [termProof], action, guards: [], writes });
     this.adaptLimits(result);
   }
 
@@ -96,7 +97,8 @@
       writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeFinal(status) });
     }
     rateLimiter.consume(writes.length);
-    const result = await store.compareAndSwap([termProof], 'put away ended jobs', guards, writes);
+    const action = 'put away ended jobs';
+    const result = await store.compareAndSwap({ proofs: [termProof], action, guards, writes });
     this.adaptLimits(result);
     if (result.kind === 'applied') await replica.waitForRevision(result.epoch, SECOND);
   }
@@ -135,10 +137,11 @@
    */
   private async writeWithRetry(termProof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
     const { store, clock, rateLimiter } = this.options;
+    const action = 'write a checkpoint';
     for (let i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
       await sleep(clock, Math.max(rateLimiter.delay(), i > 0 ? WRITE_RETRY_DELAY : 0));
       rateLimiter.consume(writes.length);
-      const result = await store.compareAndSwap([termProof], 'write a checkpoint', guards, writes);
+      const result = await store.compareAndSwap({ proofs: [termProof], action, guards, writes });
       if (result.kind === 'applied') return true;
       if (result.kind === 'refused') return false;
       this.adaptLimits(result);
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -9,7 +9,7 @@
 import { encodeFinal } from './stored/job-codec.js';
 import { encodeRecord, encodeRecordDraft, type StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
-import type { FencedStore, RoleName, RoleRegistry, TermProof } from '#roles';
+import type { FencedCommit, FencedStore, RoleName, RoleRegistry, TermProof, TermProofs } from '#roles';
 import type { Guard, RateLimiter, Write, WriteLimits } from '#store';
 import { type Clock, type Micros, MS, SECOND } from '#wire';
 
@@ -42,15 +42,6 @@
   readonly writes: Write[];
 }
 
-/** At least one proof: every commit is made under the term of some role. */
-type TermProofs = readonly [TermProof, ...TermProof[]];
-
-interface FencedCommit extends RecordBatch {
-  readonly proofs: TermProofs;
-  /** What is done, for operators who ask why it was refused. */
-  readonly action: string;
-}
-
 /**
  * Writes to the logs for a node. Every commit carries a guard on the ownership that it is made under, so that none is
  * applied once that is over, and a guard on the slot of each record, so that a commit whose answer was lost and the
@@ -158,10 +149,11 @@
   }
 
   /** True once the commit is applied here. */
-  private async commitAndAwait({ proofs, action, guards, writes }: FencedCommit): Promise<boolean> {
+  private async commitAndAwait(commit: FencedCommit): Promise<boolean> {
     const { store, replica, limits, recordLimiter: rateLimiter, log } = this.options;
+    const { action, guards, writes } = commit;
     rateLimiter.consume(writes.length);
-    const result = await store.compareAndSwap(proofs, action, guards, writes);
+    const result = await store.compareAndSwap(commit);
     if (result.kind === 'applied') return replica.waitForRevision(result.epoch, SECOND);
     adaptLimits(result, { limits, rateLimiter, log });
     log.debug({ result, action, key: guards.at(-1)?.path }, 'commit not applied');
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -195,7 +195,8 @@
       const value = encodeOwner({ member, nonce: memberRecord.nonce, token: fencingToken });
       writes.push({ set: shardKey(shard), value, leaseId: memberRecord.leaseId });
     }
-    const result = await store.compareAndSwap([termProof], 'deal shares', guards, writes);
+    const action = 'deal shares';
+    const result = await store.compareAndSwap({ proofs: [termProof], action, guards, writes });
     if (result.kind === 'applied') {
       await replica.waitForRevision(result.epoch, SECOND);
       log.info(
@@ -392,7 +393,8 @@
         set: MACHINE_TYPE_PREFIX + t.name,
         value: encodeMachineTypeRow(t),
       }));
-      const result = await store.compareAndSwap([termProof], 'write machine types', [], writes);
+      const action = 'write machine types';
+      const result = await store.compareAndSwap({ proofs: [termProof], action, guards: [], writes });
       if (isTooLarge(result)) limits.shrink();
     }
   }
--- a/packages/daemon/role-handover.ts
+++ b/packages/daemon/role-handover.ts
@@ -72,12 +72,12 @@
     const { membership, store } = this.parts;
     if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
     membership.withdrawCandidacy(LEAD_ABSTENTION);
-    const result = await store.compareAndSwap(
-      [termProof],
-      'hand over the lead',
-      [],
-      [{ remove: LEADER_KEY }],
-    );
+    const result = await store.compareAndSwap({
+      proofs: [termProof],
+      action: 'hand over the lead',
+      guards: [],
+      writes: [{ remove: LEADER_KEY }],
+    });
     if (result.kind === 'applied') return true;
     // It may land all the same: then the lead is vacant, and the others take it.
     membership.withdrawCandidacy(0);
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -95,7 +95,7 @@
   /** Acts under a proof; the term travels as the number of writes, for the service to note. */
   act(termProof: TermProof): void {
     const writes = [...Array(termProof.term).keys()].map((i): Write => ({ remove: `key-${i}` }));
-    void this.store.compareAndSwap([termProof], 'test', [], writes);
+    void this.store.compareAndSwap({ proofs: [termProof], action: 'test', guards: [], writes });
   }
 }
 
