--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -251,7 +251,14 @@
     const onStatus = (status: PeerStatus, peer: string): void => {
       this.onPeerStatus(status, peer);
     };
-    return new PeerMonitor(settings.peers, ping, clock, log, onUnreachable, onStatus);
+    return new PeerMonitor({
+      peers: settings.peers,
+      ping,
+      clock,
+      log,
+      onReachabilityChange: onUnreachable,
+      onStatus,
+    });
   }
 
   private onPeerStatus(status: PeerStatus, peer: string): void {
--- a/packages/daemon/machine-type-refresher.ts
+++ b/packages/daemon/machine-type-refresher.ts
@@ -53,7 +53,12 @@
         set: MACHINE_TYPE_PREFIX + type.name,
         value: encodeMachineTypeRow(type),
       }));
-      const result = await store.compareAndSwap([termProof], 'write machine types', [], writes);
+      const result = await store.compareAndSwap({
+        proofs: [termProof],
+        action: 'write machine types',
+        guards: [],
+        writes,
+      });
       if (isTooLarge(result)) writeLimits.shrink();
     }
   }
--- a/packages/daemon/role-handover.ts
+++ b/packages/daemon/role-handover.ts
@@ -80,12 +80,12 @@
     const { membership, store } = this.options;
     if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
     membership.withdrawCandidacy(LEADERSHIP_ABSTENTION);
-    const result = await store.compareAndSwap(
-      [termProof],
-      'hand over the lead',
-      [],
-      [{ remove: LEADER_KEY }],
-    );
+    const result = await store.compareAndSwap({
+      proofs: [termProof],
+      action: 'hand over the lead',
+      guards: [],
+      writes: [{ remove: LEADER_KEY }],
+    });
     if (result.kind === 'applied') return true;
     // It may be applied all the same: then leadership is vacant, and another member takes it.
     membership.withdrawCandidacy(0);
--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -58,7 +58,12 @@
     const guards = this.guards(assignments);
     const writes = this.writes(assignments, fencingToken);
     // Operators see the name of the action in the reason of a refusal.
-    const result = await store.compareAndSwap([termProof], 'deal shares', guards, writes);
+    const result = await store.compareAndSwap({
+      proofs: [termProof],
+      action: 'deal shares',
+      guards,
+      writes,
+    });
     if (result.kind === 'applied') {
       await replica.waitForRevision(result.epoch, SECOND);
       const owners = Object.fromEntries(assignments.map(({ shard, member }) => [shard, member]));
