--- a/packages/testkit/data-loss-cluster.ts
+++ b/packages/testkit/data-loss-cluster.ts
@@ -2,21 +2,14 @@
 import assert from 'node:assert/strict';
 import type { DataLossReport } from '#recovery';
 import { SECOND } from '#wire';
-import { randomJob } from './random-jobs.js';
+import { submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
 /** A cluster whose nodes watch for lost state, with jobs that come for 100 s. */
 export function createDataLossCluster(options: SimClusterOptions): SimCluster {
   const cluster = new SimCluster({ ...options, tuning: { detectsDataLoss: true, ...options.tuning } });
-  const { random, clock } = cluster;
-  let jobs = 0;
-  const arrive = (): void => {
-    if (clock.time > 100 * SECOND) return;
-    cluster.submit(randomJob(random, jobs++), random() < 0.2 ? random() * 30 * SECOND : null);
-    clock.at(random() * 4 * SECOND, arrive);
-  };
-  clock.at(SECOND, arrive);
+  submitRandomJobs(cluster, { until: 100 * SECOND, maxGapS: 4, cancellation: { rate: 0.2, withinS: 30 } });
   return cluster;
 }
 
--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -1,8 +1,8 @@
 /** Seeded random runs in which the state service loses data beside the other troubles, and some in which it doesn't. */
 import assert from 'node:assert/strict';
+import { scheduleRandomFaults } from './random-runs.js';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { injectRandomFault } from './random-faults.js';
 import { finishAllJobs, dataLossReportOf, createDataLossCluster } from './data-loss-cluster.js';
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
@@ -12,11 +12,6 @@
     const { random, clock, store } = cluster;
     let losses = 0;
     let isBack = true;
-    const harm = (): void => {
-      if (clock.time > 130 * SECOND) return;
-      if (isBack) injectRandomFault(cluster);
-      clock.at((4 + random() * 20) * SECOND, harm);
-    };
     const lose = (): void => {
       if (clock.time > 120 * SECOND) return;
       const old = store.backup();
@@ -34,7 +29,13 @@
       });
       clock.at((35 + random() * 10) * SECOND, lose);
     };
-    clock.at(20 * SECOND, harm);
+    scheduleRandomFaults(cluster, {
+      from: 20 * SECOND,
+      until: 130 * SECOND,
+      minGapS: 4,
+      extraGapS: 20,
+      isAllowed: () => isBack,
+    });
     clock.at(25 * SECOND, lose);
     await cluster.run(160 * SECOND);
     assert.ok(losses > 1, `only ${losses} losses`);
@@ -45,13 +46,7 @@
 for (let seed = FROM; seed < FROM + Math.ceil(RUNS / 3); seed++) {
   test(`random troubles alone raise no alarm, seed ${seed}`, async () => {
     const cluster = createDataLossCluster({ seed: 800 + seed });
-    const { random, clock } = cluster;
-    const harm = (): void => {
-      if (clock.time > 130 * SECOND) return;
-      injectRandomFault(cluster);
-      clock.at((4 + random() * 10) * SECOND, harm);
-    };
-    clock.at(20 * SECOND, harm);
+    scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 130 * SECOND, minGapS: 4, extraGapS: 10 });
     await cluster.run(160 * SECOND);
     await finishAllJobs(cluster);
     const alarms = [...Array(cluster.nodeCount).keys()].map((i) => dataLossReportOf(cluster, i).falseAlarms);
--- a/packages/testkit/randomized-faults.test.ts
+++ b/packages/testkit/randomized-faults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { randomJob } from './random-jobs.js';
 import { injectRandomFault } from './random-faults.js';
+import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 import type { ClusterEvent } from './sim-cluster-options.js';
 
@@ -38,20 +38,9 @@
   // A start of a node reads the live state in many pages, and commits land between them.
   const pageRows = seed % 3 === 0 ? 1000 : 5;
   const cluster = new SimCluster({ seed, settings, pageRows, ...(log ? { log } : {}) });
-  const { random, clock } = cluster;
-  let jobs = 0;
-  const arrive = (): void => {
-    if (clock.time > 150 * SECOND) return;
-    cluster.submit(randomJob(random, jobs++), random() < 0.2 ? random() * 20 * SECOND : null);
-    clock.at(random() * 8 * SECOND, arrive);
-  };
-  const harm = (): void => {
-    if (clock.time > 160 * SECOND) return;
-    injectRandomFault(cluster);
-    clock.at((2 + random() * 18) * SECOND, harm);
-  };
-  clock.at(SECOND, arrive);
-  clock.at(20 * SECOND, harm);
+  const { clock } = cluster;
+  submitRandomJobs(cluster, { until: 150 * SECOND, maxGapS: 8, cancellation: { rate: 0.2, withinS: 20 } });
+  scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 160 * SECOND, minGapS: 2, extraGapS: 18 });
   drawFollowUps(cluster, 160 * SECOND, met);
   await cluster.run(245 * SECOND);
   cluster.invariants.faultsEnded(clock.time);
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -9,7 +9,7 @@
 import { type WireFields, isWireFields, SECOND } from '#wire';
 import { loadProductionVersion } from './production-version.js';
 import { randomArray } from './random-jobs.js';
-import { injectRandomFault } from './random-faults.js';
+import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { sampleJob } from './sample-job.js';
 import { CLOUD } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
@@ -157,12 +157,7 @@
     const cluster = createBusyCluster({ seed, clockError });
     cluster.cloud.slowBootRate = 0.3;
     cluster.cloud.lateRequestRate = 0.2;
-    const harm = (): void => {
-      if (cluster.clock.time > 130 * SECOND) return;
-      injectRandomFault(cluster);
-      cluster.clock.at((6 + cluster.random() * 20) * SECOND, harm);
-    };
-    cluster.clock.at(25 * SECOND, harm);
+    scheduleRandomFaults(cluster, { from: 25 * SECOND, until: 130 * SECOND, minGapS: 6, extraGapS: 20 });
     await cluster.run(200 * SECOND);
     cluster.cloud.lateRequestRate = 0;
     cluster.cloud.slowBootRate = 0;
@@ -471,22 +466,11 @@
   const version = await loadProductionVersion();
   for (const seed of [311, 312, 313]) {
     const cluster = new SimCluster({ seed, production: { version } });
-    const { random, clock, cloud } = cluster;
+    const { clock, cloud } = cluster;
     cloud.lateRequestRate = 0.2;
     cloud.slowBootRate = 0.2;
-    let jobs = 0;
-    const arrive = (): void => {
-      if (clock.time > 140 * SECOND) return;
-      cluster.submit(randomArray(random, jobs++));
-      clock.at(random() * 5 * SECOND, arrive);
-    };
-    const harm = (): void => {
-      if (clock.time > 140 * SECOND) return;
-      injectRandomFault(cluster);
-      clock.at((5 + random() * 20) * SECOND, harm);
-    };
-    clock.at(SECOND, arrive);
-    clock.at(20 * SECOND, harm);
+    submitRandomJobs(cluster, { until: 140 * SECOND, maxGapS: 5, createJob: randomArray });
+    scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 140 * SECOND, minGapS: 5, extraGapS: 20 });
     // Two nodes are upgraded, and one comes back old only at the end of the run.
     clock.at(40 * SECOND, () => {
       cluster.upgradeNode(0, SECOND);
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -2,8 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { randomJob } from './random-jobs.js';
-import { injectRandomFault } from './random-faults.js';
+import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 
 /** Within a run and yet longer than any retry, boot or lease: late requests meet successors of their sender's successor. */
@@ -12,23 +11,12 @@
 /** Random troubles beside rentals and deletions that are carried out up to five minutes late, and slow boots. */
 async function lateRequests(seed: number): Promise<SimCluster> {
   const cluster = new SimCluster({ seed });
-  const { random, clock, cloud } = cluster;
+  const { clock, cloud } = cluster;
   cloud.lateRequestRate = 0.3;
   cloud.maxRequestDelay = LATE_BY;
   cloud.slowBootRate = 0.3;
-  let jobs = 0;
-  const arrive = (): void => {
-    if (clock.time > 150 * SECOND) return;
-    cluster.submit(randomJob(random, jobs++), random() < 0.15 ? random() * 20 * SECOND : null);
-    clock.at(random() * 5 * SECOND, arrive);
-  };
-  const harm = (): void => {
-    if (clock.time > 150 * SECOND) return;
-    injectRandomFault(cluster);
-    clock.at((4 + random() * 20) * SECOND, harm);
-  };
-  clock.at(SECOND, arrive);
-  clock.at(20 * SECOND, harm);
+  submitRandomJobs(cluster, { until: 150 * SECOND, maxGapS: 5, cancellation: { rate: 0.15, withinS: 20 } });
+  scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 150 * SECOND, minGapS: 4, extraGapS: 20 });
   await cluster.run(220 * SECOND);
   cloud.lateRequestRate = 0;
   // Slow boots are a trouble, too: with one machine type a job can meet four of them in a row (seed 108).
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -4,24 +4,24 @@
 import { encodeSubmission, SECOND } from '#wire';
 import { loadProductionVersion } from './production-version.js';
 import { randomArray, randomJob } from './random-jobs.js';
-import { injectRandomFault } from './random-faults.js';
 import { sampleJob } from './sample-job.js';
+import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 
 const version = await loadProductionVersion();
 
+function isUpgraded(cluster: SimCluster): boolean {
+  return ![...Array(cluster.nodeCount).keys()].some((i) => cluster.isOld(i));
+}
+
 /** Jobs come until the given second; gangs only once every node has the present version, as users promise. */
 function submitJobs(cluster: SimCluster, until: number): void {
-  const { random, clock } = cluster;
-  let jobs = 0;
-  const arrive = (): void => {
-    if (clock.time > until * SECOND) return;
-    const isUpgraded = ![...Array(cluster.nodeCount).keys()].some((i) => cluster.isOld(i));
-    const spec = (isUpgraded ? randomJob : randomArray)(random, jobs++);
-    cluster.submit(spec, random() < 0.15 ? random() * 20 * SECOND : null);
-    clock.at(random() * 5 * SECOND, arrive);
-  };
-  clock.at(SECOND, arrive);
+  submitRandomJobs(cluster, {
+    until: until * SECOND,
+    maxGapS: 5,
+    cancellation: { rate: 0.15, withinS: 20 },
+    createJob: (random, jobNumber) => (isUpgraded(cluster) ? randomJob : randomArray)(random, jobNumber),
+  });
 }
 
 /** Upgrades one node after the other; whoever is down at its turn comes back with the present version. */
@@ -50,12 +50,7 @@
     clock.at((100 + random() * 10) * SECOND, () => {
       cluster.store.lowerLimits({ valueBytes: 700, txnOps: 4, writeRps: 28 });
     });
-    const harm = (): void => {
-      if (clock.time > 170 * SECOND) return;
-      injectRandomFault(cluster);
-      clock.at((4 + random() * 22) * SECOND, harm);
-    };
-    clock.at(25 * SECOND, harm);
+    scheduleRandomFaults(cluster, { from: 25 * SECOND, until: 170 * SECOND, minGapS: 4, extraGapS: 22 });
     await cluster.run(250 * SECOND);
     cluster.invariants.faultsEnded(clock.time);
     await cluster.run(150 * SECOND);
