--- a/packages/testkit/invariants.ts
+++ b/packages/testkit/invariants.ts
@@ -1,106 +1,48 @@
-import { type JobStatus, type Micros, SECOND, type JobSpec } from '#wire';
-
-/** Once all troubles are over, a question about a job is answered within this time. */
+/** Checks the invariants of the protocol against what happens on machines and what users are answered. */
+import { type JobSpec, type JobStatus, type Micros, SECOND } from '#wire';
+import {
+  type FreeCapacity,
+  InvariantViolation,
+  isTerminal,
+  type JobObservation,
+  type MachineFacts,
+  type TaskStart,
+  type TeamLimits,
+  type UserAnswer,
+} from './invariant-types.js';
+import { findNeglectedGroups } from './neglected-groups.js';
+import { RunningTasks } from './running-tasks.js';
+
+export * from './invariant-types.js';
+
+/** Once all faults have ended, a question about a job is answered within this time. */
 const ANSWER_DEADLINE: Micros = 75 * SECOND;
-/** So long no task waits while a machine that fits has room and its team is under its limit. */
+/** No task waits for longer than this while a machine that fits has enough free capacity and its team is under its limit. */
 const WAITING_DEADLINE: Micros = 90 * SECOND;
-/** Within this time the largest jobs begin, too. */
-const LARGEST_JOB_START_DEADLINE: Micros = 240 * SECOND;
-
-/** A broken rule of the protocol, by its name there. */
-export class InvariantViolation extends Error {
-  constructor(
-    readonly invariant: string,
-    detail: string,
-  ) {
-    super(`${invariant}: ${detail}`);
-  }
-}
-
-/** Resources that the running tasks of each team may use together. */
-export type TeamLimits = ReadonlyMap<string, { readonly cpus: number; readonly gpus: number }>;
-
-/** What an invariant needs to know about a machine. */
-export interface MachineFacts {
-  host: string;
-  machineType: string;
-  zone: string;
-  spot: boolean;
-}
-
-/** An answer that a user received about a job. */
-export interface UserAnswer {
-  readonly status: number;
-  readonly state: JobStatus | null;
-  readonly now: Micros;
-  /** When its request was sent; `now` by default. */
-  readonly sentAt?: Micros;
-}
-
-/** When a task started, and in which attempt. */
-export interface TaskStart {
-  readonly now: Micros;
-  /** 0 by default. */
-  readonly attempt?: number;
-}
-
-/** A machine that works, with the room that it really has. */
-export interface FreeCapacity {
-  machine: MachineFacts;
-  cpus: number;
-  gpus: number;
-  memGb: number;
-}
-
-interface RunningTask {
-  taskName: string;
-  job: string;
-  machine: MachineFacts;
-  attempt: number;
-}
-
-interface JobObservation {
-  spec: JobSpec;
-  isAccepted: boolean;
-  doneTasks: Set<number>;
-  lastStatus: JobStatus | null;
-  isCancellationRequested: boolean;
-  /** When its user was first told that it is cancelled. */
-  cancelledAt: Micros | null;
-  /** When its user was first told of its end. */
-  endedAt: Micros | null;
-  submittedAt: Micros;
-  /** When a question about it was last answered. */
-  answeredAt: Micros;
-  /** When the first of its tasks began. */
-  startedAt: Micros | null;
-  /** Since when it has waited though a machine had room; null while it does not. */
-  waitingSince: Micros | null;
-}
-
 /**
- * Sees what really happens on the simulated machines and what users are told, and throws as soon as a rule
- * of the protocol is broken. It knows nothing of the service.
+ * Observes the simulated machines and the answers to users, and throws an {@link InvariantViolation} as soon as an
+ * invariant of the protocol is violated. It knows nothing of the implementation.
  */
 export class InvariantChecker {
   private readonly jobs = new Map<string, JobObservation>();
-  private readonly running = new Map<string, RunningTask>();
-  private readonly used = new Map<string, { cpus: number; gpus: number }>();
-  /** Jobs whose users were told that they are cancelled, until their time to be gone is up. */
+  private readonly running: RunningTasks;
+  /** Jobs with a confirmed cancellation, until their cancellation deadline. */
   private readonly cancelled = new Set<string>();
-  /** Jobs whose users have yet to be told of an end. */
+  /** Jobs whose users do not know of an end yet. */
   private readonly jobsAwaitingEnd = new Set<string>();
   private faultsEndedAt: Micros = Infinity;
   starts = 0;
-  /** No rule forbids them within the time to be gone, but they are of no use to anyone. */
+  /** Starts before the cancellation deadline: allowed, but of no use. */
   startsAfterConfirmation = 0;
-  /** Told of what a second trouble may follow upon. */
+  /** Called with events during which tests inject further faults. */
   onEvent: (event: 'confirmed' | 'last end') => void = () => undefined;
 
   constructor(
-    private readonly limits: TeamLimits,
+    limits: TeamLimits,
     private readonly cancellationDeadline: Micros,
-  ) {}
+  ) {
+    this.running = new RunningTasks(limits);
+  }
 
   jobSubmitted(spec: JobSpec, now: Micros): void {
     if (this.jobs.has(spec.id)) return;
@@ -134,7 +76,7 @@
       job.answeredAt = now;
       // Asked before the end was told, an answer may have been given before it, too, and overtaken on its way.
       if (sentAt < (job.endedAt ?? -Infinity) && !isTerminal(state)) return;
-      this.statusReceived(id, job, state, now);
+      this.statusReceived(job, state, now);
     } else if (job?.isAccepted && (status === 404 || status === 400 || status === 422)) {
       throw new InvariantViolation('forgotten', `${id} is answered ${status}`);
     }
@@ -142,8 +84,7 @@
 
   /** A task is on its machine: it has its image. */
   taskStarted(taskName: string, machine: MachineFacts, { now, attempt = 0 }: TaskStart): void {
-    const cut = taskName.lastIndexOf('/');
-    const id = taskName.slice(0, cut);
+    const { id } = splitTaskName(taskName);
     const job = this.jobs.get(id);
     if (!job) throw new InvariantViolation('invented', `${taskName} starts but nobody submitted it`);
     const other = this.running.get(taskName);
@@ -152,10 +93,7 @@
     if (job.cancelledAt !== null && now > job.cancelledAt + this.cancellationDeadline) {
       throw new InvariantViolation('ran_cancelled', `${taskName} starts`);
     }
-    this.checkPlacement(job.spec, taskName, machine);
-    if (job.spec.shape === 'gang') this.checkAttempt(taskName, id, attempt);
-    this.running.set(taskName, { taskName, job: id, machine, attempt });
-    this.updateUsage(job.spec, 1);
+    this.running.start({ taskName, spec: job.spec, machine, attempt });
     job.startedAt ??= now;
     job.waitingSince = null;
     this.starts++;
@@ -163,36 +101,34 @@
   }
 
   taskEnded(taskName: string, done: boolean): void {
-    const was = this.running.get(taskName);
-    const cut = taskName.lastIndexOf('/');
-    const job = this.jobs.get(taskName.slice(0, cut));
-    if (was && job) {
-      this.running.delete(taskName);
-      this.updateUsage(job.spec, -1);
-    }
+    this.running.end(taskName);
+    const { id, index } = splitTaskName(taskName);
+    const job = this.jobs.get(id);
     if (!done || !job) return;
-    job.doneTasks.add(Number(taskName.slice(cut + 1)));
+    job.doneTasks.add(index);
     if (job.doneTasks.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
   /** Tasks of the job that are on machines: name and machine of each. */
   runningTasks(id: string): { taskName: string; host: string }[] {
-    const owned = [...this.running.values()].filter((r) => r.job === id);
-    return owned.map((r) => ({ taskName: r.taskName, host: r.machine.host }));
+    return this.running.ofJob(id).map((task) => ({ taskName: task.taskName, host: task.machine.host }));
   }
 
   /**
-   * Nothing waits without reason: looked at every so often once the troubles are over, with all machines that
+   * Nothing waits without reason: looked at every so often once all faults have ended, with all machines that
    * work.
    */
-  checkWaitingJobs(now: Micros, rooms: readonly FreeCapacity[]): void {
+  checkWaitingJobs(now: Micros, capacities: readonly FreeCapacity[]): void {
     if (now < this.faultsEndedAt) return;
     for (const [id, job] of this.jobs) {
       const waits = job.isAccepted && !job.isCancellationRequested && this.waiting(id, job) > 0;
-      const room = waits && this.isUnderLimit(job.spec) ? this.capacityFor(job.spec, rooms) : undefined;
-      if (!room) job.waitingSince = null;
+      const free =
+        waits && this.running.isUnderLimit(job.spec)
+          ? this.running.capacityFor(job.spec, capacities)
+          : undefined;
+      if (!free) job.waitingSince = null;
       else if (now > (job.waitingSince ??= now) + WAITING_DEADLINE) {
-        throw new InvariantViolation('left_waiting', `${id} waits while ${room.machine.host} has room`);
+        throw new InvariantViolation('left_waiting', `${id} waits while ${free.machine.host} has room`);
       }
     }
   }
@@ -201,34 +137,6 @@
     return job.spec.taskCount - job.doneTasks.size - this.runningTasks(id).length;
   }
 
-  /** A machine with room for one of the job's tasks; for a gang, one of those that have room for all of them. */
-  private capacityFor(spec: JobSpec, rooms: readonly FreeCapacity[]): FreeCapacity | undefined {
-    const open = rooms.filter((room) => this.fits(spec, room));
-    if (spec.shape === 'array') return open[0];
-    const slots = new Map<string, number>();
-    return open.find((room) => {
-      const zone = spec.singleZone ? room.machine.zone : '';
-      slots.set(zone, (slots.get(zone) ?? 0) + slotsIn(spec, room));
-      return (slots.get(zone) ?? 0) >= spec.taskCount;
-    });
-  }
-
-  private isUnderLimit({ team, cpus, gpus, shape, taskCount }: JobSpec): boolean {
-    const limit = this.limits.get(team);
-    const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
-    const count = shape === 'gang' ? taskCount : 1;
-    return !limit || (used.cpus + count * cpus <= limit.cpus && used.gpus + count * gpus <= limit.gpus);
-  }
-
-  private fits(spec: JobSpec, { machine, cpus, gpus, memGb }: FreeCapacity): boolean {
-    return (
-      spec.cpus <= cpus &&
-      spec.gpus <= gpus &&
-      spec.memGb <= memGb &&
-      this.placementViolation(spec, machine) === null
-    );
-  }
-
   /** All tasks of the job are done. */
   isComplete(id: string): boolean {
     const job = this.jobs.get(id);
@@ -236,11 +144,11 @@
   }
 
   isDone(taskName: string): boolean {
-    const cut = taskName.lastIndexOf('/');
-    return this.jobs.get(taskName.slice(0, cut))?.doneTasks.has(Number(taskName.slice(cut + 1))) ?? false;
+    const { id, index } = splitTaskName(taskName);
+    return this.jobs.get(id)?.doneTasks.has(index) ?? false;
   }
 
-  /** From now on nothing is in the way any more. */
+  /** No fault is in effect from now on. */
   faultsEnded(now: Micros): void {
     this.faultsEndedAt = now;
   }
@@ -257,8 +165,7 @@
     for (const id of this.cancelled) {
       const at = this.jobs.get(id)?.cancelledAt ?? now;
       if (now <= at + this.cancellationDeadline) continue;
-      for (const task of this.running.values()) {
-        if (task.job !== id) continue;
+      for (const task of this.running.ofJob(id)) {
         throw new InvariantViolation('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
       // Every later start of it is caught as it begins.
@@ -266,44 +173,18 @@
     }
   }
 
-  /** At the end of a run without further trouble every accepted job should have been told final. */
+  /** Accepted jobs whose users do not know of their end; none at the end of a run that ended without faults. */
   unfinishedJobs(): string[] {
     return [...this.jobs].filter(([, j]) => j.isAccepted && !isTerminal(j.lastStatus)).map(([id]) => id);
   }
 
-  /**
-   * Classes, teams and largest jobs that were neglected: less than half of their jobs done (those that their
-   * users cancelled apart), or a largest job that began too late.
-   */
+  /** Classes, teams and largest jobs that were neglected; see {@link findNeglectedGroups}. */
   neglectedGroups(): string[] {
-    const groups = new Map<string, JobObservation[]>();
-    const into = (name: string, job: JobObservation): void => {
-      groups.set(name, [...(groups.get(name) ?? []), job]);
-    };
-    const jobs = [...this.jobs.values()].filter((j) => j.isAccepted && !j.isCancellationRequested);
-    for (const job of jobs) {
-      into(`class ${job.spec.jobClass}`, job);
-      into(`team ${job.spec.team}`, job);
-    }
-    const complaints: string[] = [];
-    for (const lane of new Set(jobs.map((j) => j.spec.jobClass))) {
-      const ranked = jobs
-        .filter((j) => j.spec.jobClass === lane)
-        .sort((a, b) => b.spec.taskCount - a.spec.taskCount);
-      for (const job of ranked.slice(0, Math.ceil(ranked.length / 10))) {
-        into(`largest of ${lane}`, job);
-        const wait = (job.startedAt ?? Infinity) - job.submittedAt;
-        if (wait > LARGEST_JOB_START_DEADLINE) complaints.push(`${job.spec.id} of ${lane} began too late`);
-      }
-    }
-    for (const [name, members] of groups) {
-      const served = members.filter((j) => j.doneTasks.size >= j.spec.taskCount).length;
-      if (served * 2 < members.length) complaints.push(`${name}: ${served} of ${members.length} done`);
-    }
-    return complaints;
+    return findNeglectedGroups(this.jobs.values());
   }
 
-  private statusReceived(id: string, job: JobObservation, state: JobStatus | null, now: Micros): void {
+  private statusReceived(job: JobObservation, state: JobStatus | null, now: Micros): void {
+    const { id } = job.spec;
     if (state === 'done' && job.doneTasks.size < job.spec.taskCount) {
       throw new InvariantViolation(
         'not_done',
@@ -322,58 +203,9 @@
       this.onEvent('confirmed');
     }
   }
-
-  /** Our own promise: a new attempt of a gang begins only once the old one is off all machines. */
-  private checkAttempt(taskName: string, job: string, attempt: number): void {
-    const other = [...this.running.values()].find((r) => r.job === job && r.attempt !== attempt);
-    if (!other) return;
-    const detail = `${taskName} of attempt ${attempt} meets ${other.taskName} of ${other.attempt}`;
-    throw new InvariantViolation('mixed_attempts', detail);
-  }
-
-  private checkPlacement(spec: JobSpec, taskName: string, machine: MachineFacts): void {
-    const why = this.placementViolation(spec, machine);
-    if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
-  }
-
-  /** Why one more task of the job must not be on that machine now, or null. */
-  private placementViolation(spec: JobSpec, machine: MachineFacts): string | null {
-    if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
-    if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
-    if (!spec.allowsSpot && machine.spot) return 'spot';
-    const others = [...this.running.values()].filter((r) => r.job === spec.id).map((r) => r.machine.zone);
-    if (spec.singleZone && others.some((zone) => zone !== machine.zone))
-      return 'not the zone of its other tasks';
-    const here = others.filter((zone) => zone === machine.zone).length + 1;
-    return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
-  }
-
-  private tasksOf(team: string): string {
-    const owned = [...this.running.values()].filter((r) => this.jobs.get(r.job)?.spec.team === team);
-    return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
-  }
-
-  private updateUsage(spec: JobSpec, sign: 1 | -1): void {
-    const used = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    used.cpus += sign * spec.cpus;
-    used.gpus += sign * spec.gpus;
-    this.used.set(spec.team, used);
-    const limit = this.limits.get(spec.team);
-    if (limit && (used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6)) {
-      throw new InvariantViolation(
-        'quota',
-        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
-      );
-    }
-  }
-}
-
-/** How many of the job's tasks the room takes. */
-function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
-  const part = (room: number, need: number): number => (need > 0 ? Math.floor(room / need + 1e-6) : Infinity);
-  return Math.min(part(cpus, spec.cpus), part(gpus, spec.gpus), part(memGb, spec.memGb));
 }
 
-function isTerminal(state: JobStatus | null): boolean {
-  return state === 'done' || state === 'cancelled';
+function splitTaskName(taskName: string): { id: string; index: number } {
+  const separator = taskName.lastIndexOf('/');
+  return { id: taskName.slice(0, separator), index: Number(taskName.slice(separator + 1)) };
 }
--- /dev/null
+++ b/packages/testkit/running-tasks.ts
@@ -0,0 +1,134 @@
+/** Tasks on simulated machines: where they may run, and how much of its limit each team uses. */
+import type { JobSpec } from '#wire';
+import {
+  type FreeCapacity,
+  InvariantViolation,
+  type MachineFacts,
+  type TeamLimits,
+} from './invariant-types.js';
+
+/** Tolerance for sums of fractions of CPUs. */
+const EPSILON = 1e-6;
+
+/** One task on a machine. */
+export interface RunningTask {
+  readonly taskName: string;
+  readonly spec: JobSpec;
+  readonly machine: MachineFacts;
+  readonly attempt: number;
+}
+
+/** All running tasks. Throws an {@link InvariantViolation} for a start that must not happen. */
+export class RunningTasks {
+  private readonly running = new Map<string, RunningTask>();
+  private readonly used = new Map<string, { cpus: number; gpus: number }>();
+
+  constructor(private readonly limits: TeamLimits) {}
+
+  /** A task starts on its machine. */
+  start(task: RunningTask): void {
+    const { taskName, spec, machine, attempt } = task;
+    this.checkPlacement(spec, taskName, machine);
+    if (spec.shape === 'gang') this.checkAttempt(taskName, spec.id, attempt);
+    this.running.set(taskName, task);
+    this.updateUsage(spec, 1);
+  }
+
+  /** A task is off its machine; unknown tasks are ignored. */
+  end(taskName: string): void {
+    const task = this.running.get(taskName);
+    if (!task) return;
+    this.running.delete(taskName);
+    this.updateUsage(task.spec, -1);
+  }
+
+  /** The task of that name, if it runs. */
+  get(taskName: string): RunningTask | undefined {
+    return this.running.get(taskName);
+  }
+
+  /** The running tasks of a job. */
+  ofJob(id: string): RunningTask[] {
+    return [...this.running.values()].filter((task) => task.spec.id === id);
+  }
+
+  /** A machine with room for one of the job's tasks; for a gang, one of those that have room for all of them. */
+  capacityFor(spec: JobSpec, capacities: readonly FreeCapacity[]): FreeCapacity | undefined {
+    const open = capacities.filter((free) => this.fits(spec, free));
+    if (spec.shape === 'array') return open[0];
+    const slots = new Map<string, number>();
+    return open.find((free) => {
+      const zone = spec.singleZone ? free.machine.zone : '';
+      slots.set(zone, (slots.get(zone) ?? 0) + slotsIn(spec, free));
+      return (slots.get(zone) ?? 0) >= spec.taskCount;
+    });
+  }
+
+  /** Whether the job's team could use the resources of one more task, or of the whole gang, within its limit. */
+  isUnderLimit({ team, cpus, gpus, shape, taskCount }: JobSpec): boolean {
+    const limit = this.limits.get(team);
+    const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
+    const count = shape === 'gang' ? taskCount : 1;
+    return !limit || (used.cpus + count * cpus <= limit.cpus && used.gpus + count * gpus <= limit.gpus);
+  }
+
+  private fits(spec: JobSpec, { machine, cpus, gpus, memGb }: FreeCapacity): boolean {
+    return (
+      spec.cpus <= cpus &&
+      spec.gpus <= gpus &&
+      spec.memGb <= memGb &&
+      this.placementViolation(spec, machine) === null
+    );
+  }
+
+  /** A promise beyond the protocol: a new attempt of a gang begins only once the old one is off all machines. */
+  private checkAttempt(taskName: string, job: string, attempt: number): void {
+    const other = [...this.running.values()].find((r) => r.spec.id === job && r.attempt !== attempt);
+    if (!other) return;
+    const detail = `${taskName} of attempt ${attempt} meets ${other.taskName} of ${other.attempt}`;
+    throw new InvariantViolation('mixed_attempts', detail);
+  }
+
+  private checkPlacement(spec: JobSpec, taskName: string, machine: MachineFacts): void {
+    const why = this.placementViolation(spec, machine);
+    if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
+  }
+
+  /** Why one more task of the job must not be on that machine now, or null. */
+  private placementViolation(spec: JobSpec, machine: MachineFacts): string | null {
+    if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
+    if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
+    if (!spec.allowsSpot && machine.spot) return 'spot';
+    const others = [...this.running.values()].filter((r) => r.spec.id === spec.id).map((r) => r.machine.zone);
+    if (spec.singleZone && others.some((zone) => zone !== machine.zone))
+      return 'not the zone of its other tasks';
+    const here = others.filter((zone) => zone === machine.zone).length + 1;
+    return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
+  }
+
+  private tasksOf(team: string): string {
+    const owned = [...this.running.values()].filter((r) => r.spec.team === team);
+    return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
+  }
+
+  private updateUsage(spec: JobSpec, sign: 1 | -1): void {
+    const used = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    used.cpus += sign * spec.cpus;
+    used.gpus += sign * spec.gpus;
+    this.used.set(spec.team, used);
+    const limit = this.limits.get(spec.team);
+    if (limit && (used.cpus > limit.cpus + EPSILON || used.gpus > limit.gpus + EPSILON)) {
+      throw new InvariantViolation(
+        'quota',
+        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
+      );
+    }
+  }
+}
+
+/** How many of the job's tasks the free capacity takes. */
+function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
+  const part = (room: number, need: number): number =>
+    need > 0 ? Math.floor(room / need + EPSILON) : Infinity;
+  return Math.min(part(cpus, spec.cpus), part(gpus, spec.gpus), part(memGb, spec.memGb));
+}
