--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -16,7 +16,7 @@
   return new SimCluster({ ...options, settings: { teams: TEAMS, ...options.settings } });
 }
 
-/** A cluster of three teams with one long job each, so that every node that owns a share has work on it. */
+/** A cluster of three teams with one long job each, so that every node that owns a shard has work. */
 async function createBusyCluster(options: SimClusterOptions): Promise<SimCluster> {
   const cluster = createCluster(options);
   cluster.clock.at(2 * SECOND, () => {
@@ -92,7 +92,7 @@
   }
 });
 
-test('with a wider bound of renewal the same combination breaks the rule', async () => {
+test('with a wider renewal bound the same combination violates the invariant', async () => {
   // The controllers are told of ten seconds more than users are promised: what they add to the bound.
   const widened = { settings: { cancellationDeadline: 35 * SECOND }, promisedCancel: 25 * SECOND };
   await assert.rejects(
@@ -112,7 +112,7 @@
   return ids;
 }
 
-/** The troubles are over: from here on the checker sees to it that nothing is forgotten or left waiting. */
+/** All faults have ended: from here on the checker requires that no job is forgotten or left waiting. */
 async function untilOver(cluster: SimCluster, jobs: readonly string[], most = 200): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
   for (let i = 0; i < most; i++) {
--- a/packages/testkit/data-loss-cluster.ts
+++ b/packages/testkit/data-loss-cluster.ts
@@ -1,4 +1,4 @@
-/** What the tests of lost state share. */
+/** Set-up and assertions that the tests of data loss have in common. */
 import assert from 'node:assert/strict';
 import type { DataLossReport } from '#recovery';
 import { SECOND } from '#wire';
--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -1,4 +1,4 @@
-/** Seeded random runs in which the state service loses data beside the other troubles, and some in which it doesn't. */
+/** Seeded random runs in which the state service loses data while other faults are injected, and some in which it doesn't. */
 import assert from 'node:assert/strict';
 import { scheduleRandomFaults } from './random-runs.js';
 import { test } from 'node:test';
@@ -7,36 +7,36 @@
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`state that is lost and brought back again beside random troubles, seed ${seed}`, async () => {
+  test(`lost and restored state under random faults, seed ${seed}`, async () => {
     const cluster = createDataLossCluster({ seed: 700 + seed });
     const { random, clock, store } = cluster;
     let losses = 0;
-    let isBack = true;
-    const lose = (): void => {
+    let isRestored = true;
+    const loseData = (): void => {
       if (clock.time > 120 * SECOND) return;
       const old = store.backup();
       clock.at((1 + random() * 10) * SECOND, () => {
         const whole = store.backup();
         if (whole.epoch === old.epoch) return;
         losses++;
-        isBack = false;
+        isRestored = false;
         if (random() < 0.4) store.wipe();
         else store.restore(old);
         clock.at((1 + random() * 20) * SECOND, () => {
           store.restore(whole);
-          isBack = true;
+          isRestored = true;
         });
       });
-      clock.at((35 + random() * 10) * SECOND, lose);
+      clock.at((35 + random() * 10) * SECOND, loseData);
     };
     scheduleRandomFaults(cluster, {
       from: 20 * SECOND,
       until: 130 * SECOND,
       minGapS: 4,
       extraGapS: 20,
-      isAllowed: () => isBack,
+      isAllowed: () => isRestored,
     });
-    clock.at(25 * SECOND, lose);
+    clock.at(25 * SECOND, loseData);
     await cluster.run(160 * SECOND);
     assert.ok(losses > 1, `only ${losses} losses`);
     await finishAllJobs(cluster);
@@ -44,7 +44,7 @@
 }
 
 for (let seed = FROM; seed < FROM + Math.ceil(RUNS / 3); seed++) {
-  test(`random troubles alone raise no alarm, seed ${seed}`, async () => {
+  test(`random faults alone raise no data loss alarm, seed ${seed}`, async () => {
     const cluster = createDataLossCluster({ seed: 800 + seed });
     scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 130 * SECOND, minGapS: 4, extraGapS: 10 });
     await cluster.run(160 * SECOND);
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -6,7 +6,7 @@
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
-/** A cluster in which work has begun: one long job of each team. */
+/** A cluster in which jobs run: one long job of each team. */
 async function createBusyCluster(options: SimClusterOptions): Promise<SimCluster> {
   const cluster = new SimCluster(options);
   cluster.clock.at(2 * SECOND, () => {
@@ -41,7 +41,7 @@
   return cluster.clock.time - from;
 }
 
-test('a machine whose reports arrive while no answer reaches it is emptied by proof, and given up', async () => {
+test('a machine whose heartbeats arrive while no answer reaches it loses its tasks by proof and is deleted', async () => {
   const cluster = await createBusyCluster({ seed: 41 });
   const mute = [...cluster.workers.values()].find((w) => w.taskCount > 0);
   assert.ok(mute);
@@ -51,7 +51,7 @@
   assert.equal(cluster.workers.has(host), false, 'it still costs money');
 });
 
-test('copies of reports, up to several leases late, mislead neither owners nor owners to come', async () => {
+test('duplicate heartbeats, up to several leases late, mislead neither present nor later owners', async () => {
   const cluster = await createBusyCluster({ seed: 42 });
   cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 45 * SECOND };
   for (let i = 0; i < 3; i++) {
@@ -63,7 +63,7 @@
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
-test('a node that alone lost the state service lets its workers go as soon as a peer tells of a new token', async () => {
+test('a node that alone lost the state service releases its workers once a peer has a newer fencing token', async () => {
   const cluster = await createBusyCluster({ seed: 43 });
   const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
   cluster.store.refusedNodes.add(`node-${cut}`);
@@ -78,7 +78,7 @@
   assert.equal(cluster.health(cut), 200);
 });
 
-test('in an outage for all every node stays healthy, so that users are back at once', async () => {
+test('in an outage for all nodes each stays healthy, so that users are served at once afterwards', async () => {
   const cluster = await createBusyCluster({ seed: 47 });
   cluster.store.setOutage(true);
   for (let i = 0; i < 48; i++) {
@@ -90,7 +90,7 @@
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
-test('one that lost the peers, too, falls silent within its bound, and returns without harm', async () => {
+test('a node that also lost its peers stops answering within its bound and returns without harm', async () => {
   const cluster = await createBusyCluster({ seed: 44 });
   const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
   cluster.store.refusedNodes.add(`node-${cut}`);
@@ -109,7 +109,7 @@
   assert.equal(ownersOf(cluster).has(cut), true);
 });
 
-test('a leader back within a fraction of a second, in the middle of the election it caused', async () => {
+test('a leader restarts within a fraction of a second, during the election that it caused', async () => {
   const cluster = await createBusyCluster({ seed: 45 });
   for (const pause of [0.05, 0.2, 0.4, 0.1]) {
     const leader = leaderOf(cluster);
@@ -147,7 +147,7 @@
   assert.deepEqual(cluster.invariants.neglectedGroups(), []);
 });
 
-test('a node that stands still for longer than its grant wakes without harm, and owns shares again', async () => {
+test('a node frozen for longer than its lease thaws without harm and owns shards again', async () => {
   for (const [seed, pause] of [
     [61, 5],
     [62, 11],
@@ -157,7 +157,7 @@
     const cold = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
     cluster.freezeNode(cold, pause * SECOND);
     await cluster.run(4.5 * SECOND);
-    assert.equal(ownersOf(cluster).has(cold), false, 'its shares wait for it');
+    assert.equal(ownersOf(cluster).has(cold), false, 'its shards wait for it');
     const before = cluster.heartbeatCount(cold);
     await cluster.run((pause - 4.5) * SECOND);
     assert.equal(cluster.heartbeatCount(cold), before, 'it moved while it stood still');
@@ -167,7 +167,7 @@
   }
 });
 
-test('bad requests in the middle of trouble: known jobs stay known, nothing impossible is accepted', async () => {
+test('invalid requests during faults: known jobs stay known, nothing impossible is accepted', async () => {
   const cluster = await createBusyCluster({ seed: 48 });
   const known = sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 });
   const never = { team: 'blue', cpus: 64 };
@@ -215,7 +215,7 @@
   await round(2);
 });
 
-test('a job that fails on every machine takes little room, and ends with its cancellation', async () => {
+test('a job that fails on every machine uses little capacity and ends with its cancellation', async () => {
   const cluster = new SimCluster({ seed: 49 });
   cluster.clock.at(2 * SECOND, () => {
     cluster.submit(
@@ -239,9 +239,9 @@
   assert.equal(cluster.lastStatuses.get('j-1'), 'cancelled');
 });
 
-// Such a node kept its shares, since its peers and the state service reached it: its workers were sent back to it until
+// Such a node kept its shards, since its peers and the state service reached it: its workers were sent back to it until
 // their leases ran out.
-test('a node that loses only its workers hands its shares on before their leases run out', async () => {
+test('a node that loses only its workers hands its shards over before the worker leases expire', async () => {
   const cluster = new SimCluster({ seed: 121, settings: { stateRps: 200, stateWriteRps: 80 } });
   cluster.clock.at(2 * SECOND, () => {
     cluster.submit(sampleJob('j-0', { team: 'blue', taskCount: 8, estimateS: 300 }));
@@ -269,7 +269,7 @@
     before.filter((task) => !after.includes(task)),
     [],
   );
-  // Back in reach it owns shares again after a while.
+  // Back in reach it owns shards again after a while.
   for (const link of links) cluster.net.refusedLinks.delete(link);
   await cluster.run(60 * SECOND);
   assert.ok(cluster.heartbeatCount(node) > reports, 'it was not tried again');
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -5,12 +5,12 @@
 import { SAMPLE_TYPES } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 
-/** When the troubles begin and end. */
-const TROUBLES = { from: 25 * SECOND, until: 110 * SECOND };
+/** When faults begin and end. */
+const FAULT_PERIOD = { from: 25 * SECOND, until: 110 * SECOND };
 
 /**
  * More work than a small fleet holds: two teams with guarantees, tasks that are stopped for others, and a guest team
- * with hundreds of jobs of one task. The owners of shares end again and again, and are back at once or after seconds,
+ * with hundreds of jobs of one task. The owners of shards end again and again, and are back at once or after seconds,
  * while the state service is slow, so that a node reads the live state while commits land.
  */
 async function fullFleet(seed: number): Promise<SimCluster> {
@@ -25,9 +25,9 @@
   const { random, clock } = cluster;
   let jobs = 0;
   const nextId = (): string => `j-${String(jobs++).padStart(6, '0')}`;
-  const cancelAfter = (shard: number): number | null => (random() < shard ? random() * 20 * SECOND : null);
+  const cancelAfter = (rate: number): number | null => (random() < rate ? random() * 20 * SECOND : null);
   const guests = (): void => {
-    if (clock.time > TROUBLES.until) return;
+    if (clock.time > FAULT_PERIOD.until) return;
     const change = {
       team: 'guest',
       jobClass: 'probes',
@@ -40,7 +40,7 @@
     clock.at(random() * 0.6 * SECOND, guests);
   };
   const teamJobs = (): void => {
-    if (clock.time > TROUBLES.until) return;
+    if (clock.time > FAULT_PERIOD.until) return;
     const saves = random() < 0.5;
     const change = {
       ...{ team: random() < 0.5 ? 'blue' : 'green', rank: random() < 0.3 ? ('urgent' as const) : 'normal' },
@@ -51,7 +51,7 @@
     clock.at(random() * 4 * SECOND, teamJobs);
   };
   const endNode = (): void => {
-    if (clock.time > TROUBLES.until) return;
+    if (clock.time > FAULT_PERIOD.until) return;
     const node = Math.floor(random() * cluster.nodeCount);
     cluster.killNode(node);
     clock.at((random() < 0.5 ? 0.3 : 6) * random() * SECOND, () => {
@@ -61,10 +61,10 @@
   };
   clock.at(SECOND, guests);
   clock.at(SECOND, teamJobs);
-  clock.at(TROUBLES.from, endNode);
-  clock.at(TROUBLES.from, () => cluster.net.slowdowns.set('10.2.0.1:2379', 4));
-  clock.at(TROUBLES.until, () => cluster.net.slowdowns.delete('10.2.0.1:2379'));
-  await cluster.run(TROUBLES.until + 15 * SECOND);
+  clock.at(FAULT_PERIOD.from, endNode);
+  clock.at(FAULT_PERIOD.from, () => cluster.net.slowdowns.set('10.2.0.1:2379', 4));
+  clock.at(FAULT_PERIOD.until, () => cluster.net.slowdowns.delete('10.2.0.1:2379'));
+  await cluster.run(FAULT_PERIOD.until + 15 * SECOND);
   cluster.invariants.faultsEnded(clock.time);
   await cluster.run(200 * SECOND);
   return cluster;
@@ -72,7 +72,7 @@
 
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 4)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`rules hold on a full fleet with guests while owners end, seed ${seed}`, async (t) => {
+  test(`invariants hold on a full fleet with guests while shard owners restart, seed ${seed}`, async (t) => {
     const cluster = await fullFleet(seed);
     t.diagnostic(`${cluster.invariants.starts} starts`);
     assert.ok(cluster.invariants.starts > 200, `only ${cluster.invariants.starts} starts`);
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -1,7 +1,7 @@
 /**
  * A deployment of real processes on loopback: controllers of this repository, stand-ins for state service, cloud and
  * workers in the process of the trial. Controllers are frozen, thawed, killed and started again at random, and what the
- * cloud is asked is often carried out late. Every rule, and every effect of a duty, is checked as it happens.
+ * cloud is asked is often carried out late. Every rule, and every effect of a role, is checked as it happens.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/packages/testkit/randomized-faults.test.ts
+++ b/packages/testkit/randomized-faults.test.ts
@@ -6,16 +6,16 @@
 import { SimCluster } from './sim-cluster.js';
 import type { ClusterEvent } from './sim-cluster-options.js';
 
-/** A second trouble that follows upon an event, while what the event brings about is still on its way. */
+/** Events during which a second fault is injected, while their effects are still in progress. */
 const EVENTS: ClusterEvent[] = ['confirmed', 'last end', 'lead', 'release'];
-/** How often one is met: changes of leader and withdrawals are few, releases many. */
+/** Chance of a fault for each event: changes of leader and cancellations are few, releases many. */
 const CHANCE: Record<ClusterEvent, number> = { confirmed: 0.4, 'last end': 0.1, lead: 0.4, release: 0.05 };
-const MOST_FOLLOW_UPS = 6;
+const MAX_FOLLOW_UPS = 6;
 
-/** Lets troubles meet events: `met` counts how many did. */
-function drawFollowUps(cluster: SimCluster, until: number, met: Map<ClusterEvent, number>): void {
+/** Injects faults during events and counts them by event. */
+function injectFaultsDuringEvents(cluster: SimCluster, until: number, met: Map<ClusterEvent, number>): void {
   const { random, clock } = cluster;
-  let left = MOST_FOLLOW_UPS;
+  let left = MAX_FOLLOW_UPS;
   cluster.onEvent = (event) => {
     if (clock.time < 20 * SECOND || clock.time > until || left === 0) return;
     if (random() > CHANCE[event]) return;
@@ -28,11 +28,12 @@
   };
 }
 
-async function chaos(seed: number, met: Map<ClusterEvent, number>): Promise<SimCluster> {
-  const say = (fields: object, text: string): void => {
+async function runWithRandomFaults(seed: number, met: Map<ClusterEvent, number>): Promise<SimCluster> {
+  const print = (fields: object, text: string): void => {
     process.stderr.write(`${(cluster.clock.time / SECOND).toFixed(3)} ${text} ${JSON.stringify(fields)}\n`);
   };
-  const log = process.env['CHAOS_LOG'] === undefined ? undefined : { debug: say, info: say, error: say };
+  const log =
+    process.env['CHAOS_LOG'] === undefined ? undefined : { debug: print, info: print, error: print };
   // Every other deployment has small values, so that checkpoints take many commits.
   const settings = seed % 2 === 0 ? {} : { valueBytes: 700, txnOps: 3 };
   // A start of a node reads the live state in many pages, and commits land between them.
@@ -41,19 +42,19 @@
   const { clock } = cluster;
   submitRandomJobs(cluster, { until: 150 * SECOND, maxGapS: 8, cancellation: { rate: 0.2, withinS: 20 } });
   scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 160 * SECOND, minGapS: 2, extraGapS: 18 });
-  drawFollowUps(cluster, 160 * SECOND, met);
+  injectFaultsDuringEvents(cluster, 160 * SECOND, met);
   await cluster.run(245 * SECOND);
   cluster.invariants.faultsEnded(clock.time);
   await cluster.run(155 * SECOND);
   return cluster;
 }
 
-/** Each run checks every rule after every step, and at the end that all work came to its end. */
+/** Each run checks every invariant after every step, and at the end that all jobs have ended. */
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 12)];
 const met = new Map<ClusterEvent, number>();
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`rules hold and work ends under random troubles, seed ${seed}`, async (t) => {
-    const cluster = await chaos(seed, met);
+  test(`invariants hold and all jobs end under random faults, seed ${seed}`, async (t) => {
+    const cluster = await runWithRandomFaults(seed, met);
     t.diagnostic(`${cluster.gangs.starts} gangs came together`);
     t.diagnostic(
       `${cluster.invariants.startsAfterConfirmation} of ${cluster.invariants.starts} after a confirmation`,
@@ -64,6 +65,6 @@
   });
 }
 
-test('in these runs troubles met every kind of event', { skip: RUNS < 12 }, () => {
+test('faults were injected during every kind of event', { skip: RUNS < 12 }, () => {
   for (const event of EVENTS) assert.ok((met.get(event) ?? 0) > 0, `none met ${event}`);
 });
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -167,7 +167,7 @@
   }
 });
 
-test('a holder whose steady clock runs far too slowly or too fast is fenced all the same', async () => {
+test('a holder whose monotonic clock runs far too slowly or too fast is fenced all the same', async () => {
   for (const [seed, drift] of [
     [241, -0.6],
     [242, -0.9],
@@ -214,7 +214,7 @@
   }
 });
 
-test('a renewal that arrives after its grant has ended revives nothing', async () => {
+test('a renewal that arrives after its lease has expired revives nothing', async () => {
   const cluster = createBusyCluster({ seed: 261 });
   await cluster.run(30 * SECOND);
   const old = leaderOf(cluster);
@@ -246,7 +246,7 @@
   }
 });
 
-test('a leader cut from the cloud only, from its peers only or from its workers only keeps the rules', async () => {
+test('a leader partitioned from the cloud, its peers or its workers only keeps the invariants', async () => {
   const cuts: ((cluster: SimCluster, leader: number) => string[])[] = [
     (_cluster, leader) => [`node-${leader}>${CLOUD}`],
     (cluster, leader) => [...cluster.workers.keys()].map((host) => `${host}>10.0.0.${leader}:80`),
@@ -268,7 +268,7 @@
   }
 });
 
-test('the lead is handed over on purpose, to another node and within a second', async () => {
+test('leadership is handed over on request, to another node and within a second', async () => {
   const cluster = createBusyCluster({ seed: 291 });
   await cluster.run(30 * SECOND);
   const old = leaderOf(cluster);
@@ -285,7 +285,7 @@
   await finish(cluster);
 });
 
-test('a share is handed over on purpose: the leader deals it to another node, under a higher token', async () => {
+test('a shard is handed over on request: the leader assigns it to another node under a higher fencing token', async () => {
   const cluster = createBusyCluster({ seed: 292 });
   await cluster.run(30 * SECOND);
   const ownerOf = (shard: number): unknown =>
@@ -320,7 +320,7 @@
     await cluster.run(1.5 * SECOND);
     assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== old, 'nobody leads');
     assert.equal(cluster.store.rows.has(`mw/now/member/node-${old}`), false);
-    assert.equal([0, 1, 2].filter((node) => node !== old).flatMap(ownedBy).length, 3, 'a share has no owner');
+    assert.equal([0, 1, 2].filter((node) => node !== old).flatMap(ownedBy).length, 3, 'a shard has no owner');
     cluster.killNode(old);
     await cluster.run(5 * SECOND);
     cluster.startNode(old);
@@ -360,7 +360,7 @@
   await finish(cluster);
 });
 
-test('shares are handed over only once every node has announced that it knows the hand-over', async () => {
+test('shards are handed over only once every node has announced the hand-over capability', async () => {
   const version = await loadProductionVersion();
   const cluster = createBusyCluster({ seed: 294, production: { version } });
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
@@ -383,7 +383,7 @@
   await finish(cluster);
 });
 
-test('the row of a duty that can not be read closes that duty alone, is named in the log and ends no node', async () => {
+test('an unreadable row of a role blocks that role alone, is logged and ends no node', async () => {
   const errors: string[] = [];
   const note = (fields: object): void => {
     if ('path' in fields) errors.push(String(fields.path));
@@ -419,7 +419,7 @@
   await finish(cluster);
 });
 
-test('while the token can not be read no worker is answered and no share is dealt; all goes on once it can', async () => {
+test('while the fencing token is unreadable no worker is answered and no shard assigned; all resumes once it is readable', async () => {
   const cluster = createBusyCluster({ seed: 296 });
   await cluster.run(30 * SECOND);
   const row = cluster.store.rows.get('mw/now/token');
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -43,7 +43,7 @@
   unrecordedByOld: number;
 }
 
-/** What a transaction has to guard: the duties under which each of its writes may be made. */
+/** What a transaction has to guard: the roles under which each of its writes may be made. */
 function requiredRoleKeys(write: WireFields): string[] {
   const path = String(write['Set'] ?? write['Remove']);
   if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
@@ -131,7 +131,7 @@
     if (entry?.destination === 'return' && entry.shard === null) return;
     if (sender.isOld) this.counts.unrecordedByOld++;
     else {
-      const state = entry ? `share ${entry.shard}, destination ${entry.destination}` : 'in no record';
+      const state = entry ? `shard ${entry.shard}, destination ${entry.destination}` : 'in no record';
       throw new InvariantViolation(
         'unrecorded',
         `${host} is deleted in term ${sender.term} of ${this.term}: ${state}`,
@@ -154,7 +154,7 @@
 
   private checkShardGuard(guards: readonly WireFields[], write: WireFields): void {
     if (guards.some((g) => String(g['Path']).startsWith(SHARD_PREFIX))) return;
-    throw new InvariantViolation('ownership', `${String(write['Set'])} was ended by no owner of a share`);
+    throw new InvariantViolation('ownership', `${String(write['Set'])} was ended by no owner of a shard`);
   }
 
   private advanceToken(value: unknown): void {
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -1,4 +1,4 @@
-/** Duties that one controller holds at a time: nothing that a replaced holder does takes effect, or it harms nobody. */
+/** Roles under random faults and late requests: what a replaced holder did has no effect, or does no harm. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
@@ -8,7 +8,7 @@
 /** Within a run and yet longer than any retry, boot or lease: late requests meet successors of their sender's successor. */
 const LATE_BY = 300 * SECOND;
 
-/** Random troubles beside rentals and deletions that are carried out up to five minutes late, and slow boots. */
+/** Random faults while the cloud executes requests up to five minutes late and boots slowly. */
 async function lateRequests(seed: number): Promise<SimCluster> {
   const cluster = new SimCluster({ seed });
   const { clock, cloud } = cluster;
@@ -19,7 +19,7 @@
   scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 150 * SECOND, minGapS: 4, extraGapS: 20 });
   await cluster.run(220 * SECOND);
   cloud.lateRequestRate = 0;
-  // Slow boots are a trouble, too: with one machine type a job can meet four of them in a row (seed 108).
+  // Slow boots are a fault, too: with one machine type a job can meet four of them in a row (seed 108).
   cloud.slowBootRate = 0;
   cluster.invariants.faultsEnded(clock.time);
   await cluster.run(160 * SECOND);
@@ -28,7 +28,7 @@
 
 const [FROM, RUNS] = [Number(process.env['DUTIES_FROM'] ?? 1), Number(process.env['DUTIES_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`late rentals and deletions harm no machine in use, seed ${seed}`, async () => {
+  test(`late scale-out and deletion requests harm no machine in use, seed ${seed}`, async () => {
     const cluster = await lateRequests(seed);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
     assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -1,4 +1,4 @@
-/** How long the lead and the shares are without a holder that can act, after freeze, crash and cut of the leader. */
+/** How long leadership and shards are without a holder that can act, after freeze, crash and cut of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
@@ -53,7 +53,7 @@
   await cluster.run(10 * SECOND);
 }
 
-test('a duty is vacant for little longer than a grant lives, whatever happened to its holder', async (t) => {
+test('a role is vacant for little longer than its lease, whatever happened to its holder', async (t) => {
   const meter = new VacancyMeter();
   for (let seed = 1; seed <= RUNS; seed++) {
     for (const cause of CAUSES) await replaceLeader(400 + seed, cause, meter);
@@ -61,5 +61,5 @@
   for (const line of meter.report()) t.diagnostic(line);
   assert.ok(meter.count >= 2 * RUNS * CAUSES.length, `only ${meter.count} vacancies`);
   assert.ok(meter.longest('lead') <= MOST_LEAD_MS, `${meter.longest('lead')} ms without a leader`);
-  assert.ok(meter.longest('share') <= MOST_SHARE_MS, `${meter.longest('share')} ms without an owner`);
+  assert.ok(meter.longest('shard') <= MOST_SHARE_MS, `${meter.longest('shard')} ms without an owner`);
 });
--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -1,4 +1,4 @@
-/** How long a duty stays without a holder that can act, after something happened to the one it had. */
+/** How long a role stays without a holder that can act, after something happened to the one it had. */
 import type { Micros } from '#wire';
 import { DurationMeter } from './duration-meter.js';
 
@@ -8,7 +8,7 @@
   private readonly durations = new DurationMeter();
   private readonly open = new Map<string, { since: Micros; cause: VacancyCause }>();
 
-  /** The holder of this duty can't act from now on. */
+  /** The holder of this role can't act from now on. */
   began(role: string, cause: VacancyCause, now: Micros): void {
     if (!this.open.has(role)) this.open.set(role, { since: now, cause });
   }
@@ -18,22 +18,22 @@
     this.open.delete(role);
   }
 
-  /** The duty has a new holder. */
+  /** The role has a new holder. */
   ended(role: string, now: Micros): void {
     const vacancy = this.open.get(role);
     if (!vacancy) return;
     this.open.delete(role);
-    const kind = role === 'lead' ? 'lead' : 'share';
+    const kind = role === 'lead' ? 'lead' : 'shard';
     this.durations.record(`${kind} after ${vacancy.cause}`, now - vacancy.since);
   }
 
-  /** One line for each kind of duty and cause: the number of vacancies and their percentiles in milliseconds. */
+  /** One line for each kind of role and cause: the number of vacancies and their percentiles in milliseconds. */
   report(): string[] {
     return this.durations.report();
   }
 
-  /** The longest vacancy of this kind of duty, in milliseconds. */
-  longest(kind: 'lead' | 'share'): number {
+  /** The longest vacancy of this kind of role, in milliseconds. */
+  longest(kind: 'lead' | 'shard'): number {
     return this.durations.longest(`${kind} `);
   }
 
