--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -50,7 +50,13 @@
 
   constructor(private readonly options: LeaderOptions) {
     const { cloud, clock, log, requestRound } = options;
-    this.fleet = new FleetManager(cloud, clock, () => this.fleetState(), log, requestRound);
+    this.fleet = new FleetManager({
+      cloud,
+      clock,
+      state: () => this.fleetState(),
+      log,
+      requestRound,
+    });
     this.shardAssigner = new ShardAssigner(options);
     this.machineTypes = new MachineTypeRefresher(options);
     this.drainer = new MachineDrainer(options);
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -51,13 +51,13 @@
       isPartitioned: () => false,
     };
     const fencedCloud = new FencedCloud(cloud, registry);
-    this.manager = new FleetManager(
-      fencedCloud,
+    this.manager = new FleetManager({
+      cloud: fencedCloud,
       clock,
-      () => state,
-      SILENT,
-      () => undefined,
-    );
+      state: () => state,
+      log: SILENT,
+      requestRound: () => undefined,
+    });
     const termProof = registry.proveHeld('lead');
     assert.ok(termProof);
     this.manager.beginTerm(termProof);
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -10,6 +10,17 @@
 import { ScaleInSelection } from './scale-in-selection.js';
 import { ScaleOutRequests } from './scale-out-requests.js';
 
+/** What a {@link FleetManager} is made of. */
+export interface FleetManagerOptions {
+  readonly cloud: FencedCloud;
+  readonly clock: Clock;
+  /** What the leader knows of the cluster at this moment. */
+  readonly state: () => FleetState;
+  readonly log: Logger;
+  /** Has the node's next scheduling round begin soon. */
+  readonly requestRound: () => void;
+}
+
 /**
  * Scales the fleet for the leader. What is to be written into the leader's log is gathered as pending changes; what is
  * asked of the cloud is taken from the ledger, so that a request is always recorded before it is made. The cloud may
@@ -26,13 +37,12 @@
   /** The term of the leader under which everything is asked. */
   private termProof: TermProof | null = null;
 
-  constructor(
-    cloud: FencedCloud,
-    clock: Clock,
-    private readonly state: () => FleetState,
-    log: Logger,
-    private readonly requestRound: () => void,
-  ) {
+  private readonly state: () => FleetState;
+  private readonly requestRound: () => void;
+
+  constructor({ cloud, clock, state, log, requestRound }: FleetManagerOptions) {
+    this.state = state;
+    this.requestRound = requestRound;
     this.changes = new PendingFleetChanges(() => state().ledger, log);
     this.machineList = new MachineList(cloud, clock, () => state().machineListLag);
     const { changes, machineList } = this;
