--- a/packages/cluster/done-set.ts
+++ b/packages/cluster/done-set.ts
@@ -1,14 +1,18 @@
 /** Which tasks of a job are done: a bit each, written out as ranges ("0-41,44"). */
+
+/** A growing set of task indexes. */
 export class DoneSet {
   private bits = new Uint8Array(0);
   private size = 0;
   /** Every index below this is done. */
   private low = 0;
 
+  /** How many tasks are done. */
   get count(): number {
     return this.size;
   }
 
+  /** The lowest index that is not done. */
   get firstOpen(): number {
     return this.low;
   }
@@ -35,6 +39,7 @@
     for (let i = 0; i < size; i++) this.add(i);
   }
 
+  /** The set as ranges in ascending order, as in "0-41" or "44". */
   ranges(): string[] {
     const out: string[] = [];
     const end = this.bits.length * 8;
@@ -48,6 +53,7 @@
     return out;
   }
 
+  /** Adds ranges as {@link ranges} gives them, joined by commas. */
   addRanges(text: string): void {
     for (const part of text.split(',')) {
       if (part === '') continue;
--- a/packages/cluster/gang.ts
+++ b/packages/cluster/gang.ts
@@ -7,13 +7,13 @@
   size: number;
 }
 
-/** What a gang's wholeness is told from. */
+/** The placed tasks of a job, from which the completeness of its gang is determined. */
 interface PlacedTasks {
   readonly placements: ReadonlyMap<number, { attempt: number }>;
 }
 
 /**
- * A gang's tasks all have a place under one attempt. Only then may any of them be started: its start may be split
+ * A gang's tasks are all placed under one attempt. Only then may any of them be started: its start may be split
  * over several records, and a reader that has seen some of them, at whatever point, takes none of it for a start.
  * Once a task has ended the attempt is over for all. For independent tasks this is always true.
  */
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -20,11 +20,12 @@
 import { isTerminal } from './stored/job-codec.js';
 import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
 
-/** All live rows as of one epoch. */
+/** All live rows as of one revision. */
 export interface LiveRows {
   rows: Row[];
-  /** The epoch up to which the rows are complete, and that of the last page read. */
+  /** The revision up to which the rows are complete. */
   from: number;
+  /** The revision of the last page read. */
   to: number;
 }
 
@@ -48,12 +49,12 @@
     }
     ledger.restore(positions, parts);
   }
-  // The order of commits is the order of their epochs, whichever logs they went to.
+  // The order of commits is the order of their revisions, whichever logs they went to.
   const records = rows.filter((row) => row.path.startsWith(LOG_PREFIX)).sort(byCommitOrder);
   const live = liveJobs(rows);
   for (const { path, value } of records) {
     const record = decodeRecord(value);
-    // A place may have been taken anew since the checkpoint was read.
+    // A slot may have been overwritten since the checkpoint was read.
     if (!ledger.apply(logIdOfKey(path), record)) {
       throw new IncompleteStateError('log and checkpoint were read at different times');
     }
@@ -69,7 +70,7 @@
   return new Set(live.map(({ path }) => path.slice(JOB_PREFIX.length)));
 }
 
-/** The cluster's token as these rows have it. */
+/** The cluster's fencing token as these rows have it. */
 export function fencingTokenIn({ rows }: LiveRows): number {
   const value = rows.find((row) => row.path === FENCING_TOKEN_KEY)?.value ?? null;
   return decodeFencingToken(value) ?? UNREADABLE_FENCING_TOKEN;
@@ -80,36 +81,36 @@
   return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
 }
 
-/** What a copy knows of the place of a record. */
+/** The record that lies in a slot of a log: its sequence, and the revision of the row. */
 export interface LogSlot {
   sequence: number;
   revision: number;
 }
 
-/** The revisions that a copy holds, and the records in their places. */
+/** The revisions of the rows that a copy holds, and the records in the slots of its logs. */
 export interface KnownRows {
   revisions: ReadonlyMap<string, number>;
   logSlots: ReadonlyMap<string, LogSlot>;
 }
 
 /** Compares rows that were read with what a copy held before: in one history no row grows older. */
-export function compareRows({ rows }: LiveRows, { revisions, logSlots: places }: KnownRows): RowDifferences {
+export function compareRows({ rows }: LiveRows, { revisions, logSlots }: KnownRows): RowDifferences {
   const shown = new Map(rows.map((row) => [row.path, row]));
   const forked: string[] = [];
-  const wentBack: string[] = [];
+  const regressed: string[] = [];
   const absent: string[] = [];
-  for (const [path, { sequence: seq, revision }] of places) {
+  for (const [path, { sequence, revision }] of logSlots) {
     const row = shown.get(path);
     if (!row) absent.push(path);
-    else if (row.revision < revision) wentBack.push(path);
-    else if (storedSequence(row.value) === seq && row.revision !== revision) forked.push(path);
+    else if (row.revision < revision) regressed.push(path);
+    else if (storedSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
   }
   for (const [path, revision] of revisions) {
     const row = shown.get(path);
     if (!row) absent.push(path);
-    else if (row.revision < revision) wentBack.push(path);
+    else if (row.revision < revision) regressed.push(path);
   }
-  return { forked, regressed: wentBack, absent };
+  return { forked, regressed, absent };
 }
 
 /** What a copy holds that changes are compared with. */
@@ -134,19 +135,19 @@
       if (value && isTerminal(value)) ended.add(job);
       else if (!value && copy.isLive(job) && !ended.has(job)) lost.push(path);
     } else if (path.startsWith(LOG_PREFIX)) {
-      const isBack = value !== null && storedSequence(value) <= copy.position(path);
-      if (!value || isBack) lost.push(path);
+      const isOlder = value !== null && storedSequence(value) <= copy.position(path);
+      if (!value || isOlder) lost.push(path);
     } else if (!value && isKeptForever(path, checkpointId)) lost.push(path);
   }
   return lost;
 }
 
-/** A key that would make up for a lost one: a job's end for its record. */
+/** A key whose presence explains a missing one: a job's terminal status replaces its row. Null if there is none. */
 export function successorKeyOf(path: string): string | null {
   return path.startsWith(JOB_PREFIX) ? terminalKey(path.slice(JOB_PREFIX.length)) : null;
 }
 
-/** A part of a checkpoint that these rows don't rely on. */
+/** A chunk of a checkpoint other than the present one of these rows. */
 export function isObsoleteChunk(path: string, { rows }: LiveRows): boolean {
   const head = rows.find((row) => row.path === CHECKPOINT_HEAD_KEY);
   return (
--- a/packages/cluster/revision-waiters.ts
+++ b/packages/cluster/revision-waiters.ts
@@ -1,26 +1,27 @@
-/** Callers that wait until a copy of the state has reached an epoch. */
+/** Callers that wait until a copy of the state has reached a revision. */
 import type { Clock, Micros } from '#wire';
 
 interface Waiter {
-  epoch: number;
-  done: (isReached: boolean) => void;
+  readonly revision: number;
+  readonly settle: (isReached: boolean) => void;
 }
 
+/** Waits of any number of callers, each with its revision and timeout. */
 export class RevisionWaiters {
   private waiting: Waiter[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Resolves true once the epoch is reached, or false after the timeout. */
-  wait(epoch: number, timeout: Micros): Promise<boolean> {
+  /** Resolves true once the revision is reached, or false after the timeout. */
+  wait(revision: number, timeout: Micros): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = this.clock.after(timeout, () => {
         this.waiting = this.waiting.filter((other) => other !== waiter);
         resolve(false);
       });
       const waiter: Waiter = {
-        epoch,
-        done: (isReached) => {
+        revision,
+        settle: (isReached) => {
           timer.cancel();
           resolve(isReached);
         },
@@ -29,10 +30,10 @@
     });
   }
 
-  /** The copy has applied everything up to this epoch. */
-  onRevision(epoch: number): void {
-    const done = this.waiting.filter((waiter) => waiter.epoch <= epoch);
-    this.waiting = this.waiting.filter((waiter) => waiter.epoch > epoch);
-    for (const waiter of done) waiter.done(true);
+  /** The copy has applied everything up to this revision. */
+  onRevision(revision: number): void {
+    const reached = this.waiting.filter((waiter) => waiter.revision <= revision);
+    this.waiting = this.waiting.filter((waiter) => waiter.revision > revision);
+    for (const waiter of reached) waiter.settle(true);
   }
 }
--- a/packages/cluster/state-integrity-check.ts
+++ b/packages/cluster/state-integrity-check.ts
@@ -1,4 +1,4 @@
-/** What a node's copy of the state asks of whoever watches for lost state. */
+/** The interface by which a node's copy of the state has what it reads checked for data loss. */
 import type { Micros } from '#wire';
 import type { Positions } from './placement.js';
 
@@ -11,9 +11,9 @@
   positions: Positions;
 }
 
-/** What one reading of all live state showed. */
+/** What one complete read of the live state showed. */
 export interface StateReading {
-  /** Steady time at which it was begun. */
+  /** Steady time at which the read was begun. */
   sentAt: Micros;
   shown: HighWaterMarks;
   /** What was known when it was begun; null before the first reading. */
@@ -35,11 +35,11 @@
 /** Judges what the state service shows. While it is closed a copy stays as it is and reads all live state anew. */
 export interface StateIntegrityCheck {
   isOpen(): boolean;
-  /** False for a while after the start: what would tell of a loss has yet to be heard, and no reading is of use. */
+  /** False for a while after the start: observations of a loss may yet arrive, and no read is of use. */
   isReady(): boolean;
   /** Has this called whenever the check closes. */
   onClose(listener: () => void): void;
-  /** The highest epoch that any answer has shown. */
+  /** The highest revision that any answer has shown. */
   minimumRevision(): number;
   /** Whether the reading may be taken for the state; opens or closes the check. */
   judgeReading(reading: StateReading): boolean;
@@ -55,7 +55,7 @@
   reportIncompleteRead(reason: string): void;
 }
 
-/** Believes whatever is shown. */
+/** Accepts whatever is shown. */
 export const NO_STATE_INTEGRITY_CHECK: StateIntegrityCheck = {
   isOpen: () => true,
   isReady: () => true,
--- a/packages/cluster/stored/holder-codec.ts
+++ b/packages/cluster/stored/holder-codec.ts
@@ -22,7 +22,7 @@
 }
 
 /**
- * Who holds a duty. A row that can't be read closes it: nobody is taken for its holder, and nobody may take it as if it
+ * Who holds a role. A row that can't be read closes it: nobody is taken for its holder, and nobody may take it as if it
  * were vacant, until the row is written anew or its lease expires.
  */
 export function decodeHolder({ Member: member, Nonce: nonce }: WireFields, revision: number): LeaseHolder {
