--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -17,7 +17,7 @@
 }
 
 function part(indices: number[], attempt = ATTEMPT): StartGroup {
-  const tasks = indices.map((i): StartGroup['tasks'][number] => [i, HOSTS[i] as string, 1]);
+  const tasks = indices.map((i): StartGroup['tasks'][number] => [i, HOSTS[i]!, 1]);
   return { job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], gang: { attempt, size: 3 }, tasks };
 }
 
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -145,7 +145,7 @@
   assert.equal(ledger.machines.size, 1);
 });
 
-test('an end names its attempt: the end of an earlier one leaves the present one alone', () => {
+test('a completion names its attempt: that of an earlier one leaves the present one alone', () => {
   const ledger = new Ledger();
   ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [HOST('n-1', 0), HOST('n-2', 0)] });
   ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [{ ...START, tasks: [[0, 'n-1', 1]] }] });
@@ -161,7 +161,7 @@
   assert.equal(ledger.jobs.get('j-1')?.done.count, 0);
 });
 
-test('a machine has one owner: only from a release to the next take may it change hands, and steps of any other share are void', () => {
+test('a machine has one owner: only between a release and the next acquisition does it change hands, and steps of any other shard have no effect', () => {
   const ledger = new Ledger();
   ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [HOST('n-1', 0)] });
   ledger.apply(1, {
@@ -177,7 +177,7 @@
     starts: [{ ...START, tasks: [[0, 'n-1', 1]] }],
     releases: [['n-1', null]],
   });
-  assert.equal(ledger.machines.get('n-1')?.shard, 0, 'nobody named a move');
+  assert.equal(ledger.machines.get('n-1')?.shard, 0, 'no transfer target was named');
   ledger.apply('lead', { sequence: 2, recordedAtMs: 0, transferTargets: [['n-1', 1]] });
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, releases: [['n-1', [1, 7]]] });
   assert.equal(ledger.machines.get('n-1')?.shard, null);
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -20,14 +20,15 @@
 }
 
 /**
- * A task runs on a machine of share 0, is stopped there, and starts again on a machine of share 1. In between, an
- * owner lets a machine go and another takes it.
+ * A task runs on a machine of shard 0, is stopped there, and starts again on a machine of shard 1. In between, one
+ * owner releases a machine and another acquires it.
  */
 const COMMITS: Commit[] = [
   {
     log: 'lead',
     record: {
-      ...{ sequence: 1, recordedAtMs: 0 },
+      sequence: 1,
+      recordedAtMs: 0,
       machines: [
         ['n-1', 'small', 'east', false, 0, 0],
         ['n-2', 'small', 'east', false, 0, 1],
@@ -99,7 +100,13 @@
   });
   for (const commit of COMMITS.slice(0, committed)) store.commit(commit);
   const clock = new SimClock();
-  const view = clock.view((step) => step(), 0, 0);
+  const view = clock.view(
+    (step) => {
+      step();
+    },
+    0,
+    0,
+  );
   const replica = new Replica({
     store: store as unknown as StoreClient,
     clock: view,
