--- a/packages/testkit/data-loss-cluster.ts
+++ b/packages/testkit/data-loss-cluster.ts
@@ -13,12 +13,14 @@
   return cluster;
 }
 
+/** The data loss report of a node that is up and runs the detection. */
 export function dataLossReportOf(cluster: SimCluster, node: number): DataLossReport {
   const loss = cluster.controller(node)?.dataLossReport().loss;
   assert.ok(loss, `node ${node} is down, or does not watch`);
   return loss;
 }
 
+/** Asserts that every node is in this state. */
 export function assertDataLossStates(cluster: SimCluster, state: DataLossReport['state']): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
     const loss = dataLossReportOf(cluster, i);
--- a/packages/testkit/duration-meter.ts
+++ b/packages/testkit/duration-meter.ts
@@ -5,6 +5,7 @@
 const HIGHEST_MS = 600_000;
 const PERCENTILES = [50, 90, 99, 100];
 
+/** Collects durations by name. */
 export class DurationMeter {
   private readonly histograms = new Map<string, Histogram>();
 
--- a/packages/testkit/first-failure.ts
+++ b/packages/testkit/first-failure.ts
@@ -1,3 +1,4 @@
+/** Failures in callbacks whose caller may swallow them. */
 /** Keeps the first thing that broke in a callback, whose caller may swallow it, until somebody looks. */
 export class FirstFailure {
   private failure: unknown = null;
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -43,9 +43,14 @@
     if (clock.time > FAULT_PERIOD.until) return;
     const saves = random() < 0.5;
     const change = {
-      ...{ team: random() < 0.5 ? 'blue' : 'green', rank: random() < 0.3 ? ('urgent' as const) : 'normal' },
-      ...{ taskCount: 1 + Math.floor(random() * 8), cpus: random() < 0.5 ? 2 : 4, memGb: 6 },
-      ...{ estimateS: 5 + random() * 15, checkpointS: saves ? 2 : 0, saveS: saves ? 1 : 0 },
+      team: random() < 0.5 ? 'blue' : 'green',
+      rank: random() < 0.3 ? ('urgent' as const) : 'normal',
+      taskCount: 1 + Math.floor(random() * 8),
+      cpus: random() < 0.5 ? 2 : 4,
+      memGb: 6,
+      estimateS: 5 + random() * 15,
+      checkpointS: saves ? 2 : 0,
+      saveS: saves ? 1 : 0,
     };
     cluster.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
     clock.at(random() * 4 * SECOND, teamJobs);
--- a/packages/testkit/known-red.ts
+++ b/packages/testkit/known-red.ts
@@ -1,3 +1,5 @@
+/** The list of tests that are known to fail, and the verdict on a run of the suite. */
+
 /** A test that fails for a real fault which is still to be mended, as `KNOWN-RED.txt` lists it. */
 export interface KnownRed {
   test: string;
@@ -5,23 +7,26 @@
   issue: string;
 }
 
+/** Outcome of one test. */
 export interface TestResult {
   name: string;
   passed: boolean;
 }
 
+/** Whether a run passes, given the list. */
 export interface Verdict {
   passed: boolean;
   /** What there is to say of the list, a line each. */
   lines: string[];
 }
 
-const MOST = 3;
+const MAX_ENTRIES = 3;
 
 /** One test a line: its name, the cause and the issue, with ` | ` between them. Throws on anything else. */
 export function parseKnownRed(text: string): KnownRed[] {
   const rows = text.split('\n').filter((line) => line.trim() !== '');
-  if (rows.length > MOST) throw new Error(`KNOWN-RED.txt: ${rows.length} lines, ${MOST} at most`);
+  if (rows.length > MAX_ENTRIES)
+    throw new Error(`KNOWN-RED.txt: ${rows.length} lines, ${MAX_ENTRIES} at most`);
   return rows.map((row, i) => {
     const [test, cause, issue, ...rest] = row.split(' | ').map((part) => part.trim());
     if (!test || !cause || !issue || rest.length > 0) {
--- a/packages/testkit/loopback-node.ts
+++ b/packages/testkit/loopback-node.ts
@@ -8,6 +8,7 @@
 const MAIN = fileURLToPath(new URL('../daemon/main.js', import.meta.url));
 const ZONES = ['east', 'west'];
 
+/** Name, zone and addresses of a node on loopback. */
 export interface NodeAddresses {
   member: string;
   zone: string;
@@ -16,6 +17,7 @@
   operators: string;
 }
 
+/** Chooses free ports for the node with this index. */
 export async function chooseAddresses(index: number): Promise<NodeAddresses> {
   const address = async (): Promise<string> => `127.0.0.1:${await freePort()}`;
   return {
@@ -40,25 +42,51 @@
   const teams = ['blue', 'green', 'red'].flatMap((team) => [
     '[[facts.teams]]',
     `name = "${team}"`,
-    ...['cpus = 8.0', 'cpus_max = 24.0', 'gpus = 0.0', 'gpus_max = 0.0'],
+    'cpus = 8.0',
+    'cpus_max = 24.0',
+    'gpus = 0.0',
+    'gpus_max = 0.0',
   ]);
   return [
-    ...[`member = "${self.member}"`, `domain = "${self.zone}"`, `bind = "${self.users}"`],
-    ...[`cluster_listen = "${self.peers}"`, ...peers],
-    ...['[endpoints]', `cloud = "${services.cloud}"`, `state = "${services.state}"`],
-    ...['[facts]', `initial_size = ${all.length}`, `zones = ["${ZONES.join('", "')}"]`, ...teams],
-    ...['[facts.workers]', 'report_s = 1.0', 'lease_s = 6.0', 'cancel_s = 20.0'],
-    ...['[facts.state]', 'rps = 200.0', 'write_rps = 80.0', 'value_kb = 4.0', 'txn_ops = 8'],
-    ...['[facts.cloud]', 'rps = 20.0', 'list_lag_s = 1.0'],
-    ...['[facts.machine_limits]', 'cpu = 1.0', 'mem_mb = 300.0', 'sockets = 500', ''],
+    `member = "${self.member}"`,
+    `domain = "${self.zone}"`,
+    `bind = "${self.users}"`,
+    `cluster_listen = "${self.peers}"`,
+    ...peers,
+    '[endpoints]',
+    `cloud = "${services.cloud}"`,
+    `state = "${services.state}"`,
+    '[facts]',
+    `initial_size = ${all.length}`,
+    `zones = ["${ZONES.join('", "')}"]`,
+    ...teams,
+    '[facts.workers]',
+    'report_s = 1.0',
+    'lease_s = 6.0',
+    'cancel_s = 20.0',
+    '[facts.state]',
+    'rps = 200.0',
+    'write_rps = 80.0',
+    'value_kb = 4.0',
+    'txn_ops = 8',
+    '[facts.cloud]',
+    'rps = 20.0',
+    'list_lag_s = 1.0',
+    '[facts.machine_limits]',
+    'cpu = 1.0',
+    'mem_mb = 300.0',
+    'sockets = 500',
+    '',
   ].join('\n');
 }
 
+/** Addresses of the simulated services. */
 export interface Services {
   state: string;
   cloud: string;
 }
 
+/** A controller process on loopback. */
 export class LoopbackNode {
   isFrozen = false;
   private child: ChildProcess | null = null;
--- a/packages/testkit/loopback-server.ts
+++ b/packages/testkit/loopback-server.ts
@@ -4,11 +4,13 @@
 import { decode, encode, type HttpMethod } from '#wire';
 import type { Handler } from './sim-net.js';
 
+/** A running server. */
 export interface LoopbackServer {
   address: string;
   close(): void;
 }
 
+/** Serves requests at a free port of the loopback interface. */
 export async function serveOnLoopback(handler: Handler): Promise<LoopbackServer> {
   const server: Server = createServer((request, response) => {
     void readBody(request).then(async (body) => {
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -49,12 +49,14 @@
 /** How long users and machines have at most to end their work once the troubles are over. */
 const SETTLE_MS = 90_000;
 
+/** What a trial can be given. */
 export interface TrialOptions {
   seed: number;
   /** How long processes are frozen and killed. */
   durationMs: number;
 }
 
+/** What happened in a trial. */
 export interface TrialReport {
   terms: number;
   freezes: number;
@@ -69,6 +71,7 @@
   vacancies: VacancyMeter;
 }
 
+/** One trial with real controller processes. */
 export class LoopbackTrial {
   readonly nodes: LoopbackNode[] = [];
   private readonly clock = new RealClock();
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -99,6 +99,7 @@
   createController(options: ControllerOptions): SimulatedController;
 }
 
+/** Loads the controller of the version in production. */
 export async function loadProductionVersion(): Promise<ProductionVersion> {
   const fixture = (await import(FIXTURE.href)) as {
     Controller: new (parts: ProductionParts) => ProductionController;
--- a/packages/testkit/real-clock.ts
+++ b/packages/testkit/real-clock.ts
@@ -3,6 +3,7 @@
 import { type Micros, MS, type Timer } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 
+/** Real time with the interface of the simulated clock. */
 export class RealClock implements SimulationClock {
   private readonly timers = new Set<NodeJS.Timeout>();
 
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -55,18 +55,17 @@
   return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
 
+/** Records the effects of roles and throws an {@link InvariantViolation} for one that its term did not allow. */
 export class RoleHistory {
   readonly counts: EffectCounts = {
-    ...{
-      launches: 0,
-      lateLaunches: 0,
-      commits: 0,
-      scaleOuts: 0,
-      deletions: 0,
-      lateScaleOuts: 0,
-      lateDeletions: 0,
-      unrecordedByOld: 0,
-    },
+    launches: 0,
+    lateLaunches: 0,
+    commits: 0,
+    scaleOuts: 0,
+    deletions: 0,
+    lateScaleOuts: 0,
+    lateDeletions: 0,
+    unrecordedByOld: 0,
   };
   private readonly ledger = new Ledger();
   private readonly recordedScaleOuts = new Set<string>();
--- a/packages/testkit/sim-clock.ts
+++ b/packages/testkit/sim-clock.ts
@@ -1,3 +1,4 @@
+/** Simulated time: a queue of events that tests play as fast as they can. */
 import type { Clock, Micros, Timer } from '#wire';
 
 interface Event {
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -1,9 +1,11 @@
+/** A simulated cloud that creates, lists, reclaims and deletes machines. */
 import { type WireFields, isWireFields, type MachineType, type Micros, SECOND } from '#wire';
 import type { Sender } from './role-history.js';
 import type { MachineFacts } from './invariants.js';
 import type { SimulationClock } from './sim-clock.js';
 import type { Handler, SimResponse } from './sim-net.js';
 
+/** A machine of the simulated cloud. */
 export interface CloudHost extends MachineFacts {
   state: 'starting' | 'running' | 'died' | 'failed';
   createdAt: Micros;
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -12,6 +12,7 @@
   lostPeer(): void;
 }
 
+/** Time limits of gangs. */
 export interface GangTimes {
   /** For how long a task waits for the others. */
   wait: Micros;
@@ -30,6 +31,7 @@
 /** How often the tasks of a running gang look after each other. */
 const WATCH_EVERY: Micros = SECOND / 2;
 
+/** All gangs of a cluster, as their workers see them. */
 export class SimGangs {
   /** By job and attempt. */
   private readonly runs = new Map<string, GangRun>();
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -1,3 +1,4 @@
+/** A simulated network with delays, losses, duplicates and partitions. */
 import {
   type HttpClient,
   decode,
@@ -12,6 +13,7 @@
 } from '#wire';
 import type { Gate, SimClock } from './sim-clock.js';
 
+/** Answer of a simulated endpoint. */
 export interface SimResponse {
   status: number;
   body: unknown;
@@ -24,6 +26,7 @@
   body: unknown,
 ) => Promise<SimResponse> | SimResponse;
 
+/** Random faults that hold for all messages. */
 export interface NetworkFaults {
   /** Chance that a request or an answer is lost or held back. */
   faultRate: number;
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,3 +1,4 @@
+/** A simulated state service: rows with revisions, guarded commits, leases and watches. */
 import { type WireFields, isWireFields, jsonBytes, type HttpMethod, type Micros, MS, SECOND } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 import type { Handler, SimResponse } from './sim-net.js';
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -1,3 +1,4 @@
+/** A simulated worker that runs the tasks of its machine and sends heartbeats. */
 import {
   type HttpClient,
   type WireFields,
@@ -146,16 +147,19 @@
     const shift = this.incarnation;
     const node = nodes[this.node % nodes.length] as { member: string; endpoint: string };
     const body = {
-      ...{
-        Host: this.machine.host,
-        Endpoint: '10.1.0.1:9000',
-        Build: this.machine.machineType,
-        Hall: this.machine.zone,
-      },
-      ...{ Loaners: this.machine.spot, Shift: shift, Tally: ++this.sequence, Baton: this.fencingToken },
+      Host: this.machine.host,
+      Endpoint: '10.1.0.1:9000',
+      Build: this.machine.machineType,
+      Hall: this.machine.zone,
+      Loaners: this.machine.spot,
+      Shift: shift,
+      Tally: ++this.sequence,
+      Baton: this.fencingToken,
       RecallS: this.reclaimInS,
       Pieces: [...this.tasks.values()].map((t) => ({
-        ...{ Piece: t.taskName, Try: t.attempt, Status: t.status },
+        Piece: t.taskName,
+        Try: t.attempt,
+        Status: t.status,
         ...(t.cause === null ? {} : { Cause: t.cause, Stored: t.isCheckpointed }),
       })),
     };
@@ -229,15 +233,15 @@
   }
 
   private begin(key: string, task: Task, spec: JobSpec): void {
-    const { clock, invariants: rules, random } = this.options;
-    rules.taskStarted(task.taskName, this.machine, { now: clock.time, attempt: task.attempt });
+    const { clock, invariants, random } = this.options;
+    invariants.taskStarted(task.taskName, this.machine, { now: clock.time, attempt: task.attempt });
     if (spec.shape === 'gang') {
       this.joinGang(task, spec);
       return;
     }
     task.status = 'running';
     this.hasChanged = true;
-    const known = rules.isDone(task.taskName);
+    const known = invariants.isDone(task.taskName);
     const run = known ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
     const fails = this.options.isFaulty || spec.jobClass === 'broken';
     const finish = (): void => {
@@ -250,8 +254,8 @@
 
   /** Waits for the other tasks of its attempt: it is on its machine meanwhile, and makes no progress. */
   private joinGang(task: Task, spec: JobSpec): void {
-    const { clock, gangs, invariants: rules } = this.options;
-    if (rules.isDone(task.taskName)) {
+    const { clock, gangs, invariants } = this.options;
+    if (invariants.isDone(task.taskName)) {
       // The result of an earlier attempt was kept.
       this.exit(task, 'done');
       return;
--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -2,8 +2,10 @@
 import type { Micros } from '#wire';
 import { DurationMeter } from './duration-meter.js';
 
+/** What kept a holder from acting. */
 export type VacancyCause = 'freeze' | 'crash' | 'cut';
 
+/** Measures vacancies by kind of role and cause. */
 export class VacancyMeter {
   private readonly durations = new DurationMeter();
   private readonly open = new Map<string, { since: Micros; cause: VacancyCause }>();
