--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,13 +6,27 @@
 import { requireModuleComment } from './tools/eslint-rules/require-module-comment.js';
 
 /** Packages that hold to the full set. A package is added when it does; the list ends with all of them. */
-const READABLE_PACKAGES = ['cloud', 'pricing', 'store'];
+const READABLE_PACKAGES = [
+  'api',
+  'cli',
+  'cloud',
+  'daemon',
+  'fleet',
+  'operations',
+  'pricing',
+  'recovery',
+  'roles',
+  'scheduling',
+  'settings',
+  'store',
+  'workers',
+];
 
 /** Packages that are checked by the full set in this run only. */
 const CHECKED_IN_FULL = (process.env.LINT_FULL ?? '').split(',').filter((name) => name !== '');
 
 /** Packages with import cycles that are yet to be taken apart. */
-const CYCLIC_PACKAGES = ['cluster'];
+const CYCLIC_PACKAGES = [];
 
 /** Rules that hold in the packages of the full set only. All others hold everywhere. */
 const PENDING_RULES = [
