--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -9,41 +9,19 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
 import { formatRoleName } from '#roles';
-import {
-  decodeJobStatus,
-  encodeSubmission,
-  type WireFields,
-  createHttpClient,
-  type JobSpec,
-  type MachineType,
-  MS,
-  SECOND,
-} from '#wire';
+import { type WireFields, createHttpClient, MS, SECOND } from '#wire';
 import type { EffectCounts } from './role-history.js';
 import { chooseAddresses, LoopbackNode } from './loopback-node.js';
 import { type LoopbackServer, serveOnLoopback } from './loopback-server.js';
-import { RealClock } from './real-clock.js';
-import { sampleJob } from './sample-job.js';
+import { LoopbackUsers } from './loopback-users.js';
+import { pause, RealClock } from './real-clock.js';
+import { LOOPBACK_TYPES } from './sample-settings.js';
 import { SimServices, type WorkerSetup } from './sim-services.js';
 import type { SimStore } from './sim-store.js';
 import { VacancyMeter } from './vacancy-meter.js';
 
 const NODES = 3;
 const TEAMS = ['blue', 'green', 'red'];
-const TYPES: MachineType[] = [
-  {
-    name: 'small',
-    cpus: 4,
-    gpus: 0,
-    memGb: 16,
-    cacheGb: 40,
-    fetchGbPerS: 4,
-    price: 1,
-    spotPrice: 0.3,
-    bootS: 1.5,
-    zones: ['east', 'west'],
-  },
-];
 /** How long a frozen leader is left frozen at most until another one is named. */
 const REPLACEMENT_MS = 15_000;
 /** How long users and machines have at most to end their work once the troubles are over. */
@@ -77,6 +55,7 @@
   private readonly clock = new RealClock();
   private readonly random: () => number;
   private readonly services: SimServices;
+  private readonly users: LoopbackUsers;
   private readonly vacancies = new VacancyMeter();
   private readonly servers: LoopbackServer[] = [];
   private readonly folder = mkdtempSync(join(tmpdir(), 'micaworks-loopback-'));
@@ -87,6 +66,8 @@
     const generator = xoroshiro128plus(options.seed);
     this.random = () => (generator.next() >>> 0) / 4294967296;
     this.services = this.createServices();
+    const { clock, random, services, nodes } = this;
+    this.users = new LoopbackUsers({ clock, random, services, nodes, teams: TEAMS });
     const { cloud } = this.services;
     cloud.lateRequestRate = 0.2;
     cloud.maxRequestDelay = 10 * SECOND;
@@ -98,7 +79,7 @@
       clock: this.clock,
       random: this.random,
       storeLimits: { rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
-      cloud: { types: TYPES, capacity: 4, listLag: SECOND },
+      cloud: { types: LOOPBACK_TYPES, capacity: 4, listLag: SECOND },
       gangTimes: { wait: 20 * SECOND, peer: 3 * SECOND },
       teamLimits: new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }])),
       cancellationDeadline: 20 * SECOND,
@@ -150,7 +131,7 @@
     for (const end = Date.now() + REPLACEMENT_MS; Date.now() < end;) {
       const leader = this.leader;
       if (leader && condition(leader)) return leader;
-      await this.pause(50);
+      await pause(50);
     }
     return undefined;
   }
@@ -172,6 +153,7 @@
   /** Ends the trial's own children and servers; throws what broke on the way. */
   stop(): void {
     this.isOver = true;
+    this.users.stop();
     for (const node of this.nodes) node.kill();
     for (const worker of this.services.workers.values()) worker.destroy();
     for (const server of this.servers) server.close();
@@ -201,7 +183,7 @@
     const old = await this.leaderWhere(() => true);
     if (!old) throw new Error('no leader was named');
     // Whatever is to be wakened late has to be under way: the fleet is rented and work has begun.
-    await this.pause(4000);
+    await pause(4000);
     const frozen = this.leader ?? old;
     this.counts.freezes++;
     this.recordVacancies(frozen, 'freeze');
@@ -218,14 +200,14 @@
       if (this.random() < 0.75) await this.freeze(node);
       else await this.kill(node);
     }
-    await this.pause(500 + this.random() * 3000);
+    await pause(500 + this.random() * 3000);
   }
 
   private async freeze(node: LoopbackNode): Promise<void> {
     this.counts.freezes++;
     this.recordVacancies(node, 'freeze');
     node.freeze();
-    await this.pause(300 + this.random() * 7000);
+    await pause(300 + this.random() * 7000);
     node.thaw();
     for (const role of this.rolesOf(node)) this.vacancies.recovered(role);
   }
@@ -234,7 +216,7 @@
     this.counts.kills++;
     this.recordVacancies(node, 'crash');
     node.kill();
-    await this.pause(100 + this.random() * 3000);
+    await pause(100 + this.random() * 3000);
     node.start();
   }
 
@@ -280,58 +262,9 @@
     };
   }
 
-  /** Users: jobs come for so long, each is submitted until taken and polled until it is over. */
-  async submitJobs(durationMs: number): Promise<void> {
-    const until = Date.now() + durationMs;
-    const users: Promise<void>[] = [];
-    for (let i = 0; Date.now() < until; i++) {
-      const team = TEAMS[i % TEAMS.length] ?? '';
-      const taskCount = 1 + Math.floor(this.random() * 4);
-      const estimateS = 1 + this.random() * 4;
-      users.push(this.simulateUser(sampleJob(`j-${i}`, { team, taskCount, estimateS, imageGb: 1 })));
-      await this.pause(500 + this.random() * 1500);
-    }
-    await Promise.all(users);
-  }
-
-  private async simulateUser(spec: JobSpec): Promise<void> {
-    this.services.specs.set(spec.id, spec);
-    this.services.invariants.jobSubmitted(spec, this.clock.time);
-    const isTaken = (status: number): boolean => status === 200 || status === 201;
-    while (
-      !this.isOver &&
-      !isTaken((await this.sendUserRequest(spec.id, 'POST', encodeSubmission(spec))).status)
-    ) {
-      await this.pause(500);
-    }
-    while (!this.isOver) {
-      const { state } = await this.sendUserRequest(spec.id, 'GET');
-      if (state === 'done') return;
-      await this.pause(1000);
-    }
-  }
-
-  private async sendUserRequest(
-    id: string,
-    method: 'GET' | 'POST',
-    body?: WireFields,
-  ): Promise<{ status: number; state: string | null }> {
-    const node = this.nodes[Math.floor(this.random() * NODES)];
-    const path = method === 'POST' ? '/submissions' : `/submissions/${id}`;
-    const sentAt = this.clock.time;
-    const address = node?.addresses.users ?? '';
-    const reply = await createHttpClient(1)(address, method, path, body, 2 * SECOND).catch(() => null);
-    if (!reply) return { status: 0, state: null };
-    const state = decodeJobStatus(reply.body);
-    this.services.failure.guard(() => {
-      this.services.invariants.answerReceived(id, {
-        status: reply.status,
-        state,
-        now: this.clock.time,
-        sentAt,
-      });
-    });
-    return { status: reply.status, state };
+  /** Submits jobs for the given time; resolves once all of them are done. */
+  submitJobs(durationMs: number): Promise<void> {
+    return this.users.submitJobs(durationMs);
   }
 
   private watch(): void {
@@ -347,11 +280,7 @@
   private async waitFor(work: Promise<void>, ms: number): Promise<void> {
     let isDone = false;
     void work.then(() => (isDone = true));
-    for (const end = Date.now() + ms; !isDone && Date.now() < end;) await this.pause(200);
-  }
-
-  private pause(ms: number): Promise<void> {
-    return new Promise((resolve) => setTimeout(resolve, ms));
+    for (const end = Date.now() + ms; !isDone && Date.now() < end;) await pause(200);
   }
 }
 
--- a/packages/testkit/real-clock.ts
+++ b/packages/testkit/real-clock.ts
@@ -34,3 +34,8 @@
     this.timers.clear();
   }
 }
+
+/** Resolves after the given milliseconds of real time. */
+export function pause(ms: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, ms));
+}
--- a/packages/testkit/sample-settings.ts
+++ b/packages/testkit/sample-settings.ts
@@ -99,3 +99,19 @@
     zones: ['east'],
   },
 ];
+
+/** Machine types of the clusters on loopback, which boot faster. */
+export const LOOPBACK_TYPES: MachineType[] = [
+  {
+    name: 'small',
+    cpus: 4,
+    gpus: 0,
+    memGb: 16,
+    cacheGb: 40,
+    fetchGbPerS: 4,
+    price: 1,
+    spotPrice: 0.3,
+    bootS: 1.5,
+    zones: ZONES,
+  },
+];
