--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -11,8 +11,8 @@
 import {
   createOperatorApp,
   listenForOperators,
-  type NodeDutyReport,
-  type NodeLossReport,
+  type NodeRoleStatus,
+  type NodeDataLossStatus,
   type ResignResult,
 } from '#operations';
 import { encodeSubmission } from '#wire';
@@ -20,9 +20,9 @@
 import { execute, FAILURE_EXIT, USAGE_EXIT } from './index.js';
 
 /** A node whose state service shows a lower revision than before. */
-const LOSS: NodeLossReport = {
+const LOSS: NodeDataLossStatus = {
   member: 'node-2',
-  loss: {
+  dataLoss: {
     state: 'frozen',
     sinceS: 12.5,
     falseAlarms: 1,
@@ -37,23 +37,23 @@
   },
 };
 
-const REPORT: NodeDutyReport = {
+const REPORT: NodeRoleStatus = {
   member: 'node-1',
   membership: 'member',
   knowledgeAgeS: 0.4,
-  duties: [
+  roles: [
     {
-      duty: 'lead',
+      roleName: 'lead',
       state: 'held',
       holder: 'node-1',
       term: 41,
       sinceS: 12.5,
       leaseLeftS: 2.4,
-      openIntents: { rentals: ['hire-1-41-1'], returns: ['n-000003', 'n-000004'] },
+      openIntents: { scaleOutRequests: ['hire-1-41-1'], scaleInHosts: ['n-000003', 'n-000004'] },
       lastRefused: { action: 'deal shares', reason: 'the duty has changed hands', term: 38, ageS: 90 },
     },
     {
-      duty: 'share/0',
+      roleName: 'share/0',
       state: 'held',
       holder: 'node-2',
       term: 40,
@@ -127,7 +127,7 @@
   };
   const snapshot = (): AsyncIterable<string> => linesOf(SNAPSHOT);
   const app = createOperatorApp(
-    { dutyReport: () => REPORT, lossReport: () => LOSS, snapshot, resign },
+    { roleStatus: () => REPORT, dataLossStatus: () => LOSS, snapshot, resign },
     unexpected,
   );
   const server = await listenForOperators(app, '127.0.0.1:0');
@@ -212,7 +212,7 @@
       },
     ];
     assert.deepEqual((JSON.parse(json.out.join('\n')) as { nodes: object[] }).nodes, [
-      { node: address, member: LOSS.member, loss: { ...LOSS.loss, evidence, seen } },
+      { node: address, member: LOSS.member, loss: { ...LOSS.dataLoss, evidence, seen } },
     ]);
   });
 });
--- a/packages/cli/command-test-support.ts
+++ b/packages/cli/command-test-support.ts
@@ -8,8 +8,8 @@
 import {
   createOperatorApp,
   listenForOperators,
-  type NodeDutyReport,
-  type NodeLossReport,
+  type NodeRoleStatus,
+  type NodeDataLossStatus,
   type OperatedNode,
 } from '#operations';
 import { execute } from './index.js';
@@ -18,23 +18,23 @@
 export const CLOSED = '127.0.0.1:1';
 
 /** A node that knows of roles in every state. */
-export const DUTIES: NodeDutyReport = {
+export const DUTIES: NodeRoleStatus = {
   member: 'node-1',
   membership: 'member',
   knowledgeAgeS: 0.4,
-  duties: [
+  roles: [
     {
-      duty: 'lead',
+      roleName: 'lead',
       state: 'held',
       holder: 'node-1',
       term: 41,
       sinceS: 12.5,
       leaseLeftS: 2.4,
-      openIntents: { rentals: ['hire-1-41-1'], returns: ['n-000003', 'n-000004'] },
+      openIntents: { scaleOutRequests: ['hire-1-41-1'], scaleInHosts: ['n-000003', 'n-000004'] },
       lastRefused: { action: 'deal shares', reason: 'the duty has changed hands', term: 38, ageS: 90 },
     },
     {
-      duty: 'share/0',
+      roleName: 'share/0',
       state: 'held',
       holder: 'node-2',
       term: 40,
@@ -44,7 +44,7 @@
       lastRefused: null,
     },
     {
-      duty: 'share/1',
+      roleName: 'share/1',
       state: 'vacant',
       holder: null,
       term: null,
@@ -54,7 +54,7 @@
       lastRefused: null,
     },
     {
-      duty: 'share/2',
+      roleName: 'share/2',
       state: 'acquiring',
       holder: null,
       term: null,
@@ -64,7 +64,7 @@
       lastRefused: null,
     },
     {
-      duty: 'share/3',
+      roleName: 'share/3',
       state: 'suspected',
       holder: 'node-1',
       term: 37,
@@ -74,7 +74,7 @@
       lastRefused: null,
     },
     {
-      duty: 'share/4',
+      roleName: 'share/4',
       state: 'lost',
       holder: null,
       term: 36,
@@ -84,7 +84,7 @@
       lastRefused: null,
     },
     {
-      duty: 'share/5',
+      roleName: 'share/5',
       state: 'resigning',
       holder: 'node-1',
       term: 35,
@@ -97,14 +97,14 @@
 };
 
 /** A node without data loss. */
-export const SERVING: NodeLossReport = {
+export const SERVING: NodeDataLossStatus = {
   member: 'node-1',
-  loss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { revision: 432 } },
+  dataLoss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { revision: 432 } },
 };
 
 const NODE: OperatedNode = {
-  dutyReport: () => DUTIES,
-  lossReport: () => SERVING,
+  roleStatus: () => DUTIES,
+  dataLossStatus: () => SERVING,
   snapshot: () => null,
   resign: () => Promise.resolve({ kind: 'handed_over' }),
 };
--- a/packages/cli/duties-output.test.ts
+++ b/packages/cli/duties-output.test.ts
@@ -1,30 +1,30 @@
 /** What `micaworks duties` prints, to the letter: scripts of the operators read these lines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type NodeDutyReport } from '#operations';
+import { type NodeRoleStatus } from '#operations';
 import { answerAlways, CLOSED, listen, run } from './command-test-support.js';
 
 /** A node that has just started and knows of nobody. */
-const NEW_NODE: NodeDutyReport = {
+const NEW_NODE: NodeRoleStatus = {
   member: 'node-3',
   membership: 'joining',
   knowledgeAgeS: null,
-  duties: [
+  roles: [
     {
-      duty: 'lead',
+      roleName: 'lead',
       state: 'vacant',
       holder: null,
       term: null,
       sinceS: 0,
       leaseLeftS: null,
-      openIntents: { rentals: [], returns: [] },
+      openIntents: { scaleOutRequests: [], scaleInHosts: [] },
       lastRefused: null,
     },
   ],
 };
 
 test('duties prints this table', async (t) => {
-  const nodes = [await listen(t), await listen(t, { dutyReport: () => NEW_NODE })];
+  const nodes = [await listen(t), await listen(t, { roleStatus: () => NEW_NODE })];
   assert.deepEqual(await run(['duties', '--node', ...nodes, CLOSED]), [
     'exit 0',
     'NODE    DUTY     STATE      HOLDER  TERM  SINCE   LEASE  OPEN                  LAST REFUSED',
@@ -43,7 +43,7 @@
 });
 
 test('duties --json prints this object', async (t) => {
-  const [first, second] = [await listen(t), await listen(t, { dutyReport: () => NEW_NODE })];
+  const [first, second] = [await listen(t), await listen(t, { roleStatus: () => NEW_NODE })];
   const names = { [first]: 'FIRST', [second]: 'SECOND' };
   assert.deepEqual(await run(['duties', '--json', '--node', first, second, CLOSED], names), [
     'exit 0',
--- a/packages/cli/recover-output.test.ts
+++ b/packages/cli/recover-output.test.ts
@@ -1,12 +1,12 @@
 /** What `micaworks recover status` prints, to the letter: scripts of the operators read these lines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type NodeLossReport } from '#operations';
+import { type NodeDataLossStatus } from '#operations';
 import { CLOSED, listen, run, SERVING } from './command-test-support.js';
 
-const FROZEN: NodeLossReport = {
+const FROZEN: NodeDataLossStatus = {
   member: 'node-2',
-  loss: {
+  dataLoss: {
     state: 'frozen',
     sinceS: 12.5,
     evidence: [
@@ -26,9 +26,9 @@
   },
 };
 
-const NOTICED: NodeLossReport = {
+const NOTICED: NodeDataLossStatus = {
   member: 'node-3',
-  loss: {
+  dataLoss: {
     state: 'noticed',
     sinceS: 0.2,
     evidence: [
@@ -43,12 +43,12 @@
   },
 };
 
-const NOT_WATCHED: NodeLossReport = { member: 'node-4', loss: null };
+const NOT_WATCHED: NodeDataLossStatus = { member: 'node-4', dataLoss: null };
 
 test('recover status prints this table, and fails if state is lost', async (t) => {
   const nodes: string[] = [];
   for (const report of [FROZEN, SERVING, NOTICED, NOT_WATCHED]) {
-    nodes.push(await listen(t, { lossReport: () => report }));
+    nodes.push(await listen(t, { dataLossStatus: () => report }));
   }
   assert.deepEqual(await run(['recover', 'status', '--node', ...nodes, CLOSED]), [
     'exit 1',
@@ -79,8 +79,8 @@
 });
 
 test('recover status --json prints this object', async (t) => {
-  const frozen = await listen(t, { lossReport: () => FROZEN });
-  const unwatched = await listen(t, { lossReport: () => NOT_WATCHED });
+  const frozen = await listen(t, { dataLossStatus: () => FROZEN });
+  const unwatched = await listen(t, { dataLossStatus: () => NOT_WATCHED });
   const names = { [frozen]: 'FROZEN', [unwatched]: 'UNWATCHED' };
   assert.deepEqual(await run(['recover', 'status', '--json', '--node', frozen, unwatched, CLOSED], names), [
     'exit 1',
@@ -139,7 +139,7 @@
     '}',
     '! micaworks: the state service has lost state, as node-2 found; see docs/operations/recovery.md',
   ]);
-  const serving = await listen(t, { lossReport: () => SERVING });
+  const serving = await listen(t, { dataLossStatus: () => SERVING });
   assert.deepEqual(await run(['recover', 'status', '--json', '--node', serving], { [serving]: 'SERVING' }), [
     'exit 0',
     '{',
--- a/packages/cli/snapshot-output.ts
+++ b/packages/cli/snapshot-output.ts
@@ -23,13 +23,13 @@
   return {
     header: summary.header,
     jobs: summary.jobs,
-    finals: summary.finals,
+    finals: summary.terminalStatuses,
     machines: summary.machines,
-    rentals: summary.rentals,
+    rentals: summary.scaleOutRequests,
     tasks: summary.tasks,
     machineTypes: summary.machineTypes,
     lines: summary.lines,
-    hasAllFinals: summary.hasAllFinals,
+    hasAllFinals: summary.hasAllTerminalStatuses,
     positions: summary.positions,
     bytes,
   };
--- a/packages/cli/snapshot.ts
+++ b/packages/cli/snapshot.ts
@@ -33,7 +33,7 @@
     const summary = await verify(partial);
     await rename(partial, file);
     print(`${file}: epoch ${summary.header.epoch}, ${summary.jobs} jobs, ${summary.tasks} tasks on machines`);
-    if (!summary.hasAllFinals) print(`${file}: the state service did not give all final answers`);
+    if (!summary.hasAllTerminalStatuses) print(`${file}: the state service did not give all final answers`);
   } finally {
     await rm(partial, { force: true });
   }
--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -100,7 +100,7 @@
     const action = 'put away ended jobs';
     const result = await store.compareAndSwap({ proofs: [termProof], action, guards, writes });
     this.adaptLimits(result);
-    if (result.kind === 'applied') await replica.waitForRevision(result.epoch, SECOND);
+    if (result.kind === 'applied') await replica.waitForRevision(result.revision, SECOND);
   }
 
   private async writeCheckpoint(termProof: TermProof): Promise<void> {
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -137,7 +137,7 @@
     for (const row of record.scaleOuts ?? []) this.addScaleOut(row, record.recordedAtMs);
     for (const [host, destination] of record.transferTargets ?? []) {
       const machine = this.machines.get(host);
-      if (!machine || machine.destination === 'return') continue;
+      if (!machine || machine.destination === 'scale_in') continue;
       machine.destination = machine.shard === destination ? null : destination;
     }
   }
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -34,7 +34,7 @@
   const store = {
     compareAndSwap: (_guards: unknown, writes: Write[]) => {
       sent.push({ writes: writes.length, at: clock.time });
-      return Promise.resolve({ kind: 'applied', epoch: sent.length });
+      return Promise.resolve({ kind: 'applied', revision: sent.length });
     },
   } as unknown as StoreClient;
   const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
@@ -93,7 +93,7 @@
   const store = {
     compareAndSwap: (guards: Guard[], writes: Write[]) => {
       sent.push({ guards, writes });
-      return Promise.resolve({ kind: 'refused', failed: [], epoch: 0 });
+      return Promise.resolve({ kind: 'refused', failed: [], revision: 0 });
     },
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -154,7 +154,7 @@
     const { action, guards, writes } = commit;
     rateLimiter.consume(writes.length);
     const result = await store.compareAndSwap(commit);
-    if (result.kind === 'applied') return replica.waitForRevision(result.epoch, SECOND);
+    if (result.kind === 'applied') return replica.waitForRevision(result.revision, SECOND);
     adaptLimits(result, { limits, rateLimiter, log });
     log.debug({ result, action, key: guards.at(-1)?.path }, 'commit not applied');
     // What the log says now decides: a lost answer may hide a commit that was applied.
--- a/packages/cluster/member-status.ts
+++ b/packages/cluster/member-status.ts
@@ -45,7 +45,7 @@
     this.isPublishing = true;
     log.info(this.currentStatus, 'member status published');
     const result = await replaceRecord(own);
-    if (result.kind === 'applied') await replica.waitForRevision(result.epoch, SECOND);
+    if (result.kind === 'applied') await replica.waitForRevision(result.revision, SECOND);
     this.isPublishing = false;
   }
 }
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -36,10 +36,10 @@
  * What its owner last recorded of a machine: not up yet, up, silent for a while, recalled by the cloud, failing
  * its tasks, or silent beyond its lease.
  */
-export type MachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
+export type MachineStatus = 'new' | 'up' | 'unresponsive' | 'reclaimed' | 'quarantined' | 'lost';
 
 /** Where a machine is to go: a shard, or back to the cloud. */
-export type Destination = number | 'return';
+export type Destination = number | 'scale_in';
 
 /** A heartbeat of a worker: its incarnation, and the sequence within that. */
 export type HeartbeatPosition = [incarnation: Count, sequence: Count];
--- a/packages/cluster/read-barrier.ts
+++ b/packages/cluster/read-barrier.ts
@@ -9,7 +9,7 @@
 
 /** Reads the present revision of the state service, which comes with every answer. */
 export interface RevisionReader {
-  get(path: string): Promise<{ readonly epoch: number }>;
+  get(path: string): Promise<{ readonly revision: number }>;
 }
 
 /** What a barrier relies on. */
@@ -55,8 +55,8 @@
     const sentAt = clock.now();
     this.lastReadAt = sentAt;
     try {
-      const { epoch } = await store.get(UNUSED_KEY);
-      if (!(await waitForRevision(epoch, APPLY_TIMEOUT))) return false;
+      const { revision } = await store.get(UNUSED_KEY);
+      if (!(await waitForRevision(revision, APPLY_TIMEOUT))) return false;
       if (!confirmCopy(sentAt)) return false;
       this.verifiedAt = Math.max(this.verifiedAt, sentAt);
       return true;
--- a/packages/cluster/replica-loader.ts
+++ b/packages/cluster/replica-loader.ts
@@ -13,7 +13,7 @@
   list(
     prefix: string,
     after: string,
-  ): Promise<{ readonly rows: Row[]; readonly more: boolean; readonly epoch: number }>;
+  ): Promise<{ readonly rows: Row[]; readonly more: boolean; readonly revision: number }>;
 }
 
 /** All live state as one complete read showed it. */
@@ -48,10 +48,10 @@
     let from: number | null = null;
     for (let after = ''; ;) {
       const page = await this.store.list(LIVE_PREFIX, after);
-      from ??= page.epoch;
+      from ??= page.revision;
       rows.push(...page.rows);
       const last = page.rows.at(-1);
-      if (!page.more || !last) return { rows: rows.filter(committedBy(from)), from, to: page.epoch };
+      if (!page.more || !last) return { rows: rows.filter(committedBy(from)), from, to: page.revision };
       after = last.path;
     }
   }
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -53,7 +53,7 @@
 
 /** A state service with one row a page; `betweenPages` may commit before each page but the first. */
 class PagedStore {
-  epoch = 0;
+  revision = 0;
   private readonly rows = new Map<string, Row>();
   private readonly history: Change[] = [];
   private wake: () => void = () => undefined;
@@ -62,22 +62,22 @@
 
   commit({ log, record }: Commit): void {
     const path = logKey(log, record.sequence);
-    const row = { path, value: encodeRecord(encodeRecordDraft(record), record), revision: ++this.epoch };
+    const row = { path, value: encodeRecord(encodeRecordDraft(record), record), revision: ++this.revision };
     this.rows.set(path, row);
     this.history.push(row);
     this.wake();
   }
 
-  list(_prefix: string, after: string): Promise<{ rows: Row[]; more: boolean; epoch: number }> {
+  list(_prefix: string, after: string): Promise<{ rows: Row[]; more: boolean; revision: number }> {
     if (after !== '') this.betweenPages();
     const rest = [...this.rows.values()].filter((r) => r.path > after);
     rest.sort((a, b) => (a.path < b.path ? -1 : 1));
-    return Promise.resolve({ rows: rest.slice(0, 1), more: rest.length > 1, epoch: this.epoch });
+    return Promise.resolve({ rows: rest.slice(0, 1), more: rest.length > 1, revision: this.revision });
   }
 
-  async watch(_prefix: string, after: number): Promise<{ epoch: number; news: Change[] }> {
-    if (this.epoch <= after) await new Promise<void>((resolve) => (this.wake = resolve));
-    return { epoch: this.epoch, news: this.history.filter((change) => change.revision > after) };
+  async watch(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
+    if (this.revision <= after) await new Promise<void>((resolve) => (this.wake = resolve));
+    return { revision: this.revision, changes: this.history.filter((change) => change.revision > after) };
   }
 }
 
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -251,11 +251,11 @@
       this.transitionTo('loading');
       return;
     }
-    const changes = answer.news.sort(byCommitOrder);
+    const changes = answer.changes.sort(byCommitOrder);
     this.rejectLosses(changes);
     this.changeMeter.add(changes.length);
     this.applyChanges(changes);
-    this.appliedRevision = Math.max(this.appliedRevision, answer.epoch);
+    this.appliedRevision = Math.max(this.appliedRevision, answer.revision);
     this.notifyIfCurrent();
   }
 
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -367,7 +367,7 @@
   settledScaleOuts: ['hire-8', 'hire-9'],
   transferTargets: [
     ['n-3', 1],
-    ['n-4', 'return'],
+    ['n-4', 'scale_in'],
     ['n-5', 0],
   ],
 };
@@ -407,7 +407,7 @@
       machine('n-1', { acquiredAtMs: AT - 5 }),
       machine('n-2', { machineType: 'large', zone: 'west', spot: true, acquiredAtMs: AT - 4, shard: 1 }),
       machine('n-3', { acquiredAtMs: AT - 3, destination: 1 }),
-      machine('n-4', { spot: true, acquiredAtMs: AT - 2, destination: 'return' }),
+      machine('n-4', { spot: true, acquiredAtMs: AT - 2, destination: 'scale_in' }),
       machine('n-5', { spot: true, acquiredAtMs: AT - 1, shard: 1, destination: 0 }),
     ],
   );
@@ -474,9 +474,9 @@
   completions: OUTCOMES.map((outcome, i): [string, number, number, Outcome] => ['j-1', i, 1024, outcome]),
   statuses: [
     ['n-1', 'up'],
-    ['n-3', 'silent'],
-    ['n-4', 'recalled'],
-    ['n-1', 'faulty'],
+    ['n-3', 'unresponsive'],
+    ['n-4', 'reclaimed'],
+    ['n-1', 'quarantined'],
     ['n-3', 'lost'],
     ['n-4', 'new'],
   ],
@@ -571,7 +571,7 @@
     [
       machine('n-1', {
         acquiredAtMs: AT - 5,
-        status: 'faulty',
+        status: 'quarantined',
         cachedImages: ['img-1', 'img-2'],
         consecutiveFailures: 1,
         lastFailureAtMs: AT,
@@ -587,7 +587,7 @@
         acquiredAtMs: AT - 2,
         spot: true,
         shard: null,
-        destination: 'return',
+        destination: 'scale_in',
         cachedImages: ['img-2'],
       }),
       machine('n-5', { acquiredAtMs: AT - 1, spot: true, ownershipCount: 1, lastHeartbeat: [4, 5] }),
@@ -692,7 +692,7 @@
   }
   await node.append(['lead', LEAD_DRAFT]);
   await node.append([0, START_DRAFT]);
-  await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'recalled']] }]);
+  await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'reclaimed']] }]);
   await node.append([0, END_DRAFT]);
   // More names than one row holds.
   const more = [...Array(14).keys()].map((i): MachineRow => [
@@ -709,7 +709,7 @@
     {
       statuses: [
         ['n-6', 'up'],
-        ['n-5', 'silent'],
+        ['n-5', 'unresponsive'],
       ],
     },
   ]);
@@ -812,7 +812,7 @@
     [
       machine('n-1', {
         acquiredAtMs: AT - 5,
-        status: 'faulty',
+        status: 'quarantined',
         cachedImages: ['img-1', 'img-2', image],
         consecutiveFailures: 1,
         lastFailureAtMs: AT,
@@ -823,7 +823,7 @@
         spot: true,
         acquiredAtMs: AT - 4,
         shard: 1,
-        status: 'recalled',
+        status: 'reclaimed',
       }),
       machine('n-3', {
         acquiredAtMs: AT - 3,
@@ -836,13 +836,13 @@
         acquiredAtMs: AT - 2,
         spot: true,
         shard: null,
-        destination: 'return',
+        destination: 'scale_in',
         cachedImages: ['img-2'],
       }),
       machine('n-5', {
         acquiredAtMs: AT - 1,
         spot: true,
-        status: 'silent',
+        status: 'unresponsive',
         ownershipCount: 1,
         lastHeartbeat: [4, 5],
         cachedImages: [image],
--- a/packages/cluster/stored/machine-cells.ts
+++ b/packages/cluster/stored/machine-cells.ts
@@ -5,7 +5,7 @@
 import { decodeDestination, encodeDestination } from './record-codec.js';
 
 /** Machine statuses by the number that stands for each. */
-const STATUSES: readonly MachineStatus[] = ['up', 'new', 'silent', 'recalled', 'faulty', 'lost'];
+const STATUSES: readonly MachineStatus[] = ['up', 'new', 'unresponsive', 'reclaimed', 'quarantined', 'lost'];
 
 /** Cells from this one on are left out at the end while they have their usual value. */
 const FIRST_OPTIONAL_CELL = 6;
--- a/packages/cluster/stored/record-codec.ts
+++ b/packages/cluster/stored/record-codec.ts
@@ -20,6 +20,8 @@
 export type StoredResources = [cpus: number, gpus: number, memGb: number];
 /** The last heartbeat that an owner took in. */
 export type StoredHeartbeatPosition = [incarnation: Count, sequence: Count];
+/** The status of a machine. */
+export type StoredMachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
 /** The number of a shard, or `return` for the cloud. */
 export type StoredDestination = number | 'return';
 
@@ -93,11 +95,11 @@
 const MACHINE_STATUS_WORDS = storedWords<MachineStatus>({
   new: 'new',
   up: 'up',
-  silent: 'silent',
-  recalled: 'recalled',
-  faulty: 'faulty',
+  unresponsive: 'silent',
+  reclaimed: 'recalled',
+  quarantined: 'faulty',
   lost: 'lost',
-});
+} satisfies Record<MachineStatus, StoredMachineStatus>);
 
 const OUTCOME_WORDS = storedWords<Outcome>({
   done: 'done',
@@ -169,12 +171,12 @@
 
 /** Where a machine is to go, as it is stored. */
 export function encodeDestination(to: Destination): StoredDestination {
-  return to === 'return' ? 'return' : to;
+  return to === 'scale_in' ? 'return' : to;
 }
 
 /** Reads where a machine is to go. */
 export function decodeDestination(to: StoredDestination): Destination {
-  return to === 'return' ? 'return' : to;
+  return to === 'return' ? 'scale_in' : to;
 }
 
 function encodeMachineRow([host, machineType, zone, spot, since, shard]: MachineRow): StoredMachineRow {
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -12,7 +12,7 @@
   Replica,
   type ReplicaSnapshot,
 } from '#cluster';
-import type { NodeDutyReport, NodeLossReport } from '#operations';
+import type { NodeRoleStatus, NodeDataLossStatus } from '#operations';
 import type { DataLossDetector } from '#recovery';
 import { FencedCloud, FencedStore, type RoleName } from '#roles';
 import { NO_REVISION_CHECK, StoreClient } from '#store';
@@ -127,13 +127,13 @@
   }
 
   /** What this node knows of the cluster's roles, and how old that knowledge is. */
-  roleReport(): NodeDutyReport {
-    return this.status.roleReport();
+  roleStatus(): NodeRoleStatus {
+    return this.status.roleStatus();
   }
 
   /** What this node knows of data loss in the state service. */
-  dataLossReport(): NodeLossReport {
-    return this.status.dataLossReport();
+  dataLossStatus(): NodeDataLossStatus {
+    return this.status.dataLossStatus();
   }
 
   /** The lines of a snapshot of this node's copy of the state; null while there is no copy. */
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -100,7 +100,7 @@
     const demands = this.rebalancer.transferToDemand(forecasts);
     if (demands.every(({ unmetDemand }) => unmetDemand.length === 0)) {
       for (const host of this.drainer.selectDrains(forecasts)) {
-        this.fleet.setTransferTarget(host, 'return', 'underused');
+        this.fleet.setTransferTarget(host, 'scale_in', 'underused');
       }
     }
     this.fleet.step(demands);
--- a/packages/daemon/machine-rebalancer.test.ts
+++ b/packages/daemon/machine-rebalancer.test.ts
@@ -6,7 +6,7 @@
 
 interface MachineStub {
   readonly shard: number | null;
-  readonly destination: number | 'return' | null;
+  readonly destination: number | 'scale_in' | null;
 }
 
 /** A replica with member a in zone east and member b in zone west, which own shards 0 and 1. */
--- a/packages/daemon/machine-rebalancer.ts
+++ b/packages/daemon/machine-rebalancer.ts
@@ -52,7 +52,7 @@
     if (!reachability.hasPartition) return;
     for (const machine of replica.ledger.machines.values()) {
       const owner = replica.shardOwners.get(intendedShard(machine) ?? -1);
-      if (!owner || machine.destination === 'return') continue;
+      if (!owner || machine.destination === 'scale_in') continue;
       if (reachability.canReach(owner.member, machine.zone)) continue;
       const shard = shardForZone(replica, settings.initialSize, machine.zone);
       if (shard !== machine.shard) fleet.setTransferTarget(machine.host, shard, 'zone partitioned');
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -9,7 +9,7 @@
 } from '#cluster';
 import { DataLossDetector } from '#recovery';
 import type { FencedCloud, FencedStore } from '#roles';
-import { Forecaster, Preemption, RoundInputBuilder, RunTimeEstimator, Scheduler } from '#scheduling';
+import { Forecaster, PreemptionPlanner, RoundInputBuilder, RunTimeEstimator, Scheduler } from '#scheduling';
 import type { Settings, Tuning } from '#settings';
 import { RateLimiter, WriteLimits } from '#store';
 import { type Clock, type HttpClient, type Micros, SECOND } from '#wire';
@@ -139,9 +139,9 @@
     clock,
     replica,
     workers,
-    runTimes: runTimeEstimator,
+    runTimeEstimator,
   });
-  const preemption = new Preemption({ settings, clock, replica, workers, runTimes: runTimeEstimator });
+  const preemption = new PreemptionPlanner({ settings, clock, replica, workers, runTimeEstimator });
   const scheduler = new Scheduler({
     settings,
     tuning,
@@ -152,6 +152,6 @@
     preemption,
     log,
   });
-  const forecaster = new Forecaster({ settings, replica, input, runTimes: runTimeEstimator, scheduler });
+  const forecaster = new Forecaster({ settings, replica, input, runTimeEstimator, scheduler });
   return { runTimeEstimator, scheduler, forecaster };
 }
--- a/packages/daemon/node-status.ts
+++ b/packages/daemon/node-status.ts
@@ -8,9 +8,9 @@
   ReplicaSnapshot,
   WorkerReachability,
 } from '#cluster';
-import type { NodeDutyReport, NodeLossReport } from '#operations';
+import type { NodeRoleStatus, NodeDataLossStatus } from '#operations';
 import { type DataLossDetector, writeSnapshot } from '#recovery';
-import { reportRoles } from '#roles';
+import { roleStatuses } from '#roles';
 import { type Clock, type Micros, MS, sleep } from '#wire';
 import { unavailable } from './service-responses.js';
 import type { StateFreshness } from './state-freshness.js';
@@ -47,21 +47,21 @@
   }
 
   /** What this node knows of the cluster's roles, and how old that knowledge is. */
-  roleReport(): NodeDutyReport {
+  roleStatus(): NodeRoleStatus {
     const { replica, membership, freshness, member, clock } = this.options;
     const age = freshness.age();
     return {
       member,
       membership: membership.state,
       knowledgeAgeS: Number.isFinite(age) ? Math.round(age / AGE_UNIT) / AGE_UNITS_PER_SECOND : null,
-      duties: reportRoles(membership.roles, replica.ledger, clock.now()),
+      roles: roleStatuses(membership.roles, replica.ledger, clock.now()),
     };
   }
 
   /** What this node knows of data loss in the state service. */
-  dataLossReport(): NodeLossReport {
+  dataLossStatus(): NodeDataLossStatus {
     const { member, dataLossDetector } = this.options;
-    return { member, loss: dataLossDetector?.report() ?? null };
+    return { member, dataLoss: dataLossDetector?.report() ?? null };
   }
 
   /** The lines of a snapshot of this node's copy of the state; null while there is no copy. */
--- a/packages/daemon/role-handover.test.ts
+++ b/packages/daemon/role-handover.test.ts
@@ -43,7 +43,7 @@
   isStoreReachable: true,
   members: ['node-1', 'node-2'],
   supportsHandover: true,
-  commit: { kind: 'applied', epoch: 9 },
+  commit: { kind: 'applied', revision: 9 },
   retainedShards: [],
   ownedShards: [1],
 };
@@ -147,7 +147,7 @@
 test('a role whose hand-over does not complete in time is held as before', async () => {
   const reason = 'it could not be handed over in time; it is held as before';
   assert.equal(
-    await resultOf('lead', { commit: { kind: 'refused', failed: [], epoch: 0 } }),
+    await resultOf('lead', { commit: { kind: 'refused', failed: [], revision: 0 } }),
     refusal(reason),
   );
   assert.equal(await resultOf(1, { retainedShards: [1] }), refusal(reason));
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -81,8 +81,8 @@
 async function serveOperators(controller: Controller, address: string, onError: ErrorHandler): Promise<void> {
   const app = createOperatorApp(
     {
-      dutyReport: () => controller.roleReport(),
-      lossReport: () => controller.dataLossReport(),
+      roleStatus: () => controller.roleStatus(),
+      dataLossStatus: () => controller.dataLossStatus(),
       snapshot: () => controller.snapshot(),
       resign: (role) => controller.resignRole(role),
     },
--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -65,7 +65,7 @@
       writes,
     });
     if (result.kind === 'applied') {
-      await replica.waitForRevision(result.epoch, SECOND);
+      await replica.waitForRevision(result.revision, SECOND);
       const owners = Object.fromEntries(assignments.map(({ shard, member }) => [shard, member]));
       log.info({ fencingToken, owners }, 'shards assigned');
     }
--- a/packages/daemon/shard-round.ts
+++ b/packages/daemon/shard-round.ts
@@ -105,7 +105,7 @@
   /** A machine that goes back to the cloud is released only once nothing can run on it any more. */
   private isReleasable({ host, destination }: MachineEntry): boolean {
     if (destination === null) return false;
-    return destination !== 'return' || !this.options.replica.ledger.placementsByHost.has(host);
+    return destination !== 'scale_in' || !this.options.replica.ledger.placementsByHost.has(host);
   }
 
   private draftRelease(drafts: ShardDrafts, host: string, shard: number): void {
--- a/packages/fleet/pending-fleet-changes.ts
+++ b/packages/fleet/pending-fleet-changes.ts
@@ -89,7 +89,7 @@
   /** Sets where a machine goes. A machine that is to be deleted stays so: that is final. */
   setTransferTarget(host: string, target: Destination, reason: string): void {
     const machine = this.ledger().machines.get(host);
-    if (!machine || machine.destination === target || machine.destination === 'return') return;
+    if (!machine || machine.destination === target || machine.destination === 'scale_in') return;
     if (this.changes.transferTargets.some(([other]) => other === host)) return;
     this.changes.transferTargets.push([host, target]);
     this.log.debug({ host, fromShard: machine.shard, target, reason }, 'machine target set');
--- a/packages/fleet/scale-in-selection.ts
+++ b/packages/fleet/scale-in-selection.ts
@@ -31,21 +31,23 @@
       const isEmpty = !ledger.placementsByHost.has(host);
       if (!isEmpty || status !== 'up') this.idleSince.delete(host);
       if (!isEmpty) continue;
-      if (status === 'recalled' || status === 'faulty') changes.setTransferTarget(host, 'return', status);
+      if (status === 'reclaimed' || status === 'quarantined')
+        changes.setTransferTarget(host, 'scale_in', status);
       if (status !== 'up') continue;
       const idleFor = this.idleTime(host, now);
       if (!hasUnmetDemand && !isInWarmPool(host))
         idle.push({ host, idleFor, age: ageOf(machine, clock), spot });
     }
-    for (const host of planScaleIn(idle, SCALE_IN_OPTIONS)) changes.setTransferTarget(host, 'return', 'idle');
+    for (const host of planScaleIn(idle, SCALE_IN_OPTIONS))
+      changes.setTransferTarget(host, 'scale_in', 'idle');
   }
 
   /** Machines that are of no more use: once selected, nobody can use them again. */
   selectUnusable(): void {
     const { state, changes } = this.context;
     for (const machine of state().ledger.machines.values()) {
-      const reason = machine.destination === 'return' ? null : this.unusableReason(machine);
-      if (reason !== null) changes.setTransferTarget(machine.host, 'return', reason);
+      const reason = machine.destination === 'scale_in' ? null : this.unusableReason(machine);
+      if (reason !== null) changes.setTransferTarget(machine.host, 'scale_in', reason);
     }
   }
 
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -2,9 +2,9 @@
  * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
  * read them, so their names don't follow the names in the code. A node's reports are mapped to them here, field by field.
  */
-import type { RoleReport, OpenIntents, RefusalReport } from '#roles';
-import type { Inconsistency, Evidence, DataLossReport, PartialHighWaterMarks } from '#recovery';
-import type { NodeDutyReport, NodeLossReport, ResignResult } from './messages.js';
+import type { RoleStatus, OpenIntents, RefusedActionStatus } from '#roles';
+import type { Inconsistency, Evidence, DataLossStatus, PartialHighWaterMarks } from '#recovery';
+import type { NodeRoleStatus, NodeDataLossStatus, ResignResult } from './messages.js';
 
 /** Of `GET /duties`. */
 export interface RolesAnswer {
@@ -99,18 +99,18 @@
 }
 
 /** The answer to `GET /duties`. */
-export function encodeRoles(report: NodeDutyReport): RolesAnswer {
+export function encodeRoles(report: NodeRoleStatus): RolesAnswer {
   return {
     member: report.member,
     membership: report.membership,
     knowledgeAgeS: report.knowledgeAgeS,
-    duties: report.duties.map(encodeRole),
+    duties: report.roles.map(encodeRole),
   };
 }
 
 /** The answer to `GET /recovery`. */
-export function encodeRecovery(report: NodeLossReport): RecoveryAnswer {
-  return { member: report.member, loss: report.loss === null ? null : encodeLoss(report.loss) };
+export function encodeRecovery(report: NodeDataLossStatus): RecoveryAnswer {
+  return { member: report.member, loss: report.dataLoss === null ? null : encodeLoss(report.dataLoss) };
 }
 
 /** The answer to `POST /duties/resign`. */
@@ -123,9 +123,9 @@
   }
 }
 
-function encodeRole(role: RoleReport): RoleAnswer {
+function encodeRole(role: RoleStatus): RoleAnswer {
   return {
-    duty: role.duty,
+    duty: role.roleName,
     state: role.state,
     holder: role.holder,
     term: role.term,
@@ -137,14 +137,14 @@
 }
 
 function encodeOpenIntents(intents: OpenIntents): OpenIntentsAnswer {
-  return { rentals: intents.rentals, returns: intents.returns };
+  return { rentals: intents.scaleOutRequests, returns: intents.scaleInHosts };
 }
 
-function encodeRefusal(refusal: RefusalReport): RefusalAnswer {
+function encodeRefusal(refusal: RefusedActionStatus): RefusalAnswer {
   return { action: refusal.action, reason: refusal.reason, term: refusal.term, ageS: refusal.ageS };
 }
 
-function encodeLoss(loss: DataLossReport): LossAnswer {
+function encodeLoss(loss: DataLossStatus): LossAnswer {
   return {
     state: loss.state,
     sinceS: loss.sinceS,
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -11,9 +11,9 @@
   type IntentLedger,
   type MachineRecord,
   type ScaleOutRecord,
-  reportRoles,
+  roleStatuses,
 } from '#roles';
-import { DataLossDetector, type DataLossReport } from '#recovery';
+import { DataLossDetector, type DataLossStatus } from '#recovery';
 import { type Clock, type Micros, SECOND } from '#wire';
 import {
   askRoles,
@@ -21,7 +21,7 @@
   askToResign,
   createOperatorApp,
   listenForOperators,
-  type NodeDutyReport,
+  type NodeRoleStatus,
   type OperatedNode,
   openSnapshot,
 } from './index.js';
@@ -52,8 +52,8 @@
 ];
 
 const MACHINES: readonly MachineRecord[] = [
-  { host: 'n-000003', shard: 0, destination: 'return' },
-  { host: 'n-000004', shard: null, destination: 'return' },
+  { host: 'n-000003', shard: 0, destination: 'scale_in' },
+  { host: 'n-000004', shard: null, destination: 'scale_in' },
   { host: 'n-000005', shard: 0, destination: 1 },
 ];
 
@@ -76,8 +76,8 @@
 const OTHERS = { member: 'node-2', nonce: 'other' };
 
 const STILL_NODE: OperatedNode = {
-  dutyReport: () => ({ member: 'node-1', membership: 'member', knowledgeAgeS: 0.4, duties: [] }),
-  lossReport: () => ({ member: 'node-1', loss: null }),
+  roleStatus: () => ({ member: 'node-1', membership: 'member', knowledgeAgeS: 0.4, roles: [] }),
+  dataLossStatus: () => ({ member: 'node-1', dataLoss: null }),
   snapshot: () => null,
   resign: () => Promise.resolve({ kind: 'handed_over' }),
 };
@@ -154,19 +154,19 @@
   assert.ok(registry.resign(4));
   clock.time = 1.25 * SECOND;
   holders.delete(3);
-  const roles = (): OperatedNode['dutyReport'] => () => ({
+  const roles = (): OperatedNode['roleStatus'] => () => ({
     member: 'node-1',
     membership: 'member',
     knowledgeAgeS: 0.4,
-    duties: reportRoles(registry, INTENTS, clock.now()),
+    roles: roleStatuses(registry, INTENTS, clock.now()),
   });
   assert.equal(
-    await answerOf({ dutyReport: roles() }, '/duties'),
+    await answerOf({ roleStatus: roles() }, '/duties'),
     '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"held","holder":"node-1","term":41,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":1.3,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":0,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":1.3}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":1.3,"leaseLeftS":1.8,"openIntents":null,"lastRefused":null}]}',
   );
   clock.time = 60 * SECOND;
   assert.equal(
-    await answerOf({ dutyReport: roles() }, '/duties'),
+    await answerOf({ roleStatus: roles() }, '/duties'),
     '200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"member","knowledgeAgeS":0.4,"duties":[{"duty":"lead","state":"suspected","holder":"node-1","term":41,"sinceS":0,"leaseLeftS":0,"openIntents":{"rentals":["hire-1-41-1"],"returns":["n-000003","n-000004"]},"lastRefused":null},{"duty":"share/0","state":"held","holder":"node-2","term":40,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/1","state":"vacant","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/2","state":"acquiring","holder":null,"term":null,"sinceS":60,"leaseLeftS":null,"openIntents":null,"lastRefused":null},{"duty":"share/3","state":"lost","holder":null,"term":38,"sinceS":58.8,"leaseLeftS":null,"openIntents":null,"lastRefused":{"action":"place tasks","reason":"the state service: the duty has changed hands","term":38,"ageS":60}},{"duty":"share/4","state":"resigning","holder":"node-1","term":39,"sinceS":60,"leaseLeftS":0,"openIntents":null,"lastRefused":null}]}',
   );
 });
@@ -175,14 +175,14 @@
   const clock = new StillClock();
   const registry = registryOver(clock, new Map());
   registry.state('lead');
-  const report: NodeDutyReport = {
+  const report: NodeRoleStatus = {
     member: 'node-3',
     membership: 'joining',
     knowledgeAgeS: null,
-    duties: reportRoles(registry, NO_INTENTS, clock.now()),
+    roles: roleStatuses(registry, NO_INTENTS, clock.now()),
   };
   assert.equal(
-    await answerOf({ dutyReport: () => report }, '/duties'),
+    await answerOf({ roleStatus: () => report }, '/duties'),
     '200 application/json; charset=utf-8 close\n{"member":"node-3","membership":"joining","knowledgeAgeS":null,"duties":[{"duty":"lead","state":"vacant","holder":null,"term":null,"sinceS":0,"leaseLeftS":null,"openIntents":{"rentals":[],"returns":[]},"lastRefused":null}]}',
   );
 });
@@ -195,9 +195,9 @@
     ['stopped', 'stopped'],
   ];
   for (const [membership, answered] of memberships) {
-    const report = { member: 'node-1', membership, knowledgeAgeS: 0, duties: [] };
+    const report = { member: 'node-1', membership, knowledgeAgeS: 0, roles: [] };
     assert.equal(
-      await answerOf({ dutyReport: () => report }, '/duties'),
+      await answerOf({ roleStatus: () => report }, '/duties'),
       `200 application/json; charset=utf-8 close\n{"member":"node-1","membership":"${answered}","knowledgeAgeS":0,"duties":[]}`,
     );
   }
@@ -228,8 +228,8 @@
   };
 }
 
-function recoveryOf(loss: DataLossReport | null): Promise<string> {
-  return answerOf({ lossReport: () => ({ member: 'node-2', loss }) }, '/recovery');
+function recoveryOf(loss: DataLossStatus | null): Promise<string> {
+  return answerOf({ dataLossStatus: () => ({ member: 'node-2', dataLoss: loss }) }, '/recovery');
 }
 
 test('GET /recovery answers null if data-loss detection is off', async () => {
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,22 +1,22 @@
 /** What the operators' listener requests of its node, in the terms of the code; `answer-codec.ts` writes it as JSON. */
-import type { RoleName, RoleReport } from '#roles';
-import type { DataLossReport } from '#recovery';
+import type { RoleName, RoleStatus } from '#roles';
+import type { DataLossStatus } from '#recovery';
 
 /** A node's view of the roles, which operators call duties; it proves nothing. */
-export interface NodeDutyReport {
+export interface NodeRoleStatus {
   readonly member: string;
   /** The node's membership of its cluster. */
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
   /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
-  readonly duties: readonly RoleReport[];
+  readonly roles: readonly RoleStatus[];
 }
 
 /** A node's data-loss report. */
-export interface NodeLossReport {
+export interface NodeDataLossStatus {
   readonly member: string;
   /** Null where the operators' settings don't switch detection on. */
-  readonly loss: DataLossReport | null;
+  readonly dataLoss: DataLossStatus | null;
 }
 
 /** Result of the request to hand a role over. */
@@ -25,8 +25,8 @@
 
 /** What the listener needs of its node. */
 export interface OperatedNode {
-  dutyReport(): NodeDutyReport;
-  lossReport(): NodeLossReport;
+  roleStatus(): NodeRoleStatus;
+  dataLossStatus(): NodeDataLossStatus;
   /** The lines of a snapshot, as text; null while the node holds no copy of the state. */
   snapshot(): AsyncIterable<string> | null;
   resign(role: RoleName): Promise<ResignResult>;
--- a/packages/operations/routes.ts
+++ b/packages/operations/routes.ts
@@ -20,9 +20,9 @@
 }
 
 const ROUTES: ReadonlyMap<string, Route> = new Map<string, Route>([
-  ['/duties', { method: 'GET', handle: (node) => ok(encodeRoles(node.dutyReport())) }],
+  ['/duties', { method: 'GET', handle: (node) => ok(encodeRoles(node.roleStatus())) }],
   ['/duties/resign', { method: 'POST', handle: resignRole }],
-  ['/recovery', { method: 'GET', handle: (node) => ok(encodeRecovery(node.lossReport())) }],
+  ['/recovery', { method: 'GET', handle: (node) => ok(encodeRecovery(node.dataLossStatus())) }],
   ['/snapshot', { method: 'GET', handle: sendSnapshot }],
 ]);
 
--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -226,8 +226,8 @@
       requests: [{ job: gang('j-1', 4), count, rank: 2, guaranteed: false }],
       machines: ['a', 'b'].map((host) => ({
         host,
-        left: { cpus: 0, gpus: 0, memGb: 8 },
-        allowed: () => true,
+        freeResources: { cpus: 0, gpus: 0, memGb: 8 },
+        isAllowed: () => true,
       })),
       victims: [victim('a', 2), victim('b', 2)],
       maxPreemptions: 6,
--- a/packages/pricing/preemption.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -37,8 +37,8 @@
 }
 
 function preempted(victims: Victim[], change: { rank?: number; guaranteed?: boolean } = {}): string[] {
-  const left = { cpus: 0, gpus: 0, memGb: 8 };
-  const machines = ['n-1', 'n-2'].map((host) => ({ host, left, allowed: () => true }));
+  const freeResources = { cpus: 0, gpus: 0, memGb: 8 };
+  const machines = ['n-1', 'n-2'].map((host) => ({ host, freeResources, isAllowed: () => true }));
   const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...change }];
   return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map(({ taskName }) => taskName);
 }
--- a/packages/pricing/preemption.ts
+++ b/packages/pricing/preemption.ts
@@ -29,9 +29,9 @@
 export interface PreemptibleMachine {
   readonly host: string;
   /** Its free capacity, once all that is being stopped already has ended. */
-  readonly left: Resources;
+  readonly freeResources: Resources;
   /** Whether the job's constraints admit the machine. */
-  readonly allowed: (job: PendingJob) => boolean;
+  readonly isAllowed: (job: PendingJob) => boolean;
 }
 
 /** What {@link planPreemptions} decides on. */
@@ -122,7 +122,7 @@
   private fewestVictims(request: PreemptionRequest): Choice | null {
     let best: Choice | null = null;
     for (const candidate of this.candidates) {
-      if (this.usedHosts.has(candidate.host) || !candidate.allowed(request.job)) continue;
+      if (this.usedHosts.has(candidate.host) || !candidate.isAllowed(request.job)) continue;
       const victims = victimsOn(candidate, request);
       if (victims && (!best || victims.length < best.victims.length))
         best = { host: candidate.host, victims };
@@ -133,7 +133,7 @@
 
 /** What to stop on the machine for one task of the request; null if all that may be stopped is not enough. */
 function victimsOn(candidate: Candidate, { job, rank, guaranteed }: PreemptionRequest): Victim[] | null {
-  const capacity = { ...candidate.left };
+  const capacity = { ...candidate.freeResources };
   const chosen: Victim[] = [];
   for (const victim of candidate.victims) {
     if (fits(job.need, capacity)) break;
--- a/packages/recovery/data-loss-alarm.ts
+++ b/packages/recovery/data-loss-alarm.ts
@@ -1,7 +1,7 @@
 /** The state machine of the data-loss detector: the three states, the evidence for them, and one method per transition. */
 import type { Logger } from '#cluster';
 import type { Clock, Micros } from '#wire';
-import type { DataLossState, Evidence } from './data-loss-report.js';
+import type { DataLossState, Evidence } from './data-loss-status.js';
 
 /** Pieces of evidence that are kept and shown. */
 const EVIDENCE_LIMIT = 20;
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -14,7 +14,7 @@
 import type { RevisionCheck } from '#store';
 import { type Clock, type Heartbeat, type Micros, SECOND } from '#wire';
 import { DataLossAlarm } from './data-loss-alarm.js';
-import { type DataLossReport, type Evidence, toEvidence } from './data-loss-report.js';
+import { type DataLossStatus, type Evidence, toEvidence } from './data-loss-status.js';
 import { findInconsistencies, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
 import { MissingKeys } from './missing-keys.js';
 import { marksOfHeartbeat, type Observation, Observations } from './observations.js';
@@ -219,7 +219,7 @@
   }
 
   /** The present state and the evidence for it, for operators. */
-  report(): DataLossReport {
+  report(): DataLossStatus {
     const { state, since, evidence, falseAlarms } = this.alarm;
     return {
       state,
--- a/packages/recovery/data-loss-report.ts
+++ b/packages/recovery/data-loss-status.ts
@@ -17,7 +17,7 @@
 }
 
 /** The state of a node's data-loss detector. */
-export interface DataLossReport {
+export interface DataLossStatus {
   readonly state: DataLossState;
   /** Seconds since the state was entered, to a tenth. */
   readonly sinceS: number;
--- a/packages/recovery/snapshot-codec.ts
+++ b/packages/recovery/snapshot-codec.ts
@@ -4,7 +4,7 @@
  */
 import type { CheckpointRow, TerminalStatus, LiveJob, HighWaterMarks } from '#cluster';
 import type { JobSpec, MachineType } from '#wire';
-import type { DataLossState } from './data-loss-report.js';
+import type { DataLossState } from './data-loss-status.js';
 import {
   type TerminalStatusLine,
   type JobLine,
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -9,7 +9,7 @@
 import { MAX_LINE_BYTES, SNAPSHOT_FORMAT, SNAPSHOT_VERSION, type SnapshotLine } from './snapshot-format.js';
 import type { SnapshotOrigin } from './snapshot-codec.js';
 import { SnapshotError } from './snapshot-error.js';
-import { readSnapshot } from './snapshot-reader.js';
+import { readSnapshot, type SnapshotSummary } from './snapshot-reader.js';
 import { type TerminalStatusPages, writeSnapshot } from './snapshot-writer.js';
 
 /** A state with machines in every condition, an open scale-out request, prices, array and gang tasks, and tasks that are done. */
@@ -30,7 +30,7 @@
     ],
     scaleOuts: [['hire-1-41-1', 'large', 'west', true, 4, 1]],
     transferTargets: [
-      ['n-000003', 'return'],
+      ['n-000003', 'scale_in'],
       ['n-000004', 1],
       ['n-000005', 0],
     ],
@@ -85,9 +85,9 @@
     recordedAtMs: 4_500,
     acquisitions: ['n-000004'],
     statuses: [
-      ['n-000005', 'silent'],
-      ['n-000006', 'recalled'],
-      ['n-000007', 'faulty'],
+      ['n-000005', 'unresponsive'],
+      ['n-000006', 'reclaimed'],
+      ['n-000007', 'quarantined'],
       ['n-000008', 'lost'],
     ],
   });
@@ -197,6 +197,13 @@
 
 const WHOLE = [HEADER, ...BODY, TRAILER];
 
+/** The names that `snapshot show --json` gives to fields of {@link SnapshotSummary}; it prints all others under their own. */
+const PRINTED_NAMES = new Map<string, string>([
+  ['terminalStatuses', 'finals'],
+  ['scaleOutRequests', 'rentals'],
+  ['hasAllTerminalStatuses', 'hasAllFinals'],
+] satisfies [keyof SnapshotSummary, string][]);
+
 /** The counts that {@link readSnapshot} returns, as `snapshot show --json` prints them. */
 const SUMMARY =
   '{"header":{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":null,"epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}},"jobs":2,"finals":5,"machines":8,"rentals":1,"tasks":3,"machineTypes":1,"lines":24,"hasAllFinals":true,"positions":{"0":2,"1":1,"lead":1}}';
@@ -236,7 +243,8 @@
     lines.push(JSON.stringify(line)),
   );
   assert.deepEqual(lines, WHOLE.slice(0, -1));
-  assert.equal(JSON.stringify(summary), SUMMARY);
+  const printed = Object.entries(summary).map(([name, value]) => [PRINTED_NAMES.get(name) ?? name, value]);
+  assert.equal(JSON.stringify(Object.fromEntries(printed)), SUMMARY);
 });
 
 test('the rows of the text restore a state that gives the same rows', async () => {
--- a/packages/recovery/snapshot-reader.ts
+++ b/packages/recovery/snapshot-reader.ts
@@ -7,14 +7,14 @@
 import type { SnapshotHeader, SnapshotLine } from './snapshot-format.js';
 import { SnapshotLineReader } from './snapshot-line-reader.js';
 
-/** Counts of what the lines of a snapshot hold, by the names that `snapshot show --json` prints. */
+/** Counts of what the lines of a snapshot hold; `snapshot show --json` prints them under other names. */
 export interface SnapshotCounts {
   readonly jobs: number;
   /** Terminal statuses. */
-  readonly finals: number;
+  readonly terminalStatuses: number;
   readonly machines: number;
   /** Open scale-out requests. */
-  readonly rentals: number;
+  readonly scaleOutRequests: number;
   /** Running tasks. */
   readonly tasks: number;
   readonly machineTypes: number;
@@ -26,7 +26,7 @@
 export interface SnapshotSummary extends SnapshotCounts {
   readonly header: SnapshotHeader;
   /** Every terminal status is included. */
-  readonly hasAllFinals: boolean;
+  readonly hasAllTerminalStatuses: boolean;
   readonly positions: SnapshotHeader['positions'];
 }
 
@@ -52,7 +52,7 @@
   return {
     header,
     ...counter.counts,
-    hasAllFinals: trailer.hasAllFinals,
+    hasAllTerminalStatuses: trailer.hasAllFinals,
     positions: header.positions,
   };
 }
@@ -73,7 +73,15 @@
 
 /** Counts what lines hold; lines of unknown kinds are faults. */
 class LineCounter {
-  readonly counts = { jobs: 0, finals: 0, machines: 0, rentals: 0, tasks: 0, machineTypes: 0, lines: 0 };
+  readonly counts = {
+    jobs: 0,
+    terminalStatuses: 0,
+    machines: 0,
+    scaleOutRequests: 0,
+    tasks: 0,
+    machineTypes: 0,
+    lines: 0,
+  };
 
   count(line: SnapshotLine): void {
     const { counts } = this;
@@ -85,7 +93,7 @@
         counts.jobs++;
         break;
       case 'final':
-        counts.finals++;
+        counts.terminalStatuses++;
         break;
       case 'type':
         counts.machineTypes++;
@@ -103,7 +111,7 @@
   private countRow(row: CheckpointRow): void {
     const { counts } = this;
     if (row[0] === 'h') counts.machines++;
-    else if (row[0] === 'q') counts.rentals++;
+    else if (row[0] === 'q') counts.scaleOutRequests++;
     else if (row[0] === 's') counts.tasks += row[6].length;
   }
 }
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -80,9 +80,9 @@
   );
   assert.equal(summary.tasks, TASKS);
   assert.equal(summary.machines, MACHINES);
-  assert.equal(summary.finals, FINALS);
+  assert.equal(summary.terminalStatuses, FINALS);
   assert.equal(restored.jobs.size, JOBS);
-  assert.ok(summary.hasAllFinals);
+  assert.ok(summary.hasAllTerminalStatuses);
 });
 
 test('a snapshot says so if the state service did not answer for all terminal statuses', async () => {
@@ -90,5 +90,5 @@
     Promise.reject(new Error('state service: 503')),
   );
   const source = Readable.from(lines, { objectMode: false }).pipe(createGzip());
-  assert.equal((await readSnapshot(source)).hasAllFinals, false);
+  assert.equal((await readSnapshot(source)).hasAllTerminalStatuses, false);
 });
--- a/packages/roles/index.ts
+++ b/packages/roles/index.ts
@@ -5,5 +5,5 @@
 export * from './fenced-store.js';
 export * from './scale-intents.js';
 export * from './role-registry.js';
-export * from './role-report.js';
+export * from './role-status.js';
 export type { TermProof } from './term-proof.js';
--- a/packages/roles/role-report.ts
+++ b/packages/roles/role-status.ts
@@ -6,7 +6,7 @@
 import type { RoleRegistry } from './role-registry.js';
 
 /** The last refused action of a role. */
-export interface RefusalReport {
+export interface RefusedActionStatus {
   readonly action: string;
   readonly reason: string;
   readonly term: number;
@@ -15,9 +15,9 @@
 }
 
 /** What a node knows of one role. */
-export interface RoleReport {
+export interface RoleStatus {
   /** Name of the role, as {@link formatRoleName} writes it. */
-  readonly duty: string;
+  readonly roleName: string;
   readonly state: RoleStateName;
   /** Member that holds it, as far as this node knows. */
   readonly holder: string | null;
@@ -28,27 +28,27 @@
   readonly leaseLeftS: number | null;
   /** Cloud requests that are recorded and not known to be carried out; of the leader only. */
   readonly openIntents: OpenIntents | null;
-  readonly lastRefused: RefusalReport | null;
+  readonly lastRefused: RefusedActionStatus | null;
 }
 
 /** Every role that this node has observed, at this steady time. */
-export function reportRoles(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleReport[] {
+export function roleStatuses(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleStatus[] {
   registry.refresh();
   return registry.knownRoles().map((role) => ({
-    ...reportRole(registry, role, now),
+    ...observedRoleState(registry, role, now),
     openIntents: role === 'lead' ? openIntents(ledger) : null,
-    lastRefused: reportRefusal(registry, role, now),
+    lastRefused: refusedActionStatus(registry, role, now),
   }));
 }
 
-type RoleStateReport = Omit<RoleReport, 'openIntents' | 'lastRefused'>;
+type ObservedRoleState = Omit<RoleStatus, 'openIntents' | 'lastRefused'>;
 
-function reportRole(registry: RoleRegistry, role: RoleName, now: Micros): RoleStateReport {
+function observedRoleState(registry: RoleRegistry, role: RoleName, now: Micros): ObservedRoleState {
   const state = registry.state(role);
   const holder = 'holder' in state ? state.holder : null;
   const isOurs = state.name === 'held' ? state.isOurs : holder !== null;
   return {
-    duty: formatRoleName(role),
+    roleName: formatRoleName(role),
     state: state.name,
     holder: holder?.member ?? null,
     term: holder?.term ?? (state.name === 'lost' ? state.term : null),
@@ -57,7 +57,11 @@
   };
 }
 
-function reportRefusal(registry: RoleRegistry, role: RoleName, now: Micros): RefusalReport | null {
+function refusedActionStatus(
+  registry: RoleRegistry,
+  role: RoleName,
+  now: Micros,
+): RefusedActionStatus | null {
   const refusal = registry.lastRefusal(role);
   if (!refusal) return null;
   const { action, reason, term, at } = refusal;
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -32,7 +32,7 @@
 
 /** What the stand-in state service holds: the holder of the lead, and the effects that took place. */
 class NodeService {
-  epoch = 0;
+  revision = 0;
   holder: RoleHolder | null = null;
   readonly inFlight: SentCommit[] = [];
   readonly effects: number[] = [];
@@ -42,12 +42,12 @@
 
   take(node: number): void {
     if (this.holder) return;
-    this.epoch++;
-    this.holder = { member: `node-${node}`, nonce: `process-${node}`, term: this.epoch };
+    this.revision++;
+    this.holder = { member: `node-${node}`, nonce: `process-${node}`, term: this.revision };
   }
 
   end(): void {
-    if (this.holder) this.epoch++;
+    if (this.holder) this.revision++;
     this.holder = null;
   }
 
@@ -56,11 +56,11 @@
     const isFenced = commit.guards.some((guard) => guard.path === KEY && guard.revision === revision);
     if (!isFenced && !this.ignoresGuards) {
       this.refusals++;
-      commit.answer({ kind: 'refused', failed: [KEY], epoch: this.epoch });
+      commit.answer({ kind: 'refused', failed: [KEY], revision: this.revision });
       return;
     }
     this.effects.push(commit.term);
-    commit.answer({ kind: 'applied', epoch: ++this.epoch });
+    commit.answer({ kind: 'applied', revision: ++this.revision });
   }
 }
 
--- a/packages/roles/roles.test.ts
+++ b/packages/roles/roles.test.ts
@@ -50,13 +50,13 @@
 });
 
 test('a machine may be deleted only once it is recorded for scale-in, and released, stopped or gone', () => {
-  const intent = (shard: number | null, destination: number | 'return' | null, listing: 'failed' | null) =>
+  const intent = (shard: number | null, destination: number | 'scale_in' | null, listing: 'failed' | null) =>
     ScaleInIntent.fromRecord({ host: 'n-1', shard, destination }, listing)?.reason ?? null;
   assert.equal(intent(0, null, 'failed'), null, 'not recorded');
   assert.equal(intent(null, 1, null), null, 'in transfer to another shard');
-  assert.equal(intent(0, 'return', null), null, 'not released');
-  assert.equal(intent(null, 'return', null), 'released');
-  assert.equal(intent(0, 'return', 'failed'), 'failed');
+  assert.equal(intent(0, 'scale_in', null), null, 'not released');
+  assert.equal(intent(null, 'scale_in', null), 'released');
+  assert.equal(intent(0, 'scale_in', 'failed'), 'failed');
   const listed = (state: ListedMachine['state']): ListedMachine => ({
     host: 'n-2',
     address: '',
@@ -73,15 +73,15 @@
 test('a successor finds every open intent in the ledger', () => {
   const scaleOut = { id: 'hire-1', machineType: 'small', zone: 'east', spot: true, count: 2 };
   const hosts = [
-    { host: 'n-1', shard: 0, destination: 'return' as const },
-    { host: 'n-2', shard: null, destination: 'return' as const },
+    { host: 'n-1', shard: 0, destination: 'scale_in' as const },
+    { host: 'n-2', shard: null, destination: 'scale_in' as const },
     { host: 'n-3', shard: 1, destination: null },
   ];
   const ledger = {
     pendingScaleOuts: new Map([[scaleOut.id, scaleOut]]),
     machines: new Map(hosts.map((h) => [h.host, h])),
   };
-  assert.deepEqual(openIntents(ledger), { rentals: ['hire-1'], returns: ['n-1', 'n-2'] });
+  assert.deepEqual(openIntents(ledger), { scaleOutRequests: ['hire-1'], scaleInHosts: ['n-1', 'n-2'] });
 });
 
 test('names of roles are parsed as they are formatted', () => {
--- a/packages/roles/scale-intents.ts
+++ b/packages/roles/scale-intents.ts
@@ -12,7 +12,7 @@
   /** The shard it belongs to; null once the shard's owner has released it. */
   readonly shard: number | null;
   /** Where it is to go: another shard, back to the cloud, or nowhere. */
-  readonly destination: number | 'return' | null;
+  readonly destination: number | 'scale_in' | null;
 }
 
 /** A scale-out request in the ledger that is not settled yet. */
@@ -58,7 +58,7 @@
    * or gone.
    */
   static fromRecord(machine: MachineRecord, listing: 'failed' | 'not listed' | null): ScaleInIntent | null {
-    if (machine.destination !== 'return') return null;
+    if (machine.destination !== 'scale_in') return null;
     if (machine.shard === null) return new ScaleInIntent(machine.host, 'released');
     return listing === null ? null : new ScaleInIntent(machine.host, listing);
   }
@@ -83,15 +83,15 @@
 /** Intents that are recorded and not known to be carried out: a new leader finds all of them here, and finishes them. */
 export interface OpenIntents {
   /** Ids of scale-out requests. */
-  readonly rentals: readonly string[];
+  readonly scaleOutRequests: readonly string[];
   /** Hosts of machines to be scaled in. */
-  readonly returns: readonly string[];
+  readonly scaleInHosts: readonly string[];
 }
 
 /** The open intents of the ledger. */
 export function openIntents(ledger: IntentLedger): OpenIntents {
-  const returns: string[] = [];
+  const scaleInHosts: string[] = [];
   for (const { host, destination } of ledger.machines.values())
-    if (destination === 'return') returns.push(host);
-  return { rentals: [...ledger.pendingScaleOuts.keys()], returns };
+    if (destination === 'scale_in') scaleInHosts.push(host);
+  return { scaleOutRequests: [...ledger.pendingScaleOuts.keys()], scaleInHosts };
 }
--- a/packages/scheduling/forecaster.ts
+++ b/packages/scheduling/forecaster.ts
@@ -40,7 +40,7 @@
   readonly settings: Settings;
   readonly replica: Replica;
   readonly input: RoundInputBuilder;
-  readonly runTimes: RunTimeEstimator;
+  readonly runTimeEstimator: RunTimeEstimator;
   readonly scheduler: Scheduler;
 }
 
@@ -81,7 +81,7 @@
     const spec = this.options.replica.jobs.get(job.id)?.spec;
     // The tasks of a gang run at the same time, so none of them can use the slot of another.
     if (!spec || job.isGang) return demand;
-    const runTime = this.options.runTimes.expected(spec);
+    const runTime = this.options.runTimeEstimator.expected(spec);
     const timeLeft = Math.max(runTime, this.tolerableWait(spec, runTime));
     return { job, count: Math.ceil((count * runTime) / Math.max(timeLeft, 1)) };
   }
@@ -150,14 +150,15 @@
 
   /** Capacity that running tasks are about to free on the machines of these shards. */
   private pendingCapacity(shards: ReadonlySet<number>): PendingCapacity[] {
-    const { replica, runTimes } = this.options;
+    const { replica, runTimeEstimator } = this.options;
     const { ledger } = replica;
     const capacities: PendingCapacity[] = [];
     for (const { host, machineType, zone, spot, shard, status } of ledger.machines.values()) {
       if (shard === null || !shards.has(shard) || status !== 'up') continue;
       const free = noResources();
       for (const placement of ledger.placementsOn(host)) {
-        if (runTimes.remaining(placement) < PENDING_CAPACITY_HORIZON) subtractResources(free, placement, -1);
+        if (runTimeEstimator.remaining(placement) < PENDING_CAPACITY_HORIZON)
+          subtractResources(free, placement, -1);
       }
       if (free.memGb > 0 || free.cpus > 0) capacities.push({ machineType, zone, spot, free });
     }
--- a/packages/scheduling/preemption-planner.ts
+++ b/packages/scheduling/preemption-planner.ts
@@ -37,12 +37,12 @@
 }
 
 /** What a preemption planner works with. */
-export interface PreemptionOptions {
+export interface PreemptionPlannerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
-  readonly runTimes: RunTimeEstimator;
+  readonly runTimeEstimator: RunTimeEstimator;
 }
 
 /** The result of the scheduling round that preemptions are planned for. */
@@ -63,8 +63,8 @@
 type PreemptionCandidate = Victim & PreemptedTask;
 
 /** Plans the preemptions of this node's scheduling rounds. */
-export class Preemption {
-  constructor(private readonly options: PreemptionOptions) {}
+export class PreemptionPlanner {
+  constructor(private readonly options: PreemptionPlannerOptions) {}
 
   /** Tasks to preempt for demand that has been unmet for long enough. */
   planPreemptions(round: PreemptionRound): PreemptedTask[] {
@@ -127,7 +127,7 @@
     // Preempting one task of a gang would stop all of them for the capacity of one.
     if (placement.gangSize !== null || spec.checkpointS <= 0) return false;
     if (wall - placement.startedAtMs * MS < VICTIM_MIN_RUN_TIME) return false;
-    return this.options.runTimes.remaining(placement) >= VICTIM_MIN_REMAINING;
+    return this.options.runTimeEstimator.remaining(placement) >= VICTIM_MIN_REMAINING;
   }
 
   /** Machines of this node on which tasks are being preempted, with the free capacity that this will leave. */
@@ -197,7 +197,7 @@
 ): PreemptibleMachine {
   return {
     host: machine.host,
-    left: free.get(machine.host) ?? machine.free,
-    allowed: (job) => isFeasible(job, machine) && fits(job.need, machine.total),
+    freeResources: free.get(machine.host) ?? machine.free,
+    isAllowed: (job) => isFeasible(job, machine) && fits(job.need, machine.total),
   };
 }
--- a/packages/scheduling/round-input-builder.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -52,7 +52,7 @@
   readonly clock: Clock;
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
-  readonly runTimes: RunTimeEstimator;
+  readonly runTimeEstimator: RunTimeEstimator;
 }
 
 /** Builds the input of this node's own rounds, and of the leader's forecasts of those of others. */
@@ -160,7 +160,7 @@
 
   /** The machine as a candidate for new tasks; null if it may get none. */
   private candidateMachine(host: string, completed: ReadonlySet<Placement>): CandidateMachine | null {
-    const { clock, replica, workers, runTimes } = this.options;
+    const { clock, replica, workers, runTimeEstimator } = this.options;
     const machine = replica.ledger.machines.get(host);
     const type = machine && replica.machineTypes.get(machine.machineType);
     if (!type || machine.destination !== null || this.isInFailureBackoff(machine)) return null;
@@ -175,7 +175,7 @@
       spot: machine.spot,
       total: resourcesOf(type),
       free,
-      busyFor: () => runTimes.busyFor(host),
+      busyFor: () => runTimeEstimator.busyFor(host),
       hourlyCostPerCpu: hourlyCostPerCpu(type, machine.spot),
       cachedImages: machine.cachedImages,
       nextHeartbeatIn: workers.nextHeartbeatIn(host, clock.now()),
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -22,7 +22,7 @@
 import type { Settings, Tuning } from '#settings';
 import type { JobSpec } from '#wire';
 import { findPlacement, type TaskCompletion, type WorkerRegistry } from '#workers';
-import type { PreemptedTask, Preemption } from './preemption-planner.js';
+import type { PreemptedTask, PreemptionPlanner } from './preemption-planner.js';
 import type { RoundInputBuilder } from './round-input-builder.js';
 
 /** Starts in one round at most, so that its records stay small. */
@@ -57,7 +57,7 @@
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
   readonly input: RoundInputBuilder;
-  readonly preemption: Preemption;
+  readonly preemption: PreemptionPlanner;
   readonly log: Logger;
 }
 
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -58,12 +58,12 @@
   ]);
   assert.deepEqual(await client.get('a/b'), {
     row: { path: 'a/b', value: { N: 1 }, revision: 412 },
-    epoch: 412,
+    revision: 412,
   });
-  assert.deepEqual(await client.get('a/b'), { row: null, epoch: 431 });
+  assert.deepEqual(await client.get('a/b'), { row: null, revision: 431 });
   assert.deepEqual(await client.get('a/b'), {
     row: { path: 'a/b', value: {}, revision: 412 },
-    epoch: 412,
+    revision: 412,
   });
   await assert.rejects(client.get('a/b'), isError(503));
   await assert.rejects(client.get('a/b'), isError(0));
@@ -87,10 +87,10 @@
       { path: 'c/2', value: {}, revision: 9 },
     ],
     more: true,
-    epoch: 431,
+    revision: 431,
   });
-  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, epoch: 432 });
-  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, epoch: 432 });
+  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, revision: 432 });
+  assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, revision: 432 });
   await assert.rejects(client.list('c/', ''), isError(429));
   await assert.rejects(client.list('c/', ''), isError(0));
   assert.deepEqual(asked, [
@@ -113,8 +113,8 @@
     { set: 'a/c', value: {} },
     { remove: 'c/d' },
   ]);
-  assert.deepEqual(result, { kind: 'applied', epoch: 432 });
-  assert.deepEqual(await client.compareAndSwap([], []), { kind: 'applied', epoch: 433 });
+  assert.deepEqual(result, { kind: 'applied', revision: 432 });
+  assert.deepEqual(await client.compareAndSwap([], []), { kind: 'applied', revision: 433 });
   assert.deepEqual(asked, [
     'POST /commit {"Guards":[{"Path":"a/b","Stamp":0},{"Path":"a/c","Stamp":412}],' +
       '"Writes":[{"Set":"a/b","V":{"N":1},"Permit":7},{"Set":"a/c","V":{}},{"Remove":"c/d"}]} 1500 ms',
@@ -139,8 +139,8 @@
     results.push(await client.compareAndSwap([], [{ remove: 'a/b' }]));
   }
   assert.deepEqual(results, [
-    { kind: 'refused', failed: ['a/b'], epoch: 431 },
-    { kind: 'refused', failed: [], epoch: 431 },
+    { kind: 'refused', failed: ['a/b'], revision: 431 },
+    { kind: 'refused', failed: [], revision: 431 },
     { kind: 'lease_expired' },
     { kind: 'not_executed', status: 400 },
     { kind: 'not_executed', status: 429 },
@@ -187,7 +187,7 @@
   ]);
 });
 
-test('changes are watched from an epoch on, and read in the order of the answer', async () => {
+test('changes are watched from a revision on, and read in the order of the answer', async () => {
   const { client, asked } = storeOf([
     answer(
       200,
@@ -201,26 +201,26 @@
   ]);
   const follow = () => client.watch('c/', 431, 10_000_000);
   assert.deepEqual(await follow(), {
-    epoch: 433,
-    news: [
+    revision: 433,
+    changes: [
       { path: 'c/9', revision: 433, value: { N: 1 } },
       { path: 'c/d', revision: 432, value: null },
       { path: 'c/e', revision: 431, value: null },
     ],
   });
-  assert.deepEqual(await follow(), { epoch: 433, news: [] });
+  assert.deepEqual(await follow(), { revision: 433, changes: [] });
   assert.equal(await follow(), null);
   await assert.rejects(follow(), isError(503));
   await assert.rejects(follow(), isError(0));
   assert.deepEqual(asked, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
 });
 
-test('the expiry of a lease is confirmed by a read of the present epoch where epochs are checked', async () => {
+test('the expiry of a lease is confirmed by a read of the present revision where revisions are checked', async () => {
   const check: RevisionCheck = {
     isOpen: () => true,
     minimumRevision: () => 400,
-    accepts: (floor, epoch) => epoch >= floor,
-    acceptsCommitted: (floor, epoch) => epoch > floor,
+    accepts: (floor, revision) => revision >= floor,
+    acceptsCommitted: (floor, revision) => revision > floor,
   };
   const whole = storeOf([answer(404), answer(404, '{"Epoch":400}')], check);
   assert.equal(await whole.client.renewLease(7), false);
--- a/packages/store/rows.ts
+++ b/packages/store/rows.ts
@@ -5,14 +5,14 @@
 export interface Row {
   readonly path: string;
   readonly value: WireFields;
-  /** The epoch of the commit that wrote it. */
+  /** The revision of the commit that wrote it. */
   readonly revision: number;
 }
 
 /** A row as a commit left it. */
 export interface Change {
   readonly path: string;
-  /** The epoch of the commit. */
+  /** The revision of the commit. */
   readonly revision: number;
   /** Null: the row was removed. */
   readonly value: WireFields | null;
@@ -29,8 +29,8 @@
 export interface KeyRead {
   /** Null if the key does not exist. */
   readonly row: Row | null;
-  /** An epoch at which this was so: the store's present one, or for a row that of its commit. */
-  readonly epoch: number;
+  /** A revision at which this was so: the store's present one, or for a row that of its commit. */
+  readonly revision: number;
 }
 
 /** One page of the rows below a prefix, sorted by key. */
@@ -38,16 +38,16 @@
   readonly rows: Row[];
   /** There are further pages. */
   readonly more: boolean;
-  /** The store's epoch when the page was read. */
-  readonly epoch: number;
+  /** The store's revision when the page was read. */
+  readonly revision: number;
 }
 
-/** The changes below a prefix since the epoch that was asked for. */
+/** The changes below a prefix since the revision that was asked for. */
 export interface ChangeBatch {
-  /** The epoch up to which the changes are complete. */
-  readonly epoch: number;
+  /** The revision up to which the changes are complete. */
+  readonly revision: number;
   /** In the order of the answer. */
-  readonly news: Change[];
+  readonly changes: Change[];
 }
 
 /** One operation of a commit. A row that is set under a lease is removed when the lease expires. */
@@ -61,8 +61,8 @@
  * doesn't exist any more. `not_executed`: the store answered with an HTTP status of 400 or more.
  */
 export type CommitResult =
-  | { readonly kind: 'applied'; readonly epoch: number }
-  | { readonly kind: 'refused'; readonly failed: readonly string[]; readonly epoch: number }
+  | { readonly kind: 'applied'; readonly revision: number }
+  | { readonly kind: 'refused'; readonly failed: readonly string[]; readonly revision: number }
   | { readonly kind: 'lease_expired' }
   | { readonly kind: 'not_executed'; readonly status: number }
   | { readonly kind: 'unknown' };
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -6,7 +6,7 @@
 import {
   decodeChanges,
   decodeCommitResult,
-  decodeEpoch,
+  decodeRevision,
   decodeRow,
   decodeRows,
   encodeCommit,
@@ -22,7 +22,7 @@
 const NOT_FOUND = 404;
 const CONFLICT = 409;
 const GONE = 410;
-/** A key that is never written: reading it costs one request and returns the present epoch. */
+/** A key that is never written: reading it costs one request and returns the present revision. */
 export const UNUSED_KEY = 'mw/nothing';
 
 /** What a request carries beside its method and path. */
@@ -46,22 +46,23 @@
   async get(path: string): Promise<KeyRead> {
     const floor = this.requireOpen();
     const { status, body } = await this.send('GET', `/store/${path}`);
-    if (status === NOT_FOUND) return { row: null, epoch: this.requireAccepted(floor, decodeEpoch(body)) };
+    if (status === NOT_FOUND)
+      return { row: null, revision: this.requireAccepted(floor, decodeRevision(body)) };
     if (status !== OK) throw new StoreError(status);
-    // The row's own revision says nothing of the present epoch.
+    // The row's own revision says nothing of the store's present revision.
     const row = decodeRow(path, body);
-    return { row, epoch: row.revision };
+    return { row, revision: row.revision };
   }
 
   /**
    * Reads a page of the rows below a prefix, from the first key after `after` (empty: from the start). The
-   * revision check doesn't guard it: whoever reads the complete state has to check the epochs of its pages.
+   * revision check doesn't guard it: whoever reads the complete state has to check the revisions of its pages.
    */
   async list(prefix: string, after: string): Promise<RowPage> {
     const query = `Starts=${prefix}${after === '' ? '' : `&After=${after}`}&Limit=${PAGE_ROWS}`;
     const { status, body } = await this.send('GET', `/store?${query}`, { timeout: LONG_TIMEOUT });
     if (status !== OK) throw new StoreError(status);
-    return { rows: decodeRows(body), more: body['More'] === true, epoch: decodeEpoch(body) };
+    return { rows: decodeRows(body), more: body['More'] === true, revision: decodeRevision(body) };
   }
 
   /** Applies all of the writes if all of the guards hold, or none. Never rejects. */
@@ -101,7 +102,7 @@
   }
 
   /**
-   * Waits, for `block` at most, for changes below a prefix since the epoch `after`. Null if that is too old: the keys have
+   * Waits, for `block` at most, for changes below a prefix since the revision `after`. Null if that is too old: the keys have
    * to be read again.
    */
   async watch(prefix: string, after: number, block: Micros): Promise<ChangeBatch | null> {
@@ -110,37 +111,37 @@
     const { status, body } = await this.send('GET', `/follow?${query}`, { timeout: block + LONG_TIMEOUT });
     if (status === GONE) return null;
     if (status !== OK) throw new StoreError(status);
-    const news = decodeChanges(body);
-    return { epoch: this.requireAccepted(floor, decodeEpoch(body)), news };
+    const changes = decodeChanges(body);
+    return { revision: this.requireAccepted(floor, decodeRevision(body)), changes };
   }
 
   /** Whether the answer to a commit belongs to the history that this node knows; if not, the result is unknown. */
   private isOfKnownHistory({ status, body }: HttpReply, writes: readonly Write[], floor: number): boolean {
-    const epoch = decodeEpoch(body);
-    const createsEpoch = status === OK && writes.some((write) => 'set' in write);
-    if (createsEpoch && !this.revisionCheck.acceptsCommitted(floor, epoch)) return false;
-    return status !== CONFLICT || this.revisionCheck.accepts(floor, epoch);
+    const revision = decodeRevision(body);
+    const createsRevision = status === OK && writes.some((write) => 'set' in write);
+    if (createsRevision && !this.revisionCheck.acceptsCommitted(floor, revision)) return false;
+    return status !== CONFLICT || this.revisionCheck.accepts(floor, revision);
   }
 
   /**
    * A lease that doesn't exist has expired, or was lost with the rest of the state. In the latter case others may not take
-   * over what it protected: a read of the present epoch rejects then.
+   * over what it protected: a read of the present revision rejects then.
    */
   private async confirmExpiry(): Promise<false> {
     if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
     return false;
   }
 
-  /** The lowest epoch that the answer to a request sent now may show; throws while the revision check is closed. */
+  /** The lowest revision that the answer to a request sent now may show; throws while the revision check is closed. */
   private requireOpen(): number {
     if (!this.revisionCheck.isOpen()) throw new StoreError(UNAVAILABLE);
     return this.revisionCheck.minimumRevision();
   }
 
-  /** Returns the epoch if it passes the revision check, else throws. */
-  private requireAccepted(floor: number, epoch: number): number {
-    if (!this.revisionCheck.accepts(floor, epoch)) throw new StoreError(UNAVAILABLE);
-    return epoch;
+  /** Returns the revision if it passes the revision check, else throws. */
+  private requireAccepted(floor: number, revision: number): number {
+    if (!this.revisionCheck.accepts(floor, revision)) throw new StoreError(UNAVAILABLE);
+    return revision;
   }
 
   private async send(method: HttpMethod, path: string, options: RequestOptions = {}): Promise<HttpReply> {
--- a/packages/store/wire-format.ts
+++ b/packages/store/wire-format.ts
@@ -2,8 +2,8 @@
 import { type WireFields, isWireFields, type HttpReply } from '#wire';
 import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
 
-/** The epoch that an answer shows; NaN if it shows none. */
-export function decodeEpoch(body: WireFields): number {
+/** The revision that an answer shows; NaN if it shows none. */
+export function decodeRevision(body: WireFields): number {
   return Number(body['Epoch']);
 }
 
@@ -47,13 +47,13 @@
   return body;
 }
 
-/** The result that the answer to a commit shows. Its epoch has yet to pass the revision check. */
+/** The result that the answer to a commit shows. Its revision has yet to pass the revision check. */
 export function decodeCommitResult({ status, body }: HttpReply): CommitResult {
-  const epoch = decodeEpoch(body);
-  if (status === 200) return { kind: 'applied', epoch };
+  const revision = decodeRevision(body);
+  if (status === 200) return { kind: 'applied', revision };
   if (status === 409) {
     const failed = Array.isArray(body['failed']) ? body['failed'].map(String) : [];
-    return { kind: 'refused', failed, epoch };
+    return { kind: 'refused', failed, revision };
   }
   if (status === 400 && body['error'] === 'no such lease') return { kind: 'lease_expired' };
   if (status >= 400) return { kind: 'not_executed', status };
--- a/packages/testkit/cluster-checks.ts
+++ b/packages/testkit/cluster-checks.ts
@@ -24,14 +24,14 @@
   }
 
   /** Compares each copy once for each revision: a copy changes with nothing else. */
-  check(copies: readonly ReplicaFacts[], { epoch, hasLostData }: SimStore): void {
+  check(copies: readonly ReplicaFacts[], { revision, hasLostData }: SimStore): void {
     // After a loss the revisions of the copies belong to another history.
     if (hasLostData) return;
     const current = copies.filter(
-      (copy) => copy.applied === epoch && this.checkedAt.get(copy.ledger) !== epoch,
+      (copy) => copy.applied === revision && this.checkedAt.get(copy.ledger) !== revision,
     );
-    for (const { ledger } of current) this.checkedAt.set(ledger, epoch);
-    this.agreement.check(current, epoch);
+    for (const { ledger } of current) this.checkedAt.set(ledger, revision);
+    this.agreement.check(current, revision);
   }
 }
 
--- a/packages/testkit/data-loss-cluster.ts
+++ b/packages/testkit/data-loss-cluster.ts
@@ -1,6 +1,6 @@
 /** Set-up and assertions that the tests of data loss have in common. */
 import assert from 'node:assert/strict';
-import type { DataLossReport } from '#recovery';
+import type { DataLossStatus } from '#recovery';
 import { SECOND } from '#wire';
 import { submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
@@ -14,16 +14,16 @@
 }
 
 /** The data loss report of a node that is up and runs the detection. */
-export function dataLossReportOf(cluster: SimCluster, node: number): DataLossReport {
-  const loss = cluster.controller(node)?.dataLossReport().loss;
+export function dataLossStatusOf(cluster: SimCluster, node: number): DataLossStatus {
+  const loss = cluster.controller(node)?.dataLossStatus().dataLoss;
   assert.ok(loss, `node ${node} is down, or does not watch`);
   return loss;
 }
 
 /** Asserts that every node is in this state. */
-export function assertDataLossStates(cluster: SimCluster, state: DataLossReport['state']): void {
+export function assertDataLossStates(cluster: SimCluster, state: DataLossStatus['state']): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
-    const loss = dataLossReportOf(cluster, i);
+    const loss = dataLossStatusOf(cluster, i);
     assert.equal(loss.state, state, `node ${i}: ${JSON.stringify(loss)}`);
   }
 }
--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -3,7 +3,7 @@
 import { scheduleRandomFaults } from './random-runs.js';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
-import { finishAllJobs, dataLossReportOf, createDataLossCluster } from './data-loss-cluster.js';
+import { finishAllJobs, dataLossStatusOf, createDataLossCluster } from './data-loss-cluster.js';
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
@@ -17,7 +17,7 @@
       const old = store.backup();
       clock.at((1 + random() * 10) * SECOND, () => {
         const whole = store.backup();
-        if (whole.epoch === old.epoch) return;
+        if (whole.revision === old.revision) return;
         losses++;
         isRestored = false;
         if (random() < 0.4) store.wipe();
@@ -49,7 +49,7 @@
     scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 130 * SECOND, minGapS: 4, extraGapS: 10 });
     await cluster.run(160 * SECOND);
     await finishAllJobs(cluster);
-    const alarms = [...Array(cluster.nodeCount).keys()].map((i) => dataLossReportOf(cluster, i).falseAlarms);
+    const alarms = [...Array(cluster.nodeCount).keys()].map((i) => dataLossStatusOf(cluster, i).falseAlarms);
     assert.deepEqual(
       alarms,
       alarms.map(() => 0),
--- a/packages/testkit/data-loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -6,7 +6,7 @@
 import { type Micros, MS, SECOND } from '#wire';
 import { DurationMeter } from './duration-meter.js';
 import type { SimCluster } from './sim-cluster.js';
-import { dataLossReportOf, createDataLossCluster } from './data-loss-cluster.js';
+import { dataLossStatusOf, createDataLossCluster } from './data-loss-cluster.js';
 
 const RUNS = Number(process.env['LOSS_RUNS'] ?? 2);
 const STEP: Micros = 20 * MS;
@@ -30,7 +30,7 @@
       `${name}: node ${[...waiting].join()} takes too long`,
     );
     for (const node of waiting) {
-      if (!states.includes(dataLossReportOf(cluster, node).state)) continue;
+      if (!states.includes(dataLossStatusOf(cluster, node).state)) continue;
       waiting.delete(node);
       meter.record(name, cluster.clock.time - began);
     }
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -18,7 +18,7 @@
 import {
   assertDataLossStates,
   finishAllJobs,
-  dataLossReportOf,
+  dataLossStatusOf,
   createDataLossCluster,
 } from './data-loss-cluster.js';
 
@@ -105,7 +105,7 @@
     const old = cluster.store.backup();
     await cluster.run(5 * SECOND);
     const whole = cluster.store.backup();
-    assert.ok(whole.epoch > old.epoch, 'nothing was lost');
+    assert.ok(whole.revision > old.revision, 'nothing was lost');
     cluster.store.restore(old);
     cluster.killNode(0);
     // The first request of each of the others to what is left may be a commit, which it then doesn't believe.
@@ -155,7 +155,7 @@
     cluster.store.refusedNodes.add('node-1');
     await cluster.run(8 * SECOND);
     const whole = cluster.store.backup();
-    assert.ok(whole.epoch > old.epoch, 'nothing was lost');
+    assert.ok(whole.revision > old.revision, 'nothing was lost');
     cluster.store.restore(old);
     await cluster.run(10 * SECOND);
     cluster.store.refusedNodes.clear();
@@ -177,11 +177,11 @@
     await cluster.run(SECOND);
     cluster.startNode(1);
     await cluster.run(5 * SECOND);
-    const { state, evidence } = dataLossReportOf(cluster, 1);
+    const { state, evidence } = dataLossStatusOf(cluster, 1);
     assert.notEqual(state, 'serving');
     assert.equal(evidence[0]?.inconsistency.kind, 'state_incomplete');
     // Those that have it all in memory go on: no change has told them of the loss.
-    assert.equal(dataLossReportOf(cluster, 0).state, 'serving');
+    assert.equal(dataLossStatusOf(cluster, 0).state, 'serving');
     cluster.store.restoreKeys(whole, lost);
     await finishAllJobs(cluster);
   }
@@ -197,9 +197,9 @@
   assert.ok(cluster.isOld(2) && cluster.invariants.starts > 0);
   cluster.store.wipe();
   await cluster.run(4 * SECOND);
-  for (const node of [0, 1]) assert.equal(dataLossReportOf(cluster, node).state, 'frozen');
+  for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
   const { starts } = cluster.invariants;
   await cluster.run(LONG);
   assert.equal(cluster.invariants.starts, starts, 'something was started');
-  for (const node of [0, 1]) assert.equal(dataLossReportOf(cluster, node).state, 'frozen');
+  for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
 });
--- a/packages/testkit/ledger-agreement.ts
+++ b/packages/testkit/ledger-agreement.ts
@@ -65,16 +65,16 @@
     }
   }
 
-  /** Compares the copies of those nodes that have applied everything up to the present epoch. */
-  check(copies: readonly ReplicaFacts[], epoch: number): void {
-    const current = copies.filter((copy) => copy.state === 'following' && copy.applied === epoch);
+  /** Compares the copies of those nodes that have applied everything up to the present revision. */
+  check(copies: readonly ReplicaFacts[], revision: number): void {
+    const current = copies.filter((copy) => copy.state === 'following' && copy.applied === revision);
     if (current.length === 0) return;
     const expected = describe(factsOfLedger(this.reference));
     for (const { describeLedger, member } of current) {
       const actual = describe(describeLedger());
       const wrong = actual.find((line, i) => line !== expected[i]) ?? expected[actual.length];
       if (wrong !== undefined)
-        throw new InvariantViolation('agreement', `${member} at epoch ${epoch}: ${wrong}`);
+        throw new InvariantViolation('agreement', `${member} at revision ${revision}: ${wrong}`);
     }
   }
 
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -4,7 +4,7 @@
  * version gives to its settings, its methods and its state, and maps them onto those of the present version.
  */
 import type { ServiceResponse } from '#api';
-import type { Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
+import type { Destination, Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
 import type { ControllerOptions } from '#daemon';
 import type { Settings, Tuning } from '#settings';
 import type { HttpClient, Clock, Count, Micros } from '#wire';
@@ -52,11 +52,14 @@
   readonly log: Logger;
 }
 
+type ProductionMachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
+type ProductionDestination = number | 'return';
+
 interface ProductionMachine {
   readonly host: string;
   readonly share: number | null;
-  readonly destination: number | 'return' | null;
-  readonly status: MachineStatus;
+  readonly destination: ProductionDestination | null;
+  readonly status: ProductionMachineStatus;
   readonly ownershipCount: number;
   readonly lastReport: readonly [Count, Count] | null;
 }
@@ -99,6 +102,15 @@
   createController(options: ControllerOptions): SimulatedController;
 }
 
+const MACHINE_STATUSES: Readonly<Record<ProductionMachineStatus, MachineStatus>> = {
+  new: 'new',
+  up: 'up',
+  silent: 'unresponsive',
+  recalled: 'reclaimed',
+  faulty: 'quarantined',
+  lost: 'lost',
+};
+
 /** Loads the controller of the version in production. */
 export async function loadProductionVersion(): Promise<ProductionVersion> {
   const fixture = (await import(FIXTURE.href)) as {
@@ -171,13 +183,17 @@
   return { member, state, applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
 }
 
+function destinationOf(destination: ProductionDestination | null): Destination | null {
+  return destination === 'return' ? 'scale_in' : destination;
+}
+
 function ledgerFactsOf(ledger: ProductionLedger): LedgerFacts {
   const machines = [...ledger.hosts.values()].map((machine) => ({
     host: machine.host,
     shard: machine.share,
-    destination: machine.destination,
+    destination: destinationOf(machine.destination),
     ownershipCount: machine.ownershipCount,
-    status: machine.status,
+    status: MACHINE_STATUSES[machine.status],
     lastHeartbeat: machine.lastReport && {
       incarnation: machine.lastReport[0],
       sequence: machine.lastReport[1],
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -114,8 +114,8 @@
     assert.ok(frozen >= 0, `no ${field} were recorded`);
     assert.notEqual(termOf(cluster), term, 'nobody took over');
     await finish(cluster);
-    const open = cluster.controller(leaderOf(cluster))?.roleReport().duties[0]?.openIntents;
-    assert.deepEqual(open?.rentals, [], 'a rental was left open');
+    const open = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
+    assert.deepEqual(open?.scaleOutRequests, [], 'a rental was left open');
   }
 });
 
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -84,11 +84,11 @@
     }
   }
 
-  /** The state service has applied this transaction at the given epoch. */
-  afterCommit(writes: readonly WireFields[], epoch: number): void {
+  /** The state service has applied this transaction at the given revision. */
+  afterCommit(writes: readonly WireFields[], revision: number): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
-      if (path === LEADER_KEY) this.term = epoch;
+      if (path === LEADER_KEY) this.term = revision;
       if (path === FENCING_TOKEN_KEY) this.advanceToken(write['V']);
       if (path.startsWith(LOG_PREFIX)) this.applyRecord(path, decodeRecord(write['V'] as WireFields));
     }
@@ -127,7 +127,7 @@
     if (this.isOver(sender)) this.counts.lateDeletions++;
     if (!works) return;
     const entry = this.ledger.machines.get(host);
-    if (entry?.destination === 'return' && entry.shard === null) return;
+    if (entry?.destination === 'scale_in' && entry.shard === null) return;
     if (sender.isOld) this.counts.unrecordedByOld++;
     else {
       const state = entry ? `shard ${entry.shard}, destination ${entry.destination}` : 'in no record';
--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -89,7 +89,7 @@
     this.store.afterApply = (writes) => {
       // Commits after a loss belong to another history than the one recorded here.
       if (this.store.hasLostData) return;
-      this.history.afterCommit(writes, this.store.epoch);
+      this.history.afterCommit(writes, this.store.revision);
       this.options.onCommit(writes);
     };
   }
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -9,14 +9,14 @@
   leaseId: number | null;
 }
 
-/** All that the state service held at one epoch. */
+/** All that the state service held at one revision. */
 export interface StoreBackup {
   rows: ReadonlyMap<string, Row>;
   /** How long each grant lives. */
   leases: ReadonlyMap<number, Micros>;
   /** The latest changes, for watches. */
   history: readonly StoredChange[];
-  epoch: number;
+  revision: number;
 }
 
 interface StoredChange {
@@ -50,7 +50,7 @@
 /** The state service, as its page describes it. */
 export class SimStore {
   readonly rows = new Map<string, Row>();
-  epoch = 0;
+  revision = 0;
   isOut = false;
   /** Requests that came, and those that were over a limit. */
   requestCount = 0;
@@ -120,7 +120,7 @@
 
   /** Writes a row without asking anybody, as a foreign hand might. */
   spoil(write: WireFields): void {
-    this.epoch++;
+    this.revision++;
     const leaseId = typeof write['Permit'] === 'number' ? write['Permit'] : null;
     this.put(String(write['Set']), write['V'] as WireFields, leaseId);
     this.wakeWatches();
@@ -128,30 +128,30 @@
 
   backup(): StoreBackup {
     const grants = new Map([...this.leases].map(([id, { life }]) => [id, life]));
-    return { rows: new Map(this.rows), leases: grants, history: [...this.history], epoch: this.epoch };
+    return { rows: new Map(this.rows), leases: grants, history: [...this.history], revision: this.revision };
   }
 
   /** Holds what it held at the backup, and knows nothing of what was committed since; grants get their full time. */
-  restore({ rows, leases: grants, history, epoch }: StoreBackup): void {
-    if (!this.hasLostData) this.newest = this.epoch;
-    this.hasLostData = epoch < this.newest;
+  restore({ rows, leases: grants, history, revision }: StoreBackup): void {
+    if (!this.hasLostData) this.newest = this.revision;
+    this.hasLostData = revision < this.newest;
     this.rows.clear();
     for (const [path, row] of rows) this.rows.set(path, row);
     this.leases.clear();
     for (const [id, life] of grants) this.leases.set(id, { life, until: this.clock.time + life });
-    this.epoch = epoch;
+    this.revision = revision;
     this.history = [...history];
   }
 
   /** Loses everything, as one that was set up anew. */
   wipe(): void {
-    this.restore({ rows: new Map(), leases: new Map(), history: [], epoch: 0 });
+    this.restore({ rows: new Map(), leases: new Map(), history: [], revision: 0 });
   }
 
   /** Loses some keys; open watches are told of it, or nobody is. */
   loseKeys(isLost: (path: string) => boolean, isTold: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
-    if (isTold) this.epoch++;
+    if (isTold) this.revision++;
     for (const path of lost) {
       if (isTold) this.drop(path);
       else this.rows.delete(path);
@@ -204,7 +204,7 @@
 
   private get(key: string): SimResponse {
     const row = this.rows.get(key);
-    if (!row) return { status: 404, body: { Epoch: this.epoch } };
+    if (!row) return { status: 404, body: { Epoch: this.revision } };
     return { status: 200, body: { Path: key, V: row.value, Stamp: row.revision, Permit: row.leaseId } };
   }
 
@@ -221,7 +221,7 @@
       if (Rows.length > 0 && bytes > PAGE_BYTES) break;
       Rows.push({ Path: key, V: row.value, Stamp: row.revision });
     }
-    return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.epoch } };
+    return { status: 200, body: { Rows, More: keys.length > Rows.length, Epoch: this.revision } };
   }
 
   private commit(body: WireFields): SimResponse {
@@ -245,10 +245,10 @@
     const failed = guards
       .filter((g) => (this.rows.get(String(g['Path']))?.revision ?? 0) !== Number(g['Stamp']))
       .map((g) => g['Path']);
-    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.epoch } };
+    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.revision } };
     this.beforeApply(guards, writes);
     if (writes.length > 0) {
-      this.epoch++;
+      this.revision++;
       for (const w of writes) {
         if (w['Set'] !== undefined) {
           const leaseId = w['Permit'];
@@ -262,7 +262,7 @@
       this.afterApply(writes);
       this.wakeWatches();
     }
-    return { status: 200, body: { Epoch: this.epoch } };
+    return { status: 200, body: { Epoch: this.revision } };
   }
 
   private tooManyWrites(): SimResponse {
@@ -272,21 +272,21 @@
 
   private commitLate(body: WireFields): Promise<SimResponse> {
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
-      const before = this.epoch;
+      const before = this.revision;
       this.commit(body);
       this.lateCommits.came++;
-      if (this.epoch > before) this.lateCommits.applied++;
+      if (this.revision > before) this.lateCommits.applied++;
     });
     return new Promise(() => undefined);
   }
 
   private put(path: string, value: WireFields, leaseId: number | null): void {
-    this.rows.set(path, { value, revision: this.epoch, leaseId });
-    this.remember({ path, value, revision: this.epoch });
+    this.rows.set(path, { value, revision: this.revision, leaseId });
+    this.remember({ path, value, revision: this.revision });
   }
 
   private drop(path: string): void {
-    if (this.rows.delete(path)) this.remember({ path, value: null, revision: this.epoch });
+    if (this.rows.delete(path)) this.remember({ path, value: null, revision: this.revision });
   }
 
   private remember(change: StoredChange): void {
@@ -322,14 +322,14 @@
       .map((c) =>
         c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
       );
-    watch.answer({ status: 200, body: { Epoch: this.epoch, News } });
+    watch.answer({ status: 200, body: { Epoch: this.revision, News } });
   }
 
   private expire(id: number): void {
     this.leases.delete(id);
     const keys = [...this.rows].filter(([, r]) => r.leaseId === id).map(([k]) => k);
     if (keys.length === 0) return;
-    this.epoch++;
+    this.revision++;
     for (const key of keys) this.drop(key);
     this.wakeWatches();
   }
--- a/packages/workers/worker-liveness.ts
+++ b/packages/workers/worker-liveness.ts
@@ -60,14 +60,14 @@
   if (unreachableFor > lostAfter) return 'lost';
   switch (worker.liveness) {
     case 'reporting':
-      if (unreachableFor > heartbeatTimeout(limits)) return 'silent';
-      return entry.consecutiveFailures >= QUARANTINE_AFTER_FAILURES ? 'faulty' : 'up';
+      if (unreachableFor > heartbeatTimeout(limits)) return 'unresponsive';
+      return entry.consecutiveFailures >= QUARANTINE_AFTER_FAILURES ? 'quarantined' : 'up';
     case 'reclaimed':
-      return 'recalled';
+      return 'reclaimed';
     case 'unresponsive':
-      return 'silent';
+      return 'unresponsive';
     case 'expired':
-      return now > worker.heartbeatAt + lostAfter ? 'lost' : 'silent';
+      return now > worker.heartbeatAt + lostAfter ? 'lost' : 'unresponsive';
   }
 }
 
@@ -80,5 +80,5 @@
   if (!ownership || entry.status === 'new' || entry.status === 'lost') return entry.status;
   if (now > ownership.since + withDrift(limits.cancellationDeadline)) return 'lost';
   const isOverdue = now > ownership.since + heartbeatTimeout(limits) + OWNER_DISCOVERY;
-  return isOverdue ? 'silent' : entry.status;
+  return isOverdue ? 'unresponsive' : entry.status;
 }
