--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -171,7 +171,13 @@
     assert.match(text, /127\.0\.0\.1:1: no answer \(.*ECONNREFUSED/);
     const json = await run('duties', '--json', '--node', address, CLOSED);
     const value = JSON.parse(json.out.join('\n')) as { nodes: unknown[]; silent: { node: string }[] };
-    assert.deepEqual(value.nodes, [{ node: address, ...REPORT }]);
+    const { roles, ...others } = REPORT;
+    const duties = roles.map(({ roleName: duty, openIntents, ...role }) => {
+      if (!openIntents) return { duty, openIntents, ...role };
+      const { scaleOutRequests: rentals, scaleInHosts: returns, ...more } = openIntents;
+      return { duty, openIntents: { rentals, returns, ...more }, ...role };
+    });
+    assert.deepEqual(value.nodes, [{ node: address, ...others, duties }]);
     assert.deepEqual(
       value.silent.map((s) => s.node),
       [CLOSED],
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -243,7 +243,10 @@
     lines.push(JSON.stringify(line)),
   );
   assert.deepEqual(lines, WHOLE.slice(0, -1));
-  const printed = Object.entries(summary).map(([name, value]) => [PRINTED_NAMES.get(name) ?? name, value]);
+  const printed = Object.entries(summary).map(([name, value]): [string, unknown] => [
+    PRINTED_NAMES.get(name) ?? name,
+    value,
+  ]);
   assert.equal(JSON.stringify(Object.fromEntries(printed)), SUMMARY);
 });
 
--- a/packages/workers/worker-registry.ts
+++ b/packages/workers/worker-registry.ts
@@ -88,8 +88,8 @@
   }
 
   /**
-   * The status that the log should hold for a machine: `silent` is unresponsive, `recalled` reclaimed by the cloud,
-   * `faulty` quarantined after failures, `lost` unresponsive beyond its lease. A machine that isn't owned keeps its own.
+   * The status that the log should hold for a machine: `reclaimed` is by the cloud, `quarantined` after failures,
+   * `lost` unresponsive beyond its lease. A machine that isn't owned keeps its own.
    */
   machineStatus(entry: MachineEntry, now: Micros): MachineStatus {
     const worker = this.trackedWorkers.get(entry.host);
