--- a/packages/workers/completion-detector.ts
+++ b/packages/workers/completion-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the placements that are off their machines for certain. Only such a task may be recorded as ended, since it may
- * be placed elsewhere at once: a wrong proof here lets a task run twice.
+ * Finds the placements whose tasks are proven stopped. Only a task that is proven stopped may be recorded as ended,
+ * because it may be placed on another machine immediately afterwards. A wrong proof would let a task run twice.
  */
 import type { Ledger, Outcome, Placement } from '#cluster';
 import { type ExitCause, countsEqual, type Micros, type TaskStatus } from '#wire';
@@ -9,41 +9,43 @@
 import type { StopRequests } from './stop-requests.js';
 import { attemptKey, type TrackedWorker } from './tracked-worker.js';
 import { isLeaseExpired } from './worker-liveness.js';
-import { type WorkerTimeouts, withDrift } from './worker-timeouts.js';
+import { type WorkerTimeouts, withDriftMargin } from './worker-timeouts.js';
 
-/** A placement that is proven off its machine, and how it ended. */
+/** A placement whose task is proven stopped, and the outcome of the attempt. */
 export interface TaskCompletion {
   readonly placement: Placement;
   readonly outcome: Outcome;
 }
 
-/** What the detector examines. */
-export interface CompletionSources {
+/** Dependencies of {@link CompletionDetector}. */
+export interface CompletionDetectorOptions {
   readonly machines: OwnedMachines;
+  /** The tracked workers. Keyed by host. */
   readonly workers: ReadonlyMap<string, TrackedWorker>;
   readonly stopRequests: StopRequests;
   readonly commandBuilder: CommandBuilder;
-  readonly limits: WorkerTimeouts;
+  readonly timeouts: WorkerTimeouts;
 }
 
-/** A worker with its machine's ownership and the recorded state at the time of the examination. */
+/** A worker, the ownership of its machine and the recorded state, as of the time `now`. */
 interface WorkerView extends RecordedState {
   readonly worker: TrackedWorker;
   readonly ownership: MachineOwnership;
+  /** Steady time. */
   readonly now: Micros;
 }
 
 /** Finds completions among the placements on the machines that this node owns. */
 export class CompletionDetector {
-  constructor(private readonly sources: CompletionSources) {}
+  constructor(private readonly options: CompletionDetectorOptions) {}
 
-  /** Every placement on an owned machine that is proven off it, in the order of acquisition of the machines. */
+  /** Returns every placement whose task is proven stopped, in the order in which the machines were acquired. */
   find(state: RecordedState, now: Micros): TaskCompletion[] {
     const { ledger, jobs } = state;
     const completions: TaskCompletion[] = [];
-    for (const [host, ownership] of this.sources.machines.entries()) {
+    for (const [host, ownership] of this.options.machines.entries()) {
       if (!ledger.placementsByHost.has(host)) continue;
-      const worker = this.sources.workers.get(host);
+      const worker = this.options.workers.get(host);
       const found = worker
         ? this.findOnTracked({ worker, ownership, ledger, jobs, now })
         : this.findOnUntracked(host, ownership, { ledger, now });
@@ -53,16 +55,17 @@
   }
 
   /**
-   * No heartbeat since this node acquired the machine, so only an earlier owner can have renewed the worker's lease. Even
-   * one that doesn't know that it is superseded stops at its renewal bound, which together with the lease ends within
-   * `cancellationDeadline` after the acquisition: by then the worker has killed all of its tasks.
+   * Finds completions on a machine whose worker has sent no heartbeat since this node acquired the machine. Only an
+   * earlier owner can have renewed the worker's lease. An earlier owner that doesn't know that it was superseded stops
+   * renewing at its renewal bound. The renewal bound and the lease together end within `cancellationDeadline` after the
+   * acquisition. By then the worker has killed all of its tasks.
    */
   private findOnUntracked(
     host: string,
     ownership: MachineOwnership,
     { ledger, now }: { readonly ledger: Ledger; readonly now: Micros },
   ): TaskCompletion[] {
-    if (now <= ownership.since + withDrift(this.sources.limits.cancellationDeadline)) return [];
+    if (now <= ownership.since + withDriftMargin(this.options.timeouts.cancellationDeadline)) return [];
     return Array.from(ledger.placementsOn(host), (placement) => ({ placement, outcome: 'lost' }));
   }
 
@@ -74,46 +77,51 @@
       const outcome = this.outcomeOf(placement, reportedTasks.get(placement.taskName), view);
       if (!outcome) continue;
       completions.push({ placement, outcome });
-      // A late commit may complete its gang before this completion is recorded: its start must stay unwanted even then.
-      if (outcome === 'undelivered') this.sources.stopRequests.add(placement, 0);
+      // A late commit may complete the gang before this completion is recorded. The stop request ensures that the task
+      // isn't started even then.
+      if (outcome === 'undelivered') this.options.stopRequests.add(placement, 0);
     }
     return completions;
   }
 
-  /** How a placement ended; null if nothing proves that it is off its machine. */
+  /** Returns how an attempt ended. Returns null if its task isn't proven stopped. */
   private outcomeOf(placement: Placement, task: TaskStatus | undefined, view: WorkerView): Outcome | null {
     const { incarnation } = view.worker.heartbeat;
     if (!countsEqual(placement.workerIncarnation, incarnation)) {
-      // A worker starts a new incarnation only after it has killed and forgotten all tasks of the earlier ones. A start
-      // for an incarnation that is yet to be seen here proves nothing.
+      // A worker starts a new incarnation only after it has killed and forgotten all tasks of the earlier incarnations.
+      // A placement for an incarnation that this node hasn't seen yet proves nothing.
       return placement.workerIncarnation < incarnation ? 'lost' : null;
     }
     const reported = task !== undefined && countsEqual(task.attempt, placement.attempt) ? task : null;
-    // The worker itself says that the task has exited.
+    // The worker reports that the task has exited.
     if (reported?.state === 'exited') return outcomeOfExit(reported.cause ?? 'failed');
-    // A worker whose lease has expired has killed all of its tasks, also those that it reported before.
-    if (isLeaseExpired(this.sources.limits, view)) return 'lost';
+    // A worker whose lease has expired has killed all of its tasks, including those in its last heartbeat.
+    if (isLeaseExpired(this.options.timeouts, view)) return 'lost';
     if (reported) return null;
-    return this.isNeverDelivered(placement, view) ? 'undelivered' : null;
+    return this.isUndeliverable(placement, view) ? 'undelivered' : null;
   }
 
   /**
-   * Whether a placement that is absent from the newest heartbeat can't start any more. All of these hold:
+   * Returns true if a placement that is absent from the newest heartbeat can no longer be started. This requires:
    *
-   * - the worker has seen this owner's token, so no answer of an earlier owner can still take effect;
-   * - a worker that has sent a newer heartbeat drops the answers to earlier ones, and the answer to the newest carried no
-   *   start of it (`deliveredStarts`);
-   * - its start isn't wanted, and stays unwanted (the caller requests a stop to that end), so no later answer carries it.
+   * - The worker has seen this owner's fencing token, so it ignores any response of an earlier owner.
+   * - The response to the newest heartbeat carried no start command for the placement (`sentStarts`). The worker drops
+   *   the responses to its earlier heartbeats.
+   * - The start isn't wanted and stays unwanted, so no later response carries it. The caller ensures that it stays
+   *   unwanted by requesting a stop.
    */
-  private isNeverDelivered(placement: Placement, view: WorkerView): boolean {
+  private isUndeliverable(placement: Placement, view: WorkerView): boolean {
     const { worker } = view;
-    const wasDelivered = worker.deliveredStarts.has(attemptKey(placement.taskName, placement.attempt));
-    if (!worker.hasSeenToken || wasDelivered) return false;
-    return !this.sources.commandBuilder.isStartWanted(placement, worker, view);
+    const wasStartSent = worker.sentStarts.has(attemptKey(placement.taskName, placement.attempt));
+    if (!worker.hasSeenToken || wasStartSent) return false;
+    return !this.options.commandBuilder.isStartWanted(placement, worker, view);
   }
 }
 
-/** How an exited task counts. The rest of a gang that came apart was stopped: neither task nor machine failed. */
+/**
+ * Returns the outcome of a task that exited for this cause. The remaining tasks of a gang that lost a task or that
+ * never gathered count as stopped, because neither the task nor its machine failed.
+ */
 function outcomeOfExit(cause: ExitCause): Outcome {
   switch (cause) {
     case 'done':
--- a/packages/workers/index.ts
+++ b/packages/workers/index.ts
@@ -1,6 +1,6 @@
 /**
- * What the owner of a machine knows of its worker: the latest heartbeat, the state of its lease, which of its tasks have
- * ended for certain, and which commands it gets.
+ * Tracks the workers on the machines that a node owns: their heartbeats, their leases, the tasks that are proven
+ * stopped and the commands that the workers get.
  */
 export * from './worker-timeouts.js';
 export * from './tracked-worker.js';
--- a/packages/workers/machine-ownership.ts
+++ b/packages/workers/machine-ownership.ts
@@ -1,70 +1,75 @@
-/** Which machines this node owns, and since when: the basis of every decision about their workers. */
+/** Tracks which machines this node owns and since when. Every decision about their workers is based on it. */
 import type { Ledger, MachineEntry, ShardOwner } from '#cluster';
 import type { Micros } from '#wire';
 import { type HeartbeatPosition, isNewerHeartbeat } from './tracked-worker.js';
 
 /**
- * One uninterrupted time of owning a machine. The shard, the revision of the shard's owner row and the machine's
- * ownership count together identify it.
+ * One uninterrupted period during which this node owns a machine. It is identified by the shard, the revision of the
+ * shard's owner row and the machine's ownership count.
  */
 export interface MachineOwnership {
   readonly shard: number;
   readonly ownerRevision: number;
   readonly ownershipCount: number;
-  /** Steady time at which this node learnt that it owns the machine. */
+  /** Steady time at which this node learned that it owns the machine. */
   readonly since: Micros;
-  /** A worker that has seen this fencing token obeys no earlier owner. */
+  /** A worker that has seen this fencing token ignores the responses of earlier owners. */
   readonly fencingToken: number;
-  /** The last heartbeat that an earlier owner processed; null if there was none. Older ones may still arrive late. */
+  /**
+   * The last heartbeat that an earlier owner processed, or null if there was none. Older heartbeats may arrive late.
+   */
   readonly lastHeartbeat: HeartbeatPosition | null;
 }
 
-/** What this node's ownership of machines follows from. */
+/** The state from which the ownership of machines is derived. */
 export interface OwnershipView {
   readonly ledger: Ledger;
   /** The shards that this node owns, with their owner rows. */
   readonly owners: ReadonlyMap<number, ShardOwner>;
-  /** The cluster's fencing token at present. */
+  /** The cluster's current fencing token. */
   readonly fencingToken: number;
   /** Steady time. */
   readonly now: Micros;
 }
 
-/** The state of ledger and owner rows at the last sync: nothing is examined again until it differs. */
+/** The version of the ledger and of the owner rows at the last sync. A sync at the same version does nothing. */
 interface SyncedState {
   readonly ledger: Ledger;
   readonly ownershipChanges: number;
   readonly ownerRevisions: string;
 }
 
-/** The machines that this node owns, by host. */
+/** The machines that this node owns. */
 export class OwnedMachines {
+  /** Keyed by host. */
   private readonly ownerships = new Map<string, MachineOwnership>();
   private synced: SyncedState | null = null;
 
-  /** The present ownership of a machine; undefined if this node doesn't own it. */
+  /** Returns the current ownership of a machine, or undefined if this node doesn't own it. */
   get(host: string): MachineOwnership | undefined {
     return this.ownerships.get(host);
   }
 
-  /** All owned machines, in the order in which they were acquired. */
+  /** Returns all owned machines in the order in which they were acquired. */
   entries(): Iterable<[host: string, ownership: MachineOwnership]> {
     return this.ownerships;
   }
 
   /**
-   * Brings the ownerships up to date and returns the hosts whose ownership ended. A machine that was lost and acquired
-   * again in between is among them: what other owners told its worker meanwhile is unknown.
+   * Updates the ownerships and returns the hosts whose ownership ended. They include each machine that this node lost
+   * and acquired again since the last sync, because commands that other owners sent to its worker in between are
+   * unknown.
    */
   sync(view: OwnershipView): readonly string[] {
-    // Called with every heartbeat: examining each machine every time would cost machines times heartbeats.
-    if (!this.hasChanged(view)) return [];
+    // This method runs with every heartbeat. Without this check its total cost would be machines times heartbeats.
+    if (!this.recordIfChanged(view)) return [];
     const ended = this.removeEnded(view);
     this.addAcquired(view);
     return ended;
   }
 
-  private hasChanged({ ledger, owners }: OwnershipView): boolean {
+  /** Returns true, and records the new version, if the ledger or the owner rows have changed since the last sync. */
+  private recordIfChanged({ ledger, owners }: OwnershipView): boolean {
     const ownerRevisions = [...owners].map(([shard, owner]) => `${shard}/${owner.revision}`).join();
     const { ownershipChanges } = ledger;
     const last = this.synced;
@@ -103,22 +108,24 @@
 }
 
 /**
- * Whether a heartbeat is older than one that an earlier owner has processed. It was delayed on its way and may lack a task
- * that the earlier owner started with its answer, so its absence would wrongly prove that the task never started.
+ * Returns true if a heartbeat is not newer than the last one that an earlier owner processed. Such a heartbeat was
+ * delayed. It may lack a task that the earlier owner started with its response, and the task's absence would then
+ * wrongly prove that the task never started.
  */
 export function isStaleForOwner(ownership: MachineOwnership, heartbeat: HeartbeatPosition): boolean {
   return ownership.lastHeartbeat !== null && !isNewerHeartbeat(heartbeat, ownership.lastHeartbeat);
 }
 
 /**
- * The fencing token that proves, once a worker shows it, that the worker obeys no earlier owner. Usually the present one:
- * heartbeats from before a transfer are recognized by the last one that the earlier owner processed. If the earlier
- * owner had released the machine without any heartbeat there is none to compare with, and only a token that is yet to
- * be issued tells old heartbeats from new ones.
+ * Returns the lowest fencing token that, once a worker reports it, proves that the worker ignores all earlier owners.
+ * This is usually the current token, because heartbeats from before a transfer are recognized by comparing them with
+ * the last heartbeat that the earlier owner processed. If the earlier owner released the machine without having
+ * processed any heartbeat, there is none to compare with. Then only the next token distinguishes old heartbeats from
+ * new ones.
  */
-function acknowledgingToken(entry: MachineEntry, present: number): number {
-  const wasReleasedUnseen = entry.ownershipCount > 0 && entry.lastHeartbeat === null;
-  return wasReleasedUnseen ? present + 1 : present;
+function acknowledgingToken(entry: MachineEntry, currentToken: number): number {
+  const wasReleasedWithoutHeartbeat = entry.ownershipCount > 0 && entry.lastHeartbeat === null;
+  return wasReleasedWithoutHeartbeat ? currentToken + 1 : currentToken;
 }
 
 function ownerOf(entry: MachineEntry, owners: ReadonlyMap<number, ShardOwner>): ShardOwner | undefined {
--- a/packages/workers/tracked-worker.ts
+++ b/packages/workers/tracked-worker.ts
@@ -1,50 +1,57 @@
-/** What the owner of a machine knows of its worker, updated with each heartbeat. */
+/** The state of a worker as the owner of its machine knows it. Each heartbeat updates it. */
 import { type Count, fromSeconds, type Micros, countsEqual, type Heartbeat } from '#wire';
 
 /**
- * `reporting`: heartbeats arrive in time. `reclaimed`: the cloud has given notice that it takes the machine back.
- * `unresponsive`: a heartbeat is overdue. `expired`: the worker's lease is over for certain.
+ * Liveness of a worker. `reporting`: heartbeats arrive in time. `reclaimed`: the cloud has given notice that it
+ * reclaims the machine. `unresponsive`: a heartbeat is overdue. `expired`: the worker's lease has certainly expired.
  */
 export type WorkerLiveness = 'reporting' | 'reclaimed' | 'unresponsive' | 'expired';
 
-/** What the owner knows of one worker since it acquired the machine. */
+/** The state of one worker, from the heartbeats that the owner received since it acquired the machine. */
 export interface TrackedWorker {
   liveness: WorkerLiveness;
   /** The newest heartbeat. */
   readonly heartbeat: Heartbeat;
-  /** Steady time at which it arrived. */
+  /** Steady time at which the newest heartbeat arrived. */
   readonly heartbeatAt: Micros;
-  /** Steady time of the last answer that renewed its lease, or -Infinity. */
+  /** Steady time of the last heartbeat response, which renewed the lease; -Infinity if none was sent. */
   respondedAt: Micros;
-  /** The worker has seen the fencing token of this owner: it drops whatever an earlier owner still answers. */
+  /** True if the worker has seen this owner's fencing token. It then ignores the responses of earlier owners. */
   readonly hasSeenToken: boolean;
-  /** Steady time at which the cloud takes the machine back, or null. A notice is never withdrawn. */
+  /** Steady time at which the cloud reclaims the machine; null without a notice. A notice is never withdrawn. */
   readonly reclaimAt: Micros | null;
-  /** By attempt key: since when it was seen running; null if it ran before this owner's first heartbeat. */
+  /**
+   * Steady time at which this owner first saw an attempt running; null if the attempt was already running in the
+   * first heartbeat of the worker's incarnation. Keyed by attempt key.
+   */
   readonly runningSince: Map<string, Micros | null>;
-  /** Attempts started by the answer to the newest heartbeat: their absence from it proves nothing. */
-  readonly deliveredStarts: Set<string>;
   /**
-   * Since when answers seem not to reach the worker, or null. Its heartbeats may arrive all the while, so their absence
-   * doesn't show it; and a task placed on it is neither started nor proven off before the lease is over.
+   * Keys of the attempts for which the response to the newest heartbeat carried a start command. The absence of these
+   * attempts from that heartbeat doesn't prove that they never start.
+   */
+  readonly sentStarts: Set<string>;
+  /**
+   * Steady time since which responses seem not to reach the worker, or null. Heartbeats may arrive meanwhile, so
+   * this fault doesn't show as a missing heartbeat. A task placed on the worker can neither start nor be proven
+   * stopped before the lease has expired.
    */
   readonly unreachableSince: Micros | null;
-  /** Until when it gets no new tasks because it refused some. */
+  /** Steady time until which the worker gets no new tasks, because it refused a task. */
   avoidedUntil: Micros;
 }
 
-/** A heartbeat that is newer than all before, and what it is added to. */
+/** A heartbeat that is newer than all earlier ones of its worker, and the state that it updates. */
 export interface HeartbeatUpdate {
   readonly heartbeat: Heartbeat;
-  /** What was known before; null with the first heartbeat that reaches this owner. */
+  /** The state before this heartbeat; null for the first heartbeat that reaches this owner. */
   readonly previous: TrackedWorker | null;
-  /** The heartbeat shows the fencing token of this owner. */
+  /** True if the heartbeat proves that the worker has seen this owner's fencing token. */
   readonly hasSeenToken: boolean;
-  /** Steady time of its arrival. */
+  /** Steady time at which the heartbeat arrived. */
   readonly now: Micros;
 }
 
-/** What is known of a worker after a heartbeat. */
+/** Returns the state of a worker after a heartbeat. */
 export function trackHeartbeat(update: HeartbeatUpdate): TrackedWorker {
   const { heartbeat, previous, hasSeenToken, now } = update;
   const reclaimAt = reclaimTime(update);
@@ -57,7 +64,7 @@
     reclaimAt,
     runningSince: updateRunningSince(update),
     unreachableSince: previous ? unreachableSince(previous, heartbeat, now) : null,
-    deliveredStarts: new Set(),
+    sentStarts: new Set(),
     avoidedUntil: previous?.avoidedUntil ?? -Infinity,
   };
 }
@@ -65,7 +72,7 @@
 function reclaimTime({ heartbeat, previous, now }: HeartbeatUpdate): Micros | null {
   const noticeS = heartbeat.spotNoticeS ?? null;
   if (noticeS !== null) return now + fromSeconds(noticeS);
-  // The cloud never withdraws a notice, so a heartbeat without it doesn't end one.
+  // The cloud never withdraws a notice, so a heartbeat without a notice doesn't cancel an earlier one.
   return previous?.reclaimAt ?? null;
 }
 
@@ -75,24 +82,28 @@
   for (const { task, attempt, state } of heartbeat.tasks) {
     const key = attemptKey(task, attempt);
     if (state !== 'running' || runningSince.has(key)) continue;
-    // How long the tasks of the first heartbeat have run is unknown: counted from now, their run times would be too short.
+    // It is unknown how long the tasks of the first heartbeat have been running. Measured from now, their run times
+    // would be too short.
     runningSince.set(key, isSameIncarnation ? now : null);
   }
   return runningSince;
 }
 
-/** Where a heartbeat stands in the sequence of its worker's messages. */
+/** The position of a heartbeat in the order of all heartbeats of its worker. */
 export type HeartbeatPosition = Pick<Heartbeat, 'incarnation' | 'sequence'>;
 
-/** Whether the first of two messages of one worker is the newer one. */
-export function isNewerHeartbeat(a: HeartbeatPosition, b: HeartbeatPosition): boolean {
-  if (!countsEqual(a.incarnation, b.incarnation)) return a.incarnation > b.incarnation;
-  return a.sequence > b.sequence;
+/** Returns true if `candidate` is newer than `reference`. Both are heartbeats of the same worker. */
+export function isNewerHeartbeat(candidate: HeartbeatPosition, reference: HeartbeatPosition): boolean {
+  if (!countsEqual(candidate.incarnation, reference.incarnation))
+    return candidate.incarnation > reference.incarnation;
+  return candidate.sequence > reference.sequence;
 }
 
 /**
- * A worker that got its answer sends its next heartbeat to this node. One that didn't asks other nodes first, which
- * raises its sequence number, or starts a new incarnation when its lease is over: both show in its next heartbeat.
+ * Returns the time since which responses seem not to reach the worker, or null. A worker that received a response
+ * sends its next heartbeat to this node, with the next sequence number. A worker that didn't receive it tries other
+ * nodes first, which increases its sequence number, or starts a new incarnation when its lease expires. Both show in
+ * the next heartbeat that this node receives. An unanswered heartbeat gives no new information.
  */
 function unreachableSince(previous: TrackedWorker, heartbeat: Heartbeat, now: Micros): Micros | null {
   if (previous.respondedAt < previous.heartbeatAt) return previous.unreachableSince;
@@ -102,7 +113,7 @@
   return previous.unreachableSince ?? now;
 }
 
-/** Identifies one attempt of a task in maps and sets of this package. */
+/** Returns the key of one attempt of a task in the maps and sets of this package. */
 export function attemptKey(taskName: string, attempt: Count): string {
   return `${taskName}#${attempt}`;
 }
--- a/packages/workers/worker-liveness.ts
+++ b/packages/workers/worker-liveness.ts
@@ -1,66 +1,69 @@
-/** What the time since a worker's last heartbeat says of its lease and of its machine. */
+/** Derives lease expiry, worker liveness and machine status from the time since a worker's last heartbeat. */
 import type { MachineEntry, MachineStatus } from '#cluster';
 import { type Micros, MS, SECOND } from '#wire';
 import type { MachineOwnership } from './machine-ownership.js';
 import type { TrackedWorker } from './tracked-worker.js';
-import { type WorkerTimeouts, withDrift } from './worker-timeouts.js';
+import { type WorkerTimeouts, withDriftMargin } from './worker-timeouts.js';
 
-/** This many failed tasks in a row quarantine a machine. */
+/** Number of consecutive failed tasks after which a machine is quarantined. */
 const QUARANTINE_AFTER_FAILURES = 3;
-/** How long a machine may stay unresponsive beyond its lease before it is given up. */
-const LOST_AFTER_LEASE: Micros = 15 * SECOND;
-/** Further time for the first heartbeat to a new owner: the worker has to find it first. */
-const OWNER_DISCOVERY: Micros = 2 * SECOND;
+/** Time for which a machine may stay unresponsive after its worker's lease expired before it counts as lost. */
+const LOST_AFTER_LEASE_EXPIRY: Micros = 15 * SECOND;
+/** Additional time allowed for the first heartbeat to a new owner, because the worker has to find the owner first. */
+const OWNER_DISCOVERY_TIME: Micros = 2 * SECOND;
 
-/** How long after its last heartbeat a worker counts as unresponsive. */
-export function heartbeatTimeout(limits: WorkerTimeouts): Micros {
-  return Math.floor(limits.heartbeatInterval * 1.5) + 1500 * MS;
+/** Returns the time after its last heartbeat at which a worker counts as unresponsive. */
+export function heartbeatTimeout(timeouts: WorkerTimeouts): Micros {
+  return Math.floor(timeouts.heartbeatInterval * 1.5) + 1500 * MS;
 }
 
-/** A moment at which a worker is judged. */
-export interface LeaseCheck {
+/** A worker and the ownership of its machine, as of the time `now`. */
+export interface LeaseContext {
   readonly worker: TrackedWorker;
-  /** Undefined: counted as acquired now. */
+  /** If undefined, the machine counts as acquired now. */
   readonly ownership: MachineOwnership | undefined;
+  /** Steady time. */
   readonly now: Micros;
 }
 
 /**
- * Whether the worker's lease has expired for certain, whoever renewed it last: then the worker has killed all of its
- * tasks. Its lease runs from the time at which it sent the last heartbeat that was answered. That one was
+ * Returns true if the worker's lease has certainly expired, whichever owner renewed it last. The worker has then
+ * killed all of its tasks. The lease starts when the worker sends the last heartbeat that is answered. That heartbeat
+ * is either:
  *
- * - one of those that this owner received, sent at `heartbeatAt` at the latest (`respondedAt` adds a margin); or
- * - one that an earlier owner answered. An owner that released the machine itself answered none after `since`. One that
- *   was superseded without knowing it may go on for its renewal bound, which together with the lease ends within
- *   `cancellationDeadline` after `since`; a worker that has seen this owner's token drops such answers.
+ * - a heartbeat that this owner received, sent at `heartbeatAt` at the latest (`respondedAt` adds a margin); or
+ * - a heartbeat that an earlier owner answered. An owner that released the machine itself sent no response after
+ *   `since`, the time at which this owner acquired the machine. An owner that was superseded without knowing it may
+ *   renew leases until its renewal bound. The renewal bound and the lease together end within `cancellationDeadline`
+ *   after `since`. A worker that has seen this owner's fencing token drops such responses.
  */
-export function isLeaseExpired(limits: WorkerTimeouts, { worker, ownership, now }: LeaseCheck): boolean {
-  const since = ownership?.since ?? now;
-  const lease = withDrift(limits.workerLease);
-  const earlierOwners = worker.hasSeenToken ? lease : withDrift(limits.cancellationDeadline);
-  return now > Math.max(worker.respondedAt + lease, worker.heartbeatAt + lease, since + earlierOwners);
+export function isLeaseExpired(timeouts: WorkerTimeouts, { worker, ownership, now }: LeaseContext): boolean {
+  const ownedSince = ownership?.since ?? now;
+  const lease = withDriftMargin(timeouts.workerLease);
+  const earlierLease = worker.hasSeenToken ? lease : withDriftMargin(timeouts.cancellationDeadline);
+  return now > Math.max(worker.respondedAt + lease, worker.heartbeatAt + lease, ownedSince + earlierLease);
 }
 
-/** Sets the liveness that the time since the last heartbeat calls for. */
-export function updateLiveness(limits: WorkerTimeouts, check: LeaseCheck): void {
-  const { worker, now } = check;
-  const isOverdue = now - worker.heartbeatAt > heartbeatTimeout(limits);
-  if (isLeaseExpired(limits, check)) worker.liveness = 'expired';
+/** Updates the liveness of a worker from the time since its last heartbeat. */
+export function updateLiveness(timeouts: WorkerTimeouts, context: LeaseContext): void {
+  const { worker, now } = context;
+  const isOverdue = now - worker.heartbeatAt > heartbeatTimeout(timeouts);
+  if (isLeaseExpired(timeouts, context)) worker.liveness = 'expired';
   else if (worker.liveness === 'reporting' && isOverdue) worker.liveness = 'unresponsive';
 }
 
-/** The status of a machine whose worker has sent heartbeats to this owner. */
+/** Returns the status of a machine whose worker has sent a heartbeat to this owner. */
 export function trackedMachineStatus(
-  limits: WorkerTimeouts,
+  timeouts: WorkerTimeouts,
   entry: MachineEntry,
   { worker, now }: { readonly worker: TrackedWorker; readonly now: Micros },
 ): MachineStatus {
-  const lostAfter = withDrift(limits.workerLease) + LOST_AFTER_LEASE;
+  const lostAfter = withDriftMargin(timeouts.workerLease) + LOST_AFTER_LEASE_EXPIRY;
   const unreachableFor = worker.unreachableSince === null ? 0 : now - worker.unreachableSince;
   if (unreachableFor > lostAfter) return 'lost';
   switch (worker.liveness) {
     case 'reporting':
-      if (unreachableFor > heartbeatTimeout(limits)) return 'unresponsive';
+      if (unreachableFor > heartbeatTimeout(timeouts)) return 'unresponsive';
       return entry.consecutiveFailures >= QUARANTINE_AFTER_FAILURES ? 'quarantined' : 'up';
     case 'reclaimed':
       return 'reclaimed';
@@ -71,14 +74,14 @@
   }
 }
 
-/** The status of a machine whose worker has yet to find this owner. */
+/** Returns the status of a machine whose worker hasn't sent a heartbeat to this owner yet. */
 export function untrackedMachineStatus(
-  limits: WorkerTimeouts,
+  timeouts: WorkerTimeouts,
   entry: MachineEntry,
   { ownership, now }: { readonly ownership: MachineOwnership | undefined; readonly now: Micros },
 ): MachineStatus {
   if (!ownership || entry.status === 'new' || entry.status === 'lost') return entry.status;
-  if (now > ownership.since + withDrift(limits.cancellationDeadline)) return 'lost';
-  const isOverdue = now > ownership.since + heartbeatTimeout(limits) + OWNER_DISCOVERY;
+  if (now > ownership.since + withDriftMargin(timeouts.cancellationDeadline)) return 'lost';
+  const isOverdue = now > ownership.since + heartbeatTimeout(timeouts) + OWNER_DISCOVERY_TIME;
   return isOverdue ? 'unresponsive' : entry.status;
 }
--- a/packages/workers/worker-registry.ts
+++ b/packages/workers/worker-registry.ts
@@ -1,4 +1,4 @@
-/** The workers of the machines that a node owns: the entry point of this package. */
+/** Registry of the workers on the machines that a node owns. It is the entry point of this package. */
 import type { Ledger, LiveJob, MachineEntry, MachineStatus, Placement } from '#cluster';
 import type { Command, Heartbeat, Micros } from '#wire';
 import { CommandBuilder, type CommandContext } from './command-builder.js';
@@ -9,34 +9,40 @@
 import { trackedMachineStatus, untrackedMachineStatus, updateLiveness } from './worker-liveness.js';
 import type { WorkerTimeouts } from './worker-timeouts.js';
 
-/** What a node knows of the workers of its machines, and what it commands them. All times are steady times. */
+/**
+ * Tracks the workers on the machines that this node owns, detects task completions and builds the commands for the
+ * workers. All times are steady times of this node's clock.
+ */
 export class WorkerRegistry {
-  /** The workers that have sent a heartbeat since this node acquired their machine, by host. */
+  /** The workers that have sent a heartbeat since this node acquired their machine. Keyed by host. */
   readonly trackedWorkers = new Map<string, TrackedWorker>();
   private readonly machines = new OwnedMachines();
   private readonly stopRequests = new StopRequests();
   private readonly commandBuilder = new CommandBuilder(this.stopRequests);
   private readonly completionDetector: CompletionDetector;
 
-  constructor(private readonly limits: WorkerTimeouts) {
+  constructor(private readonly timeouts: WorkerTimeouts) {
     this.completionDetector = new CompletionDetector({
       machines: this.machines,
       workers: this.trackedWorkers,
       stopRequests: this.stopRequests,
       commandBuilder: this.commandBuilder,
-      limits,
+      timeouts,
     });
   }
 
   /**
-   * Follows which machines this node owns. A machine that it acquires (again) starts afresh, since what its worker was
-   * told in between is unknown.
+   * Updates which machines this node owns. Discards the tracked worker of each machine whose ownership ended, also if
+   * this node acquired the machine again: commands that another owner sent to the worker in between are unknown.
    */
   syncOwnership(view: OwnershipView): void {
     for (const host of this.machines.sync(view)) this.trackedWorkers.delete(host);
   }
 
-  /** Processes a heartbeat; false if a newer one of this worker is known already, or its machine isn't owned. */
+  /**
+   * Processes a heartbeat. Returns false, and ignores the heartbeat, if this node doesn't own the machine, or if this
+   * node or an earlier owner has already processed the same or a newer heartbeat of the worker.
+   */
   onHeartbeat(heartbeat: Heartbeat, now: Micros): boolean {
     const { host } = heartbeat;
     const ownership = this.machines.get(host);
@@ -48,61 +54,62 @@
     return true;
   }
 
-  /** To be called when a heartbeat of this worker is answered: the answer renews the worker's lease. */
+  /** Records that a heartbeat response was sent to the worker. The response renews the worker's lease. */
   onResponseSent(host: string, now: Micros): void {
     const worker = this.trackedWorkers.get(host);
     if (worker) worker.respondedAt = now;
   }
 
-  /** Time until the worker can get commands: none while its heartbeat waits for its answer. */
+  /** Returns the time until the worker can receive commands. It is 0 while a heartbeat awaits its response. */
   nextHeartbeatIn(host: string, now: Micros): Micros {
     const worker = this.trackedWorkers.get(host);
-    if (!worker) return this.limits.heartbeatInterval;
+    if (!worker) return this.timeouts.heartbeatInterval;
     if (worker.respondedAt < worker.heartbeatAt) return 0;
-    return Math.max(0, worker.heartbeatAt + this.limits.heartbeatInterval - now);
+    return Math.max(0, worker.heartbeatAt + this.timeouts.heartbeatInterval - now);
   }
 
-  /** Has an attempt stopped, with this many seconds to save. It is never started again. */
+  /** Requests the stop of an attempt, which gets `graceS` seconds to save a checkpoint and is never started again. */
   requestStop(placement: Placement, graceS: number): void {
     this.stopRequests.add(placement, graceS);
   }
 
-  /** Whether tasks on this machine are being stopped. */
+  /** Returns true if a stop was requested for any task on this machine. */
   isPreempting(host: string, ledger: Ledger): boolean {
     if (this.stopRequests.isEmpty) return false;
     for (const placement of ledger.placementsOn(host)) if (this.isStopping(placement)) return true;
     return false;
   }
 
-  /** Whether this attempt was requested to stop. */
+  /** Returns true if a stop was requested for this attempt. */
   isStopping(placement: Placement): boolean {
     return this.stopRequests.has(placement);
   }
 
-  /** Updates the liveness of every worker, and drops stop requests whose attempt has ended. */
+  /** Updates the liveness of every worker and discards stop requests whose attempt has ended. */
   updateLiveness(now: Micros, ledger: Ledger): void {
     for (const [host, worker] of this.trackedWorkers) {
-      updateLiveness(this.limits, { worker, ownership: this.machines.get(host), now });
+      updateLiveness(this.timeouts, { worker, ownership: this.machines.get(host), now });
     }
     this.stopRequests.discardEnded(ledger);
   }
 
   /**
-   * The status that the log should hold for a machine: `reclaimed` is by the cloud, `quarantined` after failures,
-   * `lost` unresponsive beyond its lease. A machine that isn't owned keeps its own.
+   * Returns the status that the log should hold for a machine. `reclaimed`: the cloud reclaims the machine.
+   * `quarantined`: too many tasks failed on it in a row. `lost`: its worker was unresponsive for too long after the
+   * worker's lease expired. A machine that this node doesn't own keeps its recorded status.
    */
   machineStatus(entry: MachineEntry, now: Micros): MachineStatus {
     const worker = this.trackedWorkers.get(entry.host);
-    if (worker) return trackedMachineStatus(this.limits, entry, { worker, now });
-    return untrackedMachineStatus(this.limits, entry, { ownership: this.machines.get(entry.host), now });
+    if (worker) return trackedMachineStatus(this.timeouts, entry, { worker, now });
+    return untrackedMachineStatus(this.timeouts, entry, { ownership: this.machines.get(entry.host), now });
   }
 
-  /** Every placement on an owned machine that is proven off it, with its outcome. */
+  /** Returns every placement on an owned machine whose task is proven stopped, with its outcome. */
   findCompletions(ledger: Ledger, jobs: ReadonlyMap<string, LiveJob>, now: Micros): TaskCompletion[] {
     return this.completionDetector.find({ ledger, jobs }, now);
   }
 
-  /** The commands for a worker that has just sent a heartbeat; none for one that is unknown. */
+  /** Builds the commands for a worker that has just sent a heartbeat. Returns none for an untracked worker. */
   commands(host: string, context: CommandContext): Command[] {
     const worker = this.trackedWorkers.get(host);
     return worker ? this.commandBuilder.build(worker, context) : [];
--- a/packages/workers/worker-timeouts.ts
+++ b/packages/workers/worker-timeouts.ts
@@ -1,29 +1,29 @@
-/** Durations of worker leases, with margins for steady clocks that drift apart. */
+/** Timeouts of worker leases, with safety margins for clock drift between nodes. */
 import { type Micros, MS, SECOND } from '#wire';
 
-/** The durations, from the settings, that the leases of workers follow. */
+/** The settings that determine the timeouts of worker leases. */
 export interface WorkerTimeouts {
-  /** Time between two heartbeats of a worker. */
+  /** Time between two consecutive heartbeats of a worker. */
   readonly heartbeatInterval: Micros;
-  /** How long a worker keeps its tasks, counted from when it sent the last heartbeat that was answered. */
+  /** Time for which a worker keeps its tasks after it sent the last heartbeat that was answered. */
   readonly workerLease: Micros;
-  /** Time within which a confirmed cancellation has stopped every task of its job, whatever fails. */
+  /** Time within which every task of a job is stopped after its cancellation was confirmed, whatever fails. */
   readonly cancellationDeadline: Micros;
 }
 
 /**
- * The time on this node's clock after which a duration has passed on any other clock for certain. Steady clocks drift
- * apart by at most 0.05%; the margin of 0.2% and 100 ms covers that.
+ * Returns the time on this node's clock after which a duration has certainly passed on any other node's clock.
+ * Steady clocks drift apart by at most 0.05%. The margin of 0.2% and 100 ms covers that drift.
  */
-export function withDrift(duration: Micros): Micros {
+export function withDriftMargin(duration: Micros): Micros {
   return Math.ceil(duration * 1.002) + 100 * MS;
 }
 
 /**
- * How long after the last moment at which its state was known to be complete an owner may still renew
- * leases. A cancellation confirmed elsewhere after that moment then still takes hold in time: the last answer
- * given runs out `workerLease` later, within `cancellationDeadline` of the cancellation.
+ * Returns the time for which an owner may renew leases after the last moment at which its state was known to be
+ * complete. A cancellation may be confirmed on another node after that moment. The last lease that the owner renewed
+ * expires `workerLease` later, and so within `cancellationDeadline` of the cancellation.
  */
-export function renewalBound(limits: WorkerTimeouts): Micros {
-  return Math.max(0, Math.floor((limits.cancellationDeadline - limits.workerLease) * 0.996) - SECOND);
+export function renewalBound(timeouts: WorkerTimeouts): Micros {
+  return Math.max(0, Math.floor((timeouts.cancellationDeadline - timeouts.workerLease) * 0.996) - SECOND);
 }
