--- a/packages/roles/fenced-store.ts
+++ b/packages/roles/fenced-store.ts
@@ -1,29 +1,32 @@
-/** The state service, for whoever acts under a role: every commit carries a guard on the term it is made under. */
+/**
+ * Client of the state service for the holder of a role. Every commit carries a guard on each term under which it is
+ * made.
+ */
 import type { CommitResult, Guard, StoreClient, Write } from '#store';
 import type { RoleRegistry } from './role-registry.js';
 import type { TermProof } from './term-proof.js';
 
-/** At least one: every commit is made under the term of some role. */
+/** The proofs of a commit. There is at least one, because every commit is made under the term of a role. */
 export type TermProofs = readonly [TermProof, ...TermProof[]];
 
-/** A commit, and the terms under which it is made. */
+/** A commit and the proofs of the terms under which it is made. */
 export interface FencedCommit {
   readonly proofs: TermProofs;
-  /** What is done, for operators who ask why it was refused. */
+  /** Description of the action. Operators see it if the action is refused. */
   readonly action: string;
-  /** Conditions besides the terms. */
+  /** Conditions in addition to the guards on the terms. */
   readonly guards: readonly Guard[];
   readonly writes: Write[];
 }
 
-/** Compare-and-swap that the state service refuses once a term it was made under is over. */
+/** Commits by compare-and-swap. The state service refuses a commit once a term under which it was made has ended. */
 export class FencedStore {
   constructor(
     private readonly store: Pick<StoreClient, 'compareAndSwap'>,
     private readonly roles: RoleRegistry,
   ) {}
 
-  /** Commits under all these terms. */
+  /** Commits the writes if all terms of the proofs are current and all other guards hold. Records a refused action. */
   async compareAndSwap({ proofs, action, guards, writes }: FencedCommit): Promise<CommitResult> {
     const fences = proofs.map((termProof) => termProof.guard);
     const sent = this.store.compareAndSwap([...fences, ...guards], writes);
--- a/packages/roles/index.ts
+++ b/packages/roles/index.ts
@@ -1,4 +1,4 @@
-/** Roles: leased singletons, the proofs that a node may act under them, and the clients that check those proofs. */
+/** Roles (leased singletons), the proofs that a node may act under them, and the clients that check these proofs. */
 export * from './role.js';
 export * from './role-state-machine.js';
 export * from './fenced-cloud.js';
--- a/packages/roles/role-registry.ts
+++ b/packages/roles/role-registry.ts
@@ -1,42 +1,47 @@
-/** The roles of a node: the one place that issues the right to act. */
+/** Registry of the roles of a node. Only the registry issues proofs that the node may act under a role. */
 import { type Clock, type Micros, MS } from '#wire';
 import type { RoleHolder, RoleName, RefusedAction } from './role.js';
 import { RoleStateMachine, type RoleState } from './role-state-machine.js';
 import { TermProof } from './term-proof.js';
 
-/** What the node's replica shows of the roles. */
+/** The role holders as the node's replica shows them. */
 export interface RoleSource {
-  /** Every role that somebody holds. */
+  /** Returns every role that a member holds, with its holder. */
   holders(): ReadonlyMap<RoleName, RoleHolder>;
-  /** This very process holds what is held under this nonce. */
+  /** Returns true if the nonce belongs to this process. */
   isOurs(nonce: string): boolean;
 }
 
-/** What a {@link RoleRegistry} works with. */
+/** Dependencies of {@link RoleRegistry}. */
 export interface RoleRegistryOptions {
   readonly source: RoleSource;
   readonly clock: Clock;
-  /** The key that names the holder of a role in the state service. */
+  /** Returns the key that holds a role's record in the state service. The record names the role's holder. */
   readonly keyOf: (role: RoleName) => string;
-  /** How long the lease to which all roles of a node are bound outlives its last renewal. */
+  /** Duration of the node's lease, counted from its last renewal. All roles of a node are bound to this lease. */
   readonly leaseLife: Micros;
 }
 
-/** Taken off the life of a lease, so that it is in doubt on this node before it can be over elsewhere. */
-const DOUBT_MARGIN: Micros = 300 * MS;
+/**
+ * Safety margin subtracted from the lease duration, so that this node suspects its lease before others see it expire.
+ */
+const LEASE_SAFETY_MARGIN: Micros = 300 * MS;
 
-/** What one node believes of all roles, and the proofs that it may act under those that it holds. */
+/**
+ * The state of every role as this node observes it. Issues proofs that the node may act under the roles that it
+ * holds.
+ */
 export class RoleRegistry {
   private readonly stateMachines = new Map<RoleName, RoleStateMachine>();
   private readonly refusals = new Map<RoleName, RefusedAction>();
-  /** By role: the number of actions that have been sent and not been answered. */
+  /** Number of actions that have been sent and not yet been answered. Keyed by role. */
   private readonly pendingActions = new Map<RoleName, number>();
-  /** Steady time at which the last renewal that succeeded was sent. */
-  private renewedAt: Micros = -Infinity;
+  /** Steady time at which the last successful lease renewal was sent. */
+  private lastRenewalSentAt: Micros = -Infinity;
 
   constructor(private readonly options: RoleRegistryOptions) {}
 
-  /** Brings the states in line with the node's replica and with the age of its lease. */
+  /** Updates the states from the node's replica and from the age of its lease. */
   refresh(): void {
     const { source, clock } = this.options;
     const now = clock.now();
@@ -46,18 +51,21 @@
     }
     for (const [role, machine] of this.stateMachines) {
       if (!holders.has(role)) machine.observe(null, false, now);
-      if (this.isInDoubt(now)) machine.suspect(now);
+      if (this.isLeaseSuspected(now)) machine.suspect(now);
       else machine.confirm(now);
     }
   }
 
-  /** The lease was renewed by a request sent at this steady time. */
+  /** Records that the lease was renewed by a request sent at this steady time. */
   onLeaseRenewed(sentAt: Micros): void {
-    this.renewedAt = Math.max(this.renewedAt, sentAt);
+    this.lastRenewalSentAt = Math.max(this.lastRenewalSentAt, sentAt);
     this.refresh();
   }
 
-  /** The right to act through the state service, which checks the term of each action; null if there is none. */
+  /**
+   * Returns a proof that this node may act under the role through the state service, which checks the term of each
+   * action. Returns null if the node may not act.
+   */
   proveHeld(role: RoleName): TermProof | null {
     this.refresh();
     const machine = this.stateMachine(role);
@@ -70,61 +78,70 @@
     return new TermProof({ role, term, key: this.options.keyOf(role), actingTerm });
   }
 
-  /** Why no service that can't check terms may be called under this proof now; null if it may. */
-  doubtAbout(termProof: TermProof): string | null {
+  /**
+   * Returns the reason why this proof doesn't permit a call to a service that can't check terms, or null if it permits
+   * the call.
+   */
+  unfencedCallRefusal(termProof: TermProof): string | null {
     if (!termProof.isCurrent()) return 'the term is over';
     return this.state(termProof.role).name === 'suspected' ? 'the lease was not confirmed in time' : null;
   }
 
-  /** What this node believes of the role, as of the last refresh. */
+  /** Returns the state of the role as this node observed it at the last refresh. */
   state(role: RoleName): RoleState {
     return this.stateMachine(role).state;
   }
 
-  /** Every role that this node has observed: the leader's first, then the shards' by number. */
-  knownRoles(): RoleName[] {
+  /** Returns every role that this node has observed: first the leader, then the shard owners by shard number. */
+  observedRoles(): RoleName[] {
     const order = (role: RoleName): number => (role === 'lead' ? -1 : role);
     return [...this.stateMachines.keys()].sort((a, b) => order(a) - order(b));
   }
 
-  /** This node requests the role. */
+  /** Records that this node requests the role. */
   beginAcquisition(role: RoleName): void {
     this.stateMachine(role).acquire(this.options.clock.now());
   }
 
-  /** The request was refused, or its outcome is unknown. */
+  /** Records that the request for the role was refused or that its outcome is unknown. */
   acquisitionFailed(role: RoleName): void {
     this.stateMachine(role).acquisitionFailed(this.options.clock.now());
   }
 
-  /** Begins to give a role up: from here on no right to act is issued. False if it isn't held here. */
+  /**
+   * Begins to resign from a role. The registry issues no proofs for the role from then on. Returns false if this node
+   * doesn't hold the role, or suspects its lease.
+   */
   resign(role: RoleName): boolean {
     this.refresh();
     return this.stateMachine(role).resign(this.options.clock.now());
   }
 
-  /** The resignation was called off: the term goes on. */
+  /** Records that the resignation was aborted. The term continues. */
   resignationFailed(role: RoleName): void {
     this.stateMachine(role).resignationFailed(this.options.clock.now());
   }
 
-  /** Time until the lease expires, by this node's own steady clock. */
+  /** Returns the time until the lease expires by this node's steady clock. */
   remainingLease(): Micros {
-    return Math.max(0, this.renewedAt + this.options.leaseLife - this.options.clock.now());
+    return Math.max(0, this.lastRenewalSentAt + this.options.leaseLife - this.options.clock.now());
   }
 
-  /** The role's last action that was refused; null if none was. */
+  /** Returns the role's last refused action, or null if none was refused. */
   lastRefusal(role: RoleName): RefusedAction | null {
     return this.refusals.get(role) ?? null;
   }
 
-  /** An action was refused: by the state service, or here because its term is over or in doubt. */
+  /**
+   * Records that an action was refused, either by the state service or on this node because the term is over or the
+   * lease is suspected.
+   */
   recordRefusal(termProof: TermProof, action: string, reason: string): void {
     const { role, term } = termProof;
     this.refusals.set(role, { action, reason, term, at: this.options.clock.now() });
   }
 
-  /** Counts an action of a role as pending until it settles. */
+  /** Counts an action of a role as pending until its promise settles. Returns the result of the action. */
   async track<T>(role: RoleName, action: Promise<T>): Promise<T> {
     this.pendingActions.set(role, this.pendingActionCount(role) + 1);
     try {
@@ -134,13 +151,13 @@
     }
   }
 
-  /** Number of the role's actions that have been sent and not been answered. */
+  /** Returns the number of the role's actions that have been sent and not yet been answered. */
   pendingActionCount(role: RoleName): number {
     return this.pendingActions.get(role) ?? 0;
   }
 
-  private isInDoubt(now: Micros): boolean {
-    return now > this.renewedAt + this.options.leaseLife - DOUBT_MARGIN;
+  private isLeaseSuspected(now: Micros): boolean {
+    return now > this.lastRenewalSentAt + this.options.leaseLife - LEASE_SAFETY_MARGIN;
   }
 
   private stateMachine(role: RoleName): RoleStateMachine {
--- a/packages/roles/role-state-machine.ts
+++ b/packages/roles/role-state-machine.ts
@@ -1,30 +1,33 @@
 /**
- * What one node believes of one role: an explicit state machine with one function for every change. A belief proves
- * nothing: whether an action takes effect is decided by the guard on the role's key, and by the intent recorded first
- * where nothing can guard (see docs/duties.md).
+ * State machine of one role as one node observes it, with one method for every transition. The observed state proves
+ * nothing. The guard on the role's key decides whether an action takes effect. Where the called service can't check a
+ * guard, an intent that is recorded before the action takes the guard's place (see docs/duties.md).
  */
 import type { Micros } from '#wire';
 import type { RoleHolder } from './role.js';
 
-/** State of a role as one node believes it; `since` is steady time. */
+/** State of a role as one node observes it. `since` is the steady time at which the role entered the state. */
 export type RoleState =
-  /** Nobody holds it. */
+  /** No member holds the role. */
   | { readonly name: 'vacant'; readonly since: Micros }
-  /** This node has requested it and does not know the outcome yet. */
+  /** This node has requested the role and doesn't know the outcome yet. */
   | { readonly name: 'acquiring'; readonly since: Micros }
-  /** The holder is entitled to act. */
+  /** The holder may act. `isOurs` is true if the holder is this process. */
   | { readonly name: 'held'; readonly since: Micros; readonly holder: RoleHolder; readonly isOurs: boolean }
-  /** This node holds it, as far as it knows, but its lease was not confirmed for so long that it may be over. */
+  /** This node holds the role as far as it knows, but its lease may have expired because it wasn't renewed in time. */
   | { readonly name: 'suspected'; readonly since: Micros; readonly holder: RoleHolder }
-  /** This node held it until it observed that the term is over; no other holder has been observed since. */
+  /** This node held the role until it observed the end of the term. It has observed no other holder since. */
   | { readonly name: 'lost'; readonly since: Micros; readonly term: number }
-  /** This node gives it up on purpose: no new action is begun, pending ones are waited for. */
+  /** This node is resigning from the role. It starts no new action and waits for the pending actions. */
   | { readonly name: 'resigning'; readonly since: Micros; readonly holder: RoleHolder };
 
-/** Names of the states, as operators see them. */
+/** Names of the states. Operators see them. */
 export type RoleStateName = RoleState['name'];
 
-/** The state of one role on one node. All times are steady times of the node's clock. */
+/**
+ * Tracks the state of one role on one node. A transition that doesn't apply to the current state has no effect. All
+ * times are steady times of the node's clock.
+ */
 export class RoleStateMachine {
   private current: RoleState;
 
@@ -36,14 +39,14 @@
     return this.current;
   }
 
-  /** The term under which this node may act through the state service, which checks it; null if it has none. */
+  /** The term under which this node may act through the state service, which checks the term; null if there is none. */
   get actingTerm(): number | null {
     const { current } = this;
     if (current.name === 'suspected') return current.holder.term;
     return current.name === 'held' && current.isOurs ? current.holder.term : null;
   }
 
-  /** The node's replica names this holder, or none. */
+  /** Applies the holder that the node's replica shows, or null if the replica shows none. */
   observe(holder: RoleHolder | null, isOurs: boolean, now: Micros): void {
     const { current } = this;
     if (!holder) this.observeVacancy(now);
@@ -52,33 +55,33 @@
     }
   }
 
-  /** This node requests the role. */
+  /** Records that this node requests the role. */
   acquire(now: Micros): void {
     if (this.current.name === 'vacant' || this.current.name === 'lost') {
       this.current = { name: 'acquiring', since: now };
     }
   }
 
-  /** The request was refused, or its outcome is unknown. */
+  /** Records that the request for the role was refused or that its outcome is unknown. */
   acquisitionFailed(now: Micros): void {
     if (this.current.name === 'acquiring') this.current = { name: 'vacant', since: now };
   }
 
-  /** The lease was not confirmed for longer than it lasts. */
+  /** Records that the lease may have expired, because it wasn't renewed in time. */
   suspect(now: Micros): void {
     const { current } = this;
     if (current.name !== 'held' || !current.isOurs) return;
     this.current = { name: 'suspected', since: now, holder: current.holder };
   }
 
-  /** The lease was confirmed again: the term that was in doubt goes on. */
+  /** Records that the lease was renewed. A suspected term continues. */
   confirm(now: Micros): void {
     const { current } = this;
     if (current.name !== 'suspected') return;
     this.current = { name: 'held', since: now, holder: current.holder, isOurs: true };
   }
 
-  /** This node begins to give the role up; false if it does not hold it for certain. */
+  /** Begins to resign from the role. Returns false if this node doesn't hold the role or suspects its lease. */
   resign(now: Micros): boolean {
     const { current } = this;
     if (current.name !== 'held' || !current.isOurs) return false;
@@ -86,7 +89,7 @@
     return true;
   }
 
-  /** The resignation was called off: the term goes on. */
+  /** Records that the resignation was aborted. The term continues. */
   resignationFailed(now: Micros): void {
     const { current } = this;
     if (current.name !== 'resigning') return;
--- a/packages/roles/role-status.ts
+++ b/packages/roles/role-status.ts
@@ -1,11 +1,14 @@
-/** What a node knows of its cluster's roles, for operators. It proves nothing: see the role state machine. */
+/**
+ * Status of the cluster's roles for operators, as one node observes it. It proves nothing; see the role state
+ * machine.
+ */
 import { type Micros, SECOND } from '#wire';
 import { type RoleName, formatRoleName } from './role.js';
 import type { RoleStateName } from './role-state-machine.js';
 import { type IntentLedger, openIntents, type OpenIntents } from './scale-intents.js';
 import type { RoleRegistry } from './role-registry.js';
 
-/** The last refused action of a role. */
+/** The last refused action of a role, as operators see it. */
 export interface RefusedActionStatus {
   readonly action: string;
   readonly reason: string;
@@ -14,27 +17,28 @@
   readonly ageS: number;
 }
 
-/** What a node knows of one role. */
+/** The status of one role, as one node observes it. */
 export interface RoleStatus {
-  /** Name of the role, as {@link formatRoleName} writes it. */
+  /** Name of the role in the form of {@link formatRoleName}. */
   readonly roleName: string;
   readonly state: RoleStateName;
-  /** Member that holds it, as far as this node knows. */
+  /** Name of the member that holds the role, as far as this node knows; null if no member holds it. */
   readonly holder: string | null;
+  /** Current term of the role, or the term that this node lost; null if neither is known. */
   readonly term: number | null;
-  /** Seconds for which the role has been in this state, as far as this node knows. */
+  /** Seconds since the role entered this state, as far as this node knows. */
   readonly sinceS: number;
-  /** Seconds until the lease expires by the holder's own clock; null on nodes that don't hold the role. */
+  /** Seconds until the lease expires by the holder's own clock; null on a node that doesn't hold the role. */
   readonly leaseLeftS: number | null;
-  /** Cloud requests that are recorded and not known to be carried out; of the leader only. */
+  /** Cloud requests that are recorded and not known to be completed; null for a role other than the leader. */
   readonly openIntents: OpenIntents | null;
   readonly lastRefused: RefusedActionStatus | null;
 }
 
-/** Every role that this node has observed, at this steady time. */
+/** Returns the status of every role that this node has observed, at the steady time `now`. */
 export function roleStatuses(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleStatus[] {
   registry.refresh();
-  return registry.knownRoles().map((role) => ({
+  return registry.observedRoles().map((role) => ({
     ...observedRoleState(registry, role, now),
     openIntents: role === 'lead' ? openIntents(ledger) : null,
     lastRefused: refusedActionStatus(registry, role, now),
@@ -68,7 +72,7 @@
   return { action, reason, term, ageS: inSeconds(now - at) };
 }
 
-/** Seconds, rounded to one decimal. */
+/** Converts a duration to seconds, rounded to one decimal. */
 function inSeconds(duration: Micros): number {
   return Math.round((duration / SECOND) * 10) / 10;
 }
--- a/packages/roles/role.ts
+++ b/packages/roles/role.ts
@@ -1,37 +1,38 @@
 /**
- * Roles: leased singletons, each held by at most one node at a time. There are as many as there are logs: the leader,
- * which assigns shards, scales out and in, transfers machines between shards, writes checkpoints and removes stale
- * keys; and the owner of each shard, which places tasks and answers the heartbeats of the workers on its machines.
+ * Roles: leased singletons, each held by at most one node at a time. There is one role for each log. The leader
+ * assigns shards, scales out and in, transfers machines between shards, writes checkpoints and removes stale keys.
+ * The owner of a shard places tasks and answers the heartbeats of the workers on the shard's machines.
  */
 import type { Micros } from '#wire';
 
-/** `lead` for the leader, or the number of the shard that is owned. */
+/** A role: `lead` for the leader, or the shard number for the owner of a shard. */
 export type RoleName = 'lead' | number;
 
-/** Who holds a role. */
+/** The holder of a role. */
 export interface RoleHolder {
+  /** Name of the member. */
   readonly member: string;
-  /** Distinguishes the processes of a member. */
+  /** Identifies the process, because a member may restart. */
   readonly nonce: string;
-  /** Revision of the role's key: a new one each time that the role changes hands. */
+  /** Revision of the role's key in the state service. It changes each time the role is acquired. */
   readonly term: number;
 }
 
 const SHARD_ROLE_PREFIX = 'share/';
 
-/** The name of the role that operators see: `lead` or `share/3`. */
+/** Returns the name of the role that operators see, such as `lead` or `share/3`. */
 export function formatRoleName(role: RoleName): string {
   return role === 'lead' ? 'lead' : `${SHARD_ROLE_PREFIX}${role}`;
 }
 
-/** Parses a name as {@link formatRoleName} writes it; null if no role can have it. */
+/** Parses a name in the form of {@link formatRoleName}. Returns null if the name is invalid. */
 export function parseRoleName(text: string): RoleName | null {
   if (text === 'lead') return 'lead';
   const digits = text.startsWith(SHARD_ROLE_PREFIX) ? text.slice(SHARD_ROLE_PREFIX.length) : '';
   return /^\d{1,6}$/.test(digits) ? Number(digits) : null;
 }
 
-/** The last action that was refused because its term was over, or in doubt. */
+/** An action that was refused because its term had ended or its lease was suspected. */
 export interface RefusedAction {
   readonly action: string;
   readonly reason: string;
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -1,6 +1,7 @@
 /**
- * Random histories of three nodes that acquire, lose, renew and resign the leadership, and act under proofs old and new, against
- * a small reference model. A failing history is shrunk to the few steps that it takes.
+ * Model-based tests with random histories. Three nodes acquire, lose, renew and resign the leader role, and act under
+ * current and outdated proofs. Each step is compared with a small reference model. A failing history is shrunk to the
+ * few steps that cause the failure.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,55 +20,56 @@
 import type { TermProof } from './term-proof.js';
 
 const NODES = 3;
-const LIFE: Micros = 3 * SECOND;
+const LEASE_DURATION: Micros = 3 * SECOND;
 const KEY = 'lead';
 const INTENT = { id: 'hire-1', machineType: 'small', zone: 'east', spot: false, count: 1 };
 
 interface SentCommit {
   guards: readonly Guard[];
-  /** The term that the sender meant to act under. */
+  /** The term under which the sender acts. */
   term: number;
-  answer: (result: CommitResult) => void;
+  respond: (result: CommitResult) => void;
 }
 
-/** What the stand-in state service holds: the holder of the lead, and the effects that took place. */
-class NodeService {
+/** A fake state service. It holds the holder of the leader role and the terms of the commits that took effect. */
+class FakeStateService {
   revision = 0;
   holder: RoleHolder | null = null;
   readonly inFlight: SentCommit[] = [];
   readonly effects: number[] = [];
   refusals = 0;
-  /** Checks no guards, as if the fence were taken out. */
+  /** If true, the service applies commits without checking their guards. */
   ignoresGuards = false;
 
-  take(node: number): void {
+  acquire(node: number): void {
     if (this.holder) return;
     this.revision++;
     this.holder = { member: `node-${node}`, nonce: `process-${node}`, term: this.revision };
   }
 
-  end(): void {
+  endTerm(): void {
     if (this.holder) this.revision++;
     this.holder = null;
   }
 
   deliver(commit: SentCommit): void {
     const revision = this.holder?.term ?? 0;
-    const isFenced = commit.guards.some((guard) => guard.path === KEY && guard.revision === revision);
-    if (!isFenced && !this.ignoresGuards) {
+    const hasCurrentTerm = commit.guards.some((guard) => guard.path === KEY && guard.revision === revision);
+    if (!hasCurrentTerm && !this.ignoresGuards) {
       this.refusals++;
-      commit.answer({ kind: 'refused', failed: [KEY], revision: this.revision });
+      commit.respond({ kind: 'refused', failed: [KEY], revision: this.revision });
       return;
     }
     this.effects.push(commit.term);
-    commit.answer({ kind: 'applied', revision: ++this.revision });
+    commit.respond({ kind: 'applied', revision: ++this.revision });
   }
 }
 
-/** One node: its roles, and what it believes. */
-class Node {
-  believed: RoleHolder | null = null;
-  kept: TermProof | null = null;
+/** A node with its role registry, its fenced clients and the role holder that it observes. */
+class TestNode {
+  observedHolder: RoleHolder | null = null;
+  /** The first proof that the node got. Later steps act under it, when it may be outdated. */
+  retainedProof: TermProof | null = null;
   scaleOutRequests = 0;
   readonly registry: RoleRegistry;
   readonly store: FencedStore;
@@ -75,15 +77,16 @@
 
   constructor(
     readonly index: number,
-    service: NodeService,
+    service: FakeStateService,
     clock: Clock,
   ) {
-    const holders = (): Map<RoleName, RoleHolder> => new Map(this.believed ? [['lead', this.believed]] : []);
+    const holders = (): Map<RoleName, RoleHolder> =>
+      new Map(this.observedHolder ? [['lead', this.observedHolder]] : []);
     const isOurs = (nonce: string): boolean => nonce === `process-${index}`;
     const source = { holders, isOurs };
-    this.registry = new RoleRegistry({ source, clock, keyOf: () => KEY, leaseLife: LIFE });
+    this.registry = new RoleRegistry({ source, clock, keyOf: () => KEY, leaseLife: LEASE_DURATION });
     const compareAndSwap = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
-      new Promise((answer) => service.inFlight.push({ guards, term: writes.length, answer }));
+      new Promise((respond) => service.inFlight.push({ guards, term: writes.length, respond }));
     this.store = new FencedStore({ compareAndSwap }, this.registry);
     const requestMachines = (): Promise<{ kind: 'no_capacity' }> => {
       this.scaleOutRequests++;
@@ -92,22 +95,22 @@
     this.cloud = new FencedCloud({ requestMachines } as unknown as CloudClient, this.registry);
   }
 
-  /** Acts under a proof; the term travels as the number of writes, for the service to note. */
+  /** Sends a commit under a proof. The number of writes encodes the term, which the service records. */
   act(termProof: TermProof): void {
     const writes = [...Array(termProof.term).keys()].map((i): Write => ({ remove: `key-${i}` }));
     void this.store.compareAndSwap({ proofs: [termProof], action: 'test', guards: [], writes });
   }
 }
 
-/** What the reference model knows: who may act, as simple facts. */
+/** The reference model: the time, and the facts that decide which node may act. */
 interface Model {
   now: Micros;
   nodes: { term: number | null; isOurs: boolean; isResigning: boolean; renewedAt: Micros }[];
 }
 
 interface Real {
-  service: NodeService;
-  nodes: Node[];
+  service: FakeStateService;
+  nodes: TestNode[];
   time: { now: Micros };
 }
 
@@ -122,46 +125,46 @@
   return node !== undefined && node.isOurs && !node.isResigning;
 }
 
-function isInDoubt(model: Model, index: number): boolean {
-  return model.now > (model.nodes[index]?.renewedAt ?? 0) + LIFE - 0.3 * SECOND;
+function isLeaseSuspected(model: Model, index: number): boolean {
+  return model.now > (model.nodes[index]?.renewedAt ?? 0) + LEASE_DURATION - 0.3 * SECOND;
 }
 
-/** So many times as often as the others come the steps without which nothing happens. */
-const OFTEN = 4;
+/** Frequent steps are this many times as likely as rare ones, because without them no action takes place. */
+const FREQUENT_STEP_WEIGHT = 4;
 
 const RARE_STEPS: ((index: number) => Step)[] = [
   (index) =>
-    step(`node ${index} takes the lead`, (_model, { service }) => {
-      service.take(index);
+    step(`node ${index} acquires the leader role`, (_model, { service }) => {
+      service.acquire(index);
     }),
   () =>
-    step('the lead ends', (_model, { service }) => {
-      service.end();
+    step('the term of the leader ends', (_model, { service }) => {
+      service.endTerm();
     }),
   (index) =>
-    step(`node ${index} renews`, (model, { nodes, time }) => {
-      const facts = model.nodes[index];
-      assert.ok(facts);
-      facts.renewedAt = model.now;
+    step(`node ${index} renews its lease`, (model, { nodes, time }) => {
+      const modelNode = model.nodes[index];
+      assert.ok(modelNode);
+      modelNode.renewedAt = model.now;
       nodes[index]?.registry.onLeaseRenewed(time.now);
     }),
   (index) =>
     step(`node ${index} resigns`, (model, { nodes }) => {
-      const facts = model.nodes[index];
-      const expected = mayAct(model, index) && !isInDoubt(model, index);
+      const modelNode = model.nodes[index];
+      const expected = mayAct(model, index) && !isLeaseSuspected(model, index);
       assert.equal(nodes[index]?.registry.resign('lead'), expected);
-      if (facts && expected) facts.isResigning = true;
+      if (modelNode && expected) modelNode.isResigning = true;
     }),
   (index) =>
-    step(`node ${index} acts under an old proof`, async (model, { nodes }) => {
+    step(`node ${index} acts under its retained proof`, async (model, { nodes }) => {
       const node = nodes[index];
-      if (!node?.kept) return;
-      const isCurrent = mayAct(model, index) && model.nodes[index]?.term === node.kept.term;
-      assert.equal(node.kept.isCurrent(), isCurrent);
-      node.act(node.kept);
+      if (!node?.retainedProof) return;
+      const isCurrent = mayAct(model, index) && model.nodes[index]?.term === node.retainedProof.term;
+      assert.equal(node.retainedProof.isCurrent(), isCurrent);
+      node.act(node.retainedProof);
       const before = node.scaleOutRequests;
-      await node.cloud.requestMachines(node.kept, ScaleOutIntent.fromRecord(INTENT));
-      assert.equal(node.scaleOutRequests > before, isCurrent && !isInDoubt(model, index));
+      await node.cloud.requestMachines(node.retainedProof, ScaleOutIntent.fromRecord(INTENT));
+      assert.equal(node.scaleOutRequests > before, isCurrent && !isLeaseSuspected(model, index));
     }),
   (index) =>
     step(`${index + 1} s pass`, (model, { time }) => {
@@ -173,13 +176,13 @@
 const FREQUENT_STEPS: ((index: number) => Step)[] = [
   (index) =>
     step(`node ${index} catches up`, (model, { service, nodes }) => {
-      const [node, facts] = [nodes[index], model.nodes[index]];
-      assert.ok(node && facts);
-      const isNew = service.holder?.term !== facts.term;
-      facts.term = service.holder?.term ?? null;
-      facts.isOurs = service.holder?.nonce === `process-${index}`;
-      if (isNew) facts.isResigning = false;
-      node.believed = service.holder;
+      const [node, modelNode] = [nodes[index], model.nodes[index]];
+      assert.ok(node && modelNode);
+      const isNew = service.holder?.term !== modelNode.term;
+      modelNode.term = service.holder?.term ?? null;
+      modelNode.isOurs = service.holder?.nonce === `process-${index}`;
+      if (isNew) modelNode.isResigning = false;
+      node.observedHolder = service.holder;
       node.registry.refresh();
     }),
   (index) =>
@@ -189,7 +192,7 @@
       assert.equal(termProof !== null, mayAct(model, index));
       if (!node || !termProof) return;
       assert.equal(termProof.term, model.nodes[index]?.term);
-      node.kept ??= termProof;
+      node.retainedProof ??= termProof;
       node.act(termProof);
     }),
   (index) =>
@@ -200,44 +203,44 @@
       const before = service.effects.length;
       service.deliver(commit);
       await Promise.resolve();
-      const tookPlace = service.effects.length > before;
-      assert.equal(tookPlace, commit.term === current, `effect of term ${commit.term} in term ${current}`);
+      const tookEffect = service.effects.length > before;
+      assert.equal(tookEffect, commit.term === current, `effect of term ${commit.term} in term ${current}`);
     }),
 ];
 
 function commands(): fc.Arbitrary<Iterable<Step>> {
-  const any = fc.nat({ max: NODES - 1 });
+  const nodeIndex = fc.nat({ max: NODES - 1 });
   return fc.commands(
-    [...RARE_STEPS, ...Array<typeof FREQUENT_STEPS>(OFTEN).fill(FREQUENT_STEPS).flat()].map((make) =>
-      any.map(make),
+    [...RARE_STEPS, ...Array<typeof FREQUENT_STEPS>(FREQUENT_STEP_WEIGHT).fill(FREQUENT_STEPS).flat()].map(
+      (createStep) => nodeIndex.map(createStep),
     ),
     { maxCommands: 60, size: 'max' },
   );
 }
 
-/** Plays one history; how many effects took place, and how many were refused. */
-async function play(steps: Iterable<Step>, ignoresGuards: boolean): Promise<[number, number]> {
+/** Runs one history. Returns the number of commits that took effect and the number of refused commits. */
+async function runHistory(steps: Iterable<Step>, ignoresGuards: boolean): Promise<[number, number]> {
   const time = { now: SECOND };
   const clock: Clock = { now: () => time.now, wall: () => 0, after: () => ({ cancel: () => undefined }) };
-  const service = new NodeService();
+  const service = new FakeStateService();
   service.ignoresGuards = ignoresGuards;
-  const nodes = [...Array(NODES).keys()].map((index) => new Node(index, service, clock));
-  const facts = nodes.map(() => ({ term: null, isOurs: false, isResigning: false, renewedAt: -Infinity }));
+  const nodes = [...Array(NODES).keys()].map((index) => new TestNode(index, service, clock));
+  const models = nodes.map(() => ({ term: null, isOurs: false, isResigning: false, renewedAt: -Infinity }));
   const setup = (): { model: Model; real: Real } => ({
-    model: { now: time.now, nodes: facts },
+    model: { now: time.now, nodes: models },
     real: { service, nodes, time },
   });
   await fc.asyncModelRun(setup, steps);
-  const inOrder = service.effects.every((term, i) => term >= (service.effects[i - 1] ?? 0));
-  assert.ok(inOrder, `effects out of order: ${service.effects.join(' ')}`);
+  const areInOrder = service.effects.every((term, i) => term >= (service.effects[i - 1] ?? 0));
+  assert.ok(areInOrder, `effects out of order: ${service.effects.join(' ')}`);
   return [service.effects.length, service.refusals];
 }
 
-test('no history of takes, losses, pauses and late commits lets an action of an earlier term take effect', async () => {
+test('no history of acquisitions, losses, pauses and late commits applies an action of an earlier term', async () => {
   let [effects, refusals] = [0, 0];
   await fc.assert(
     fc.asyncProperty(commands(), async (steps) => {
-      const [applied, refused] = await play(steps, false);
+      const [applied, refused] = await runHistory(steps, false);
       effects += applied;
       refusals += refused;
     }),
@@ -246,14 +249,14 @@
   assert.ok(effects > 100 && refusals > 100, `${effects} effects, ${refusals} refusals`);
 });
 
-test('without the guard such a history is found, and shrunk to a few steps', async () => {
+test('without guards, finds a history that applies an outdated action and shrinks it to a few steps', async () => {
   const result = await fc.check(
     fc.asyncProperty(commands(), async (steps) => {
-      await play(steps, true);
+      await runHistory(steps, true);
     }),
     { seed: 23, numRuns: 2000 },
   );
-  assert.ok(result.failed, 'no history was found');
+  assert.ok(result.failed, 'no failing history was found');
   const [steps] = result.counterexample ?? [];
   const names = steps ? [...steps].map(String) : [];
   assert.ok(names.length > 0 && names.length <= 6, names.join('; '));
--- a/packages/roles/scale-intents.ts
+++ b/packages/roles/scale-intents.ts
@@ -1,21 +1,21 @@
 /**
- * Recorded intents to scale out or in. The cloud knows no terms, and may execute a request minutes late. So every
- * request is recorded in the leader's log first, and is final from then on: a machine that is recorded for scale-in is
- * never used again by any shard, and the id of a scale-out request is never used twice. Late or repeated, the request
- * is then harmless.
+ * Recorded intents to scale out or in. The cloud can't check terms, and may execute a request minutes late. So every
+ * request is recorded in the leader's log before it is sent, and the record is final: no shard ever uses a machine
+ * again that is recorded for scale-in, and the id of a scale-out request is never reused. A late or repeated request
+ * is therefore harmless.
  */
 import type { ListedMachine, ScaleOutRequest } from '#wire';
 
 /** The fields of a machine in the ledger that decide whether it may be deleted. */
 export interface MachineRecord {
   readonly host: string;
-  /** The shard it belongs to; null once the shard's owner has released it. */
+  /** The shard to which the machine belongs; null once the shard's owner has released the machine. */
   readonly shard: number | null;
-  /** Where it is to go: another shard, back to the cloud, or nowhere. */
+  /** The shard to which the machine is being transferred, `scale_in`, or null if the machine stays in its shard. */
   readonly destination: number | 'scale_in' | null;
 }
 
-/** A scale-out request in the ledger that is not settled yet. */
+/** A scale-out request in the ledger that isn't settled yet. */
 export interface ScaleOutRecord {
   readonly id: string;
   readonly machineType: string;
@@ -24,13 +24,13 @@
   readonly count: number;
 }
 
-/** A scale-out request that is recorded in the log. */
+/** A scale-out request that is recorded in the leader's log. */
 export class ScaleOutIntent {
   readonly #recorded = true;
 
   private constructor(readonly request: ScaleOutRequest) {}
 
-  /** The intent of an entry of the ledger. */
+  /** Returns the intent of a scale-out request in the ledger. */
   static fromRecord({ id, machineType, zone, spot, count }: ScaleOutRecord): ScaleOutIntent {
     return new ScaleOutIntent({ id, machineType, zone, spot, count });
   }
@@ -41,7 +41,10 @@
   }
 }
 
-/** Why a machine may be deleted: nobody uses it, and nobody ever will. */
+/**
+ * Reason why a machine may be deleted. `released`: its owner has released it. `failed`: the cloud lists it as failed.
+ * `not listed`: it is absent from the cloud's list. In each case no component uses the machine or ever will.
+ */
 export type ScaleInReason = 'released' | 'failed' | 'not listed';
 
 /** A machine that may be deleted, now or at any later time. */
@@ -54,16 +57,20 @@
   ) {}
 
   /**
-   * Null unless the machine is recorded for scale-in, and either released by its owner or, by the cloud's list, stopped
-   * or gone.
+   * Returns the intent to delete a machine in the ledger. Returns null unless the machine is recorded for scale-in and
+   * either released by its owner or, according to the cloud's list, stopped or gone. `listedAs` is null if the cloud
+   * lists the machine as neither.
    */
-  static fromRecord(machine: MachineRecord, listing: 'failed' | 'not listed' | null): ScaleInIntent | null {
+  static fromRecord(machine: MachineRecord, listedAs: 'failed' | 'not listed' | null): ScaleInIntent | null {
     if (machine.destination !== 'scale_in') return null;
     if (machine.shard === null) return new ScaleInIntent(machine.host, 'released');
-    return listing === null ? null : new ScaleInIntent(machine.host, listing);
+    return listedAs === null ? null : new ScaleInIntent(machine.host, listedAs);
   }
 
-  /** For a machine without a record that stopped by itself: the cloud never starts it again. */
+  /**
+   * Returns the intent to delete a machine without a record that stopped by itself, because the cloud never restarts
+   * such a machine. Returns null if the machine hasn't stopped.
+   */
   static fromStoppedMachine({ host, state }: ListedMachine): ScaleInIntent | null {
     return state === 'failed' ? new ScaleInIntent(host, 'failed') : null;
   }
@@ -76,11 +83,16 @@
 
 /** The part of the placement ledger that holds the open intents. */
 export interface IntentLedger {
+  /** Keyed by request id. */
   readonly pendingScaleOuts: ReadonlyMap<string, ScaleOutRecord>;
+  /** Keyed by host. */
   readonly machines: ReadonlyMap<string, MachineRecord>;
 }
 
-/** Intents that are recorded and not known to be carried out: a new leader finds all of them here, and finishes them. */
+/**
+ * Intents that are recorded and not known to be completed. A new leader reads them from the ledger and completes
+ * them.
+ */
 export interface OpenIntents {
   /** Ids of scale-out requests. */
   readonly scaleOutRequests: readonly string[];
@@ -88,7 +100,7 @@
   readonly scaleInHosts: readonly string[];
 }
 
-/** The open intents of the ledger. */
+/** Returns the open intents of the ledger. */
 export function openIntents(ledger: IntentLedger): OpenIntents {
   const scaleInHosts: string[] = [];
   for (const { host, destination } of ledger.machines.values())
--- a/packages/roles/term-proof.ts
+++ b/packages/roles/term-proof.ts
@@ -1,25 +1,26 @@
-/** The right to act under one term of a role. Only the role registry issues it. */
+/** The proof that a node may act under one term of a role. Only the role registry issues it. */
 import type { Guard } from '#store';
 import type { RoleName } from './role.js';
 
-/** What a {@link TermProof} is made of. */
+/** Options of {@link TermProof}. */
 export interface TermProofOptions {
   readonly role: RoleName;
   readonly term: number;
-  /** The key that names the holder of the role in the state service. */
+  /** The key that holds the role's record in the state service. */
   readonly key: string;
-  /** The term under which this node may act now; null if it has none. */
+  /** Returns the term under which this node may act now, or null if there is none. */
   readonly actingTerm: () => number | null;
 }
 
 /**
- * Every action of a role takes one, so that the type checker finds a call that is not bound to a term. It stays bound
- * to the term it was issued for: a node that holds the role again under a later term can't use it any more.
+ * Proof that a node may act under one term of a role. Every action of a role takes a proof, so that the type checker
+ * rejects a call that isn't bound to a term. A proof stays bound to the term for which it was issued: it is invalid
+ * after that term, even if the same node holds the role again under a later term.
  */
 export class TermProof {
   readonly role: RoleName;
   readonly term: number;
-  /** A private field: the type checker accepts no other object of the same shape as a proof. */
+  /** A private field, so that the type checker accepts no other object of the same shape as a proof. */
   readonly #key: string;
   readonly #actingTerm: () => number | null;
 
@@ -30,12 +31,12 @@
     this.#actingTerm = actingTerm;
   }
 
-  /** As far as this node knows, the term goes on. */
+  /** Returns true if, as far as this node knows, the term hasn't ended and the node may act under it. */
   isCurrent(): boolean {
     return this.#actingTerm() === this.term;
   }
 
-  /** What the state service checks: the role's key is unchanged since the term began. */
+  /** The condition that the state service checks: the role's key is unchanged since the term began. */
   get guard(): Guard {
     return { path: this.#key, revision: this.term };
   }
