--- a/packages/roles/fenced-store.ts
+++ b/packages/roles/fenced-store.ts
@@ -26,7 +26,10 @@
     private readonly roles: RoleRegistry,
   ) {}
 
-  /** Commits the writes if all terms of the proofs are current and all other guards hold. Records a refused action. */
+  /**
+   * Commits the writes if all terms of the proofs are current and all other guards hold. Records a refused action for
+   * each role whose term has ended.
+   */
   async compareAndSwap({ proofs, action, guards, writes }: FencedCommit): Promise<CommitResult> {
     const fences = proofs.map((termProof) => termProof.guard);
     const sent = this.store.compareAndSwap([...fences, ...guards], writes);
--- a/packages/roles/role-registry.ts
+++ b/packages/roles/role-registry.ts
@@ -23,7 +23,8 @@
 }
 
 /**
- * Safety margin subtracted from the lease duration, so that this node suspects its lease before others see it expire.
+ * Safety margin subtracted from the lease duration, so that this node suspects its lease before the lease can have
+ * expired in the state service.
  */
 const LEASE_SAFETY_MARGIN: Micros = 300 * MS;
 
--- a/packages/roles/role-status.ts
+++ b/packages/roles/role-status.ts
@@ -22,7 +22,7 @@
   /** Name of the role in the form of {@link formatRoleName}. */
   readonly roleName: string;
   readonly state: RoleStateName;
-  /** Name of the member that holds the role, as far as this node knows; null if no member holds it. */
+  /** Name of the member that holds the role; null if this node knows of no holder. */
   readonly holder: string | null;
   /** Current term of the role, or the term that this node lost; null if neither is known. */
   readonly term: number | null;
