--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -30,7 +30,7 @@
     evidence: [
       {
         source: 'own requests',
-        inconsistency: { kind: 'revision_regressed', known: 431, shown: 9 },
+        inconsistency: { kind: 'revision_regressed', observed: 431, shown: 9 },
         text: 'own requests: epoch 9 is shown, 431 was seen',
       },
     ],
@@ -235,12 +235,20 @@
     ['empty', '', /truncated|foreign/],
     ['text', 'no snapshot at all', /foreign/],
     ['other', gzipSync('{"kind":"other"}\n'), /foreign/],
-    ['newer', variant([{ ...header, version: 2 }, ...rest]), /newer: it has version 2/],
-    ['unknown line', variant([...SNAPSHOT, { kind: 'future' }]), /damaged: .*unknown kind future/],
+    ['newer', variant([{ ...header, version: 2 }, ...rest]), /newer: the file has version 2/],
+    ['unknown line', variant([...SNAPSHOT, { kind: 'future' }]), /damaged: .*unknown kind "future"/],
     ['half', compressed.subarray(0, compressed.length - 20), /truncated/],
-    ['no trailer', gzipSync([...textOf(SNAPSHOT)].slice(0, -1).join('')), /truncated: it ends after 4 lines/],
-    ['changed', gzipSync([...textOf(SNAPSHOT)].join('').replace('"j-0"', '"j-9"')), /damaged: its checksum/],
-    ['longer', gzipSync(`${[...textOf(SNAPSHOT)].join('')}{"kind":"job"}\n`), /damaged: .*after its end/],
+    [
+      'no trailer',
+      gzipSync([...textOf(SNAPSHOT)].slice(0, -1).join('')),
+      /truncated: the file ends after 4 lines/,
+    ],
+    [
+      'changed',
+      gzipSync([...textOf(SNAPSHOT)].join('').replace('"j-0"', '"j-9"')),
+      /damaged: the line count or the checksum in the trailer/,
+    ],
+    ['longer', gzipSync(`${[...textOf(SNAPSHOT)].join('')}{"kind":"job"}\n`), /damaged: .*after its trailer/],
     ['bit', damaged, /damaged|truncated|foreign/],
   ];
   try {
--- a/packages/cli/command-test-support.ts
+++ b/packages/cli/command-test-support.ts
@@ -10,7 +10,7 @@
   listenForOperators,
   type NodeRoleStatus,
   type NodeDataLossStatus,
-  type OperatedNode,
+  type NodeOperations,
 } from '#operations';
 import { execute } from './index.js';
 
@@ -102,7 +102,7 @@
   dataLoss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { revision: 432 } },
 };
 
-const NODE: OperatedNode = {
+const NODE: NodeOperations = {
   roleStatus: () => DUTIES,
   dataLossStatus: () => SERVING,
   snapshot: () => null,
@@ -110,7 +110,7 @@
 };
 
 /** The address of a listener over a node, which ends with the test. */
-export async function listen(t: TestContext, node: Partial<OperatedNode> = {}): Promise<string> {
+export async function listen(t: TestContext, node: Partial<NodeOperations> = {}): Promise<string> {
   const app = createOperatorApp({ ...NODE, ...node }, () => undefined);
   const server = await listenForOperators(app, '127.0.0.1:0');
   t.after(() => {
--- a/packages/cli/duties-output.test.ts
+++ b/packages/cli/duties-output.test.ts
@@ -182,10 +182,10 @@
   assert.deepEqual(await run(['duties', ...nodes], names), [
     'exit 1',
     'NODE  DUTY  STATE  HOLDER  TERM  SINCE  LEASE  OPEN  LAST REFUSED',
-    'TEXT: no answer (its answer is not JSON)',
-    'NUMBER: no answer (its answer is not JSON)',
+    'TEXT: no answer (the response is not a JSON object)',
+    'NUMBER: no answer (the response is not a JSON object)',
     'ERROR: no answer (internal error)',
-    'LONG: no answer (its answer is too large)',
+    'LONG: no answer (the response is longer than 4194304 bytes)',
     '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
     '! micaworks: no node answered; is operations/listen set in their XML?',
   ]);
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,12 +1,12 @@
 /** `micaworks duties`: which node holds which role, as the nodes that answer know it. Operators call a role a duty. */
 import { parseRoleName } from '#roles';
 import {
-  askRoles,
-  askToResign,
+  requestRoleStatus,
+  requestResignation,
   type RolesAnswer,
   type RoleAnswer,
   type OpenIntentsAnswer,
-  type RefusalAnswer,
+  type RefusedActionAnswer,
 } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
@@ -17,7 +17,7 @@
 
 /** Prints the roles as each node knows them; fails if no node answers. */
 export async function showRoles({ node, json }: NodesOptions, print: Print): Promise<void> {
-  const answers = sortAnswers(await askRoles(node.map(checkAddress)));
+  const answers = sortAnswers(await requestRoleStatus(node.map(checkAddress)));
   if (json) printJson(print, answers);
   else printTable(answers, print);
   demandAnswer(answers);
@@ -27,7 +27,7 @@
 export async function resignRole(name: string, node: string, print: Print): Promise<void> {
   const address = checkAddress(node);
   if (parseRoleName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
-  const answer = await askToResign(address, name);
+  const answer = await requestResignation(address, name);
   if (answer.kind === 'silent') throw new CommandFailure(`${node}: ${answer.reason}`);
   // A node of a later version may answer more than this one knows.
   const { kind, reason }: { kind: string; reason?: string } = answer.value;
@@ -65,7 +65,7 @@
   return intents ? `${intents.rentals.length} rentals, ${intents.returns.length} returns` : '-';
 }
 
-function formatRefusal(refusal: RefusalAnswer | null): string {
+function formatRefusal(refusal: RefusedActionAnswer | null): string {
   if (!refusal) return '-';
   return `${refusal.action}: ${refusal.reason} (term ${refusal.term}, ${refusal.ageS} s ago)`;
 }
--- a/packages/cli/recover-output.test.ts
+++ b/packages/cli/recover-output.test.ts
@@ -12,12 +12,12 @@
     evidence: [
       {
         source: 'own requests',
-        inconsistency: { kind: 'revision_regressed', known: 431, shown: 9 },
+        inconsistency: { kind: 'revision_regressed', observed: 431, shown: 9 },
         text: 'own requests: epoch 9 is shown, 431 was seen',
       },
       {
         source: 'worker n-000001',
-        inconsistency: { kind: 'log_regressed', log: '0', known: 12, shown: 0 },
+        inconsistency: { kind: 'log_regressed', log: '0', observed: 12, shown: 0 },
         text: 'worker n-000001: log 0 ends at 0, record 12 was seen',
       },
     ],
--- a/packages/cli/recover.ts
+++ b/packages/cli/recover.ts
@@ -1,5 +1,5 @@
 /** `micaworks recover status`: whether the nodes that answer have detected data loss in the state service. */
-import { askLoss, type RecoveryAnswer } from '#operations';
+import { requestDataLossStatus, type RecoveryAnswer } from '#operations';
 import { checkAddress } from './address.js';
 import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
 import { CommandFailure } from './errors.js';
@@ -9,7 +9,7 @@
 
 /** Prints the data-loss state of each node; fails if one has detected data loss, so that a watchdog can call it. */
 export async function showRecoverStatus({ node, json }: NodesOptions, print: Print): Promise<void> {
-  const answers = sortAnswers(await askLoss(node.map(checkAddress)));
+  const answers = sortAnswers(await requestDataLossStatus(node.map(checkAddress)));
   if (json) printJson(print, answers);
   else printStatus(answers, print);
   demandAnswer(answers);
--- a/packages/cli/snapshot-output.test.ts
+++ b/packages/cli/snapshot-output.test.ts
@@ -90,7 +90,7 @@
   ]);
   assert.deepEqual(await take(cut, '--force'), [
     'exit 1',
-    '! micaworks: FOLDER/state.snapshot.partial: truncated: it ends after 9 lines',
+    '! micaworks: FOLDER/state.snapshot.partial: truncated: the file ends after 9 lines, without a trailer',
   ]);
   assert.deepEqual(await take(empty, '--force'), [
     'exit 1',
@@ -98,7 +98,7 @@
   ]);
   assert.deepEqual(await take(strange, '--force'), [
     'exit 1',
-    '! micaworks: STRANGE: answered with status 502',
+    '! micaworks: STRANGE: the node responded with status 502',
   ]);
   assert.deepEqual(await take(CLOSED, '--force'), [
     'exit 1',
@@ -192,19 +192,27 @@
   );
   const text = textOf(SNAPSHOT, true);
   const faults: [name: string, bytes: Buffer | string, line: string][] = [
-    ['text', 'no snapshot at all', 'foreign: it is not compressed as a snapshot is'],
-    ['other', gzipSync('{"kind":"other"}\n'), 'foreign: it is no snapshot'],
+    ['text', 'no snapshot at all', 'foreign: the file is not compressed with gzip'],
+    [
+      'other',
+      gzipSync('{"kind":"other"}\n'),
+      'foreign: the first line is not a header of the format micaworks-snapshot',
+    ],
     [
       'newer',
       gzipSync(textOf([{ ...HEADER, version: 2 }], true)),
-      'newer: it has version 2, this program reads up to 1',
+      'newer: the file has version 2, but this program supports only up to 1',
     ],
     [
       'no-trailer',
       gzipSync(text.slice(0, text.indexOf('{"kind":"trailer"'))),
-      'truncated: it ends after 11 lines',
+      'truncated: the file ends after 11 lines, without a trailer',
+    ],
+    [
+      'changed',
+      gzipSync(text.replace('"j-0"', '"j-9"')),
+      'damaged: the line count or the checksum in the trailer does not match the lines',
     ],
-    ['changed', gzipSync(text.replace('"j-0"', '"j-9"')), 'damaged: its checksum is wrong'],
   ];
   for (const [name, bytes, line] of faults) {
     const file = write(name, bytes);
--- a/packages/daemon/heartbeat-handler.ts
+++ b/packages/daemon/heartbeat-handler.ts
@@ -161,7 +161,7 @@
    */
   private isBehindWorker(heartbeat: Heartbeat): boolean {
     const { dataLossDetector, replica } = this.options;
-    return dataLossDetector?.isWorkerAheadOf(replica.highWaterMarks(), heartbeat) ?? false;
+    return dataLossDetector?.isWorkerAheadOfReplica(replica.highWaterMarks(), heartbeat) ?? false;
   }
 }
 
--- a/packages/daemon/node-status.ts
+++ b/packages/daemon/node-status.ts
@@ -61,7 +61,7 @@
   /** What this node knows of data loss in the state service. */
   dataLossStatus(): NodeDataLossStatus {
     const { member, dataLossDetector } = this.options;
-    return { member, dataLoss: dataLossDetector?.report() ?? null };
+    return { member, dataLoss: dataLossDetector?.status() ?? null };
   }
 
   /** The lines of a snapshot of this node's copy of the state; null while there is no copy. */
@@ -69,12 +69,12 @@
     const { replica, allNodes, clock, member, dataLossDetector } = this.options;
     if (replica.appliedRevision === 0) return null;
     const takenAt = Math.floor(clock.wall() / MS);
-    const loss = dataLossDetector?.report().state ?? null;
+    const dataLossState = dataLossDetector?.status().state ?? null;
     const readPage = async (after: string): ReturnType<Replica['terminalStatusesAfter']> => {
       if (after !== '') await sleep(clock, SNAPSHOT_PAGE_GAP);
       return replica.terminalStatusesAfter(after);
     };
-    return writeSnapshot(replica, { member, nodes: [...allNodes], takenAt, loss }, readPage);
+    return writeSnapshot(replica, { member, nodes: [...allNodes], takenAt, dataLossState }, readPage);
   }
 
   /** The term in which this node believes to lead; null if it doesn't. */
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -7,7 +7,7 @@
 import { type Clock, createHttpClient, type Micros, MS, SECOND } from '#wire';
 import { pino, destination } from 'pino';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { createOperatorApp, listenForOperators, OPERATOR_SOCKETS } from '#operations';
+import { createOperatorApp, listenForOperators, MAX_OPERATOR_CONNECTIONS } from '#operations';
 import { Controller } from './controller.js';
 import { createPinger, servePeers } from './peer-links.js';
 
@@ -66,7 +66,7 @@
 
 /** Sockets that workers and users can't have: those for both services, peers and operators, and some to spare. */
 function reservedSockets(settings: Settings, tuning: Tuning): number {
-  const operators = tuning.operatorListen === null ? 0 : OPERATOR_SOCKETS;
+  const operators = tuning.operatorListen === null ? 0 : MAX_OPERATOR_CONNECTIONS;
   return 2 * clientSockets(settings) + SOCKETS_PER_PEER * settings.peers.length + SPARE_SOCKETS + operators;
 }
 
--- a/packages/operations/answer-codec.ts
+++ b/packages/operations/answer-codec.ts
@@ -1,77 +1,78 @@
 /**
- * The JSON that the operators' listener answers with. These interfaces are the answers themselves: tools of operators
- * read them, so their names don't follow the names in the code. A node's reports are mapped to them here, field by field.
+ * The JSON responses of the operators' listener. The `*Answer` interfaces are the format itself: operators' tools read their
+ * fields, so the fields don't follow the names in the code. The functions map a node's status to them, field by field.
  */
 import type { RoleStatus, OpenIntents, RefusedActionStatus } from '#roles';
 import type { Inconsistency, Evidence, DataLossStatus, PartialHighWaterMarks } from '#recovery';
 import type { NodeRoleStatus, NodeDataLossStatus, ResignResult } from './messages.js';
 
-/** Of `GET /duties`. */
+/** The response to `GET /duties`. */
 export interface RolesAnswer {
   readonly member: string;
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
-  /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
+  /** Seconds since the node's replica of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
   readonly duties: readonly RoleAnswer[];
 }
 
-/** One role, as the node that answers knows it. */
+/** One role, as the responding node knows it. */
 export interface RoleAnswer {
-  /** `lead` or `share/N`. */
+  /** Name of the role: `lead` or `share/N`. */
   readonly duty: string;
   readonly state: 'vacant' | 'acquiring' | 'held' | 'suspected' | 'lost' | 'resigning';
+  /** Member that holds the role; null if none is known. */
   readonly holder: string | null;
   readonly term: number | null;
-  /** Seconds since the node has known the role to be in this state. */
+  /** Seconds since the role entered this state, as far as the node knows. */
   readonly sinceS: number;
-  /** Seconds that the lease has left by the holder's own clock; null on nodes that don't hold the role. */
+  /** Seconds until the lease expires by the holder's clock; null on nodes that don't hold the role. */
   readonly leaseLeftS: number | null;
-  /** Of the leader only. */
+  /** Null for every role but `lead`. */
   readonly openIntents: OpenIntentsAnswer | null;
-  readonly lastRefused: RefusalAnswer | null;
+  readonly lastRefused: RefusedActionAnswer | null;
 }
 
-/** Scale-out requests, and hosts to be deleted by scale-in, that are not known to be completed. */
+/** Requests to the cloud that are not known to be completed: ids of scale-out requests, and hosts to delete by scale-in. */
 export interface OpenIntentsAnswer {
   readonly rentals: readonly string[];
   readonly returns: readonly string[];
 }
 
-/** The last action under a role that was refused. */
-export interface RefusalAnswer {
+/** The last refused action of a role. */
+export interface RefusedActionAnswer {
   readonly action: string;
   readonly reason: string;
   readonly term: number;
-  /** Seconds since. */
+  /** Seconds since the refusal. */
   readonly ageS: number;
 }
 
-/** Of `GET /recovery`. */
+/** The response to `GET /recovery`. */
 export interface RecoveryAnswer {
   readonly member: string;
-  /** Null where the operators' settings don't switch detection on. */
-  readonly loss: LossAnswer | null;
+  /** Null unless the operators' settings enable data-loss detection. */
+  readonly loss: DataLossAnswer | null;
 }
 
 /** The state of a node's data-loss detector. */
-export interface LossAnswer {
+export interface DataLossAnswer {
   readonly state: 'serving' | 'noticed' | 'frozen';
   /** Seconds since the node entered this state. */
   readonly sinceS: number;
   readonly evidence: readonly EvidenceAnswer[];
   readonly falseAlarms: number;
-  readonly seen: SeenAnswer;
+  readonly seen: HighWaterMarksAnswer;
 }
 
-/** One way in which the state is inconsistent with what was observed of it, and who observed it. */
+/** One inconsistency between the state and an earlier observation, and the source of that observation. */
 export interface EvidenceAnswer {
   readonly source: string;
-  readonly contradiction: ContradictionAnswer;
+  readonly contradiction: InconsistencyAnswer;
   readonly text: string;
 }
 
 /** An inconsistency, discriminated by its kind. */
-export type ContradictionAnswer =
+export type InconsistencyAnswer =
   | { readonly kind: 'epoch_went_back'; readonly known: number; readonly shown: number }
   | { readonly kind: 'epoch_reused'; readonly epoch: number }
   | { readonly kind: 'token_went_back'; readonly known: number; readonly shown: number }
@@ -82,38 +83,41 @@
   | { readonly kind: 'peer_objects'; readonly known: number }
   | { readonly kind: 'state_incomplete'; readonly reason: string };
 
-/** The high-water marks that the node, its workers and its peers have observed; absent where none has. */
-export interface SeenAnswer {
+/** The highest marks that the node, its workers and its peers have observed; a mark that none of them observed is absent. */
+export interface HighWaterMarksAnswer {
   readonly epoch?: number | undefined;
   readonly token?: number | undefined;
   readonly positions?: Readonly<Record<string, number>> | undefined;
 }
 
-/** Of `POST /duties/resign`. */
+/** The response to `POST /duties/resign`. */
 export type ResignAnswer =
   { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
-/** Of any request that is rejected. */
+/** The response to a rejected request. */
 export interface ErrorAnswer {
   readonly error: string;
 }
 
-/** The answer to `GET /duties`. */
-export function encodeRoles(report: NodeRoleStatus): RolesAnswer {
+/** Maps a node's role status to the response to `GET /duties`. */
+export function encodeRoles(status: NodeRoleStatus): RolesAnswer {
   return {
-    member: report.member,
-    membership: report.membership,
-    knowledgeAgeS: report.knowledgeAgeS,
-    duties: report.roles.map(encodeRole),
+    member: status.member,
+    membership: status.membership,
+    knowledgeAgeS: status.knowledgeAgeS,
+    duties: status.roles.map(encodeRole),
   };
 }
 
-/** The answer to `GET /recovery`. */
-export function encodeRecovery(report: NodeDataLossStatus): RecoveryAnswer {
-  return { member: report.member, loss: report.dataLoss === null ? null : encodeLoss(report.dataLoss) };
+/** Maps a node's data-loss status to the response to `GET /recovery`. */
+export function encodeRecovery(status: NodeDataLossStatus): RecoveryAnswer {
+  return {
+    member: status.member,
+    loss: status.dataLoss === null ? null : encodeDataLossStatus(status.dataLoss),
+  };
 }
 
-/** The answer to `POST /duties/resign`. */
+/** Maps the result of a hand-off to the response to `POST /duties/resign`. */
 export function encodeResignResult(result: ResignResult): ResignAnswer {
   switch (result.kind) {
     case 'handed_over':
@@ -132,7 +136,7 @@
     sinceS: role.sinceS,
     leaseLeftS: role.leaseLeftS,
     openIntents: role.openIntents === null ? null : encodeOpenIntents(role.openIntents),
-    lastRefused: role.lastRefused === null ? null : encodeRefusal(role.lastRefused),
+    lastRefused: role.lastRefused === null ? null : encodeRefusedAction(role.lastRefused),
   };
 }
 
@@ -140,17 +144,17 @@
   return { rentals: intents.scaleOutRequests, returns: intents.scaleInHosts };
 }
 
-function encodeRefusal(refusal: RefusedActionStatus): RefusalAnswer {
-  return { action: refusal.action, reason: refusal.reason, term: refusal.term, ageS: refusal.ageS };
+function encodeRefusedAction(refused: RefusedActionStatus): RefusedActionAnswer {
+  return { action: refused.action, reason: refused.reason, term: refused.term, ageS: refused.ageS };
 }
 
-function encodeLoss(loss: DataLossStatus): LossAnswer {
+function encodeDataLossStatus(status: DataLossStatus): DataLossAnswer {
   return {
-    state: loss.state,
-    sinceS: loss.sinceS,
-    evidence: loss.evidence.map(encodeEvidence),
-    falseAlarms: loss.falseAlarms,
-    seen: encodeSeen(loss.seen),
+    state: status.state,
+    sinceS: status.sinceS,
+    evidence: status.evidence.map(encodeEvidence),
+    falseAlarms: status.falseAlarms,
+    seen: encodeHighWaterMarks(status.seen),
   };
 }
 
@@ -162,30 +166,35 @@
   };
 }
 
-function encodeInconsistency(found: Inconsistency): ContradictionAnswer {
-  switch (found.kind) {
+function encodeInconsistency(inconsistency: Inconsistency): InconsistencyAnswer {
+  switch (inconsistency.kind) {
     case 'revision_regressed':
-      return { kind: 'epoch_went_back', known: found.known, shown: found.shown };
+      return { kind: 'epoch_went_back', known: inconsistency.observed, shown: inconsistency.shown };
     case 'revision_reused':
-      return { kind: 'epoch_reused', epoch: found.revision };
+      return { kind: 'epoch_reused', epoch: inconsistency.revision };
     case 'fencing_token_regressed':
-      return { kind: 'token_went_back', known: found.known, shown: found.shown };
+      return { kind: 'token_went_back', known: inconsistency.observed, shown: inconsistency.shown };
     case 'log_regressed':
-      return { kind: 'log_went_back', log: found.log, known: found.known, shown: found.shown };
+      return {
+        kind: 'log_went_back',
+        log: inconsistency.log,
+        known: inconsistency.observed,
+        shown: inconsistency.shown,
+      };
     case 'key_missing':
-      return { kind: 'key_missing', key: found.key };
+      return { kind: 'key_missing', key: inconsistency.key };
     case 'key_regressed':
-      return { kind: 'key_went_back', key: found.key };
+      return { kind: 'key_went_back', key: inconsistency.key };
     case 'history_forked':
-      return { kind: 'history_forked', key: found.key };
+      return { kind: 'history_forked', key: inconsistency.key };
     case 'peer_disagrees':
-      return { kind: 'peer_objects', known: found.known };
+      return { kind: 'peer_objects', known: inconsistency.observed };
     case 'state_incomplete':
-      return { kind: 'state_incomplete', reason: found.reason };
+      return { kind: 'state_incomplete', reason: inconsistency.reason };
   }
 }
 
-/** A mark that nobody has observed is undefined, and thereby absent from the JSON. */
-function encodeSeen(seen: PartialHighWaterMarks): SeenAnswer {
-  return { epoch: seen.revision, token: seen.fencingToken, positions: seen.positions };
+/** Leaves marks that were not observed undefined, so that they are absent from the JSON. */
+function encodeHighWaterMarks(marks: PartialHighWaterMarks): HighWaterMarksAnswer {
+  return { epoch: marks.revision, token: marks.fencingToken, positions: marks.positions };
 }
--- a/packages/operations/index.ts
+++ b/packages/operations/index.ts
@@ -1,4 +1,4 @@
-/** The operators' listener of a node, and its client. */
+/** The operators' listener of a node and its client. */
 export * from './answer-codec.js';
 export * from './client.js';
 export * from './listener.js';
--- a/packages/operations/messages.ts
+++ b/packages/operations/messages.ts
@@ -1,33 +1,36 @@
-/** What the operators' listener requests of its node, in the terms of the code; `answer-codec.ts` writes it as JSON. */
+/** The interface between the operators' listener and its node. `answer-codec.ts` maps the results to JSON. */
 import type { RoleName, RoleStatus } from '#roles';
 import type { DataLossStatus } from '#recovery';
 
-/** A node's view of the roles, which operators call duties; it proves nothing. */
+/** A node's view of the roles, which operators call duties. The view may be outdated and is no proof that a role is held. */
 export interface NodeRoleStatus {
   readonly member: string;
-  /** The node's membership of its cluster. */
+  /** State of the node's membership of the cluster. */
   readonly membership: 'outside' | 'joining' | 'member' | 'stopped';
-  /** Seconds since the node's copy of the state was last known to be complete; null if it never was. */
+  /** Seconds since the node's replica of the state was last known to be complete; null if it never was. */
   readonly knowledgeAgeS: number | null;
   readonly roles: readonly RoleStatus[];
 }
 
-/** A node's data-loss report. */
+/** A node's data-loss status. */
 export interface NodeDataLossStatus {
   readonly member: string;
-  /** Null where the operators' settings don't switch detection on. */
+  /** Null unless the operators' settings enable data-loss detection. */
   readonly dataLoss: DataLossStatus | null;
 }
 
-/** Result of the request to hand a role over. */
+/** Result of a request to hand off a role. */
 export type ResignResult =
   { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
-/** What the listener needs of its node. */
-export interface OperatedNode {
+/** The operations of a node that the listener exposes to operators. */
+export interface NodeOperations {
+  /** Returns the node's view of the roles. */
   roleStatus(): NodeRoleStatus;
+  /** Returns the state of the node's data-loss detector. */
   dataLossStatus(): NodeDataLossStatus;
-  /** The lines of a snapshot, as text; null while the node holds no copy of the state. */
+  /** Returns the lines of a snapshot as text; null while the node has no replica of the state. */
   snapshot(): AsyncIterable<string> | null;
+  /** Hands off a role that the node holds, or refuses with the reason. */
   resign(role: RoleName): Promise<ResignResult>;
 }
--- a/packages/operations/request-body.ts
+++ b/packages/operations/request-body.ts
@@ -1,11 +1,11 @@
-/** Reads the bodies of operators' requests. */
+/** Reads the JSON bodies of operators' requests. */
 import type { IncomingMessage } from 'node:http';
 import { OperatorRequestError } from './request-error.js';
 
-/** Bodies are small: they name one role. */
+/** Maximum length of a body. A body names a single role, so it is short. */
 const MAX_BODY_BYTES = 1024;
 
-/** The JSON value of a request's body; fails with {@link OperatorRequestError} if there is none, or it is too long. */
+/** Parses the body of a request as JSON; rejects with {@link OperatorRequestError} if the body is invalid, cut off or too long. */
 export async function readJsonBody(request: IncomingMessage): Promise<unknown> {
   const body = await readBody(request);
   try {
--- a/packages/operations/request-error.ts
+++ b/packages/operations/request-error.ts
@@ -1,11 +1,11 @@
-/** The error of operators' requests that are rejected. */
+/** The error for rejected requests of operators. */
 
-/** Rejects a request with this status; the message says what to do about it. */
+/** Rejects a request. The message is sent to the operator and says what to correct. */
 export class OperatorRequestError extends Error {
   override readonly name = 'OperatorRequestError';
 
   constructor(
-    /** The status of the HTTP response. */
+    /** Status of the HTTP response. */
     readonly status: number,
     message: string,
     options?: ErrorOptions,
--- a/packages/recovery/data-loss-alarm.ts
+++ b/packages/recovery/data-loss-alarm.ts
@@ -1,17 +1,17 @@
-/** The state machine of the data-loss detector: the three states, the evidence for them, and one method per transition. */
+/** The state machine of the data-loss detector: three states, the evidence for them, and one method for each transition. */
 import type { Logger } from '#cluster';
 import type { Clock, Micros } from '#wire';
 import type { DataLossState, Evidence } from './data-loss-status.js';
 
-/** Pieces of evidence that are kept and shown. */
+/** Maximum number of pieces of evidence that are kept and shown. */
 const EVIDENCE_LIMIT = 20;
 
 /**
- * Holds one {@link DataLossState}: `serving` → {@link raise} → `noticed` → {@link escalate} → `frozen`, and from either of
- * the latter two by {@link clear} back to `serving`. Every transition is logged.
+ * Holds one {@link DataLossState} and logs every transition. {@link raise} leads from `serving` to `noticed`,
+ * {@link escalate} from `noticed` to `frozen`, and {@link clear} from either of these back to `serving`.
  */
 export class DataLossAlarm {
-  private current: DataLossState = 'serving';
+  private currentState: DataLossState = 'serving';
   private enteredAt: Micros;
   private currentEvidence: readonly Evidence[] = [];
   private falseAlarmCount = 0;
@@ -24,51 +24,54 @@
     this.enteredAt = clock.now();
   }
 
-  /** The present state. */
+  /** The current state. */
   get state(): DataLossState {
-    return this.current;
+    return this.currentState;
   }
 
-  /** Steady time at which the present state was entered. */
+  /** Monotonic time at which the current state was entered. */
   get since(): Micros {
     return this.enteredAt;
   }
 
-  /** What led to the present state, or confirmed it last; empty while `serving`. */
+  /** The evidence that led to the current state or confirmed it last; empty while `serving`. */
   get evidence(): readonly Evidence[] {
     return this.currentEvidence;
   }
 
-  /** Alarms that the first complete reading did not confirm. */
+  /** Number of alarms that the first complete reading did not confirm. */
   get falseAlarms(): number {
     return this.falseAlarmCount;
   }
 
-  /** Data loss is suspected or confirmed. */
+  /** Returns true while data loss is suspected (`noticed`) or confirmed (`frozen`). */
   isRaised(): boolean {
-    return this.current !== 'serving';
+    return this.currentState !== 'serving';
   }
 
-  /** Calls the listener whenever the alarm is raised. */
+  /** Registers a listener that is called whenever the alarm is raised. */
   onRaise(listener: () => void): void {
     this.raiseListeners.push(listener);
   }
 
-  /** `serving` → `noticed`; no effect on an alarm that is raised already. */
+  /** Changes `serving` to `noticed`; has no effect on an alarm that is already raised. */
   raise(evidence: readonly Evidence[]): void {
     if (this.isRaised()) return;
-    this.enter('noticed', evidence);
+    this.transitionTo('noticed', evidence);
     for (const listener of this.raiseListeners) listener();
   }
 
-  /** A complete reading is inconsistent: the first raises the alarm, the next confirms it, later ones renew the evidence. */
+  /**
+   * Records that a reading found the state inconsistent or incomplete. The first such reading raises the alarm, the next one
+   * confirms it, and later ones replace the evidence.
+   */
   escalate(evidence: readonly Evidence[]): void {
-    switch (this.current) {
+    switch (this.currentState) {
       case 'serving':
         this.raise(evidence);
         break;
       case 'noticed':
-        this.enter('frozen', evidence);
+        this.transitionTo('frozen', evidence);
         break;
       case 'frozen':
         this.currentEvidence = evidence.slice(0, EVIDENCE_LIMIT);
@@ -76,19 +79,19 @@
     }
   }
 
-  /** `noticed` or `frozen` → `serving`; no effect while `serving`. */
+  /** Changes `noticed` or `frozen` back to `serving`; has no effect while `serving`. */
   clear(): void {
     if (!this.isRaised()) return;
-    if (this.current === 'noticed') this.falseAlarmCount++;
-    this.enter('serving', []);
+    if (this.currentState === 'noticed') this.falseAlarmCount++;
+    this.transitionTo('serving', []);
   }
 
-  private enter(state: DataLossState, allEvidence: readonly Evidence[]): void {
+  private transitionTo(state: DataLossState, allEvidence: readonly Evidence[]): void {
     const evidence = allEvidence.slice(0, EVIDENCE_LIMIT);
-    const fields = { from: this.current, to: state, evidence: evidence.map(({ text }) => text) };
+    const fields = { from: this.currentState, to: state, evidence: evidence.map(({ text }) => text) };
     if (state === 'serving') this.log.info(fields, 'state integrity restored');
     else this.log.error(fields, 'data loss detected');
-    this.current = state;
+    this.currentState = state;
     this.enteredAt = this.clock.now();
     this.currentEvidence = evidence;
   }
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -1,7 +1,8 @@
 /**
- * Detects that the state service has lost data: what it shows is compared with what this node, its workers and its peers
- * have observed before. From the first inconsistency on the node behaves as if the state service refused its requests, so
- * that the guarantees for an outage hold; it goes on once a complete reading reaches everything that was ever observed.
+ * Detects data loss in the state service. The detector compares what the state service shows with what this node, its
+ * workers and its peers observed earlier. After the first inconsistency the node behaves as if the state service refused
+ * its requests, so that the guarantees for an outage hold. The node resumes normal operation once a complete reading of
+ * the live state reaches every mark that was ever observed.
  */
 import type {
   HighWaterMarks,
@@ -16,43 +17,43 @@
 import { DataLossAlarm } from './data-loss-alarm.js';
 import { type DataLossStatus, type Evidence, toEvidence } from './data-loss-status.js';
 import { findInconsistencies, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
-import { MissingKeys } from './missing-keys.js';
-import { marksOfHeartbeat, type Observation, Observations } from './observations.js';
-
-/** Incomplete readings in a row that count as data loss: fewer may be due to changes made during a reading. */
-const INCOMPLETE_READINGS_LIMIT = 3;
-/** Added to the heartbeat interval for workers that try another node first. */
-const STARTUP_MARGIN: Micros = SECOND;
-/** Prefixes of the sources of evidence: this node, and a peer. */
-const OWN = 'own';
-const PEER = 'peer';
-/** Below every revision: a node that has accepted no reading yet believes every peer that disagrees. */
+import { MissingKeyTracker } from './missing-key-tracker.js';
+import { highWaterMarksOfHeartbeat, type Observation, Observations } from './observations.js';
+
+/** Number of consecutive incomplete readings that count as data loss. Fewer may be caused by changes made during a reading. */
+const INCOMPLETE_READINGS_UNTIL_ALARM = 3;
+/** Added to the heartbeat interval, since a worker may try another node before it reaches this one. */
+const HEARTBEAT_RETRY_MARGIN: Micros = SECOND;
+/** Prefixes of {@link Evidence.source}: evidence of this node, and evidence of a peer. */
+const OWN_SOURCE_PREFIX = 'own';
+const PEER_SOURCE_PREFIX = 'peer';
+/** Lower than every revision, so that a node that has not accepted a reading yet trusts every peer that disagrees. */
 const NO_REVISION = -1;
 const TENTH_OF_SECOND: Micros = SECOND / 10;
 
-/** What a {@link DataLossDetector} needs to know of its node and cluster. */
+/** Dependencies and settings of {@link DataLossDetector}. */
 export interface DataLossDetectorOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  /** How long an observation counts that its source doesn't repeat. */
+  /** Time after which an observation expires unless its source repeats it. */
   readonly observationLifetime: Micros;
-  /** Number of the other nodes of the cluster. */
+  /** Number of nodes in the cluster, without this one. */
   readonly peerCount: number;
   /** Time between two heartbeats of a worker. */
   readonly heartbeatInterval: Micros;
 }
 
-/** Checks each answer of the state service and each reading of the live state against all earlier observations. */
+/** Checks each response of the state service and each reading of the live state against all earlier observations. */
 export class DataLossDetector implements RevisionCheck, StateIntegrityCheck {
   private readonly alarm: DataLossAlarm;
-  private readonly missing = new MissingKeys();
+  private readonly missingKeyTracker = new MissingKeyTracker();
   private readonly observations: Observations;
-  /** The highest revision that any answer has shown. */
+  /** The highest revision in any accepted response or reading. */
   private highestRevision = 0;
   private hasAcceptedReading = false;
   private incompleteReadings = 0;
-  /** Peers that have published a high-water mark since this node started. */
-  private readonly peersWithMarks = new Set<string>();
+  /** Members that have published a high-water mark since this node started. */
+  private readonly peersWithHighWaterMarks = new Set<string>();
   private readonly startedAt: Micros;
 
   constructor(private readonly options: DataLossDetectorOptions) {
@@ -66,13 +67,14 @@
   }
 
   /**
-   * A node that has just started has observed nothing. Before it accepts a reading it waits for the marks of every peer
-   * or, where peers have just started themselves, for long enough that all workers have sent a heartbeat.
+   * Returns true once this node may accept a reading. A node that has just started has no observations. It first waits for
+   * the marks of every peer. Peers that have just started may have none, so waiting until all workers have sent a heartbeat
+   * is sufficient, too.
    */
   isReady(): boolean {
     const { clock, peerCount, heartbeatInterval } = this.options;
-    if (peerCount > 0 && this.peersWithMarks.size === peerCount) return true;
-    return clock.now() - this.startedAt > heartbeatInterval + STARTUP_MARGIN;
+    if (peerCount > 0 && this.peersWithHighWaterMarks.size === peerCount) return true;
+    return clock.now() - this.startedAt > heartbeatInterval + HEARTBEAT_RETRY_MARGIN;
   }
 
   onClose(listener: () => void): void {
@@ -96,21 +98,25 @@
     );
   }
 
-  /** An answer that arrives after the alarm was raised, as from an old watch, may belong to any history. */
+  /**
+   * Returns false, and raises the alarm, if there is an inconsistency. A response that arrives while the alarm is raised, for
+   * example from an old watch, is rejected, since it may belong to any history.
+   */
   private checkRevision(revision: number, inconsistencies: readonly Inconsistency[]): boolean {
     if (!this.isOpen()) return false;
-    if (inconsistencies.length > 0) this.alarm.raise(toEvidence(`${OWN} requests`, inconsistencies));
+    if (inconsistencies.length > 0)
+      this.alarm.raise(toEvidence(`${OWN_SOURCE_PREFIX} requests`, inconsistencies));
     else this.highestRevision = Math.max(this.highestRevision, revision);
     return inconsistencies.length === 0;
   }
 
   judgeReading(reading: StateReading): boolean {
     const { sentAt, shown } = reading;
-    // A reading that was begun before the alarm can neither end nor confirm it.
+    // A reading that began before the alarm was raised can neither clear nor confirm the alarm.
     if (this.alarm.isRaised() && sentAt <= this.alarm.since) return false;
     this.incompleteReadings = 0;
     const evidence = [
-      ...toEvidence(`${OWN} copy`, this.compareWithCopy(reading)),
+      ...toEvidence(`${OWN_SOURCE_PREFIX} copy`, this.compareWithReplica(reading)),
       ...this.compareWithObservations(sentAt, shown),
     ];
     if (evidence.length === 0) this.acceptReading(shown);
@@ -119,14 +125,15 @@
   }
 
   /**
-   * Keys that are absent count only after an alarm, until they or the keys that replace them are found: without an alarm,
-   * a copy that was disconnected for long may hold any number of jobs that have ended meanwhile.
+   * Returns the inconsistencies between the reading and this node's replica. Absent keys count only while the alarm is
+   * raised, until they or the keys that replace them are found. Without an alarm they prove nothing: the replica of a node
+   * that was disconnected for a long time may hold any number of jobs that have ended since.
    */
-  private compareWithCopy({ shown, known, differences }: StateReading): Inconsistency[] {
-    if (this.alarm.isRaised()) this.missing.addAbsent(differences.absent);
+  private compareWithReplica({ shown, known, differences }: StateReading): Inconsistency[] {
+    if (this.alarm.isRaised()) this.missingKeyTracker.recordAbsent(differences.absent);
     return [
       ...findInconsistencies(known ?? {}, shown),
-      ...missingKeyInconsistencies(this.missing.list()),
+      ...missingKeyInconsistencies(this.missingKeyTracker.list()),
       ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_regressed', key })),
       ...differences.forked.map((key): Inconsistency => ({ kind: 'history_forked', key })),
     ];
@@ -136,90 +143,99 @@
     this.hasAcceptedReading = true;
     this.highestRevision = Math.max(this.highestRevision, revision);
     if (!this.alarm.isRaised()) return;
-    this.missing.forgetExplained();
+    this.missingKeyTracker.clearExplained();
     this.alarm.clear();
   }
 
-  confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean {
+  confirmCopy(sentAt: Micros, replicaMarks: HighWaterMarks): boolean {
     if (this.alarm.isRaised()) return false;
-    const evidence = this.compareWithObservations(sentAt, copy);
+    const evidence = this.compareWithObservations(sentAt, replicaMarks);
     if (evidence.length > 0) this.alarm.raise(evidence);
     return evidence.length === 0;
   }
 
   reportLostKeys(lostKeys: readonly string[]): boolean {
-    this.missing.addRemoved(lostKeys);
-    this.alarm.raise(toEvidence(`${OWN} watch`, missingKeyInconsistencies(lostKeys)));
+    this.missingKeyTracker.recordRemoved(lostKeys);
+    this.alarm.raise(toEvidence(`${OWN_SOURCE_PREFIX} watch`, missingKeyInconsistencies(lostKeys)));
     return true;
   }
 
   missingKeys(): readonly string[] {
-    return this.missing.list();
+    return this.missingKeyTracker.list();
   }
 
   reportFoundKey(key: string): void {
-    this.missing.markFound(key);
+    this.missingKeyTracker.markExplained(key);
   }
 
   reportIncompleteRead(reason: string): void {
     this.incompleteReadings++;
-    if (this.incompleteReadings < INCOMPLETE_READINGS_LIMIT) return;
+    if (this.incompleteReadings < INCOMPLETE_READINGS_UNTIL_ALARM) return;
     this.incompleteReadings = 0;
-    this.alarm.escalate(toEvidence(`${OWN} reading`, [{ kind: 'state_incomplete', reason }]));
+    this.alarm.escalate(toEvidence(`${OWN_SOURCE_PREFIX} reading`, [{ kind: 'state_incomplete', reason }]));
   }
 
   /**
-   * For peers; null while this node has observed nothing that could prove a loss. What it knows from peers only is not
-   * passed on: two peers would keep each other's alarm up.
+   * Returns the high-water mark to publish to peers; null while this node has observed nothing that could prove a loss.
+   * Evidence that came from peers is not passed on, because two peers would keep each other's alarm raised.
    */
   publishedHighWaterMark(): PeerHighWaterMark | null {
-    const isInconsistent = this.alarm.evidence.some(({ source }) => !source.startsWith(PEER));
+    const isInconsistent = this.alarm.evidence.some(({ source }) => !source.startsWith(PEER_SOURCE_PREFIX));
     return this.hasAcceptedReading || isInconsistent
       ? { revision: this.highestRevision, isInconsistent }
       : null;
   }
 
-  /** The fencing token for peers: while the alarm is raised it may be one that only workers and peers have observed. */
+  /**
+   * Returns the fencing token to publish to peers, given the replica's. While the alarm is raised the result may be a higher
+   * token that only workers and peers have observed.
+   */
   publishedFencingToken(fencingToken: number): number {
     return this.isOpen()
       ? fencingToken
       : Math.max(fencingToken, this.observations.combined().fencingToken ?? 0);
   }
 
-  /** Records what a worker's heartbeat shows of the state under which its tasks were started. */
+  /** Records the fencing token and the log positions that a worker's heartbeat proves to have existed. */
   observeHeartbeat(heartbeat: Heartbeat): void {
     const source = `worker ${heartbeat.host}`;
-    this.observations.record(source, marksOfHeartbeat(heartbeat), this.options.clock.now());
+    this.observations.record(source, highWaterMarksOfHeartbeat(heartbeat), this.options.clock.now());
   }
 
-  /** Records what a peer has observed of the state; raises the alarm if the peer finds the state inconsistent with it. */
+  /**
+   * Records the marks that a peer has published. Raises the alarm if the peer finds the state inconsistent and has observed
+   * more than this node.
+   */
   observePeer(member: string, { fencingToken, highWaterMark }: PeerStatus): void {
-    const source = `${PEER} ${member}`;
-    const at = this.options.clock.now();
+    const source = `${PEER_SOURCE_PREFIX} ${member}`;
+    const observedAt = this.options.clock.now();
     if (highWaterMark === null) {
-      this.observations.record(source, { fencingToken }, at);
+      this.observations.record(source, { fencingToken }, observedAt);
       return;
     }
-    this.peersWithMarks.add(member);
+    this.peersWithHighWaterMarks.add(member);
     const marks: PartialHighWaterMarks = { fencingToken, revision: highWaterMark.revision };
     if (!highWaterMark.isInconsistent) {
-      this.observations.record(source, marks, at);
+      this.observations.record(source, marks, observedAt);
       return;
     }
-    const knownRevision = this.hasAcceptedReading ? this.highestRevision : NO_REVISION;
-    const observation = this.observations.recordDisagreement({ source, marks, at, knownRevision });
-    const inconsistencies = this.validDisagreement(observation);
+    const ownRevision = this.hasAcceptedReading ? this.highestRevision : NO_REVISION;
+    const observation = this.observations.recordDisagreement({ source, marks, observedAt, ownRevision });
+    const inconsistencies = this.disagreementInconsistencies(observation);
     if (inconsistencies.length > 0) this.alarm.raise(toEvidence(source, inconsistencies));
   }
 
-  /** The worker runs tasks that no record of this copy has started: it gets no answer that could end them. */
-  isWorkerAheadOf(copy: HighWaterMarks, heartbeat: Heartbeat): boolean {
-    const positions = marksOfHeartbeat(heartbeat).positions ?? {};
-    return findInconsistencies({ positions }, copy).length > 0;
+  /**
+   * Returns true if the worker runs tasks that no record in this node's replica has started. The node must not answer such
+   * a heartbeat with commands that could end these tasks.
+   */
+  isWorkerAheadOfReplica(replicaMarks: HighWaterMarks, heartbeat: Heartbeat): boolean {
+    const positions = highWaterMarksOfHeartbeat(heartbeat).positions ?? {};
+    return findInconsistencies({ positions }, replicaMarks).length > 0;
   }
 
-  /** The present state and the evidence for it, for operators. */
-  report(): DataLossStatus {
+  /** Returns the detector's state and the evidence for it, for operators. */
+  status(): DataLossStatus {
     const { state, since, evidence, falseAlarms } = this.alarm;
     return {
       state,
@@ -230,21 +246,29 @@
     };
   }
 
-  private compareWithObservations(sentAt: Micros, shown: HighWaterMarks): Evidence[] {
-    const observations = this.observations.madeBefore(sentAt, this.options.clock.now());
+  /** Returns the inconsistencies with what workers and peers observed before `sentAt`, as evidence. */
+  private compareWithObservations(sentAt: Micros, shownMarks: HighWaterMarks): Evidence[] {
+    const observations = this.observations.observedBefore(sentAt, this.options.clock.now());
     return observations.flatMap((observation) => {
-      const inconsistencies = findInconsistencies(observation.marks, shown);
-      return toEvidence(observation.source, [...inconsistencies, ...this.validDisagreement(observation)]);
+      const inconsistencies = findInconsistencies(observation.marks, shownMarks);
+      return toEvidence(observation.source, [
+        ...inconsistencies,
+        ...this.disagreementInconsistencies(observation),
+      ]);
     });
   }
 
-  /** A peer that disagrees counts if it has observed more than this node had: another history may have grown beyond that. */
-  private validDisagreement(observation: Observation): Inconsistency[] {
+  /**
+   * Returns an inconsistency if a peer disagrees, has observed a higher revision than this node had when the disagreement
+   * began, and is not overruled. This node's current revision is no measure, because a different history may have grown
+   * beyond the peer's revision since.
+   */
+  private disagreementInconsistencies(observation: Observation): Inconsistency[] {
     const { marks, disagreesSinceRevision } = observation;
-    const known = marks.revision ?? 0;
+    const observed = marks.revision ?? 0;
     if (disagreesSinceRevision === null) return [];
-    if (known <= disagreesSinceRevision || this.observations.isOverruled(observation)) return [];
-    return [{ kind: 'peer_disagrees', known }];
+    if (observed <= disagreesSinceRevision || this.observations.isOverruled(observation)) return [];
+    return [{ kind: 'peer_disagrees', observed }];
   }
 }
 
--- a/packages/recovery/data-loss-status.ts
+++ b/packages/recovery/data-loss-status.ts
@@ -1,34 +1,35 @@
-/** What a node reports to operators about data loss in the state service. */
+/** Types of what a node reports to operators about data loss in the state service. */
 import { describeInconsistency, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
 
 /**
- * `serving`: nothing is inconsistent with what was observed before. `noticed`: something is, and a complete reading of the
- * live state is to decide whether data was lost; nothing is committed meanwhile. `frozen`: that reading is inconsistent, too.
+ * `serving`: the state is consistent with all earlier observations. `noticed`: an inconsistency was found, nothing is
+ * committed, and a complete reading of the live state will show whether data was lost. `frozen`: that reading is
+ * inconsistent, too, which confirms the loss; nothing is committed until a later reading is consistent.
  */
 export type DataLossState = 'serving' | 'noticed' | 'frozen';
 
-/** An inconsistency, and who observed what the state service no longer shows. */
+/** An inconsistency and the source of the observation that the state service contradicts. */
 export interface Evidence {
   /** `own requests`, `own copy`, `own watch`, `own reading`, `worker HOST` or `peer MEMBER`. */
   readonly source: string;
   readonly inconsistency: Inconsistency;
-  /** Source and inconsistency as a sentence, for operators and the log. */
+  /** Describes source and inconsistency in a sentence, for operators and the log. */
   readonly text: string;
 }
 
 /** The state of a node's data-loss detector. */
 export interface DataLossStatus {
   readonly state: DataLossState;
-  /** Seconds since the state was entered, to a tenth. */
+  /** Seconds since the state was entered, rounded to a tenth. */
   readonly sinceS: number;
   readonly evidence: readonly Evidence[];
-  /** Alarms that the first complete reading did not confirm. */
+  /** Number of alarms that the first complete reading did not confirm. */
   readonly falseAlarms: number;
-  /** The highest marks that this node, its workers and its peers have observed. */
+  /** The highest marks that this node, its workers and its peers have observed; `GET /recovery` answers with this name. */
   readonly seen: PartialHighWaterMarks;
 }
 
-/** One piece of evidence per inconsistency, all from this source. */
+/** Returns one piece of evidence for each inconsistency, all from the given source. */
 export function toEvidence(source: string, inconsistencies: readonly Inconsistency[]): Evidence[] {
   return inconsistencies.map((inconsistency) => ({
     source,
--- a/packages/recovery/inconsistencies.ts
+++ b/packages/recovery/inconsistencies.ts
@@ -1,44 +1,56 @@
-/** Compares what was observed of the state with what the state service shows. Pure: the same result on every node. */
+/**
+ * Compares earlier observations of the state with what the state service shows. The functions are pure, so that every node
+ * gets the same result from the same marks.
+ */
 import type { HighWaterMarks } from '#cluster';
 
-/** One way in which the state that is shown falls short of what was observed before. */
+/** One way in which the state that the state service shows (`shown`) falls short of an earlier observation (`observed`). */
 export type Inconsistency =
-  | { readonly kind: 'revision_regressed'; readonly known: number; readonly shown: number }
+  | { readonly kind: 'revision_regressed'; readonly observed: number; readonly shown: number }
   | { readonly kind: 'revision_reused'; readonly revision: number }
-  | { readonly kind: 'fencing_token_regressed'; readonly known: number; readonly shown: number }
-  | { readonly kind: 'log_regressed'; readonly log: string; readonly known: number; readonly shown: number }
+  | { readonly kind: 'fencing_token_regressed'; readonly observed: number; readonly shown: number }
+  | {
+      readonly kind: 'log_regressed';
+      readonly log: string;
+      readonly observed: number;
+      readonly shown: number;
+    }
   | { readonly kind: 'key_missing'; readonly key: string }
   | { readonly kind: 'key_regressed'; readonly key: string }
   | { readonly kind: 'history_forked'; readonly key: string }
-  | { readonly kind: 'peer_disagrees'; readonly known: number }
+  | { readonly kind: 'peer_disagrees'; readonly observed: number }
   | { readonly kind: 'state_incomplete'; readonly reason: string };
 
-/** High-water marks that somebody has observed; absent ones were not observed. */
+/** High-water marks that a node, worker or peer has observed; a mark that was not observed is absent. */
 export type PartialHighWaterMarks = Partial<HighWaterMarks>;
 
-/** Every mark that the shown state has not reached; empty once it has reached all that were observed. */
+/** Returns an inconsistency for every observed mark that the shown state has not reached. */
 export function findInconsistencies(
-  observed: PartialHighWaterMarks,
-  shown: PartialHighWaterMarks,
+  observedMarks: PartialHighWaterMarks,
+  shownMarks: PartialHighWaterMarks,
 ): Inconsistency[] {
-  const found: Inconsistency[] = [];
-  if (isBehind(observed.revision, shown.revision)) {
-    found.push({ kind: 'revision_regressed', known: observed.revision ?? 0, shown: shown.revision ?? 0 });
+  const inconsistencies: Inconsistency[] = [];
+  if (isBehind(observedMarks.revision, shownMarks.revision)) {
+    inconsistencies.push({
+      kind: 'revision_regressed',
+      observed: observedMarks.revision ?? 0,
+      shown: shownMarks.revision ?? 0,
+    });
   }
-  if (isBehind(observed.fencingToken, shown.fencingToken)) {
-    const known = observed.fencingToken ?? 0;
-    found.push({ kind: 'fencing_token_regressed', known, shown: shown.fencingToken ?? 0 });
+  if (isBehind(observedMarks.fencingToken, shownMarks.fencingToken)) {
+    const observed = observedMarks.fencingToken ?? 0;
+    inconsistencies.push({ kind: 'fencing_token_regressed', observed, shown: shownMarks.fencingToken ?? 0 });
   }
-  for (const [log, known] of Object.entries(observed.positions ?? {})) {
-    const position = shown.positions?.[log] ?? 0;
-    if (shown.positions && known > position) {
-      found.push({ kind: 'log_regressed', log, known, shown: position });
+  for (const [log, observed] of Object.entries(observedMarks.positions ?? {})) {
+    const position = shownMarks.positions?.[log] ?? 0;
+    if (shownMarks.positions && observed > position) {
+      inconsistencies.push({ kind: 'log_regressed', log, observed, shown: position });
     }
   }
-  return found;
+  return inconsistencies;
 }
 
-/** The higher of each mark. */
+/** Returns the higher value of each mark. */
 export function mergeHighWaterMarks(
   a: PartialHighWaterMarks,
   b: PartialHighWaterMarks,
@@ -54,17 +66,17 @@
   };
 }
 
-/** The inconsistency as a sentence for operators, who call a revision an epoch. */
+/** Describes the inconsistency in a sentence for operators, who call a revision an epoch. */
 export function describeInconsistency(inconsistency: Inconsistency): string {
   switch (inconsistency.kind) {
     case 'revision_regressed':
-      return `epoch ${inconsistency.shown} is shown, ${inconsistency.known} was seen`;
+      return `epoch ${inconsistency.shown} is shown, ${inconsistency.observed} was seen`;
     case 'revision_reused':
       return `a commit is said to have made epoch ${inconsistency.revision}, which was seen before it`;
     case 'fencing_token_regressed':
-      return `token ${inconsistency.shown} is shown, ${inconsistency.known} was seen`;
+      return `token ${inconsistency.shown} is shown, ${inconsistency.observed} was seen`;
     case 'log_regressed':
-      return `log ${inconsistency.log} ends at ${inconsistency.shown}, record ${inconsistency.known} was seen`;
+      return `log ${inconsistency.log} ends at ${inconsistency.shown}, record ${inconsistency.observed} was seen`;
     case 'key_missing':
       return `${inconsistency.key} is gone, and no node removes it`;
     case 'key_regressed':
@@ -72,7 +84,7 @@
     case 'history_forked':
       return `${inconsistency.key} holds another record of the same number: this is another history`;
     case 'peer_disagrees':
-      return `it has seen epoch ${inconsistency.known}, and finds the state to contradict it`;
+      return `it has seen epoch ${inconsistency.observed}, and finds the state to contradict it`;
     case 'state_incomplete':
       return `the state can not be read whole: ${inconsistency.reason}`;
   }
--- a/packages/recovery/index.ts
+++ b/packages/recovery/index.ts
@@ -1,4 +1,4 @@
-/** Detects data loss in the state service, and writes and reads snapshots of the state. */
+/** Detects data loss in the state service; writes and reads snapshots of the state. */
 export * from './observations.js';
 export * from './inconsistencies.js';
 export * from './data-loss-detector.js';
--- a/packages/recovery/observations.ts
+++ b/packages/recovery/observations.ts
@@ -1,36 +1,36 @@
 /**
- * The high-water marks that workers and peers have observed. A cluster whose controllers have all restarted knows of the
- * state before a loss by them only.
+ * Stores the high-water marks that workers and peers have observed. After all controllers of a cluster have restarted,
+ * these marks are the only knowledge of the state before a loss.
  */
 import { attemptOrigin } from '#cluster';
 import type { Heartbeat, Micros } from '#wire';
 import { mergeHighWaterMarks, type PartialHighWaterMarks } from './inconsistencies.js';
 
-/** What one worker or peer has observed, as of its latest message. */
+/** The marks that one worker or peer has observed, as of its latest message. */
 export interface Observation {
   /** `worker HOST` or `peer MEMBER`. */
   readonly source: string;
   readonly marks: PartialHighWaterMarks;
-  /** Steady time of the latest message. */
-  readonly at: Micros;
+  /** Monotonic time of the latest message. */
+  readonly observedAt: Micros;
   /**
-   * Set while the source, a peer, finds the state inconsistent with what it observed itself: the highest revision that
-   * this node knew at the first such message. Null while the source finds the state consistent.
+   * Set while the source is a peer that finds the state inconsistent with what it has observed itself. The value is this
+   * node's highest revision at the first such message. Null while the source finds the state consistent.
    */
   readonly disagreesSinceRevision: number | null;
 }
 
-/** A message of a peer that finds the state inconsistent. */
+/** A message from a peer that finds the state inconsistent with what it has observed. */
 export interface Disagreement {
   readonly source: string;
   readonly marks: PartialHighWaterMarks;
-  readonly at: Micros;
-  /** The highest revision that this node knows at this time. */
-  readonly knownRevision: number;
+  readonly observedAt: Micros;
+  /** The receiving node's highest revision when the message arrives. */
+  readonly ownRevision: number;
 }
 
-/** The fencing token that a worker has accepted, and the log positions of the records that started its tasks. */
-export function marksOfHeartbeat({ fencingToken, tasks }: Heartbeat): PartialHighWaterMarks {
+/** Returns the fencing token that a worker has accepted, and the log positions of the records that started its tasks. */
+export function highWaterMarksOfHeartbeat({ fencingToken, tasks }: Heartbeat): PartialHighWaterMarks {
   const positions: Record<string, number> = {};
   for (const { attempt } of tasks) {
     const { shard, sequence } = attemptOrigin(Number(attempt));
@@ -39,41 +39,51 @@
   return { fencingToken: Number(fencingToken), positions };
 }
 
-/** The latest observation of each source, for as long as the source repeats it. */
+/** Holds the latest observation of each source for as long as the source repeats it. */
 export class Observations {
+  /** Keyed by source. */
   private readonly bySource = new Map<string, Observation>();
 
-  /** An observation that its source has not repeated for `lifetime` is dropped: its machine is taken to be gone. */
+  /** Drops an observation that its source has not repeated for `lifetime`, since its machine is assumed to be gone. */
   constructor(private readonly lifetime: Micros) {}
 
-  /** Marks never fall: a task that ended is missing from its worker's heartbeats, and was observed all the same. */
+  /**
+   * Records the marks of a source that does not report an inconsistency. Marks never decrease: a task that has ended is missing
+   * from its worker's later heartbeats, but it was observed.
+   */
   record(source: string, marks: PartialHighWaterMarks, now: Micros): void {
     const earlier = this.bySource.get(source)?.marks ?? {};
     this.bySource.set(source, {
       source,
       marks: mergeHighWaterMarks(earlier, marks),
-      at: now,
+      observedAt: now,
       disagreesSinceRevision: null,
     });
   }
 
-  /** Records what a peer has observed that finds the state inconsistent with it. */
-  recordDisagreement({ source, marks, at, knownRevision }: Disagreement): Observation {
-    const disagreesSinceRevision = this.bySource.get(source)?.disagreesSinceRevision ?? knownRevision;
-    const observation = { source, marks, at, disagreesSinceRevision };
+  /** Records the marks of a peer that finds the state inconsistent with them, and returns the observation. */
+  recordDisagreement({ source, marks, observedAt, ownRevision }: Disagreement): Observation {
+    const disagreesSinceRevision = this.bySource.get(source)?.disagreesSinceRevision ?? ownRevision;
+    const observation = { source, marks, observedAt, disagreesSinceRevision };
     this.bySource.set(source, observation);
     return observation;
   }
 
-  /** Observations of before the given time: what is read from then on has to reach their marks. */
-  madeBefore(time: Micros, now: Micros): Observation[] {
-    for (const [source, { at }] of this.bySource) {
-      if (now - at > this.lifetime) this.bySource.delete(source);
+  /**
+   * Returns the observations made before `time`; a reading that began at `time` must reach their marks. Deletes
+   * observations that have expired.
+   */
+  observedBefore(time: Micros, now: Micros): Observation[] {
+    for (const [source, { observedAt }] of this.bySource) {
+      if (now - observedAt > this.lifetime) this.bySource.delete(source);
     }
-    return [...this.bySource.values()].filter(({ at }) => at < time);
+    return [...this.bySource.values()].filter(({ observedAt }) => observedAt < time);
   }
 
-  /** A source that has observed a higher revision finds the state consistent: the disagreement is about another history. */
+  /**
+   * Returns true if a source that has observed a higher revision finds the state consistent. The disagreement then concerns
+   * a different history.
+   */
   isOverruled({ marks }: Observation): boolean {
     const revision = marks.revision ?? 0;
     return [...this.bySource.values()].some(
@@ -81,10 +91,10 @@
     );
   }
 
-  /** The highest of each mark that any source has observed. */
+  /** Returns the highest value of each mark over all sources. */
   combined(): PartialHighWaterMarks {
     return [...this.bySource.values()].reduce<PartialHighWaterMarks>(
-      (all, { marks }) => mergeHighWaterMarks(all, marks),
+      (merged, { marks }) => mergeHighWaterMarks(merged, marks),
       {},
     );
   }
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -1,4 +1,4 @@
-/** Properties of the comparison of marks, and of the detector's states against a reference model of the state service. */
+/** Property tests: the comparison of high-water marks, and the detector's states against a reference model of the state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -8,7 +8,7 @@
 import { findInconsistencies, mergeHighWaterMarks, type PartialHighWaterMarks } from './inconsistencies.js';
 import { DataLossDetector } from './data-loss-detector.js';
 
-const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const NO_LOG = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const NO_DIFFERENCES = { forked: [], regressed: [], absent: [] };
 
 const smallNumbers = fc.nat({ max: 20 });
@@ -18,21 +18,21 @@
   positions: fc.dictionary(fc.constantFrom('lead', '0', '1'), smallNumbers),
 });
 
-function reaches(shown: HighWaterMarks, observed: PartialHighWaterMarks): boolean {
-  return findInconsistencies(observed, shown).length === 0;
+function reaches(shownMarks: HighWaterMarks, observedMarks: PartialHighWaterMarks): boolean {
+  return findInconsistencies(observedMarks, shownMarks).length === 0;
 }
 
-test('observations can be merged in any order, and repeatedly, and the result is reached if each part is', () => {
+test('high-water marks can be merged in any order and repeatedly, and a state reaches the result if and only if it reaches each part', () => {
   fc.assert(
     fc.property(
       fc.tuple(highWaterMarks, highWaterMarks, highWaterMarks, highWaterMarks),
       ([a, b, c, shown]) => {
-        const left = mergeHighWaterMarks(mergeHighWaterMarks(a, b), c);
-        const right = mergeHighWaterMarks(c, mergeHighWaterMarks(b, a));
-        assert.equal(reaches(shown, left), reaches(shown, right));
-        assert.deepEqual(mergeHighWaterMarks(left, a), left);
+        const leftToRight = mergeHighWaterMarks(mergeHighWaterMarks(a, b), c);
+        const rightToLeft = mergeHighWaterMarks(c, mergeHighWaterMarks(b, a));
+        assert.equal(reaches(shown, leftToRight), reaches(shown, rightToLeft));
+        assert.deepEqual(mergeHighWaterMarks(leftToRight, a), leftToRight);
         assert.equal(
-          reaches(shown, left),
+          reaches(shown, leftToRight),
           [a, b, c].every((part) => reaches(shown, part)),
         );
       },
@@ -40,7 +40,7 @@
   );
 });
 
-test('a state that only grows is never inconsistent with what was observed of it', () => {
+test('a state whose marks only increase is consistent with every earlier observation', () => {
   fc.assert(
     fc.property(highWaterMarks, highWaterMarks, (earlier, growth) => {
       const later = mergeHighWaterMarks(earlier, growth) as HighWaterMarks;
@@ -51,17 +51,17 @@
 
 type Step = { kind: 'commit' } | { kind: 'read' } | { kind: 'lose'; to: number } | { kind: 'restore' };
 
-const steps: fc.Arbitrary<Step> = fc.oneof(
+const arbitraryStep: fc.Arbitrary<Step> = fc.oneof(
   { weight: 4, arbitrary: fc.constant<Step>({ kind: 'commit' }) },
   { weight: 4, arbitrary: fc.constant<Step>({ kind: 'read' }) },
   { weight: 1, arbitrary: smallNumbers.map((to): Step => ({ kind: 'lose', to })) },
   { weight: 2, arbitrary: fc.constant<Step>({ kind: 'restore' }) },
 );
 
-/** A state service with one writer, which may lose its latest revisions and be restored to the last. */
+/** A model of a state service with one writer. It may lose its latest revisions, and may be restored to the last one. */
 class ModelStore {
   revision = 1;
-  /** The highest revision that was ever committed. */
+  /** The highest revision that was ever committed, including lost ones. */
   lastCommitted = 1;
 
   commit(): void {
@@ -74,9 +74,9 @@
   }
 }
 
-test('a detector that gets readings is closed if and only if the state service shows less than it has shown', () => {
+test('after each reading the detector is closed if and only if the state service shows a lower revision than before', () => {
   fc.assert(
-    fc.property(fc.array(steps, { maxLength: 60 }), (history) => {
+    fc.property(fc.array(arbitraryStep, { maxLength: 60 }), (history) => {
       const clock = new SimClock();
       const view = clock.view(
         (step) => {
@@ -87,7 +87,7 @@
       );
       const detector = new DataLossDetector({
         clock: view,
-        log: SILENT,
+        log: NO_LOG,
         observationLifetime: 60 * SECOND,
         peerCount: 0,
         heartbeatInterval: -2 * SECOND,
@@ -100,11 +100,11 @@
         const known = highestShown > 0 ? { ...shown, revision: detector.minimumRevision() } : null;
         detector.judgeReading({ sentAt: view.now(), shown, known, differences: NO_DIFFERENCES });
         if (store.revision >= highestShown) highestShown = store.revision;
-        assert.equal(detector.isOpen(), store.revision >= highestShown, JSON.stringify(detector.report()));
+        assert.equal(detector.isOpen(), store.revision >= highestShown, JSON.stringify(detector.status()));
       };
       read();
       for (const step of history) {
-        // A detector that is closed lets nothing be committed.
+        // While the detector is closed nothing is committed.
         if (step.kind === 'commit' && detector.isOpen() && store.isComplete) store.commit();
         else if (step.kind === 'lose') store.revision = Math.min(store.revision, step.to);
         else if (step.kind === 'restore') store.revision = store.lastCommitted;
--- a/packages/recovery/snapshot-codec.ts
+++ b/packages/recovery/snapshot-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the state to the lines of a snapshot, field by field, and lines to text and back. The types of the lines name every
- * value that a file may hold, so that renaming one in the code only doesn't compile.
+ * Maps the state to the lines of a snapshot, field by field, and converts lines to text and back. The types of the lines
+ * list every value that a file may hold. Renaming such a value in the code alone is therefore a compile error.
  */
 import type { CheckpointRow, TerminalStatus, LiveJob, HighWaterMarks } from '#cluster';
 import type { JobSpec, MachineType } from '#wire';
@@ -18,19 +18,19 @@
   type MachineTypeLine,
 } from './snapshot-format.js';
 
-/** Who writes a snapshot, and when. */
+/** Describes which node writes a snapshot, and when. */
 export interface SnapshotOrigin {
-  /** The node whose copy of the state is written. */
+  /** The node whose replica of the state is written. */
   readonly member: string;
-  /** Every node of its cluster. */
+  /** Every node of the cluster. */
   readonly nodes: readonly string[];
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time, in milliseconds. */
   readonly takenAt: number;
-  /** State of the node's data-loss detector; null where it is switched off. */
-  readonly loss: DataLossState | null;
+  /** State of the node's data-loss detector; null if detection is off. */
+  readonly dataLossState: DataLossState | null;
 }
 
-/** The first line of a snapshot of a copy that has reached these marks. */
+/** Returns the first line of a snapshot of a replica that has reached these marks. */
 export function encodeHeader(origin: SnapshotOrigin, marks: HighWaterMarks): SnapshotHeader {
   return {
     kind: 'header',
@@ -39,39 +39,42 @@
     member: origin.member,
     nodes: origin.nodes,
     takenAt: origin.takenAt,
-    loss: origin.loss,
+    loss: origin.dataLossState,
     epoch: marks.revision,
     token: marks.fencingToken,
     positions: marks.positions,
   };
 }
 
-/** The line of a machine type. */
+/** Returns the line for a machine type. */
 export function encodeMachineType(type: MachineType): MachineTypeLine {
   return { kind: 'type', type: machineTypeFields(type) };
 }
 
-/** The line of a live job. */
+/** Returns the line for a live job. */
 export function encodeJob(id: string, job: LiveJob): JobLine {
   return { kind: 'job', id, at: job.acceptedAtMs, spec: jobSpecFields(job.spec) };
 }
 
-/** The line of a job that has ended. */
+/** Returns the line for a job that has ended. */
 export function encodeTerminalStatus(id: string, status: TerminalStatus): TerminalStatusLine {
   return { kind: 'final', id, status };
 }
 
-/** The line of a checkpoint row. Its cells are those of the stored row. */
+/** Returns the line for a checkpoint row, which keeps the cells of the stored row. */
 export function encodeCheckpointRow(row: CheckpointRow): CheckpointRowLine {
   return { kind: 'ledger', row };
 }
 
-/** A line as it stands in the file, with its end. */
+/** Returns the text of a line in the file, with the line break. */
 export function formatLine(line: SnapshotLine): string {
   return `${JSON.stringify(line)}\n`;
 }
 
-/** The line that these bytes hold, of whatever kind it says it is; null if they are no such line. */
+/**
+ * Parses the bytes of one line; null if they are not a JSON object with a `kind`. The kind and the other fields are not
+ * validated.
+ */
 export function parseLine(bytes: Buffer): SnapshotLine | null {
   try {
     const value: unknown = JSON.parse(bytes.toString('utf8'));
--- a/packages/recovery/snapshot-error.ts
+++ b/packages/recovery/snapshot-error.ts
@@ -1,9 +1,12 @@
-/** Why a file can't be used as a snapshot. */
+/** Errors for files that can't be used as a snapshot. */
 
-/** `foreign`: no snapshot. `newer`: of a later version. `truncated`: cut off. `damaged`: changed after it was written. */
+/**
+ * `foreign`: the file is not a snapshot. `newer`: the file has a later version of the format. `truncated`: the end of the file
+ * is missing. `damaged`: the file was changed after it was written.
+ */
 export type SnapshotFault = 'foreign' | 'newer' | 'truncated' | 'damaged';
 
-/** A file that can't be used as a snapshot; the message begins with the fault. */
+/** Thrown for a file that can't be used as a snapshot; the message begins with the fault. */
 export class SnapshotError extends Error {
   override readonly name = 'SnapshotError';
 
@@ -16,15 +19,17 @@
   }
 }
 
-/** The fault of a file that an error of its decompression shows; the error itself if it shows none. */
-export function faultOfDecompression(cause: unknown): unknown {
+/** Converts an error of the decompression to a {@link SnapshotError}; returns other errors unchanged. */
+export function toSnapshotError(cause: unknown): unknown {
   switch ((cause as { code?: unknown }).code) {
     case 'Z_BUF_ERROR':
-      return new SnapshotError('truncated', 'it ends within its compressed data', { cause });
+      return new SnapshotError('truncated', 'the compressed data ends before the end of the gzip stream', {
+        cause,
+      });
     case 'Z_DATA_ERROR':
       return String(cause).includes('incorrect header check')
-        ? new SnapshotError('foreign', 'it is not compressed as a snapshot is', { cause })
-        : new SnapshotError('damaged', 'its compressed data is damaged', { cause });
+        ? new SnapshotError('foreign', 'the file is not compressed with gzip', { cause })
+        : new SnapshotError('damaged', 'the compressed data is invalid', { cause });
     default:
       return cause;
   }
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -1,4 +1,4 @@
-/** The text of a snapshot, to the byte: files written by earlier versions hold exactly these lines. */
+/** Golden tests of the snapshot format, to the byte: files written by earlier versions hold exactly these lines. */
 import assert from 'node:assert/strict';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
@@ -10,9 +10,9 @@
 import type { SnapshotOrigin } from './snapshot-codec.js';
 import { SnapshotError } from './snapshot-error.js';
 import { readSnapshot, type SnapshotSummary } from './snapshot-reader.js';
-import { type TerminalStatusPages, writeSnapshot } from './snapshot-writer.js';
+import { type FetchTerminalStatusPage, writeSnapshot } from './snapshot-writer.js';
 
-/** A state with machines in every condition, an open scale-out request, prices, array and gang tasks, and tasks that are done. */
+/** Returns a ledger with machines in every status, an open scale-out request, prices, array and gang tasks, and completed tasks. */
 function sampleLedger(): Ledger {
   const ledger = new Ledger();
   ledger.apply('lead', {
@@ -109,8 +109,8 @@
 
 type Writable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** A copy of the state that holds {@link sampleLedger}, two live jobs, two that have ended and a machine type. */
-function sampleCopy(): Replica {
+/** Returns a replica that holds {@link sampleLedger}, two live jobs, two terminal jobs and a machine type. */
+function sampleReplica(): Replica {
   const gang = sampleJob('j-000002', {
     team: 'green',
     shape: 'gang',
@@ -122,32 +122,32 @@
     singleZone: true,
     deadlineS: 600,
   });
-  // Its own summary is used, but no state service to follow.
-  const copy = Object.create(Replica.prototype) as Writable<Replica>;
-  copy.ledger = sampleLedger();
-  copy.appliedRevision = 431;
-  copy.fencingToken = { value: 7, revision: 1 };
-  copy.machineTypes = new Map([[LARGE.name, LARGE]]);
-  copy.jobs = new Map([
+  // Created without the constructor: the test needs the methods of the class, but no state service to follow.
+  const replica = Object.create(Replica.prototype) as Writable<Replica>;
+  replica.ledger = sampleLedger();
+  replica.appliedRevision = 431;
+  replica.fencingToken = { value: 7, revision: 1 };
+  replica.machineTypes = new Map([[LARGE.name, LARGE]]);
+  replica.jobs = new Map([
     ['j-000001', { spec: sampleJob('j-000001'), acceptedAtMs: 900, acceptedRevision: 5 }],
     ['j-000002', { spec: gang, acceptedAtMs: 950, acceptedRevision: 6 }],
   ]);
-  copy.terminalJobs = new Map([
+  replica.terminalJobs = new Map([
     ['j-000003', { status: 'done', revision: 7 }],
     ['j-000004', { status: 'cancelled', revision: 8 }],
   ]);
-  return copy as Replica;
+  return replica as Replica;
 }
 
 const ORIGIN: SnapshotOrigin = {
   member: 'node-2',
   nodes: ['node-1', 'node-2'],
   takenAt: 1_700_000_000_123,
-  loss: null,
+  dataLossState: null,
 };
 
-/** Two pages of terminal statuses, requested by the last job id of the page before. */
-const terminalStatusPages: TerminalStatusPages = (after) => {
+/** Serves two pages of terminal statuses; a page is requested by the last job id of the previous page. */
+const fetchTerminalStatusPage: FetchTerminalStatusPage = (after) => {
   if (after === '') {
     return Promise.resolve([
       { id: 'j-000010', status: 'done' },
@@ -157,9 +157,9 @@
   return Promise.resolve(after === 'j-000011' ? [{ id: 'j-000012', status: 'done' }] : []);
 };
 
-async function textOf(origin: SnapshotOrigin, pages: TerminalStatusPages): Promise<string[]> {
+async function writtenLines(origin: SnapshotOrigin, fetchPage: FetchTerminalStatusPage): Promise<string[]> {
   const lines: string[] = [];
-  for await (const line of writeSnapshot(sampleCopy(), origin, pages)) lines.push(line);
+  for await (const line of writeSnapshot(sampleReplica(), origin, fetchPage)) lines.push(line);
   return lines;
 }
 
@@ -195,33 +195,33 @@
 const TRAILER =
   '{"kind":"trailer","lines":24,"sha256":"5b5262c04ef1916e41c1b1d502abc5e4a7f38585b0bc872e59bc2c3d5d53a2d4","hasAllFinals":true}';
 
-const WHOLE = [HEADER, ...BODY, TRAILER];
+const ALL_LINES = [HEADER, ...BODY, TRAILER];
 
-/** The names that `snapshot show --json` gives to fields of {@link SnapshotSummary}; it prints all others under their own. */
+/** Fields of {@link SnapshotSummary} that `snapshot show --json` prints under another name, keyed by the field. */
 const PRINTED_NAMES = new Map<string, string>([
   ['terminalStatuses', 'finals'],
   ['scaleOutRequests', 'rentals'],
   ['hasAllTerminalStatuses', 'hasAllFinals'],
 ] satisfies [keyof SnapshotSummary, string][]);
 
-/** The counts that {@link readSnapshot} returns, as `snapshot show --json` prints them. */
+/** The result of {@link readSnapshot}, as `snapshot show --json` prints it. */
 const SUMMARY =
   '{"header":{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":null,"epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}},"jobs":2,"finals":5,"machines":8,"rentals":1,"tasks":3,"machineTypes":1,"lines":24,"hasAllFinals":true,"positions":{"0":2,"1":1,"lead":1}}';
 
-function readBack(text: string, take?: (line: SnapshotLine) => void): ReturnType<typeof readSnapshot> {
-  return readSnapshot(Readable.from([gzipSync(text)]), take);
+function readBack(text: string, onLine?: (line: SnapshotLine) => void): ReturnType<typeof readSnapshot> {
+  return readSnapshot(Readable.from([gzipSync(text)]), onLine);
 }
 
-test('a snapshot is these lines, to the byte', async () => {
+test('writes the expected lines of a snapshot, to the byte', async () => {
   assert.deepEqual(
-    await textOf(ORIGIN, terminalStatusPages),
-    WHOLE.map((line) => `${line}\n`),
+    await writtenLines(ORIGIN, fetchTerminalStatusPage),
+    ALL_LINES.map((line) => `${line}\n`),
   );
 });
 
-test('the header names the state of the data-loss detector, the trailer says that terminal statuses are incomplete', async () => {
-  const failing: TerminalStatusPages = () => Promise.reject(new Error('state service: 503'));
-  const lines = await textOf({ ...ORIGIN, loss: 'frozen' }, failing);
+test('writes the state of the data-loss detector to the header, and records missing terminal statuses in the trailer', async () => {
+  const failingFetch: FetchTerminalStatusPage = () => Promise.reject(new Error('state service: 503'));
+  const lines = await writtenLines({ ...ORIGIN, dataLossState: 'frozen' }, failingFetch);
   assert.equal(
     lines[0],
     '{"kind":"header","format":"micaworks-snapshot","version":1,"member":"node-2","nodes":["node-1","node-2"],"takenAt":1700000000123,"loss":"frozen","epoch":431,"token":7,"positions":{"0":2,"1":1,"lead":1}}\n',
@@ -233,16 +233,16 @@
   assert.deepEqual(
     lines.slice(1, -1),
     BODY.slice(0, -3).map((line) => `${line}\n`),
-    'all but the terminal statuses that the pages would have given',
+    'all lines except the terminal statuses of the failed pages',
   );
 });
 
-test('the text is read back as it was written, with the counts of what it holds', async () => {
+test('reads back the lines as they were written, and counts the objects in them', async () => {
   const lines: string[] = [];
-  const summary = await readBack(WHOLE.map((line) => `${line}\n`).join(''), (line) =>
+  const summary = await readBack(ALL_LINES.map((line) => `${line}\n`).join(''), (line) =>
     lines.push(JSON.stringify(line)),
   );
-  assert.deepEqual(lines, WHOLE.slice(0, -1));
+  assert.deepEqual(lines, ALL_LINES.slice(0, -1));
   const printed = Object.entries(summary).map(([name, value]): [string, unknown] => [
     PRINTED_NAMES.get(name) ?? name,
     value,
@@ -250,9 +250,9 @@
   assert.equal(JSON.stringify(Object.fromEntries(printed)), SUMMARY);
 });
 
-test('the rows of the text restore a state that gives the same rows', async () => {
+test('a ledger restored from the rows of a snapshot gives the same rows', async () => {
   const rows: Parameters<Ledger['restore']>[1][number][] = [];
-  const { positions } = await readBack(WHOLE.map((line) => `${line}\n`).join(''), (line) => {
+  const { positions } = await readBack(ALL_LINES.map((line) => `${line}\n`).join(''), (line) => {
     if (line.kind === 'ledger') rows.push(line.row);
   });
   const restored = new Ledger();
@@ -264,7 +264,7 @@
   );
 });
 
-test('unknown fields are ignored', async () => {
+test('ignores unknown fields', async () => {
   const header = `${HEADER.slice(0, -1)},"later":1}\n`;
   const lines: string[] = [];
   const { createHash } = await import('node:crypto');
@@ -274,30 +274,36 @@
   assert.deepEqual([lines, summary.lines, summary.header.epoch], [['header'], 1, 431]);
 });
 
-test('a file that is no complete snapshot is rejected with these messages', async () => {
+test('rejects a file that is not a complete snapshot with a message that names the fault', async () => {
   const header = `${HEADER}\n`;
-  const whole = WHOLE.map((line) => `${line}\n`).join('');
-  const long = `"${'x'.repeat(MAX_LINE_BYTES)}`;
+  const completeText = ALL_LINES.map((line) => `${line}\n`).join('');
+  const overlongLine = `"${'x'.repeat(MAX_LINE_BYTES)}`;
   const cases: [text: string, message: string][] = [
-    ['', 'foreign: the file is empty, or no snapshot'],
-    ['no JSON\n', 'foreign: line 1 can not be read'],
-    ['{"kind":"job"}\n', 'foreign: it is no snapshot'],
-    ['{"kind":"header","format":"other","version":1}\n', 'foreign: it is no snapshot'],
+    ['', 'foreign: the file is empty, or its first line is incomplete'],
+    ['no JSON\n', 'foreign: line 1 is not a JSON object with a kind'],
+    ['{"kind":"job"}\n', 'foreign: the first line is not a header of the format micaworks-snapshot'],
+    [
+      '{"kind":"header","format":"other","version":1}\n',
+      'foreign: the first line is not a header of the format micaworks-snapshot',
+    ],
     [
       '{"kind":"header","format":"micaworks-snapshot","version":0}\n',
-      'foreign: it has no version that could be read',
+      'foreign: the header has the invalid version 0',
     ],
     [
       '{"kind":"header","format":"micaworks-snapshot","version":2}\n',
-      'newer: it has version 2, this program reads up to 1',
+      'newer: the file has version 2, but this program supports only up to 1',
+    ],
+    [overlongLine, 'foreign: line 1 is longer than 1048576 bytes'],
+    [header, 'truncated: the file ends after 1 lines, without a trailer'],
+    [header + overlongLine, 'damaged: line 2 is longer than 1048576 bytes'],
+    [`${header}nothing\n`, 'damaged: line 2 is not a JSON object with a kind'],
+    [`${header}{"kind":"later"}\n`, 'damaged: line 2 has the unknown kind "later"'],
+    [
+      `${header}${TRAILER}\n`,
+      'damaged: the line count or the checksum in the trailer does not match the lines',
     ],
-    [long, 'foreign: a line is too long'],
-    [header, 'truncated: it ends after 1 lines'],
-    [header + long, 'damaged: a line is too long'],
-    [`${header}nothing\n`, 'damaged: line 2 can not be read'],
-    [`${header}{"kind":"later"}\n`, 'damaged: it has lines of the unknown kind later'],
-    [`${header}${TRAILER}\n`, 'damaged: its checksum is wrong'],
-    [`${whole}${header}`, 'damaged: there is something after its end'],
+    [`${completeText}${header}`, 'damaged: the file continues after its trailer'],
   ];
   for (const [text, message] of cases) {
     await assert.rejects(
@@ -306,16 +312,19 @@
       message,
     );
   }
-  const compressed = gzipSync(whole);
-  const broken: [bytes: Buffer, message: string][] = [
-    [compressed.subarray(0, compressed.length - 20), 'truncated: it ends within its compressed data'],
-    [Buffer.from('no gzip at all'), 'foreign: it is not compressed as a snapshot is'],
+  const compressed = gzipSync(completeText);
+  const damagedFiles: [bytes: Buffer, message: string][] = [
+    [
+      compressed.subarray(0, compressed.length - 20),
+      'truncated: the compressed data ends before the end of the gzip stream',
+    ],
+    [Buffer.from('no gzip at all'), 'foreign: the file is not compressed with gzip'],
     [
       Buffer.concat([compressed.subarray(0, 30), Buffer.alloc(40, 0xff)]),
-      'damaged: its compressed data is damaged',
+      'damaged: the compressed data is invalid',
     ],
   ];
-  for (const [bytes, message] of broken) {
+  for (const [bytes, message] of damagedFiles) {
     await assert.rejects(
       readSnapshot(Readable.from([bytes])),
       (cause) => cause instanceof SnapshotError && cause.message === message,
@@ -324,6 +333,6 @@
   }
 });
 
-test('the format has a name and a version of its own', () => {
+test('identifies the format by its name and version, and limits the length of a line', () => {
   assert.deepEqual([SNAPSHOT_FORMAT, SNAPSHOT_VERSION, MAX_LINE_BYTES], ['micaworks-snapshot', 1, 1_048_576]);
 });
--- a/packages/recovery/snapshot-line-reader.ts
+++ b/packages/recovery/snapshot-line-reader.ts
@@ -1,4 +1,4 @@
-/** Splits the decompressed bytes of a snapshot into lines, and checks that they are a complete snapshot. */
+/** Splits the decompressed bytes of a snapshot into lines, and verifies that the snapshot is complete. */
 import { createHash } from 'node:crypto';
 import { parseLine } from './snapshot-codec.js';
 import { SnapshotError } from './snapshot-error.js';
@@ -13,19 +13,19 @@
 
 const LINE_END = '\n'.charCodeAt(0);
 
-/** Reads the lines of a snapshot in their order and holds one line at a time. Faults are thrown as {@link SnapshotError}. */
+/** Reads the lines of a snapshot in order and holds one line at a time. Its methods throw {@link SnapshotError}. */
 export class SnapshotLineReader {
   private readonly hash = createHash('sha256');
-  /** Bytes of a line whose end has not been read yet. */
+  /** Bytes of a line whose line break has not been read yet. */
   private incompleteLine: Buffer = Buffer.alloc(0);
-  private count = 0;
+  private lineCount = 0;
   private header: SnapshotHeader | null = null;
   private trailer: SnapshotTrailer | null = null;
 
-  /** `onLine` is called with each line but the trailer. */
+  /** Calls `onLine` with each line before the trailer. */
   constructor(private readonly onLine: (line: SnapshotLine) => void) {}
 
-  /** Reads the next bytes of the file. */
+  /** Reads the next decompressed bytes; throws {@link SnapshotError} if a line is invalid. */
   push(chunk: Buffer): void {
     this.incompleteLine =
       this.incompleteLine.length === 0 ? chunk : Buffer.concat([this.incompleteLine, chunk]);
@@ -37,54 +37,57 @@
       this.readLine(this.incompleteLine.subarray(0, end + 1));
       this.incompleteLine = this.incompleteLine.subarray(end + 1);
     }
-    if (this.incompleteLine.length > MAX_LINE_BYTES) throw this.fault('a line is too long');
+    if (this.incompleteLine.length > MAX_LINE_BYTES)
+      throw this.createError(`line ${this.lineCount + 1} is longer than ${MAX_LINE_BYTES} bytes`);
   }
 
-  /** Header and trailer, once the whole file has been pushed. */
+  /** Returns header and trailer after the whole file was pushed; throws {@link SnapshotError} if one of them is missing. */
   end(): { header: SnapshotHeader; trailer: SnapshotTrailer } {
-    if (!this.header) throw new SnapshotError('foreign', 'the file is empty, or no snapshot');
-    if (!this.trailer) throw new SnapshotError('truncated', `it ends after ${this.count} lines`);
+    if (!this.header)
+      throw new SnapshotError('foreign', 'the file is empty, or its first line is incomplete');
+    if (!this.trailer)
+      throw new SnapshotError('truncated', `the file ends after ${this.lineCount} lines, without a trailer`);
     return { header: this.header, trailer: this.trailer };
   }
 
   private readLine(bytes: Buffer): void {
-    if (this.trailer) throw this.fault('there is something after its end');
+    if (this.trailer) throw this.createError('the file continues after its trailer');
     const line = parseLine(bytes);
-    if (line === null) throw this.fault(`line ${this.count + 1} can not be read`);
-    this.header ??= checkHeader(line);
+    if (line === null) throw this.createError(`line ${this.lineCount + 1} is not a JSON object with a kind`);
+    this.header ??= requireHeader(line);
     if (line.kind === 'trailer') {
-      this.checkTrailer(line);
+      this.verifyTrailer(line);
       return;
     }
     this.hash.update(bytes);
-    this.count++;
+    this.lineCount++;
     this.onLine(line);
   }
 
-  private checkTrailer(trailer: SnapshotTrailer): void {
-    if (trailer.lines !== this.count || trailer.sha256 !== this.hash.digest('hex')) {
-      throw this.fault('its checksum is wrong');
+  private verifyTrailer(trailer: SnapshotTrailer): void {
+    if (trailer.lines !== this.lineCount || trailer.sha256 !== this.hash.digest('hex')) {
+      throw this.createError('the line count or the checksum in the trailer does not match the lines');
     }
     this.trailer = trailer;
   }
 
-  /** A fault before the header means that the file is no snapshot at all. */
-  private fault(detail: string): SnapshotError {
+  /** Creates the error for a fault. A fault before the header means that the file is not a snapshot at all. */
+  private createError(detail: string): SnapshotError {
     return new SnapshotError(this.header ? 'damaged' : 'foreign', detail);
   }
 }
 
-/** The line as a header that this version can read. */
-function checkHeader(line: SnapshotLine): SnapshotHeader {
+/** Returns the line if it is a header that this version can read; throws {@link SnapshotError} otherwise. */
+function requireHeader(line: SnapshotLine): SnapshotHeader {
   const { format, version } = line as Partial<SnapshotHeader>;
   if (line.kind !== 'header' || format !== SNAPSHOT_FORMAT) {
-    throw new SnapshotError('foreign', 'it is no snapshot');
+    throw new SnapshotError('foreign', `the first line is not a header of the format ${SNAPSHOT_FORMAT}`);
   }
   if (!Number.isInteger(version) || Number(version) < 1) {
-    throw new SnapshotError('foreign', 'it has no version that could be read');
+    throw new SnapshotError('foreign', `the header has the invalid version ${String(version)}`);
   }
   if (Number(version) > SNAPSHOT_VERSION) {
-    const detail = `it has version ${String(version)}, this program reads up to ${SNAPSHOT_VERSION}`;
+    const detail = `the file has version ${String(version)}, but this program supports only up to ${SNAPSHOT_VERSION}`;
     throw new SnapshotError('newer', detail);
   }
   return line;
--- a/packages/recovery/snapshot-reader.ts
+++ b/packages/recovery/snapshot-reader.ts
@@ -1,38 +1,39 @@
-/** Reads a snapshot line by line, and rejects an incomplete or damaged one by the name of its fault. */
+/** Reads a snapshot line by line. An incomplete or damaged snapshot is rejected with an error that names the fault. */
 import { Writable, type Readable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 import { createGunzip } from 'node:zlib';
 import type { CheckpointRow } from '#cluster';
-import { faultOfDecompression, SnapshotError } from './snapshot-error.js';
+import { toSnapshotError, SnapshotError } from './snapshot-error.js';
 import type { SnapshotHeader, SnapshotLine } from './snapshot-format.js';
 import { SnapshotLineReader } from './snapshot-line-reader.js';
 
-/** Counts of what the lines of a snapshot hold; `snapshot show --json` prints them under other names. */
+/** Numbers of the objects in a snapshot; `snapshot show --json` prints them under other names. */
 export interface SnapshotCounts {
   readonly jobs: number;
-  /** Terminal statuses. */
+  /** Terminal statuses of jobs. */
   readonly terminalStatuses: number;
   readonly machines: number;
-  /** Open scale-out requests. */
+  /** Scale-out requests that are still open. */
   readonly scaleOutRequests: number;
-  /** Running tasks. */
+  /** Tasks that are placed on machines. */
   readonly tasks: number;
   readonly machineTypes: number;
-  /** All lines but the trailer. */
+  /** Lines before the trailer. */
   readonly lines: number;
 }
 
-/** Header and counts of a snapshot. */
+/** Header and counts of a complete snapshot. */
 export interface SnapshotSummary extends SnapshotCounts {
   readonly header: SnapshotHeader;
-  /** Every terminal status is included. */
+  /** True if the snapshot includes every terminal status. */
   readonly hasAllTerminalStatuses: boolean;
   readonly positions: SnapshotHeader['positions'];
 }
 
 /**
- * Reads a compressed snapshot to its end, in bounded memory, and counts what it holds. `onLine` is called with each line but
- * the trailer as it is read, before the file is known to be complete. Fails with {@link SnapshotError}.
+ * Reads a compressed snapshot to its end, in bounded memory, and counts its objects. `onLine` is called with each line
+ * before the trailer as it is read, when the file is not yet known to be complete. Rejects with {@link SnapshotError} if the
+ * file is not a complete snapshot.
  */
 export async function readSnapshot(
   source: Readable,
@@ -44,9 +45,9 @@
     onLine(line);
   });
   try {
-    await pipeline(source, createGunzip(), sinkInto(reader));
+    await pipeline(source, createGunzip(), createReaderSink(reader));
   } catch (cause) {
-    throw faultOfDecompression(cause);
+    throw toSnapshotError(cause);
   }
   const { header, trailer } = reader.end();
   return {
@@ -57,8 +58,8 @@
   };
 }
 
-/** A stream that passes its chunks to the reader, and fails with the reader's faults. */
-function sinkInto(reader: SnapshotLineReader): Writable {
+/** Returns a stream that passes its chunks to the reader and is destroyed with the errors that the reader throws. */
+function createReaderSink(reader: SnapshotLineReader): Writable {
   return new Writable({
     write: (chunk: Buffer, _encoding, done) => {
       try {
@@ -71,7 +72,7 @@
   });
 }
 
-/** Counts what lines hold; lines of unknown kinds are faults. */
+/** Counts the objects in lines; throws {@link SnapshotError} for a line of an unknown kind. */
 class LineCounter {
   readonly counts = {
     jobs: 0,
@@ -103,7 +104,7 @@
         break;
       default: {
         const kind = String((line as { kind: unknown }).kind);
-        throw new SnapshotError('damaged', `it has lines of the unknown kind ${kind}`);
+        throw new SnapshotError('damaged', `line ${counts.lines} has the unknown kind "${kind}"`);
       }
     }
   }
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -1,4 +1,7 @@
-/** A snapshot of a large fleet: read back completely, and written without delaying the node's scheduling rounds. */
+/**
+ * Writes a snapshot of a large fleet line by line and reads it back completely. The part that is captured synchronously delays
+ * the node's scheduling rounds; its duration is printed.
+ */
 import assert from 'node:assert/strict';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
@@ -12,13 +15,13 @@
 const MACHINES = 4_000;
 const TASKS = 100_000;
 const JOBS = 500;
-const FINALS = 20_000;
-const PAGE = 1_000;
+const TERMINAL_STATUSES = 20_000;
+const PAGE_SIZE = 1_000;
 
 type Writable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** A copy of the state with so many machines, each of which runs as many tasks. */
-function largeCopy(): Replica {
+/** Returns a replica with {@link MACHINES} machines that run {@link TASKS} tasks of {@link JOBS} jobs. */
+function largeReplica(): Replica {
   const ledger = new Ledger();
   const host = (i: number): string => `n-${String(i).padStart(6, '0')}`;
   ledger.apply('lead', {
@@ -40,54 +43,56 @@
       { spec: sampleJob(`j-${i}`), acceptedAtMs: i, acceptedRevision: i },
     ]),
   );
-  const copy = Object.create(Replica.prototype) as Writable<Replica>;
-  copy.ledger = ledger;
-  copy.appliedRevision = 9;
-  copy.fencingToken = { value: 3, revision: 1 };
-  copy.jobs = jobs;
-  copy.terminalJobs = new Map();
-  copy.machineTypes = new Map();
-  return copy as Replica;
+  const replica = Object.create(Replica.prototype) as Writable<Replica>;
+  replica.ledger = ledger;
+  replica.appliedRevision = 9;
+  replica.fencingToken = { value: 3, revision: 1 };
+  replica.jobs = jobs;
+  replica.terminalJobs = new Map();
+  replica.machineTypes = new Map();
+  return replica as Replica;
 }
 
-test('a fleet of 4,000 machines and 100,000 tasks is written and read back line by line', async (t) => {
-  const replica = largeCopy();
-  const origin = { member: 'node-0', nodes: ['node-0'], takenAt: 0, loss: null };
-  const finals = (after: string): Promise<{ id: string; status: 'done' }[]> => {
+test('writes and reads back a fleet of 4,000 machines and 100,000 tasks line by line', async (t) => {
+  const replica = largeReplica();
+  const origin = { member: 'node-0', nodes: ['node-0'], takenAt: 0, dataLossState: null };
+  const fetchTerminalStatusPage = (after: string): Promise<{ id: string; status: 'done' }[]> => {
     const from = after === '' ? 0 : Number(after.slice(2)) + 1;
-    const count = Math.max(0, Math.min(PAGE, FINALS - from));
+    const count = Math.max(0, Math.min(PAGE_SIZE, TERMINAL_STATUSES - from));
     return Promise.resolve([...Array(count).keys()].map((i) => ({ id: `o-${from + i}`, status: 'done' })));
   };
-  const lines = writeSnapshot(replica, origin, finals);
-  const began = performance.now();
-  // Only the first line waits for what is taken at once; all others are encoded one by one.
+  const lines = writeSnapshot(replica, origin, fetchTerminalStatusPage);
+  const startedAt = performance.now();
+  // The first line waits until the whole state is captured; the other lines are formatted one by one.
   const first = await lines.next();
-  const captured = performance.now() - began;
+  const captureMs = performance.now() - startedAt;
   assert.ok(first.done !== true && first.value.includes('micaworks-snapshot'));
   let bytes = 0;
-  async function* all(): AsyncGenerator<string> {
+  async function* allLines(): AsyncGenerator<string> {
     yield String(first.value);
     yield* lines;
   }
-  const compressed = Readable.from(all(), { objectMode: false }).pipe(createGzip());
+  const compressed = Readable.from(allLines(), { objectMode: false }).pipe(createGzip());
   compressed.on('data', (chunk: Buffer) => (bytes += chunk.length));
   const restored = new Ledger();
   const summary = await readSnapshot(compressed, (line: SnapshotLine) => {
     if (line.kind === 'ledger' && line.row[0] === 's') restored.jobProgress(line.row[1]);
   });
   t.diagnostic(
-    `taken at once in ${captured.toFixed(0)} ms, ${(performance.now() - began).toFixed(0)} ms in all, ${bytes} bytes`,
+    `captured in ${captureMs.toFixed(0)} ms, written and read in ${(performance.now() - startedAt).toFixed(0)} ms, ${bytes} bytes`,
   );
   assert.equal(summary.tasks, TASKS);
   assert.equal(summary.machines, MACHINES);
-  assert.equal(summary.terminalStatuses, FINALS);
+  assert.equal(summary.terminalStatuses, TERMINAL_STATUSES);
   assert.equal(restored.jobs.size, JOBS);
   assert.ok(summary.hasAllTerminalStatuses);
 });
 
-test('a snapshot says so if the state service did not answer for all terminal statuses', async () => {
-  const lines = writeSnapshot(largeCopy(), { member: 'node-0', nodes: [], takenAt: 0, loss: null }, () =>
-    Promise.reject(new Error('state service: 503')),
+test('records in the trailer that terminal statuses could not be fetched', async () => {
+  const lines = writeSnapshot(
+    largeReplica(),
+    { member: 'node-0', nodes: [], takenAt: 0, dataLossState: null },
+    () => Promise.reject(new Error('state service: 503')),
   );
   const source = Readable.from(lines, { objectMode: false }).pipe(createGzip());
   assert.equal((await readSnapshot(source)).hasAllTerminalStatuses, false);
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -1,4 +1,4 @@
-/** Writes a snapshot: the state as one node's copy holds it at one revision of the state service. */
+/** Writes a snapshot: the state that one node's replica holds at one revision of the state service. */
 import { createHash } from 'node:crypto';
 import { checkpointRows, type Replica, type TerminalStatus } from '#cluster';
 import {
@@ -12,30 +12,30 @@
 } from './snapshot-codec.js';
 import type { SnapshotLine } from './snapshot-format.js';
 
-/** How one job ended. */
+/** The terminal status of one job. */
 export interface JobTerminalStatus {
   /** The job's id. */
   readonly id: string;
   readonly status: TerminalStatus;
 }
 
-/** The page of terminal statuses after the given job id, in the order of ids; an empty page is the end. */
-export type TerminalStatusPages = (after: string) => Promise<readonly JobTerminalStatus[]>;
+/** Fetches the page of terminal statuses after the given job id, in the order of ids. An empty page marks the end. */
+export type FetchTerminalStatusPage = (after: string) => Promise<readonly JobTerminalStatus[]>;
 
 /**
- * The lines of a snapshot as text. All that may change is captured at once, as references and short rows, and formatted
- * line by line as fast as the consumer reads. Terminal statuses never change, so they are fetched page by page meanwhile;
- * if a page can't be fetched, the trailer says that they are incomplete.
+ * Returns the lines of a snapshot as text. All mutable state is captured synchronously, as references and short rows, and
+ * is formatted line by line as fast as the consumer reads. Terminal statuses never change, so they are fetched page by page
+ * while the consumer reads. If a page can't be fetched, the trailer records that they are incomplete.
  */
 export function writeSnapshot(
   replica: Replica,
   origin: SnapshotOrigin,
-  terminalStatusPages: TerminalStatusPages,
+  fetchTerminalStatusPage: FetchTerminalStatusPage,
 ): AsyncGenerator<string> {
-  return formatSnapshot(captureLines(replica, origin), terminalStatusPages);
+  return formatSnapshot(captureLines(replica, origin), fetchTerminalStatusPage);
 }
 
-/** All that the copy holds at this moment; older terminal statuses lie in the state service only. */
+/** Captures all that the replica holds now. Older terminal statuses are in the state service only. */
 function captureLines(replica: Replica, origin: SnapshotOrigin): SnapshotLine[] {
   const lines: SnapshotLine[] = [encodeHeader(origin, replica.highWaterMarks())];
   for (const type of replica.machineTypes.values()) lines.push(encodeMachineType(type));
@@ -46,10 +46,10 @@
   return lines;
 }
 
-/** The captured lines and the terminal statuses as text, then the trailer over all of them. */
+/** Formats the captured lines and the terminal statuses, followed by the trailer with their count and checksum. */
 async function* formatSnapshot(
-  captured: readonly SnapshotLine[],
-  terminalStatusPages: TerminalStatusPages,
+  capturedLines: readonly SnapshotLine[],
+  fetchTerminalStatusPage: FetchTerminalStatusPage,
 ): AsyncGenerator<string> {
   const hash = createHash('sha256');
   let lines = 0;
@@ -59,25 +59,25 @@
     lines++;
     return text;
   };
-  for (const line of captured) yield format(line);
+  for (const line of capturedLines) yield format(line);
   let hasAllFinals = true;
   try {
-    for await (const { id, status } of readTerminalStatuses(terminalStatusPages))
+    for await (const { id, status } of readTerminalStatuses(fetchTerminalStatusPage))
       yield format(encodeTerminalStatus(id, status));
   } catch {
-    // A snapshot without them is still useful, and the trailer says so.
+    // A snapshot without the remaining terminal statuses is still useful; the trailer records that they are missing.
     hasAllFinals = false;
   }
   yield formatLine({ kind: 'trailer', lines, sha256: hash.digest('hex'), hasAllFinals });
 }
 
-/** Every terminal status, page after page. */
+/** Fetches every terminal status, page after page. */
 async function* readTerminalStatuses(
-  terminalStatusPages: TerminalStatusPages,
+  fetchTerminalStatusPage: FetchTerminalStatusPage,
 ): AsyncGenerator<JobTerminalStatus> {
-  let page = await terminalStatusPages('');
+  let page = await fetchTerminalStatusPage('');
   for (let last = page.at(-1); last !== undefined; last = page.at(-1)) {
     yield* page;
-    page = await terminalStatusPages(last.id);
+    page = await fetchTerminalStatusPage(last.id);
   }
 }
--- a/packages/testkit/loopback.test.ts
+++ b/packages/testkit/loopback.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { askLoss } from '#operations';
+import { requestDataLossStatus } from '#operations';
 import type { DataLossState } from '#recovery';
 import { LoopbackTrial } from './loopback-trial.js';
 
@@ -45,7 +45,7 @@
   const nodes = (): string[] => trial.nodes.map(({ addresses }) => addresses.operators);
   const untilAll = async (state: DataLossState): Promise<boolean> => {
     for (const end = Date.now() + LOSS_PATIENCE_MS; Date.now() < end; await pause(200)) {
-      const answers = await askLoss(nodes());
+      const answers = await requestDataLossStatus(nodes());
       if (answers.every((a) => a.kind === 'answered' && a.value.loss?.state === state)) return true;
     }
     return false;
