--- a/packages/cluster/capabilities.ts
+++ b/packages/cluster/capabilities.ts
@@ -12,14 +12,14 @@
 export type Capability = 'gangs' | 'handover' | 'memory';
 
 /** The capabilities that this version announces. */
-export const OWN_CAPABILITIES: readonly Capability[] = ['gangs', 'handover', 'memory'];
+export const SUPPORTED_CAPABILITIES: readonly Capability[] = ['gangs', 'handover', 'memory'];
 
 /** The capabilities that nodes have announced. */
-export interface Announcements {
+export interface AnnouncedCapabilities {
   /** By living member: what its current process announces. */
-  readonly living: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
+  readonly livingMembers: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
   /** By member: what its last process of a version that announces anything did announce. */
-  readonly lasting: ReadonlyMap<string, ReadonlySet<string>>;
+  readonly lastAnnounced: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
 /**
@@ -28,11 +28,11 @@
  */
 export function allSupport(
   members: readonly string[],
-  { living, lasting }: Announcements,
+  { livingMembers, lastAnnounced }: AnnouncedCapabilities,
   capability: Capability,
 ): boolean {
   return members.every((member) => {
-    const announced = living.get(member)?.capabilities ?? lasting.get(member);
+    const announced = livingMembers.get(member)?.capabilities ?? lastAnnounced.get(member);
     return announced?.has(capability) === true;
   });
 }
--- a/packages/cluster/change-applier.ts
+++ b/packages/cluster/change-applier.ts
@@ -98,13 +98,13 @@
   }
 
   private applyLeader({ path, value, revision }: Change): void {
-    this.state.leader = value && this.checkReadable(path, decodeHolder(value, revision));
+    this.state.leader = value && this.logIfUnreadable(path, decodeHolder(value, revision));
   }
 
   private applyShardOwner({ path, value, revision }: Change): void {
     const shard = Number(path.slice(SHARD_PREFIX.length));
     if (!value) this.state.shardOwners.delete(shard);
-    else this.state.shardOwners.set(shard, this.checkReadable(path, decodeShardOwner(value, revision)));
+    else this.state.shardOwners.set(shard, this.logIfUnreadable(path, decodeShardOwner(value, revision)));
   }
 
   private applyFencingToken({ path, value, revision }: Change): void {
@@ -146,7 +146,7 @@
   }
 
   /** Passes on the holder of a role; a row that can't be read closes the role, and is logged. */
-  private checkReadable<H extends LeaseHolder>(path: string, holder: H): H {
+  private logIfUnreadable<H extends LeaseHolder>(path: string, holder: H): H {
     if (!isReadable(holder)) this.logUnreadable(path, holder.revision);
     return holder;
   }
--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -46,7 +46,7 @@
 /** Keeps the logs short enough to be written on, and the live keys few enough to be read at a start. */
 export class CheckpointWriter {
   private isMaintaining = false;
-  private attempts = 0;
+  private checkpointCount = 0;
 
   constructor(private readonly options: CheckpointWriterOptions) {}
 
@@ -70,8 +70,11 @@
 
   private isCheckpointDue(): boolean {
     const { checkpointChunkCount, recordsSinceCheckpoint, fullestLogRecords } = this.options.replica;
-    const due = Math.max(MIN_CHECKPOINT_INTERVAL_RECORDS, INTERVAL_RECORDS_PER_CHUNK * checkpointChunkCount);
-    return recordsSinceCheckpoint >= due || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
+    const limit = Math.max(
+      MIN_CHECKPOINT_INTERVAL_RECORDS,
+      INTERVAL_RECORDS_PER_CHUNK * checkpointChunkCount,
+    );
+    return recordsSinceCheckpoint >= limit || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
   }
 
   /** Removes chunks of checkpoints that a newer one has replaced. */
@@ -107,7 +110,7 @@
     const { replica, limits, log } = this.options;
     const { ledger, jobs } = replica;
     const positions = ledger.allPositions();
-    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.attempts);
+    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.checkpointCount);
     const previousRevision = replica.checkpointRevision;
     const rows = checkpointRows(ledger, (job) => jobs.has(job));
     const chunks = packRows(rows, limits.valueBytes - VALUE_FRAME_BYTES);
--- a/packages/cluster/cluster-state.ts
+++ b/packages/cluster/cluster-state.ts
@@ -9,7 +9,7 @@
 } from './keys.js';
 import type { LiveJob, TerminalStatus } from './jobs.js';
 import { Ledger } from './ledger.js';
-import type { KnownRows, LogSlot } from './live-state.js';
+import type { ReplicaRows, LogSlot } from './live-state.js';
 import type { LeaseHolder, Member, ShardOwner } from './members.js';
 import type { Positions } from './placement.js';
 import type { HighWaterMarks } from './state-integrity-check.js';
@@ -28,7 +28,7 @@
 }
 
 /** The present checkpoint, as its head names it. */
-export interface PresentCheckpoint {
+export interface CurrentCheckpoint {
   readonly id: string;
   /** Position in each log up to which it covers the log. */
   readonly positions: Positions;
@@ -37,7 +37,7 @@
   readonly revision: number;
 }
 
-const NO_CHECKPOINT: PresentCheckpoint = { id: '', positions: {}, chunkCount: 0, revision: 0 };
+const NO_CHECKPOINT: CurrentCheckpoint = { id: '', positions: {}, chunkCount: 0, revision: 0 };
 const NO_FENCING_TOKEN: StoredFencingToken = { value: 0, revision: 0 };
 
 /** The live state of the cluster up to one revision, by table. Only its replica changes it. */
@@ -110,9 +110,11 @@
 
   /** Records since the last checkpoint in the log that has most of them. */
   get fullestLogRecords(): number {
-    const covered = this.checkpoint.positions;
-    const since = Object.entries(this.ledger.allPositions()).map(([log, seq]) => seq - (covered[log] ?? 0));
-    return Math.max(0, ...since);
+    const coveredPositions = this.checkpoint.positions;
+    const counts = Object.entries(this.ledger.allPositions()).map(
+      ([log, seq]) => seq - (coveredPositions[log] ?? 0),
+    );
+    return Math.max(0, ...counts);
   }
 
   /** The numbers of this copy that never fall. */
@@ -125,7 +127,7 @@
   }
 
   /** The revisions of those rows of this copy that are only ever replaced, but for those of jobs that end. */
-  knownRows(): KnownRows {
+  replicaRows(): ReplicaRows {
     const revisions = new Map<string, number>();
     for (const [id, { acceptedRevision: revision }] of this.jobs) revisions.set(jobKey(id), revision);
     for (const [id, { revision }] of this.terminalJobs) revisions.set(jobKey(id), revision);
--- a/packages/cluster/done-set.ts
+++ b/packages/cluster/done-set.ts
@@ -5,7 +5,7 @@
   private bits = new Uint8Array(0);
   private size = 0;
   /** Every index below this is done. */
-  private low = 0;
+  private lowestIncomplete = 0;
 
   /** How many tasks are done. */
   get count(): number {
@@ -13,8 +13,8 @@
   }
 
   /** The lowest index that is not done. */
-  get firstOpen(): number {
-    return this.low;
+  get firstIncomplete(): number {
+    return this.lowestIncomplete;
   }
 
   has(index: number): boolean {
@@ -23,15 +23,15 @@
 
   add(index: number): void {
     if (this.has(index)) return;
-    const at = index >> 3;
-    if (at >= this.bits.length) {
-      const grown = new Uint8Array(Math.max(at + 1, this.bits.length * 2));
+    const byteIndex = index >> 3;
+    if (byteIndex >= this.bits.length) {
+      const grown = new Uint8Array(Math.max(byteIndex + 1, this.bits.length * 2));
       grown.set(this.bits);
       this.bits = grown;
     }
-    this.bits[at] = (this.bits[at] ?? 0) | (1 << (index & 7));
+    this.bits[byteIndex] = (this.bits[byteIndex] ?? 0) | (1 << (index & 7));
     this.size++;
-    while (this.has(this.low)) this.low++;
+    while (this.has(this.lowestIncomplete)) this.lowestIncomplete++;
   }
 
   /** All tasks of a job of this size. */
@@ -41,16 +41,16 @@
 
   /** The set as ranges in ascending order, as in "0-41" or "44". */
   ranges(): string[] {
-    const out: string[] = [];
+    const ranges: string[] = [];
     const end = this.bits.length * 8;
     for (let i = 0; i < end; i++) {
       if (!this.has(i)) continue;
       let last = i;
       while (this.has(last + 1)) last++;
-      out.push(last === i ? String(i) : `${i}-${last}`);
+      ranges.push(last === i ? String(i) : `${i}-${last}`);
       i = last;
     }
-    return out;
+    return ranges;
   }
 
   /** Adds ranges as {@link ranges} gives them, joined by commas. */
--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -16,16 +16,16 @@
   return ledger;
 }
 
-function part(indices: number[], attempt = ATTEMPT): StartGroup {
+function partialStart(indices: number[], attempt = ATTEMPT): StartGroup {
   const tasks = indices.map((i): StartGroup['tasks'][number] => [i, HOSTS[i]!, 1]);
   return { job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], gang: { attempt, size: 3 }, tasks };
 }
 
-function wholeness(ledger: Ledger): boolean[] {
+function completenessOfPlacements(ledger: Ledger): boolean[] {
   return [...(ledger.jobs.get('j-1')?.placements.values() ?? [])].map((p) => ledger.isGangComplete(p));
 }
 
-function reread(ledger: Ledger): Ledger {
+function restoreFromCheckpoint(ledger: Ledger): Ledger {
   const copy = new Ledger();
   copy.restore(
     ledger.allPositions(),
@@ -36,34 +36,36 @@
 
 test('a start in several records counts only once all of it has come, also after a checkpoint between them', () => {
   let ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0])] });
-  ledger = reread(ledger);
-  assert.deepEqual(wholeness(ledger), [false]);
-  ledger.apply(0, { sequence: 2, recordedAtMs: 0, starts: [part([1, 2])] });
-  assert.deepEqual(wholeness(ledger), [true, true, true]);
-  assert.deepEqual(wholeness(reread(ledger)), [true, true, true]);
-  const attempts = [...(reread(ledger).jobs.get('j-1')?.placements.values() ?? [])].map((p) => p.attempt);
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0])] });
+  ledger = restoreFromCheckpoint(ledger);
+  assert.deepEqual(completenessOfPlacements(ledger), [false]);
+  ledger.apply(0, { sequence: 2, recordedAtMs: 0, starts: [partialStart([1, 2])] });
+  assert.deepEqual(completenessOfPlacements(ledger), [true, true, true]);
+  assert.deepEqual(completenessOfPlacements(restoreFromCheckpoint(ledger)), [true, true, true]);
+  const attempts = [...(restoreFromCheckpoint(ledger).jobs.get('j-1')?.placements.values() ?? [])].map(
+    (p) => p.attempt,
+  );
   assert.deepEqual(attempts, [ATTEMPT, ATTEMPT, ATTEMPT]);
 });
 
 test('the parts of a start that is cut to fit its values bear one attempt', () => {
-  const parts = splitDraft(encodeRecordDraft({ starts: [part([0, 1, 2])] }), 100);
+  const parts = splitDraft(encodeRecordDraft({ starts: [partialStart([0, 1, 2])] }), 100);
   assert.ok(parts.length > 1);
   for (const { starts } of parts) assert.deepEqual(starts?.[0]?.gang, { attempt: ATTEMPT, size: 3 });
 });
 
 test('once a task has ended, the attempt is over for the others, and no other attempt joins them', () => {
   const ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0, 1, 2])] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0, 1, 2])] });
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 0, ATTEMPT, 'lost']] });
-  assert.deepEqual(wholeness(ledger), [false, false]);
-  ledger.apply(0, { sequence: 3, recordedAtMs: 0, starts: [part([0], 9 * 1024)] });
+  assert.deepEqual(completenessOfPlacements(ledger), [false, false]);
+  ledger.apply(0, { sequence: 3, recordedAtMs: 0, starts: [partialStart([0], 9 * 1024)] });
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
 test('one task that is done makes the whole gang done, also one whose machine is lost then', () => {
   const ledger = ledgerWithMachines();
-  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [part([0, 1, 2])] });
+  ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0, 1, 2])] });
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 1, ATTEMPT, 'done']] });
   ledger.apply(0, { sequence: 3, recordedAtMs: 0, completions: [['j-1', 2, ATTEMPT, 'lost']] });
   assert.equal(ledger.jobs.get('j-1')?.done.count, 3);
--- a/packages/cluster/gang.ts
+++ b/packages/cluster/gang.ts
@@ -8,7 +8,7 @@
 }
 
 /** The placed tasks of a job, from which the completeness of its gang is determined. */
-interface PlacedTasks {
+interface GangPlacements {
   readonly placements: ReadonlyMap<number, { attempt: number }>;
 }
 
@@ -17,12 +17,12 @@
  * over several records, and a reader that has seen some of them, at whatever point, takes none of it for a start.
  * Once a task has ended the attempt is over for all. For independent tasks this is always true.
  */
-export function isGangComplete(entry: PlacedTasks, placement: { gangSize: number | null }): boolean {
-  return placement.gangSize === null || entry.placements.size === placement.gangSize;
+export function isGangComplete(progress: GangPlacements, placement: { gangSize: number | null }): boolean {
+  return placement.gangSize === null || progress.placements.size === placement.gangSize;
 }
 
 /** A part of a gang's start may join what is placed: nothing, or other parts of the same attempt. */
-export function mayJoinGang(entry: PlacedTasks, { attempt }: GangAttempt): boolean {
-  for (const placement of entry.placements.values()) return placement.attempt === attempt;
+export function mayJoinGang(progress: GangPlacements, { attempt }: GangAttempt): boolean {
+  for (const placement of progress.placements.values()) return placement.attempt === attempt;
   return true;
 }
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -38,7 +38,7 @@
   readonly machines = new Map<string, MachineEntry>();
   readonly pendingScaleOuts = new Map<string, PendingScaleOut>();
   /** Raised whenever a machine comes, goes or changes hands: whoever follows ownership looks only then. */
-  ownershipChanges = 0;
+  ownershipChangeCount = 0;
   /** By shard: the prices of its owner's last scheduling round. */
   readonly prices = new Map<number, Map<string, ShapePrice>>();
 
@@ -98,7 +98,8 @@
     if (record.sequence <= last) return true;
     if (record.sequence !== last + 1) return false;
     this.positions.set(log, record.sequence);
-    if (record.removed ?? record.machines ?? record.acquisitions ?? record.releases) this.ownershipChanges++;
+    if (record.removed ?? record.machines ?? record.acquisitions ?? record.releases)
+      this.ownershipChangeCount++;
     if (log === 'lead') this.applyLeaderRecord(record);
     else this.applyShardRecord(log, record);
     return true;
@@ -111,7 +112,7 @@
 
   /** Reads a checkpoint into this ledger, which must be empty. */
   restore(positions: Positions, rows: readonly CheckpointRow[]): void {
-    this.ownershipChanges++;
+    this.ownershipChangeCount++;
     for (const [log, seq] of Object.entries(positions)) {
       this.positions.set(log === 'lead' ? 'lead' : Number(log), seq);
     }
@@ -192,9 +193,9 @@
   private startTask(shard: number, task: TaskRow, start: GroupStart): void {
     const { job, image } = start.group;
     const [index, host] = task;
-    const isTaken = this.placement(job, index) ?? this.jobs.get(job)?.done.has(index);
+    const isAlreadyStarted = this.placement(job, index) ?? this.jobs.get(job)?.done.has(index);
     const machine = this.machineOf(shard, host);
-    if (!machine || isTaken) return;
+    if (!machine || isAlreadyStarted) return;
     const otherImages = machine.cachedImages.filter((cached) => cached !== image);
     machine.cachedImages = [...otherImages, image].slice(-MAX_CACHED_IMAGES);
     this.addPlacement(task, start);
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -24,9 +24,9 @@
 export interface LiveRows {
   rows: Row[];
   /** The revision up to which the rows are complete. */
-  from: number;
+  revision: number;
   /** The revision of the last page read. */
-  to: number;
+  lastPageRevision: number;
 }
 
 /** What was read lacks parts: something changed meanwhile, or is lost. */
@@ -40,32 +40,32 @@
     const byPath = new Map(
       rows.filter((r) => r.path.startsWith(CHECKPOINT_CHUNK_PREFIX)).map((r) => [r.path, r]),
     );
-    const parts: CheckpointRow[] = [];
+    const checkpointRows: CheckpointRow[] = [];
     const { id, positions, chunkCount } = decodeCheckpointHead(head);
     for (let i = 0; i < chunkCount; i++) {
       const chunk = byPath.get(checkpointChunkKey(id, i));
       if (!chunk) throw new IncompleteStateError(`checkpoint lacks part ${i}`);
-      parts.push(...decodeChunk(chunk.value));
+      checkpointRows.push(...decodeChunk(chunk.value));
     }
-    ledger.restore(positions, parts);
+    ledger.restore(positions, checkpointRows);
   }
   // The order of commits is the order of their revisions, whichever logs they went to.
   const records = rows.filter((row) => row.path.startsWith(LOG_PREFIX)).sort(byCommitOrder);
-  const live = liveJobs(rows);
+  const liveJobIds = findLiveJobs(rows);
   for (const { path, value } of records) {
     const record = decodeRecord(value);
     // A slot may have been overwritten since the checkpoint was read.
     if (!ledger.apply(logIdOfKey(path), record)) {
       throw new IncompleteStateError('log and checkpoint were read at different times');
     }
-    for (const [job] of record.completions ?? []) if (!live.has(job)) ledger.dropJob(job);
+    for (const [job] of record.completions ?? []) if (!liveJobIds.has(job)) ledger.dropJob(job);
   }
-  for (const job of [...ledger.jobs.keys()]) if (!live.has(job)) ledger.dropJob(job);
+  for (const job of [...ledger.jobs.keys()]) if (!liveJobIds.has(job)) ledger.dropJob(job);
   return ledger;
 }
 
 /** Jobs that have not ended. */
-function liveJobs(rows: readonly Row[]): Set<string> {
+function findLiveJobs(rows: readonly Row[]): Set<string> {
   const live = rows.filter(({ path, value }) => path.startsWith(JOB_PREFIX) && !isTerminal(value));
   return new Set(live.map(({ path }) => path.slice(JOB_PREFIX.length)));
 }
@@ -88,13 +88,13 @@
 }
 
 /** The revisions of the rows that a copy holds, and the records in the slots of its logs. */
-export interface KnownRows {
+export interface ReplicaRows {
   revisions: ReadonlyMap<string, number>;
   logSlots: ReadonlyMap<string, LogSlot>;
 }
 
 /** Compares rows that were read with what a copy held before: in one history no row grows older. */
-export function compareRows({ rows }: LiveRows, { revisions, logSlots }: KnownRows): RowDifferences {
+export function compareRows({ rows }: LiveRows, { revisions, logSlots }: ReplicaRows): RowDifferences {
   const shown = new Map(rows.map((row) => [row.path, row]));
   const forked: string[] = [];
   const regressed: string[] = [];
@@ -114,7 +114,7 @@
 }
 
 /** What a copy holds that changes are compared with. */
-export interface KnownState {
+export interface ReplicaView {
   checkpointId: string;
   isLive(job: string): boolean;
   position(path: string): number;
@@ -124,20 +124,20 @@
  * Keys that changes take away, or take back to an earlier record, though no node ever does so: records, the token, the
  * present checkpoint, jobs that have not ended, and what became of jobs. The changes come in the order of their commits.
  */
-export function findLostKeys(changes: readonly Change[], copy: KnownState): string[] {
+export function findLostKeys(changes: readonly Change[], replica: ReplicaView): string[] {
   const lost: string[] = [];
-  const ended = new Set<string>();
-  let { checkpointId } = copy;
+  const endedJobs = new Set<string>();
+  let { checkpointId } = replica;
   for (const { path, value } of changes) {
     if (path === CHECKPOINT_HEAD_KEY && value) checkpointId = decodeCheckpointHead(value).id;
     else if (path.startsWith(JOB_PREFIX)) {
       const job = path.slice(JOB_PREFIX.length);
-      if (value && isTerminal(value)) ended.add(job);
-      else if (!value && copy.isLive(job) && !ended.has(job)) lost.push(path);
+      if (value && isTerminal(value)) endedJobs.add(job);
+      else if (!value && replica.isLive(job) && !endedJobs.has(job)) lost.push(path);
     } else if (path.startsWith(LOG_PREFIX)) {
-      const isOlder = value !== null && storedSequence(value) <= copy.position(path);
+      const isOlder = value !== null && storedSequence(value) <= replica.position(path);
       if (!value || isOlder) lost.push(path);
-    } else if (!value && isKeptForever(path, checkpointId)) lost.push(path);
+    } else if (!value && isNeverRemoved(path, checkpointId)) lost.push(path);
   }
   return lost;
 }
@@ -157,7 +157,7 @@
   );
 }
 
-function isKeptForever(path: string, checkpointId: string): boolean {
+function isNeverRemoved(path: string, checkpointId: string): boolean {
   if (path.startsWith(CHECKPOINT_CHUNK_PREFIX)) return checkpointIdOfKey(path) === checkpointId;
   return path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY || path.startsWith(TERMINAL_PREFIX);
 }
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -18,7 +18,7 @@
   return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: SECOND });
 }
 
-const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
 // At nine hundred machines the leader once planned a round every two seconds, the others four a second.
 test('a checkpoint of many values is paced by its own limiter and does not hold up the scheduling rounds of the leader', async () => {
@@ -37,7 +37,7 @@
       return Promise.resolve({ kind: 'applied', revision: sent.length });
     },
   } as unknown as StoreClient;
-  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
+  const replica = new Replica({ store, clock: view, log: SILENT_LOGGER, stateRps: 70 });
   for (let seq = 1; seq <= 100; seq++) {
     const host = (i: number): MachineRow => [`n-${seq}-${i}`, 'small', 'east', true, seq, 0];
     replica.ledger.apply('lead', {
@@ -56,21 +56,21 @@
     limits,
     recordLimiter: new RateLimiter(view, () => 8),
     checkpointLimiter: new RateLimiter(view, () => 4),
-    log: SILENT,
+    log: SILENT_LOGGER,
   });
-  const progress = { isOver: false };
+  const maintenance = { isOver: false };
   void writer.maintain().then(() => {
-    progress.isOver = true;
+    maintenance.isOver = true;
   });
-  for (let i = 0; i < 600 && !progress.isOver; i++) {
+  for (let i = 0; i < 600 && !maintenance.isOver; i++) {
     await clock.run(clock.time + 100 * MS, () => undefined);
     assert.equal(writer.appendDelay(), 0, `a round has to wait after ${i / 10} s`);
   }
-  assert.ok(progress.isOver);
+  assert.ok(maintenance.isOver);
   const values = sent.reduce((sum, s) => sum + s.writes, 0);
   assert.ok(values > 20, `only ${values} values`);
-  const took = (sent.at(-1)?.at ?? 0) - (sent[0]?.at ?? 0);
-  assert.ok(took > ((values - 10) / 4) * SECOND, `${values} values in ${took / SECOND} s`);
+  const elapsed = (sent.at(-1)?.at ?? 0) - (sent[0]?.at ?? 0);
+  assert.ok(elapsed > ((values - 10) / 4) * SECOND, `${values} values in ${elapsed / SECOND} s`);
 });
 
 interface RecordingWriter {
@@ -97,7 +97,7 @@
     },
     get: () => Promise.reject(new Error('away')),
   } as unknown as StoreClient;
-  const replica = new Replica({ store, clock: view, log: SILENT, stateRps: 70 });
+  const replica = new Replica({ store, clock: view, log: SILENT_LOGGER, stateRps: 70 });
   const roles = rolesOf(view, new Map([[0, 7]]));
   const limiter = new RateLimiter(view, () => 10);
   const writer = new LogWriter({
@@ -108,7 +108,7 @@
     limits: new WriteLimits(2048, 6),
     recordLimiter: limiter,
     checkpointLimiter: limiter,
-    log: SILENT,
+    log: SILENT_LOGGER,
   });
   return { writer, replica, sent };
 }
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -73,7 +73,7 @@
     const batchSize = valuesPerCommit(this.options.limits);
     for (let i = 0; i < records.length; i += batchSize) {
       const batch = records.slice(i, i + batchSize);
-      const proofs = this.proveAll(new Set([...batch.map((record) => record.log), ...requiredRoles]));
+      const proofs = this.proveRolesHeld(new Set([...batch.map((record) => record.log), ...requiredRoles]));
       if (!proofs) return false;
       const commit = this.prepareBatch(batch);
       if (!commit) return false;
@@ -87,7 +87,7 @@
   async completeJobs(jobs: [string, LiveJob][], shards: readonly LogId[]): Promise<void> {
     const batchSize = this.options.limits.txnOps;
     for (let i = 0; i < jobs.length; i += batchSize) {
-      const proofs = this.proveAll(new Set(shards));
+      const proofs = this.proveRolesHeld(new Set(shards));
       if (!proofs) return;
       const batch = jobs.slice(i, i + batchSize);
       // A cancellation that came first has changed the key: then the job stays cancelled.
@@ -137,7 +137,7 @@
   }
 
   /** Proofs of all these roles, or null if this node no longer holds one of them. */
-  private proveAll(roles: ReadonlySet<RoleName>): TermProofs | null {
+  private proveRolesHeld(roles: ReadonlySet<RoleName>): TermProofs | null {
     const proofs: TermProof[] = [];
     for (const role of roles) {
       const termProof = this.options.roles.proveHeld(role);
--- a/packages/cluster/member-status.ts
+++ b/packages/cluster/member-status.ts
@@ -18,7 +18,7 @@
   /** Null while this process has no member record. */
   readonly ownRecord: () => OwnMemberRecord | null;
   /** Replaces this member record by one with the present status, guarded by the record's revision. */
-  readonly replaceRecord: (own: OwnMemberRecord) => Promise<CommitResult>;
+  readonly replaceRecord: (memberRecord: OwnMemberRecord) => Promise<CommitResult>;
 }
 
 /** Brings the member record of a node in line with the node's status. */
@@ -40,11 +40,11 @@
   async publish(change: Partial<MemberStatus>): Promise<void> {
     this.currentStatus = { ...this.currentStatus, ...change };
     const { replica, log, ownRecord, replaceRecord } = this.options;
-    const own = ownRecord();
-    if (this.isPublishing || !own || isSameStatus(own.record, this.currentStatus)) return;
+    const memberRecord = ownRecord();
+    if (this.isPublishing || !memberRecord || isSameStatus(memberRecord.record, this.currentStatus)) return;
     this.isPublishing = true;
     log.info(this.currentStatus, 'member status published');
-    const result = await replaceRecord(own);
+    const result = await replaceRecord(memberRecord);
     if (result.kind === 'applied') await replica.waitForRevision(result.revision, SECOND);
     this.isPublishing = false;
   }
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -2,7 +2,7 @@
  * A node's membership in the cluster: the lease that all its keys are bound to, its member record and its announced
  * capabilities. Joining, renewing and leaving form a state machine, see {@link MembershipState}.
  */
-import { OWN_CAPABILITIES } from './capabilities.js';
+import { SUPPORTED_CAPABILITIES } from './capabilities.js';
 import { capabilityKey, LEADER_KEY, memberKey, ownershipKey } from './keys.js';
 import { LeaderElection } from './leader-election.js';
 import type { Logger } from './logger.js';
@@ -22,7 +22,7 @@
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
 /** How long a lease outlives its last renewal. */
-const LEASE_LIFE: Micros = 3 * SECOND;
+const LEASE_DURATION: Micros = 3 * SECOND;
 const RENEW_INTERVAL: Micros = 800 * MS;
 const RETRY_INTERVAL: Micros = 250 * MS;
 /** How long a join whose outcome is unknown is waited for. */
@@ -75,7 +75,7 @@
       replaceRecord: ({ lease, record }) => this.writeRecord(lease, record.revision),
     });
     replica.onChange(() => {
-      this.observe();
+      this.onReplicaChange();
     });
   }
 
@@ -110,21 +110,21 @@
   async retire(): Promise<void> {
     const leaseId = this.lease?.leaseId;
     this.lease = null;
-    this.enter('stopped');
+    this.transitionTo('stopped');
     this.roles.refresh();
     if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
   /** Ends {@link run} without giving anything up: the lease runs out by itself. */
   stop(): void {
-    this.enter('stopped');
+    this.transitionTo('stopped');
   }
 
   /** Joins the cluster and stays in it until stopped. Rejects only on errors other than a {@link StoreError}. */
   async run(): Promise<void> {
     while (!this.isStopped()) {
       try {
-        if (this.lease) await this.keepLease(this.lease);
+        if (this.lease) await this.renewLease(this.lease);
         else if (this.options.replica.state === 'following') await this.join();
       } catch (cause) {
         // In an outage leases don't run out; after a lone 503 a later 404 shows that ours has.
@@ -140,7 +140,7 @@
       holders: () => roleHolders(replica),
       isOurs: (nonce: string) => this.isOurs(nonce),
     };
-    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_LIFE });
+    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_DURATION });
   }
 
   private isStopped(): boolean {
@@ -161,21 +161,21 @@
   private async join(): Promise<void> {
     const { store, replica, clock, member, incarnation } = this.options;
     const sentAt = clock.now();
-    const leaseId = await store.createLease(LEASE_LIFE);
+    const leaseId = await store.createLease(LEASE_DURATION);
     this.roles.onLeaseRenewed(sentAt);
     this.lease = { nonce: `${incarnation}.${++this.joinCount}`, leaseId, createdAt: clock.now() };
-    this.enter('joining');
+    this.transitionTo('joining');
     // Only one process of a member runs at a time: the record of an earlier one may be replaced.
     const result = await this.writeRecord(this.lease, replica.members.get(member)?.revision ?? 0);
     if (result.kind !== 'applied' && result.kind !== 'unknown') await this.leave();
   }
 
-  private async keepLease(lease: MemberLease): Promise<void> {
+  private async renewLease(lease: MemberLease): Promise<void> {
     const { store, clock } = this.options;
     const sentAt = clock.now();
     if (!(await store.renewLease(lease.leaseId))) {
       this.lease = null;
-      this.enter('outside');
+      this.transitionTo('outside');
       this.roles.refresh();
       return;
     }
@@ -192,30 +192,31 @@
   /** Writes what this version understands to a key that outlives the process, if it isn't there yet. */
   private async announceCapabilities(): Promise<void> {
     const { store, replica, member } = this.options;
-    const announced = replica.capabilities.get(member);
-    const own = this.ownRecord();
-    if (!own || OWN_CAPABILITIES.every((capability) => announced?.has(capability))) return;
+    const announcedCapabilities = replica.capabilities.get(member);
+    const ownRecord = this.ownRecord();
+    if (!ownRecord || SUPPORTED_CAPABILITIES.every((capability) => announcedCapabilities?.has(capability)))
+      return;
     // Guarded by this process's own record: a late commit can't announce for a later process.
     await store.compareAndSwap(
-      [{ path: memberKey(member), revision: own.record.revision }],
-      [{ set: capabilityKey(member), value: encodeCapabilities(OWN_CAPABILITIES) }],
+      [{ path: memberKey(member), revision: ownRecord.record.revision }],
+      [{ set: capabilityKey(member), value: encodeCapabilities(SUPPORTED_CAPABILITIES) }],
     );
   }
 
   private async leave(): Promise<void> {
     const leaseId = this.lease?.leaseId;
     this.lease = null;
-    this.enter('outside');
+    this.transitionTo('outside');
     if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
   /** Follows a change of the replica. */
-  private observe(): void {
+  private onReplicaChange(): void {
     const { replica, member } = this.options;
     const record = replica.members.get(member);
     const isOwnRecord = record !== undefined && record.nonce === this.lease?.nonce;
     if (this.state === 'joining' && isOwnRecord) {
-      this.enter('member');
+      this.transitionTo('member');
     } else if (this.state === 'member' && !isOwnRecord && replica.state === 'following') {
       void this.leave();
     }
@@ -230,7 +231,7 @@
   ): Promise<CommitResult> {
     const { store, member, zone } = this.options;
     const notes = this.statusPublisher.status;
-    const value = encodeMember({ nonce, zone, leaseId, notes, capabilities: OWN_CAPABILITIES });
+    const value = encodeMember({ nonce, zone, leaseId, notes, capabilities: SUPPORTED_CAPABILITIES });
     return store.compareAndSwap(
       [{ path: memberKey(member), revision }],
       [{ set: memberKey(member), value, leaseId }],
@@ -243,7 +244,7 @@
     return store.compareAndSwap([{ path: LEADER_KEY, revision }], [{ set: LEADER_KEY, value, leaseId }]);
   }
 
-  private enter(state: MembershipState): void {
+  private transitionTo(state: MembershipState): void {
     if (this.state === state || this.state === 'stopped') return;
     this.options.log.info({ from: this.state, to: state }, 'membership changed');
     this.state = state;
--- a/packages/cluster/peer-monitor.ts
+++ b/packages/cluster/peer-monitor.ts
@@ -37,12 +37,12 @@
 const PING_INTERVAL: Micros = 500 * MS;
 const PING_TIMEOUT: Micros = 1200 * MS;
 /** A peer that does not answer counts as unreachable this long after its last answer. */
-const UNREACHABLE_SILENT: Micros = 1700 * MS;
+const SILENT_PEER_TIMEOUT: Micros = 1700 * MS;
 /**
  * The same for a peer whose host refuses the connection. A dead process does, too; by then its member key is gone, and
  * it counts as dead rather than partitioned.
  */
-const UNREACHABLE_REFUSED: Micros = 4500 * MS;
+const REFUSING_PEER_TIMEOUT: Micros = 4500 * MS;
 
 /** A peer of this node. */
 export interface Peer {
@@ -95,7 +95,7 @@
     const now = this.options.clock.now();
     return this.peers
       .filter(({ lastAnswerAt, lastResult }) => {
-        return now - lastAnswerAt > (lastResult === 'refused' ? UNREACHABLE_REFUSED : UNREACHABLE_SILENT);
+        return now - lastAnswerAt > (lastResult === 'refused' ? REFUSING_PEER_TIMEOUT : SILENT_PEER_TIMEOUT);
       })
       .map(({ member }) => member)
       .sort();
--- a/packages/cluster/placement-index.ts
+++ b/packages/cluster/placement-index.ts
@@ -37,11 +37,11 @@
   }
 
   private addUsage({ team, cpus, gpus, memGb }: Placement, sign: 1 | -1): void {
-    const used = this.teamUsage(team);
+    const usage = this.teamUsage(team);
     this.usageByTeam.set(team, {
-      cpus: used.cpus + sign * cpus,
-      gpus: used.gpus + sign * gpus,
-      memGb: used.memGb + sign * memGb,
+      cpus: usage.cpus + sign * cpus,
+      gpus: usage.gpus + sign * gpus,
+      memGb: usage.memGb + sign * memGb,
     });
   }
 }
--- a/packages/cluster/read-barrier.ts
+++ b/packages/cluster/read-barrier.ts
@@ -21,7 +21,7 @@
   /** Resolves true once the copy has applied the revision, false after the timeout. */
   readonly waitForRevision: (revision: number, timeout: Micros) => Promise<boolean>;
   /** Whether the copy, which holds all that was committed before `sentAt`, may be relied on. */
-  readonly confirmCopy: (sentAt: Micros) => boolean;
+  readonly confirmReplica: (sentAt: Micros) => boolean;
 }
 
 /** Reads the revision of the state service, and waits until the copy has applied it. */
@@ -44,11 +44,11 @@
   }
 
   private async readRevision(): Promise<boolean> {
-    const { store, clock, limiter, waitForRevision, confirmCopy } = this.options;
+    const { store, clock, limiter, waitForRevision, confirmReplica } = this.options;
     // Always yields first: the caller's assignment must come before the reset below, or every later barrier
     // would share this one read for ever.
-    const gap = this.lastReadAt + MIN_READ_INTERVAL - clock.now();
-    await sleep(clock, Math.max(0, gap, limiter.delay()));
+    const intervalLeft = this.lastReadAt + MIN_READ_INTERVAL - clock.now();
+    await sleep(clock, Math.max(0, intervalLeft, limiter.delay()));
     limiter.consume(1);
     // From here on a caller needs the next read, since this one may be answered before it called.
     this.pendingRead = null;
@@ -57,7 +57,7 @@
     try {
       const { revision } = await store.get(UNUSED_KEY);
       if (!(await waitForRevision(revision, APPLY_TIMEOUT))) return false;
-      if (!confirmCopy(sentAt)) return false;
+      if (!confirmReplica(sentAt)) return false;
       this.verifiedAt = Math.max(this.verifiedAt, sentAt);
       return true;
     } catch {
--- a/packages/cluster/replica-loader.ts
+++ b/packages/cluster/replica-loader.ts
@@ -6,7 +6,7 @@
 import type { Row } from '#store';
 
 /** How many missing keys one read looks for. */
-const MAX_KEYS_SOUGHT = 20;
+const MAX_MISSING_KEY_LOOKUPS = 20;
 
 /** Reads rows of the state service, page by page. */
 export interface RowReader {
@@ -27,14 +27,14 @@
 export class ReplicaLoader {
   constructor(
     private readonly store: RowReader,
-    private readonly check: StateIntegrityCheck,
+    private readonly integrityCheck: StateIntegrityCheck,
   ) {}
 
   /** Throws IncompleteStateError if parts are missing, StoreError if the state service does not answer. */
   async load(): Promise<LoadedState> {
     const live = await this.readLiveState();
     const ledger = buildLedger(live);
-    await this.seekMissingKeys(live);
+    await this.findMissingKeys(live);
     return { live, ledger };
   }
 
@@ -45,25 +45,26 @@
    */
   private async readLiveState(): Promise<LiveRows> {
     const rows: Row[] = [];
-    let from: number | null = null;
+    let revision: number | null = null;
     for (let after = ''; ;) {
       const page = await this.store.list(LIVE_PREFIX, after);
-      from ??= page.revision;
+      revision ??= page.revision;
       rows.push(...page.rows);
       const last = page.rows.at(-1);
-      if (!page.more || !last) return { rows: rows.filter(committedBy(from)), from, to: page.revision };
+      if (!page.more || !last)
+        return { rows: rows.filter(committedBy(revision)), revision, lastPageRevision: page.revision };
       after = last.path;
     }
   }
 
   /** Looks for keys that had gone: there again, replaced by what follows them, or not needed any more. */
-  private async seekMissingKeys(live: LiveRows): Promise<void> {
+  private async findMissingKeys(live: LiveRows): Promise<void> {
     const shown = new Set(live.rows.map(({ path }) => path));
-    const missing = this.check.missingKeys();
+    const missing = this.integrityCheck.missingKeys();
     for (const key of missing)
-      if (shown.has(key) || isObsoleteChunk(key, live)) this.check.reportFoundKey(key);
-    for (const key of this.check.missingKeys().slice(0, MAX_KEYS_SOUGHT)) {
-      if (await this.isStored(successorKeyOf(key) ?? key)) this.check.reportFoundKey(key);
+      if (shown.has(key) || isObsoleteChunk(key, live)) this.integrityCheck.reportFoundKey(key);
+    for (const key of this.integrityCheck.missingKeys().slice(0, MAX_MISSING_KEY_LOOKUPS)) {
+      if (await this.isStored(successorKeyOf(key) ?? key)) this.integrityCheck.reportFoundKey(key);
     }
   }
 
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -8,14 +8,14 @@
 import { Replica } from './replica.js';
 import { encodeRecord, encodeRecordDraft } from './stored/record-codec.js';
 
-const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
 interface Commit {
   log: LogId;
   record: PlacementRecord;
 }
 
-function start(machine: string): StartGroup[] {
+function startOn(machine: string): StartGroup[] {
   return [{ job: 'j-1', team: 'blue', image: 'img', need: [1, 0, 1], tasks: [[0, machine, 1]] }];
 }
 
@@ -37,7 +37,7 @@
       transferTargets: [['n-3', 1]],
     },
   },
-  { log: 0, record: { sequence: 1, recordedAtMs: 1, starts: start('n-1') } },
+  { log: 0, record: { sequence: 1, recordedAtMs: 1, starts: startOn('n-1') } },
   { log: 1, record: { sequence: 1, recordedAtMs: 1, statuses: [['n-2', 'up']] } },
   {
     log: 0,
@@ -48,7 +48,7 @@
       releases: [['n-3', null]],
     },
   },
-  { log: 1, record: { sequence: 2, recordedAtMs: 3, acquisitions: ['n-3'], starts: start('n-2') } },
+  { log: 1, record: { sequence: 2, recordedAtMs: 3, acquisitions: ['n-3'], starts: startOn('n-2') } },
 ];
 
 /** A state service with one row a page; `betweenPages` may commit before each page but the first. */
@@ -56,7 +56,7 @@
   revision = 0;
   private readonly rows = new Map<string, Row>();
   private readonly history: Change[] = [];
-  private wake: () => void = () => undefined;
+  private resolveWatch: () => void = () => undefined;
 
   constructor(private readonly betweenPages: () => void) {}
 
@@ -65,24 +65,28 @@
     const row = { path, value: encodeRecord(encodeRecordDraft(record), record), revision: ++this.revision };
     this.rows.set(path, row);
     this.history.push(row);
-    this.wake();
+    this.resolveWatch();
   }
 
   list(_prefix: string, after: string): Promise<{ rows: Row[]; more: boolean; revision: number }> {
     if (after !== '') this.betweenPages();
-    const rest = [...this.rows.values()].filter((r) => r.path > after);
-    rest.sort((a, b) => (a.path < b.path ? -1 : 1));
-    return Promise.resolve({ rows: rest.slice(0, 1), more: rest.length > 1, revision: this.revision });
+    const remaining = [...this.rows.values()].filter((r) => r.path > after);
+    remaining.sort((a, b) => (a.path < b.path ? -1 : 1));
+    return Promise.resolve({
+      rows: remaining.slice(0, 1),
+      more: remaining.length > 1,
+      revision: this.revision,
+    });
   }
 
   async watch(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
-    if (this.revision <= after) await new Promise<void>((resolve) => (this.wake = resolve));
+    if (this.revision <= after) await new Promise<void>((resolve) => (this.resolveWatch = resolve));
     return { revision: this.revision, changes: this.history.filter((change) => change.revision > after) };
   }
 }
 
 /** Lets simulated time pass in steps, so that whatever is under way in between can settle. */
-async function pass(clock: SimClock, duration: Micros): Promise<void> {
+async function advanceInSteps(clock: SimClock, duration: Micros): Promise<void> {
   for (let at = 0; at < duration; at += 100 * MS) clock.at(at, () => undefined);
   await clock.run(clock.time + duration, () => undefined);
 }
@@ -91,14 +95,18 @@
  * The copy of a node that reads all live state while the commits from `committed` on land: `burst` of them before each
  * page but the first `pages`.
  */
-async function readWhileCommitting(committed: number, pages: number, burst: number): Promise<Replica> {
-  const later = COMMITS.slice(committed);
-  let read = 0;
+async function readWhileCommitting(
+  initialCommits: number,
+  quietPages: number,
+  burst: number,
+): Promise<Replica> {
+  const later = COMMITS.slice(initialCommits);
+  let pagesRead = 0;
   const store = new PagedStore(() => {
-    if (++read < pages) return;
+    if (++pagesRead < quietPages) return;
     for (const next of later.splice(0, burst)) store.commit(next);
   });
-  for (const commit of COMMITS.slice(0, committed)) store.commit(commit);
+  for (const commit of COMMITS.slice(0, initialCommits)) store.commit(commit);
   const clock = new SimClock();
   const view = clock.view(
     (step) => {
@@ -110,13 +118,13 @@
   const replica = new Replica({
     store: store as unknown as StoreClient,
     clock: view,
-    log: SILENT,
+    log: SILENT_LOGGER,
     stateRps: 1000,
   });
   void replica.run();
-  await pass(clock, 5 * SECOND);
+  await advanceInSteps(clock, 5 * SECOND);
   for (const commit of later) store.commit(commit);
-  await pass(clock, 5 * SECOND);
+  await advanceInSteps(clock, 5 * SECOND);
   replica.stop();
   return replica;
 }
@@ -125,14 +133,14 @@
 // of another log that had landed meanwhile: the start of a task had no effect, since its end was not known yet, and
 // the node started the task a second time.
 test('commits that land while the live state is read are applied in their order', async () => {
-  for (let committed = 0; committed <= COMMITS.length; committed++) {
-    for (let pages = 1; pages <= COMMITS.length; pages++) {
+  for (let initialCommits = 0; initialCommits <= COMMITS.length; initialCommits++) {
+    for (let quietPages = 1; quietPages <= COMMITS.length; quietPages++) {
       for (const burst of [1, 2, 3]) {
-        const { ledger } = await readWhileCommitting(committed, pages, burst);
-        const during = `${committed} commits before the reading, ${burst} after page ${pages}`;
-        assert.equal(ledger.totalRecords, COMMITS.length, during);
-        assert.equal(ledger.placement('j-1', 0)?.host, 'n-2', during);
-        assert.equal(ledger.machines.get('n-3')?.shard, 1, during);
+        const { ledger } = await readWhileCommitting(initialCommits, quietPages, burst);
+        const scenario = `${initialCommits} commits before the reading, ${burst} after page ${quietPages}`;
+        assert.equal(ledger.totalRecords, COMMITS.length, scenario);
+        assert.equal(ledger.placement('j-1', 0)?.host, 'n-2', scenario);
+        assert.equal(ledger.machines.get('n-3')?.shard, 1, scenario);
       }
     }
   }
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -33,8 +33,8 @@
 /** How long the state service may keep a watch open before it answers without changes. */
 const WATCH_TIMEOUT: Micros = 10 * SECOND;
 /** Parts of the requests that the state service allows which the watch and the read barrier may take. */
-const WATCH_QUOTA_SHARE = 0.3;
-const BARRIER_QUOTA_SHARE = 0.25;
+const WATCH_QUOTA_FRACTION = 0.3;
+const BARRIER_QUOTA_FRACTION = 0.25;
 /** Time before another attempt where the state service refused or did not answer. */
 const RETRY_DELAY: Micros = 250 * MS;
 /** Time between two complete reads while what they show is not accepted. */
@@ -50,7 +50,7 @@
   /** Requests a second that the state service allows all nodes together. */
   readonly stateRps: number;
   /** Judges what the state service shows; by default everything is accepted. */
-  readonly check?: StateIntegrityCheck;
+  readonly integrity?: StateIntegrityCheck;
 }
 
 /** Follows the live state of the cluster. Every node has one; what it holds is a {@link ClusterState}. */
@@ -59,11 +59,11 @@
   /** Revision of the last page read: before it is applied, the copy may lack what other pages missed. */
   private catchUpRevision = 0;
   private listeners: (() => void)[] = [];
-  private interruptWatch: () => void = () => undefined;
+  private abortWatch: () => void = () => undefined;
   private readonly store: StoreClient;
   private readonly clock: Clock;
   private readonly log: Logger;
-  private readonly check: StateIntegrityCheck;
+  private readonly integrity: StateIntegrityCheck;
   private readonly terminalStatuses = new TerminalStatusCache();
   private readonly applier: ChangeApplier;
   private readonly loader: ReplicaLoader;
@@ -72,26 +72,26 @@
   private readonly watchLimiter: RateLimiter;
   private readonly readBarrier: ReadBarrier;
 
-  constructor({ store, clock, log, stateRps, check = NO_STATE_INTEGRITY_CHECK }: ReplicaOptions) {
+  constructor({ store, clock, log, stateRps, integrity = NO_STATE_INTEGRITY_CHECK }: ReplicaOptions) {
     super();
     this.store = store;
     this.clock = clock;
     this.log = log;
-    this.check = check;
-    check.onClose(() => {
-      this.interruptWatch();
+    this.integrity = integrity;
+    integrity.onClose(() => {
+      this.abortWatch();
     });
     this.applier = new ChangeApplier({ state: this, terminalStatuses: this.terminalStatuses, log });
-    this.loader = new ReplicaLoader(store, check);
+    this.loader = new ReplicaLoader(store, integrity);
     this.waiters = new RevisionWaiters(clock);
     this.changeMeter = new RateMeter(clock);
-    this.watchLimiter = new RateLimiter(clock, () => this.perMemberQuota(stateRps * WATCH_QUOTA_SHARE));
+    this.watchLimiter = new RateLimiter(clock, () => this.perMemberQuota(stateRps * WATCH_QUOTA_FRACTION));
     this.readBarrier = new ReadBarrier({
       store,
       clock,
-      limiter: new RateLimiter(clock, () => this.perMemberQuota(stateRps * BARRIER_QUOTA_SHARE)),
+      limiter: new RateLimiter(clock, () => this.perMemberQuota(stateRps * BARRIER_QUOTA_FRACTION)),
       waitForRevision: (revision, timeout) => this.waitForRevision(revision, timeout),
-      confirmCopy: (sentAt) => check.confirmCopy(sentAt, this.highWaterMarks()),
+      confirmReplica: (sentAt) => integrity.confirmReplica(sentAt, this.highWaterMarks()),
     });
   }
 
@@ -102,7 +102,7 @@
 
   /** Every one of these members supports the capability, those that are down included. */
   allSupport(members: readonly string[], capability: Capability): boolean {
-    return allSupport(members, { living: this.members, lasting: this.capabilities }, capability);
+    return allSupport(members, { livingMembers: this.members, lastAnnounced: this.capabilities }, capability);
   }
 
   /** Changes a second by all nodes, as the watch has shown them lately. */
@@ -127,15 +127,15 @@
 
   /** Loads and follows the live state until {@link stop} is called; errors are logged and retried. */
   async run(): Promise<void> {
-    while (!this.check.isReady()) await sleep(this.clock, READY_POLL_INTERVAL);
+    while (!this.integrity.isReady()) await sleep(this.clock, READY_POLL_INTERVAL);
     while (!this.isStopped()) {
       try {
-        if (this.state === 'loading' || !this.check.isOpen()) await this.load();
+        if (this.state === 'loading' || !this.integrity.isOpen()) await this.load();
         else await this.watch();
       } catch (cause) {
         this.log.debug({ error: String(cause) }, 'state watch interrupted');
-        if (cause instanceof IncompleteStateError) this.check.reportIncompleteRead(cause.message);
-        const isRefusal = cause instanceof StoreError && this.check.isOpen();
+        if (cause instanceof IncompleteStateError) this.integrity.reportIncompleteRead(cause.message);
+        const isRefusal = cause instanceof StoreError && this.integrity.isOpen();
         await sleep(this.clock, isRefusal ? RETRY_DELAY : RELOAD_INTERVAL);
       }
     }
@@ -157,8 +157,8 @@
 
   /** Terminal status of a job that is not live, read from the state service if need be; null if there is none. */
   async terminalStatus(id: string): Promise<TerminalStatus | null> {
-    const known = this.cachedTerminalStatus(id);
-    if (known) return known;
+    const cachedStatus = this.cachedTerminalStatus(id);
+    if (cachedStatus) return cachedStatus;
     const { row } = await this.store.get(terminalKey(id));
     if (!row) return null;
     this.terminalStatuses.set(id, decodeTerminalStatus(row.value));
@@ -167,7 +167,7 @@
 
   /** A page of the terminal statuses after this job, in the order of job names; fails while the state is not intact. */
   async terminalStatusesAfter(id: string): Promise<{ id: string; status: TerminalStatus }[]> {
-    if (!this.check.isOpen()) throw new StoreError(0);
+    if (!this.integrity.isOpen()) throw new StoreError(0);
     const { rows } = await this.store.list(TERMINAL_PREFIX, id === '' ? '' : terminalKey(id));
     return rows.map(({ path, value }) => ({
       id: path.slice(TERMINAL_PREFIX.length),
@@ -193,35 +193,41 @@
   /** Reads all live state, and takes it for the copy unless it contradicts what is known. */
   private async load(): Promise<void> {
     const sentAt = this.clock.now();
-    const known =
-      this.appliedRevision > 0 ? { ...this.highWaterMarks(), revision: this.check.minimumRevision() } : null;
+    const previous =
+      this.appliedRevision > 0
+        ? { ...this.highWaterMarks(), revision: this.integrity.minimumRevision() }
+        : null;
     const loaded = await this.loader.load();
     // Until it is accepted the copy stays: of what was lost, it may be the only one.
-    if (!this.isAccepted(loaded, sentAt, known)) throw new StoreError(0);
-    this.replaceCopy(loaded);
+    if (!this.isAccepted(loaded, sentAt, previous)) throw new StoreError(0);
+    this.replaceState(loaded);
   }
 
-  private isAccepted({ live, ledger }: LoadedState, sentAt: Micros, known: HighWaterMarks | null): boolean {
-    const shown = {
-      revision: live.from,
+  private isAccepted(
+    { live, ledger }: LoadedState,
+    sentAt: Micros,
+    previous: HighWaterMarks | null,
+  ): boolean {
+    const current = {
+      revision: live.revision,
       fencingToken: fencingTokenIn(live),
       positions: ledger.allPositions(),
     };
-    const differences = compareRows(live, this.knownRows());
-    return this.check.judgeReading({ sentAt, shown, known, differences });
+    const differences = compareRows(live, this.replicaRows());
+    return this.integrity.verifyReading({ sentAt, current, previous, differences });
   }
 
-  private replaceCopy({ live, ledger }: LoadedState): void {
+  private replaceState({ live, ledger }: LoadedState): void {
     this.reset(ledger);
     this.applyLiveRows(live);
-    this.appliedRevision = live.from;
-    this.catchUpRevision = live.to;
+    this.appliedRevision = live.revision;
+    this.catchUpRevision = live.lastPageRevision;
     this.log.info(
       {
         jobs: this.jobs.size,
         records: this.ledger.totalRecords,
-        revision: live.from,
-        catchUpRevision: live.to,
+        revision: live.revision,
+        catchUpRevision: live.lastPageRevision,
       },
       'state loaded',
     );
@@ -269,7 +275,7 @@
   /** The answer of a watch; fails as soon as the integrity check closes, since a watch may stay open for long. */
   private failOnIntegrityLoss<T>(watch: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
-      this.interruptWatch = () => {
+      this.abortWatch = () => {
         reject(new StoreError(0));
       };
       watch.then(resolve, reject);
@@ -283,7 +289,7 @@
       isLive: (job) => this.jobs.has(job),
       position: (path) => this.ledger.position(logIdOfKey(path)),
     });
-    if (lost.length > 0 && this.check.reportLostKeys(lost)) throw new StoreError(0);
+    if (lost.length > 0 && this.integrity.reportLostKeys(lost)) throw new StoreError(0);
   }
 
   private notifyIfCurrent(): void {
--- a/packages/cluster/revision-waiters.ts
+++ b/packages/cluster/revision-waiters.ts
@@ -8,7 +8,7 @@
 
 /** Waits of any number of callers, each with its revision and timeout. */
 export class RevisionWaiters {
-  private waiting: Waiter[] = [];
+  private waiters: Waiter[] = [];
 
   constructor(private readonly clock: Clock) {}
 
@@ -16,7 +16,7 @@
   wait(revision: number, timeout: Micros): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = this.clock.after(timeout, () => {
-        this.waiting = this.waiting.filter((other) => other !== waiter);
+        this.waiters = this.waiters.filter((other) => other !== waiter);
         resolve(false);
       });
       const waiter: Waiter = {
@@ -26,14 +26,14 @@
           resolve(isReached);
         },
       };
-      this.waiting.push(waiter);
+      this.waiters.push(waiter);
     });
   }
 
   /** The copy has applied everything up to this revision. */
   onRevision(revision: number): void {
-    const reached = this.waiting.filter((waiter) => waiter.revision <= revision);
-    this.waiting = this.waiting.filter((waiter) => waiter.revision > revision);
+    const reached = this.waiters.filter((waiter) => waiter.revision <= revision);
+    this.waiters = this.waiters.filter((waiter) => waiter.revision > revision);
     for (const waiter of reached) waiter.settle(true);
   }
 }
--- a/packages/cluster/shard-assignment.test.ts
+++ b/packages/cluster/shard-assignment.test.ts
@@ -24,10 +24,10 @@
       fc.integer({ min: 1, max: 6 }),
       fc.uniqueArray(fc.constantFrom('a', 'b', 'c', 'd'), { minLength: 1 }),
       fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'gone'), { maxLength: 6 }),
-      (count, names, before) => {
+      (count, names, previousOwners) => {
         const members = names.map((n) => member(n));
         const owners = new Map<number, ShardHolder>(
-          before.map((n, i) => [i, { member: n, nonce: `${n}.1` }]),
+          previousOwners.map((n, i) => [i, { member: n, nonce: `${n}.1` }]),
         );
         for (let round = 0; round < 20; round++) {
           for (const { shard, member: name } of plan(count, owners, members)) {
--- a/packages/cluster/shard-assignment.ts
+++ b/packages/cluster/shard-assignment.ts
@@ -121,8 +121,8 @@
 
   /** Members that may get the shard: all but those that give it up, unless that is everybody. */
   private candidatesFor(shard: number): string[] {
-    const willing = this.members.filter((member) => !hasResignedShard(member, shard));
-    return willing.length > 0 ? willing.map(({ member }) => member) : [...this.ownedShards.keys()];
+    const candidates = this.members.filter((member) => !hasResignedShard(member, shard));
+    return candidates.length > 0 ? candidates.map(({ member }) => member) : [...this.ownedShards.keys()];
   }
 
   /** Number of shards that the member is below its target; negative above it. */
--- a/packages/cluster/state-integrity-check.ts
+++ b/packages/cluster/state-integrity-check.ts
@@ -15,9 +15,9 @@
 export interface StateReading {
   /** Steady time at which the read was begun. */
   sentAt: Micros;
-  shown: HighWaterMarks;
+  current: HighWaterMarks;
   /** What was known when it was begun; null before the first reading. */
-  known: HighWaterMarks | null;
+  previous: HighWaterMarks | null;
   /** How the rows that were read differ from those that the copy holds. */
   differences: RowDifferences;
 }
@@ -42,9 +42,9 @@
   /** The highest revision that any answer has shown. */
   minimumRevision(): number;
   /** Whether the reading may be taken for the state; opens or closes the check. */
-  judgeReading(reading: StateReading): boolean;
+  verifyReading(reading: StateReading): boolean;
   /** The copy holds all that was committed before this time: may it be relied on? */
-  confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean;
+  confirmReplica(sentAt: Micros, replicaMarks: HighWaterMarks): boolean;
   /** Keys have gone that this program never removes; true if that closes the check. */
   reportLostKeys(lostKeys: readonly string[]): boolean;
   /** Those of them that no reading has shown again. */
@@ -61,8 +61,8 @@
   isReady: () => true,
   onClose: () => undefined,
   minimumRevision: () => 0,
-  judgeReading: () => true,
-  confirmCopy: () => true,
+  verifyReading: () => true,
+  confirmReplica: () => true,
   reportLostKeys: () => false,
   missingKeys: () => [],
   reportFoundKey: () => undefined,
--- a/packages/cluster/worker-reachability.test.ts
+++ b/packages/cluster/worker-reachability.test.ts
@@ -40,9 +40,9 @@
   runChecks(oneMachine, { duration: 60 * SECOND, redirected: 1 });
   assert.equal(oneMachine.state, 'reached');
 
-  const allAreSilent = new WorkerReachability(LIMITS);
-  runChecks(allAreSilent, { duration: 60 * SECOND, redirected: 0 });
-  assert.equal(allAreSilent.state, 'reached');
+  const withoutRedirects = new WorkerReachability(LIMITS);
+  runChecks(withoutRedirects, { duration: 60 * SECOND, redirected: 0 });
+  assert.equal(withoutRedirects.state, 'reached');
 
   const withoutShards = new WorkerReachability(LIMITS);
   for (let i = 0; i < 60; i++) {
--- a/packages/cluster/worker-reachability.ts
+++ b/packages/cluster/worker-reachability.ts
@@ -12,11 +12,11 @@
 export type WorkerReachabilityState = 'reached' | 'unreachable';
 
 /** For how long a machine that was redirected to its owner counts as on its way there. */
-const REDIRECT_LIFE: Micros = 3 * SECOND;
+const REDIRECT_LIFETIME: Micros = 3 * SECOND;
 /** A single machine may be broken; of several one would have arrived. */
 const MIN_REDIRECTED_MACHINES = 2;
 /** Checks in a row: a redirected worker arrives within half a second, and peers publish every half second. */
-const MIN_REDIRECTED_CHECKS = 3;
+const MIN_CONSECUTIVE_REDIRECT_CHECKS = 3;
 /** Pause before a node is tried again, in workers' leases; doubled each time that it fails again at once. */
 const MIN_PAUSE_LEASES = 3;
 const MAX_PAUSE_LEASES = 24;
@@ -34,10 +34,10 @@
    * Checks without a heartbeat. Counted in checks and not in time: a suspended process makes no checks, and what its
    * workers did meanwhile proves nothing.
    */
-  private silentChecks = 0;
-  private redirectedChecks = 0;
+  private checksWithoutHeartbeat = 0;
+  private consecutiveRedirectChecks = 0;
   /** Largest number of machines that a peer has redirected here since the last check. */
-  private redirectedHere = 0;
+  private redirectedMachines = 0;
   private pause: Micros = 0;
   private unreachableUntil: Micros = -Infinity;
   /** By owner: the hosts whose workers this node has redirected there, and when. */
@@ -47,9 +47,9 @@
 
   /** A worker's heartbeat has arrived here, whichever member owns its machine. */
   onHeartbeat(): void {
-    this.silentChecks = 0;
+    this.checksWithoutHeartbeat = 0;
     this.pause = 0;
-    this.redirectedChecks = 0;
+    this.consecutiveRedirectChecks = 0;
     this.state = 'reached';
   }
 
@@ -64,7 +64,7 @@
   redirectCounts(now: Micros): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const [owner, hosts] of this.redirectedHosts) {
-      for (const [host, at] of hosts) if (now - at > REDIRECT_LIFE) hosts.delete(host);
+      for (const [host, at] of hosts) if (now - at > REDIRECT_LIFETIME) hosts.delete(host);
       if (hosts.size === 0) this.redirectedHosts.delete(owner);
       else counts[owner] = hosts.size;
     }
@@ -73,19 +73,22 @@
 
   /** A peer has lately redirected the workers of this number of machines to this node. */
   onPeerRedirects(machines: number): void {
-    this.redirectedHere = Math.max(this.redirectedHere, machines);
+    this.redirectedMachines = Math.max(this.redirectedMachines, machines);
   }
 
   /** To be called every {@link REACHABILITY_CHECK_INTERVAL}. `ownsShards`: workers should arrive here. */
   check(ownsShards: boolean, now: Micros): void {
-    const isRedirectedHere = this.redirectedHere >= MIN_REDIRECTED_MACHINES;
-    this.redirectedHere = 0;
+    const hasRedirects = this.redirectedMachines >= MIN_REDIRECTED_MACHINES;
+    this.redirectedMachines = 0;
     if (this.state === 'unreachable') {
       if (now >= this.unreachableUntil) this.retry();
     } else if (ownsShards) {
-      this.silentChecks++;
-      this.redirectedChecks = isRedirectedHere ? this.redirectedChecks + 1 : 0;
-      if (this.silentChecks >= this.silentCheckLimit() && this.redirectedChecks >= MIN_REDIRECTED_CHECKS)
+      this.checksWithoutHeartbeat++;
+      this.consecutiveRedirectChecks = hasRedirects ? this.consecutiveRedirectChecks + 1 : 0;
+      if (
+        this.checksWithoutHeartbeat >= this.heartbeatDeadlineChecks() &&
+        this.consecutiveRedirectChecks >= MIN_CONSECUTIVE_REDIRECT_CHECKS
+      )
         this.markUnreachable(now);
     } else {
       this.resetCounters();
@@ -93,7 +96,7 @@
   }
 
   /** Number of checks within which every worker that reaches this node sends a heartbeat. */
-  private silentCheckLimit(): number {
+  private heartbeatDeadlineChecks(): number {
     return Math.ceil((this.limits.heartbeatInterval * 1.25) / REACHABILITY_CHECK_INTERVAL) + 1;
   }
 
@@ -110,7 +113,7 @@
   }
 
   private resetCounters(): void {
-    this.silentChecks = 0;
-    this.redirectedChecks = 0;
+    this.checksWithoutHeartbeat = 0;
+    this.consecutiveRedirectChecks = 0;
   }
 }
--- a/packages/cluster/zone-partitions.ts
+++ b/packages/cluster/zone-partitions.ts
@@ -12,8 +12,8 @@
   const partitioned = new Set<string>();
   for (const { zone, unreachable } of members) {
     for (const name of unreachable) {
-      const other = members.find((candidate) => candidate.member === name);
-      if (other && other.zone !== zone) partitioned.add(zonePair(zone, other.zone));
+      const peer = members.find((candidate) => candidate.member === name);
+      if (peer && peer.zone !== zone) partitioned.add(zonePair(zone, peer.zone));
     }
   }
   return partitioned;
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -277,7 +277,7 @@
 ): CoreComponents {
   const { settings, clock, log, httpClient, incarnation, random } = options;
   const integrityCheck = dataLossDetector ?? NO_STATE_INTEGRITY_CHECK;
-  const replica = new Replica({ store, clock, log, stateRps: settings.stateRps, check: integrityCheck });
+  const replica = new Replica({ store, clock, log, stateRps: settings.stateRps, integrity: integrityCheck });
   const { member, domain } = settings;
   const membership = new Membership({
     member,
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -213,7 +213,7 @@
     heartbeatInterval: 3 * SECOND,
   });
   clock.time += SECOND;
-  assert.ok(detector.judgeReading(readingOf(clock)));
+  assert.ok(detector.verifyReading(readingOf(clock)));
   return detector;
 }
 
@@ -221,8 +221,8 @@
 function readingOf(clock: Clock, change: Partial<StateReading> = {}): StateReading {
   return {
     sentAt: clock.now(),
-    shown: { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } },
-    known: null,
+    current: { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } },
+    previous: null,
     differences: { forked: [], regressed: [], absent: [] },
     ...change,
   };
@@ -279,7 +279,7 @@
     await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"noticed","sinceS":0.5,"evidence":[{"source":"own requests","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own requests: epoch 9 is shown, 431 was seen"}],"falseAlarms":0,"seen":{"epoch":431}}}',
   );
-  assert.ok(detector.judgeReading(readingOf(clock)));
+  assert.ok(detector.verifyReading(readingOf(clock)));
   assert.equal(
     await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"serving","sinceS":0,"evidence":[],"falseAlarms":1,"seen":{"epoch":431}}}',
@@ -309,14 +309,14 @@
   clock.time += SECOND;
   assert.ok(detector.reportLostKeys(['mw/now/token']));
   clock.time += SECOND;
-  const shown = { revision: 9, fencingToken: 1, positions: { lead: 1 } };
-  const known = { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } };
+  const current = { revision: 9, fencingToken: 1, positions: { lead: 1 } };
+  const previous = { revision: 431, fencingToken: 7, positions: { lead: 3, '0': 12 } };
   const differences = {
     forked: ['mw/now/logs/lead/3'],
     regressed: ['mw/now/checkpoint'],
     absent: ['mw/now/jobs/j-000001'],
   };
-  assert.equal(detector.judgeReading(readingOf(clock, { shown, known, differences })), false);
+  assert.equal(detector.verifyReading(readingOf(clock, { current, previous, differences })), false);
   assert.equal(
     await recoveryOf(detector.report()),
     '200 application/json; charset=utf-8 close\n{"member":"node-2","loss":{"state":"frozen","sinceS":0,"evidence":[{"source":"own copy","contradiction":{"kind":"epoch_went_back","known":431,"shown":9},"text":"own copy: epoch 9 is shown, 431 was seen"},{"source":"own copy","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"own copy: token 1 is shown, 7 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"own copy: log 0 ends at 0, record 12 was seen"},{"source":"own copy","contradiction":{"kind":"log_went_back","log":"lead","known":3,"shown":1},"text":"own copy: log lead ends at 1, record 3 was seen"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/token"},"text":"own copy: mw/now/token is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_missing","key":"mw/now/jobs/j-000001"},"text":"own copy: mw/now/jobs/j-000001 is gone, and no node removes it"},{"source":"own copy","contradiction":{"kind":"key_went_back","key":"mw/now/checkpoint"},"text":"own copy: mw/now/checkpoint is older than it was"},{"source":"own copy","contradiction":{"kind":"history_forked","key":"mw/now/logs/lead/3"},"text":"own copy: mw/now/logs/lead/3 holds another record of the same number: this is another history"},{"source":"worker n-000001","contradiction":{"kind":"token_went_back","known":6,"shown":1},"text":"worker n-000001: token 1 is shown, 6 was seen"},{"source":"worker n-000001","contradiction":{"kind":"log_went_back","log":"0","known":12,"shown":0},"text":"worker n-000001: log 0 ends at 0, record 12 was seen"},{"source":"peer node-3","contradiction":{"kind":"epoch_went_back","known":440,"shown":9},"text":"peer node-3: epoch 9 is shown, 440 was seen"},{"source":"peer node-3","contradiction":{"kind":"token_went_back","known":7,"shown":1},"text":"peer node-3: token 1 is shown, 7 was seen"},{"source":"peer node-3","contradiction":{"kind":"peer_objects","known":440},"text":"peer node-3: it has seen epoch 440, and finds the state to contradict it"}],"falseAlarms":0,"seen":{"epoch":431,"token":7,"positions":{"0":12}}}}',
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -104,16 +104,16 @@
     return inconsistencies.length === 0;
   }
 
-  judgeReading(reading: StateReading): boolean {
-    const { sentAt, shown } = reading;
+  verifyReading(reading: StateReading): boolean {
+    const { sentAt, current } = reading;
     // A reading that was begun before the alarm can neither end nor confirm it.
     if (this.alarm.isRaised() && sentAt <= this.alarm.since) return false;
     this.incompleteReadings = 0;
     const evidence = [
       ...toEvidence(`${OWN} copy`, this.compareWithCopy(reading)),
-      ...this.compareWithObservations(sentAt, shown),
+      ...this.compareWithObservations(sentAt, current),
     ];
-    if (evidence.length === 0) this.acceptReading(shown);
+    if (evidence.length === 0) this.acceptReading(current);
     else this.alarm.escalate(evidence);
     return evidence.length === 0;
   }
@@ -122,10 +122,10 @@
    * Keys that are absent count only after an alarm, until they or the keys that replace them are found: without an alarm,
    * a copy that was disconnected for long may hold any number of jobs that have ended meanwhile.
    */
-  private compareWithCopy({ shown, known, differences }: StateReading): Inconsistency[] {
+  private compareWithCopy({ current, previous, differences }: StateReading): Inconsistency[] {
     if (this.alarm.isRaised()) this.missing.addAbsent(differences.absent);
     return [
-      ...findInconsistencies(known ?? {}, shown),
+      ...findInconsistencies(previous ?? {}, current),
       ...missingKeyInconsistencies(this.missing.list()),
       ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_regressed', key })),
       ...differences.forked.map((key): Inconsistency => ({ kind: 'history_forked', key })),
@@ -140,7 +140,7 @@
     this.alarm.clear();
   }
 
-  confirmCopy(sentAt: Micros, copy: HighWaterMarks): boolean {
+  confirmReplica(sentAt: Micros, copy: HighWaterMarks): boolean {
     if (this.alarm.isRaised()) return false;
     const evidence = this.compareWithObservations(sentAt, copy);
     if (evidence.length > 0) this.alarm.raise(evidence);
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -96,9 +96,9 @@
       let highestShown = 0;
       const read = (): void => {
         clock.time += SECOND;
-        const shown = { revision: store.revision, fencingToken: 0, positions: {} };
-        const known = highestShown > 0 ? { ...shown, revision: detector.minimumRevision() } : null;
-        detector.judgeReading({ sentAt: view.now(), shown, known, differences: NO_DIFFERENCES });
+        const current = { revision: store.revision, fencingToken: 0, positions: {} };
+        const previous = highestShown > 0 ? { ...current, revision: detector.minimumRevision() } : null;
+        detector.verifyReading({ sentAt: view.now(), current, previous, differences: NO_DIFFERENCES });
         if (store.revision >= highestShown) highestShown = store.revision;
         assert.equal(detector.isOpen(), store.revision >= highestShown, JSON.stringify(detector.report()));
       };
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -224,7 +224,7 @@
   /** Indices of the job's tasks that are neither done nor placed, in ascending order. */
   private *openIndices(job: string, taskCount: number): Generator<number> {
     const progress = this.options.replica.ledger.jobs.get(job);
-    for (let i = progress?.done.firstOpen ?? 0; i < taskCount; i++) {
+    for (let i = progress?.done.firstIncomplete ?? 0; i < taskCount; i++) {
       if (!progress?.done.has(i) && !progress?.placements.has(i)) yield i;
     }
   }
--- a/packages/workers/machine-ownership.ts
+++ b/packages/workers/machine-ownership.ts
@@ -33,7 +33,7 @@
 /** The state of ledger and owner rows at the last sync: nothing is examined again until it differs. */
 interface SyncedState {
   readonly ledger: Ledger;
-  readonly ownershipChanges: number;
+  readonly ownershipChangeCount: number;
   readonly ownerRevisions: string;
 }
 
@@ -66,11 +66,11 @@
 
   private hasChanged({ ledger, owners }: OwnershipView): boolean {
     const ownerRevisions = [...owners].map(([shard, owner]) => `${shard}/${owner.revision}`).join();
-    const { ownershipChanges } = ledger;
+    const { ownershipChangeCount } = ledger;
     const last = this.synced;
-    const isSameLedger = last?.ledger === ledger && last.ownershipChanges === ownershipChanges;
+    const isSameLedger = last?.ledger === ledger && last.ownershipChangeCount === ownershipChangeCount;
     if (isSameLedger && last.ownerRevisions === ownerRevisions) return false;
-    this.synced = { ledger, ownershipChanges, ownerRevisions };
+    this.synced = { ledger, ownershipChangeCount, ownerRevisions };
     return true;
   }
 
