--- a/packages/cluster/capabilities.ts
+++ b/packages/cluster/capabilities.ts
@@ -1,13 +1,13 @@
 /**
- * Capabilities: what the versions of this program can read of each other's data. During an upgrade old and new versions
- * run side by side; formats and jobs that an old one would misread come into use only once every node has announced
- * that it understands them.
+ * Capabilities: the data formats and job kinds that a version of this program supports. During a rolling upgrade old
+ * and new versions run side by side. A format or job kind that an old version would misread is used only once every
+ * node has announced the capability for it.
  */
 
 /**
- * `gangs`: gang jobs, their starts in the logs and in checkpoints. `handover`: resigned shards in the member record,
- * which the leader assigns to other members. `memory`: high-water marks of the state in peer messages, after the part
- * that older versions read.
+ * `gangs`: gang jobs, and their starts in the logs and in checkpoints. `handover`: resigned shards in the member
+ * record, which the leader assigns to other members. `memory`: high-water marks of the state in peer messages, placed
+ * after the part that older versions read.
  */
 export type Capability = 'gangs' | 'handover' | 'memory';
 
@@ -16,15 +16,16 @@
 
 /** The capabilities that nodes have announced. */
 export interface AnnouncedCapabilities {
-  /** By living member: what its current process announces. */
+  /** Keyed by living member. Capabilities that the member's current process announces. */
   readonly livingMembers: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
-  /** By member: what its last process of a version that announces anything did announce. */
+  /** Keyed by member. Capabilities that the member's last process of a version with announcements announced. */
   readonly lastAnnounced: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
 /**
- * Whether all these nodes have the capability: a living one by what its current process announces, so that one that came
- * back with an older version counts as old; one that is down by what it last announced.
+ * Returns true if all these members support the capability. For a living member the announcement of its current process
+ * counts, so that a member restarted with an older version counts as old. For a member that is down its last
+ * announcement counts.
  */
 export function allSupport(
   members: readonly string[],
--- a/packages/cluster/change-applier.ts
+++ b/packages/cluster/change-applier.ts
@@ -1,4 +1,4 @@
-/** Applies rows of the state service, and changes of them, to a node's copy of the live state. */
+/** Applies rows of the state service, and changes of these rows, to a node's replica of the live state. */
 import {
   CAPABILITY_PREFIX,
   CHECKPOINT_CHUNK_PREFIX,
@@ -31,14 +31,14 @@
 import type { TerminalStatusCache } from './terminal-status-cache.js';
 import type { Change, Row } from '#store';
 
-/** What changes are applied to. */
+/** Dependencies of {@link ChangeApplier}. */
 export interface ChangeApplierOptions {
   readonly state: ClusterState;
   readonly terminalStatuses: TerminalStatusCache;
   readonly log: Logger;
 }
 
-/** Applies changes in the order in which it is given them: that of their commits. */
+/** Applies changes to a {@link ClusterState}. The caller passes them in the order of their commits. */
 export class ChangeApplier {
   private readonly state: ClusterState;
   private readonly terminalStatuses: TerminalStatusCache;
@@ -50,7 +50,7 @@
     this.log = log;
   }
 
-  /** Applies one change; false if it is a record that comes after a gap in its log. */
+  /** Applies one change. Returns false if the change is a record that follows a gap in its log. */
   apply(change: Change): boolean {
     const { path } = change;
     if (path.startsWith(LOG_PREFIX)) return this.applyRecord(change);
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Notes which record lies in a slot of a log. */
+  /** Records which log record a slot holds, and at which revision. */
   trackLogSlot({ path, value, revision }: Row): void {
     this.state.logSlots.set(path, { sequence: storedSequence(value), revision });
   }
@@ -145,7 +145,7 @@
     else this.state.checkpointChunkKeys.delete(path);
   }
 
-  /** Passes on the holder of a role; a row that can't be read closes the role, and is logged. */
+  /** Returns the holder unchanged. Logs the row if it is unreadable, in which case no member may act in the role. */
   private logIfUnreadable<H extends LeaseHolder>(path: string, holder: H): H {
     if (!isReadable(holder)) this.logUnreadable(path, holder.revision);
     return holder;
--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -1,4 +1,4 @@
-/** Checkpoints of the placement ledger, the archive of terminal jobs, and garbage collection. Leader only. */
+/** Checkpoints of the placement ledger, archival of terminal jobs, and garbage collection. Only the leader acts. */
 import { adaptLimits, VALUE_FRAME_BYTES, valuesPerCommit } from './commit-limits.js';
 import {
   CHECKPOINT_HEAD_KEY,
@@ -23,16 +23,16 @@
 } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/** Fewest records between two checkpoints. */
+/** Minimum number of records between two checkpoints. */
 const MIN_CHECKPOINT_INTERVAL_RECORDS = 90;
-/** Records between two checkpoints for each chunk of the last one: large checkpoints are written less often. */
+/** Minimum number of records between two checkpoints per chunk of the last one: large checkpoints are less frequent. */
 const INTERVAL_RECORDS_PER_CHUNK = 8;
-/** Fraction of a log's ring at which a checkpoint is due in any case: writing it takes time, too. */
+/** Fill level of a log's ring at which a checkpoint is always due. It leaves room for records during the write. */
 const CHECKPOINT_LOG_FILL = 0.5;
 const MAX_WRITE_ATTEMPTS = 8;
 const WRITE_RETRY_DELAY: Micros = 400 * MS;
 
-/** What a {@link CheckpointWriter} works with. */
+/** Dependencies of {@link CheckpointWriter}. */
 export interface CheckpointWriterOptions {
   readonly store: FencedStore;
   readonly replica: Replica;
@@ -43,16 +43,17 @@
   readonly log: Logger;
 }
 
-/** Keeps the logs short enough to be written on, and the live keys few enough to be read at a start. */
+/** Keeps free slots in the logs, and keeps the number of live keys small enough for the read at a node's start. */
 export class CheckpointWriter {
   private isMaintaining = false;
+  /** Number of checkpoints that this process has begun. */
   private checkpointCount = 0;
 
   constructor(private readonly options: CheckpointWriterOptions) {}
 
   /**
-   * One step of maintenance: writes a checkpoint if one is due, or else archives terminal jobs; then removes stale
-   * checkpoint chunks. Does nothing on a node that does not lead, or while an earlier step goes on.
+   * Performs one maintenance step: writes a checkpoint if one is due, or else archives terminal jobs, and then removes
+   * stale checkpoint chunks. Does nothing on a node that does not lead, or while an earlier step is running.
    */
   async maintain(): Promise<void> {
     const termProof = this.options.roles.proveHeld('lead');
@@ -77,7 +78,7 @@
     return recordsSinceCheckpoint >= limit || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
   }
 
-  /** Removes chunks of checkpoints that a newer one has replaced. */
+  /** Removes chunks of checkpoints that a newer checkpoint has replaced. */
   private async removeChunks(termProof: TermProof, paths: readonly string[]): Promise<void> {
     const { store, clock, rateLimiter } = this.options;
     await sleep(clock, rateLimiter.delay());
@@ -88,7 +89,7 @@
     this.adaptLimits(result);
   }
 
-  /** Moves terminal jobs out of the live keys, with what checkpoints leave of the write rate. */
+  /** Moves terminal jobs out of the live keys, at the write rate that checkpoints leave unused. */
   private async archiveTerminalJobs(termProof: TermProof): Promise<void> {
     const { store, replica, limits, rateLimiter } = this.options;
     const terminal = [...replica.terminalJobs].slice(0, Math.max(1, Math.floor(limits.txnOps / 2)));
@@ -116,15 +117,15 @@
     const chunks = packRows(rows, limits.valueBytes - VALUE_FRAME_BYTES);
     const writes = chunks.map((chunk, i) => ({ set: checkpointChunkKey(id, i), value: encodeChunk(chunk) }));
     if (!(await this.writeChunks(termProof, writes))) return;
-    // Once a newer checkpoint is the current one, the chunks of its predecessors are removed: a late commit of this
-    // head must not bring it back then.
+    // The guard prevents a delayed commit of this head from replacing a newer checkpoint: by then the chunks of this
+    // checkpoint may have been removed.
     const guards = [{ path: CHECKPOINT_HEAD_KEY, revision: previousRevision }];
     const head = encodeCheckpointHead({ id, positions, chunkCount: chunks.length });
     if (!(await this.writeWithRetry(termProof, guards, [{ set: CHECKPOINT_HEAD_KEY, value: head }]))) return;
     log.debug({ checkpointId: id, chunks: chunks.length }, 'checkpoint written');
   }
 
-  /** Writes the chunks of one checkpoint, several in each commit. False: at least one was not written. */
+  /** Writes the chunks of one checkpoint, several in each commit. Resolves to false if a chunk was not written. */
   private async writeChunks(termProof: TermProof, writes: readonly Write[]): Promise<boolean> {
     const batchSize = valuesPerCommit(this.options.limits);
     for (let i = 0; i < writes.length; i += batchSize) {
@@ -134,9 +135,9 @@
   }
 
   /**
-   * Writes a part of a checkpoint, again if it was not applied: the parts already written would be of no use without
-   * the others, and logs can't grow for ever without a checkpoint. Repeating is harmless: the keys of the chunks are
-   * the checkpoint's own, and the commit of its head is guarded.
+   * Writes a part of a checkpoint and retries if it was not applied. Without a retry the parts already written would be
+   * useless, and the logs cannot grow without checkpoints. Retries are safe: the chunk keys are unique to the
+   * checkpoint, and the commit of its head is guarded.
    */
   private async writeWithRetry(termProof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
     const { store, clock, rateLimiter } = this.options;
@@ -148,7 +149,7 @@
       if (result.kind === 'applied') return true;
       if (result.kind === 'refused') return false;
       this.adaptLimits(result);
-      // The other chunks have the size that was refused: the checkpoint is begun anew with smaller ones.
+      // The other chunks have the same size, so the next maintenance step starts a checkpoint with smaller chunks.
       if (isTooLarge(result)) return false;
     }
     return false;
--- a/packages/cluster/cluster-state.ts
+++ b/packages/cluster/cluster-state.ts
@@ -1,4 +1,4 @@
-/** The tables of a node's copy of the live state, and what they say of logs and checkpoints. */
+/** The tables of a node's replica of the live state, with queries about its logs and checkpoints. */
 import {
   CHECKPOINT_HEAD_KEY,
   checkpointIdOfKey,
@@ -15,22 +15,22 @@
 import type { HighWaterMarks } from './state-integrity-check.js';
 import type { MachineType } from '#wire';
 
-/** A job that is over, but whose row still lies among the live ones. */
+/** A job that has ended but is not archived yet: its row still has a live key. */
 export interface TerminalJob {
   readonly status: TerminalStatus;
   readonly revision: number;
 }
 
-/** The cluster's fencing token, and the revision of its row. */
+/** The cluster's fencing token and the revision of its row. */
 export interface StoredFencingToken {
   readonly value: number;
   readonly revision: number;
 }
 
-/** The present checkpoint, as its head names it. */
+/** The current checkpoint, as its head row describes it. */
 export interface CurrentCheckpoint {
   readonly id: string;
-  /** Position in each log up to which it covers the log. */
+  /** By log: sequence of the last record that the checkpoint covers. */
   readonly positions: Positions;
   readonly chunkCount: number;
   /** Revision of the head's row; 0 while there is no checkpoint. */
@@ -40,7 +40,7 @@
 const NO_CHECKPOINT: CurrentCheckpoint = { id: '', positions: {}, chunkCount: 0, revision: 0 };
 const NO_FENCING_TOKEN: StoredFencingToken = { value: 0, revision: 0 };
 
-/** The live state of the cluster up to one revision, by table. Only its replica changes it. */
+/** The live state of the cluster up to one revision, by table. Only the replica that extends it changes it. */
 export class ClusterState {
   ledger = new Ledger();
   readonly jobs = new Map<string, LiveJob>();
@@ -48,18 +48,18 @@
   readonly machineTypes = new Map<string, MachineType>();
   leader: LeaseHolder | null = null;
   readonly members = new Map<string, Member>();
-  /** By member: the capabilities that it has announced, also while it is down. */
+  /** Keyed by member. Announced capabilities of members, including those that are down. */
   readonly capabilities = new Map<string, ReadonlySet<string>>();
   readonly shardOwners = new Map<number, ShardOwner>();
   fencingToken = NO_FENCING_TOKEN;
   checkpoint = NO_CHECKPOINT;
   readonly checkpointChunkKeys = new Set<string>();
-  /** By key: the record that lies there. */
+  /** Keyed by the key of the slot. */
   readonly logSlots = new Map<string, LogSlot>();
-  /** Every commit up to this revision is applied. */
+  /** Revision up to which every commit is applied. */
   appliedRevision = 0;
 
-  /** Empties all tables for a complete read; `ledger` takes the place of the present one. */
+  /** Empties all tables before the rows of a complete read are applied, and replaces the ledger by the given one. */
   reset(ledger: Ledger): void {
     this.ledger = ledger;
     this.jobs.clear();
@@ -76,16 +76,16 @@
   }
 
   /**
-   * Chunks of checkpoints before the present one. Those after it stay: the commit that makes them the present
-   * one may still be on its way, or may have landed unseen.
+   * Returns the keys of the chunks that belong to checkpoints before the current one. Chunks of later checkpoints are
+   * not stale: the commit of their head may be in flight, or may be applied without this replica having seen it.
    */
   staleCheckpointChunks(): string[] {
     return [...this.checkpointChunkKeys].filter((key) => checkpointIdOfKey(key) < this.checkpoint.id);
   }
 
   /**
-   * Revision of the slot that a record is to be written to (0: empty yet), or null while the record that lies
-   * there is not covered by a checkpoint.
+   * Returns the revision of the slot that a record is written to, or 0 if the slot is empty. Returns null while the
+   * slot holds a record that no checkpoint covers.
    */
   slotRevision(log: LogId, sequence: number): number | null {
     const slot = this.logSlots.get(logKey(log, sequence));
@@ -93,22 +93,22 @@
     return slot.sequence <= (this.checkpoint.positions[String(log)] ?? 0) ? slot.revision : null;
   }
 
-  /** Revision of the present checkpoint's head; 0 while there is no checkpoint. */
+  /** Revision of the current checkpoint's head; 0 while there is no checkpoint. */
   get checkpointRevision(): number {
     return this.checkpoint.revision;
   }
 
-  /** How many chunks the present checkpoint has. */
+  /** Number of chunks of the current checkpoint. */
   get checkpointChunkCount(): number {
     return this.checkpoint.chunkCount;
   }
 
-  /** Records that have come since the last checkpoint. */
+  /** Number of records, over all logs, that the current checkpoint does not cover. */
   get recordsSinceCheckpoint(): number {
     return this.ledger.totalRecords - Object.values(this.checkpoint.positions).reduce((a, b) => a + b, 0);
   }
 
-  /** Records since the last checkpoint in the log that has most of them. */
+  /** Number of records that the current checkpoint does not cover in the log with the most such records. */
   get fullestLogRecords(): number {
     const coveredPositions = this.checkpoint.positions;
     const counts = Object.entries(this.ledger.allPositions()).map(
@@ -117,7 +117,7 @@
     return Math.max(0, ...counts);
   }
 
-  /** The numbers of this copy that never fall. */
+  /** Returns the values of this replica that never decrease unless data is lost. */
   highWaterMarks(): HighWaterMarks {
     return {
       revision: this.appliedRevision,
@@ -126,7 +126,10 @@
     };
   }
 
-  /** The revisions of those rows of this copy that are only ever replaced, but for those of jobs that end. */
+  /**
+   * Returns the rows that a later complete read must show again at the same or a higher revision. Only rows of jobs
+   * may be absent then, since a job's row is removed when the job is archived.
+   */
   replicaRows(): ReplicaRows {
     const revisions = new Map<string, number>();
     for (const [id, { acceptedRevision: revision }] of this.jobs) revisions.set(jobKey(id), revision);
--- a/packages/cluster/done-set.ts
+++ b/packages/cluster/done-set.ts
@@ -1,26 +1,28 @@
-/** Which tasks of a job are done: a bit each, written out as ranges ("0-41,44"). */
+/** The completed tasks of a job as a bit set, which is encoded as ranges ("0-41,44"). */
 
-/** A growing set of task indexes. */
+/** A set of task indexes to which indexes can only be added. */
 export class DoneSet {
   private bits = new Uint8Array(0);
   private size = 0;
-  /** Every index below this is done. */
+  /** The lowest index that is not in the set. */
   private lowestIncomplete = 0;
 
-  /** How many tasks are done. */
+  /** Number of completed tasks. */
   get count(): number {
     return this.size;
   }
 
-  /** The lowest index that is not done. */
+  /** The lowest index that is not in the set. */
   get firstIncomplete(): number {
     return this.lowestIncomplete;
   }
 
+  /** Returns true if the task is completed. */
   has(index: number): boolean {
     return ((this.bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
+  /** Adds a task; has no effect if it is in the set already. */
   add(index: number): void {
     if (this.has(index)) return;
     const byteIndex = index >> 3;
@@ -34,12 +36,12 @@
     while (this.has(this.lowestIncomplete)) this.lowestIncomplete++;
   }
 
-  /** All tasks of a job of this size. */
+  /** Adds all tasks of a job of this size. */
   addAll(size: number): void {
     for (let i = 0; i < size; i++) this.add(i);
   }
 
-  /** The set as ranges in ascending order, as in "0-41" or "44". */
+  /** Returns the set as ranges in ascending order, such as "0-41" or "44". */
   ranges(): string[] {
     const ranges: string[] = [];
     const end = this.bits.length * 8;
@@ -53,7 +55,7 @@
     return ranges;
   }
 
-  /** Adds ranges as {@link ranges} gives them, joined by commas. */
+  /** Adds ranges in the form that {@link ranges} returns, joined by commas. */
   addRanges(text: string): void {
     for (const part of text.split(',')) {
       if (part === '') continue;
--- a/packages/cluster/index.ts
+++ b/packages/cluster/index.ts
@@ -1,4 +1,4 @@
-/** The cluster's state as every node replicates it, its logs, and membership. */
+/** The replicated cluster state, its logs and checkpoints, and the cluster membership. */
 export * from './attempt-numbers.js';
 export * from './capabilities.js';
 export * from './cluster-state.js';
--- a/packages/cluster/jobs.ts
+++ b/packages/cluster/jobs.ts
@@ -1,12 +1,12 @@
-/** Jobs as every node's copy of the state has them. */
+/** Jobs in a node's replica of the state. */
 import type { JobSpec } from '#wire';
 
 /** A job that has not ended. */
 export interface LiveJob {
   spec: JobSpec;
-  /** Time of day of its acceptance, in milliseconds. */
+  /** Wall-clock time of the job's acceptance, in milliseconds. */
   acceptedAtMs: number;
-  /** Revision of its row when it was accepted: the order of acceptance. */
+  /** Revision of the job's row at its acceptance. It defines the order in which jobs were accepted. */
   acceptedRevision: number;
 }
 
--- a/packages/cluster/leader-election.ts
+++ b/packages/cluster/leader-election.ts
@@ -1,4 +1,4 @@
-/** A member's campaign for the leadership: one compare-and-swap on the leader key whenever nobody holds it. */
+/** A member's campaign for the leadership: one compare-and-swap on the leader key whenever no member holds it. */
 import type { Logger } from './logger.js';
 import type { MemberLease } from './members.js';
 import type { Replica } from './replica.js';
@@ -6,40 +6,40 @@
 import type { CommitResult } from '#store';
 import { type Clock, type Micros, MS, sleep } from '#wire';
 
-/** Members wait a random time below this many milliseconds before they campaign, so that they rarely collide. */
+/** Upper bound of the random delay before a campaign, in milliseconds. The delay makes collisions rare. */
 const MAX_CAMPAIGN_DELAY_MS = 100;
-/** Pause after a campaign that failed. */
+/** Delay after a failed campaign. */
 const RETRY_DELAY: Micros = 250 * MS;
 
-/** What a {@link LeaderElection} works with. */
+/** Dependencies of {@link LeaderElection}. */
 export interface LeaderElectionOptions {
   readonly member: string;
   readonly replica: Replica;
   readonly roles: RoleRegistry;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
-  /** The lease to campaign under; null unless this process is a member. */
+  /** Returns the lease to campaign under, or null unless this process is a member. */
   readonly activeLease: () => MemberLease | null;
-  /** Writes the leader key under this lease, guarded by the revision at which it was vacant. */
+  /** Writes the leader key under this lease, guarded by the revision at which the key was found vacant. */
   readonly writeLeader: (lease: MemberLease, revision: number) => Promise<CommitResult>;
 }
 
 /** Campaigns for the leadership on behalf of one member. */
 export class LeaderElection {
   private isCampaigning = false;
-  /** Steady time until which the leadership is left to other members. */
+  /** Monotonic time until which this member does not campaign. */
   private withdrawnUntil: Micros = -Infinity;
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
-  /** Leaves the leadership to other members for this long, as after resigning it. */
+  /** Stops campaigning for this duration, for example after the leadership was resigned. */
   withdraw(duration: Micros): void {
     this.withdrawnUntil = this.options.clock.now() + duration;
   }
 
-  /** Begins a campaign if the leadership is vacant and none is under way. */
+  /** Starts a campaign if the leadership is vacant and no campaign of this member is running. */
   campaign(): void {
     if (this.isCampaigning || !this.isVacant() || this.options.clock.now() < this.withdrawnUntil) return;
     this.isCampaigning = true;
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Nobody leads, or an earlier process of this very member does, which is known to be gone. */
+  /** Returns true if no member leads, or if the leader is an earlier process of this member, which has ended. */
   private isVacant(): boolean {
     const { replica, member, activeLease } = this.options;
     const { leader } = replica;
--- a/packages/cluster/ledger-entries.ts
+++ b/packages/cluster/ledger-entries.ts
@@ -1,4 +1,4 @@
-/** What records add to the ledger: machines, pending scale-outs and placements. */
+/** Entries that records add to the ledger: machines, pending scale-outs and placements. */
 import type {
   MachineEntry,
   MachineRow,
@@ -10,15 +10,15 @@
 } from './placement.js';
 import { formatTaskName } from '#wire';
 
-/** One start of a group's tasks. */
+/** The start of a group of tasks under one attempt number. */
 export interface GroupStart {
   readonly group: StartGroup;
   readonly attempt: number;
-  /** Time of day of the record, in milliseconds. */
+  /** Wall-clock time of the record, in milliseconds. */
   readonly startedAtMs: number;
 }
 
-/** A machine as it joins the fleet. */
+/** Returns the entry of a machine that joins the fleet. */
 export function newMachine([host, machineType, zone, spot, acquiredAtMs, shard]: MachineRow): MachineEntry {
   return {
     host,
@@ -37,13 +37,13 @@
   };
 }
 
-/** A request for machines that was just recorded. `requestedAtMs`: time of day. */
+/** Returns the entry of a scale-out request. `requestedAtMs`: wall-clock time of its record, in milliseconds. */
 export function newPendingScaleOut(row: ScaleOutRow, requestedAtMs: number): PendingScaleOut {
   const [id, machineType, zone, spot, count, shard] = row;
   return { id, machineType, zone, spot, count, shard, requestedAtMs };
 }
 
-/** A task's placement, as its start makes it. */
+/** Returns the placement that the start of a task creates. */
 export function newPlacement(task: TaskRow, { group, attempt, startedAtMs }: GroupStart): Placement {
   const [index, host, workerIncarnation] = task;
   const [cpus, gpus, memGb] = group.need;
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -1,4 +1,4 @@
-/** The placement state: what checkpoint and logs say of machines, pending scale-outs, prices and placed tasks. */
+/** The placement state: machines, pending scale-outs, prices and placed tasks, from checkpoint and logs. */
 import { attemptNumber } from './attempt-numbers.js';
 import { isGangComplete, mayJoinGang } from './gang.js';
 import { JOB_FAILURE_THRESHOLD, JobProgress } from './job-progress.js';
@@ -22,77 +22,80 @@
 import { readRows } from './stored/checkpoint-codec.js';
 import type { CheckpointRow } from './stored/checkpoint-row.js';
 
-/** Images that a machine is taken to have: those of its last starts. */
+/** Number of images that a machine is assumed to have cached: those of its last starts. */
 const MAX_CACHED_IMAGES = 16;
 
 /**
- * The placement state: a pure reducer over a checkpoint and the records after it, in the order of their
- * commits. Every node keeps one and all agree; nothing else changes it. A step that its writer was not
- * entitled to at that point of the order (a start on a machine that has left the shard) has no effect.
+ * The placement state: a pure reducer over a checkpoint and the records after it, in the order of their commits. Every
+ * node has a ledger, and all ledgers agree, since nothing else changes them. A change has no effect if its writer was
+ * not entitled to it at that point of the order, such as a start on a machine that has left the shard.
  */
 export class Ledger {
-  /** By log: sequence of the last record applied. */
+  /** Keyed by log. Sequence of the last applied record. */
   private readonly positions = new Map<LogId, number>();
   private readonly index = new PlacementIndex();
+  /** Keyed by job id. */
   readonly jobs = new Map<string, JobProgress>();
+  /** Keyed by host. */
   readonly machines = new Map<string, MachineEntry>();
+  /** Keyed by request id. */
   readonly pendingScaleOuts = new Map<string, PendingScaleOut>();
-  /** Raised whenever a machine comes, goes or changes hands: whoever follows ownership looks only then. */
+  /** Incremented when machines are added, removed or transferred, so that readers can skip unchanged ownerships. */
   ownershipChangeCount = 0;
-  /** By shard: the prices of its owner's last scheduling round. */
+  /** Keyed by shard, then by shape. Prices of the last scheduling round of the shard's owner. */
   readonly prices = new Map<number, Map<string, ShapePrice>>();
 
-  /** Sequence of the last record applied of this log; 0 before the first. */
+  /** Returns the sequence of the last applied record of this log; 0 before the first record. */
   position(log: LogId): number {
     return this.positions.get(log) ?? 0;
   }
 
-  /** Sum of all positions: how much has been recorded since ever. */
+  /** Sum of all positions: the number of records ever written to the logs. */
   get totalRecords(): number {
     let sum = 0;
     for (const seq of this.positions.values()) sum += seq;
     return sum;
   }
 
-  /** The position in every log. */
+  /** Returns the position in every log. */
   allPositions(): Positions {
     return Object.fromEntries([...this.positions].map(([log, seq]) => [String(log), seq]));
   }
 
-  /** The progress of a job; begun if there is none yet. */
+  /** Returns the progress of a job. Creates it if there is none yet. */
   jobProgress(job: string): JobProgress {
     let progress = this.jobs.get(job);
     if (!progress) this.jobs.set(job, (progress = new JobProgress()));
     return progress;
   }
 
-  /** Where a task is, or may be, running. */
+  /** Returns the placement of a task that is, or may be, on a machine. */
   placement(job: string, index: number): Placement | undefined {
     return this.jobs.get(job)?.placements.get(index);
   }
 
-  /** Nothing of its gang is missing: see {@link isGangComplete}. */
+  /** Returns true if all tasks of the placement's gang are placed; see {@link isGangComplete}. */
   isGangComplete(placement: Placement): boolean {
     const progress = this.jobs.get(placement.job);
     return progress !== undefined && isGangComplete(progress, placement);
   }
 
-  /** Placements by host and task name; machines without any have no entry. */
+  /** Keyed by host, then by task name. Machines without placements have no entry. */
   get placementsByHost(): ReadonlyMap<string, ReadonlyMap<string, Placement>> {
     return this.index.byHost;
   }
 
-  /** The placements on a machine. */
+  /** Returns the placements on a machine, in the order of their starts. */
   placementsOn(host: string): Iterable<Placement> {
     return this.index.onHost(host);
   }
 
-  /** The resources that a team's placements use together. */
+  /** Returns the sum of the resources that a team's placements use. */
   teamUsage(team: string): ResourceDemand {
     return this.index.teamUsage(team);
   }
 
-  /** Applies the record if it is the next of its log; false if there is a gap before it. */
+  /** Applies the record if it is the next of its log. Returns false if there is a gap before it. */
   apply(log: LogId, record: PlacementRecord): boolean {
     const last = this.position(log);
     if (record.sequence <= last) return true;
@@ -105,12 +108,12 @@
     return true;
   }
 
-  /** The job left the set of live jobs: what is done of it is of no more use. */
+  /** Drops the progress of a job that is no longer live, unless it still has placements. */
   dropJob(job: string): void {
     if (this.jobs.get(job)?.placements.size === 0) this.jobs.delete(job);
   }
 
-  /** Reads a checkpoint into this ledger, which must be empty. */
+  /** Loads a checkpoint into this ledger, which must be empty. */
   restore(positions: Positions, rows: readonly CheckpointRow[]): void {
     this.ownershipChangeCount++;
     for (const [log, seq] of Object.entries(positions)) {
@@ -143,7 +146,7 @@
     }
   }
 
-  /** Applies in this order: completions free what later starts of the same record use. */
+  /** Applies completions before starts, since starts may use the resources that completions of the record free. */
   private applyShardRecord(shard: number, record: PlacementRecord): void {
     this.applyCompletions(shard, record);
     this.applyStatuses(shard, record);
@@ -205,14 +208,14 @@
     for (const [host, lastHeartbeat] of record.releases ?? []) {
       const machine = this.machineOf(shard, host);
       if (!machine) continue;
-      // The leader named no destination: the machine stays.
+      // The leader named no destination, so the machine stays in its shard.
       if (machine.destination === null) continue;
       machine.shard = null;
       machine.lastHeartbeat = lastHeartbeat;
     }
   }
 
-  /** The machine, if it belongs to this shard. */
+  /** Returns the machine if it belongs to this shard, or else null. */
   private machineOf(shard: number, host: string): MachineEntry | null {
     const machine = this.machines.get(host);
     return machine?.shard === shard ? machine : null;
@@ -250,7 +253,7 @@
     machine.consecutiveFailures = 0;
   }
 
-  /** Counts a failure against the machine too, unless the job fails wherever it runs. */
+  /** Counts a failure of the job, and of the machine too unless the job itself is considered faulty. */
   private countFailure(job: string, machine: MachineEntry, failedAtMs: number): void {
     const progress = this.jobs.get(job);
     if (!progress) return;
@@ -261,7 +264,7 @@
     machine.lastFailureAtMs = failedAtMs;
   }
 
-  /** Takes a task off its machine; false if the attempt that the completion names is not there any more. */
+  /** Removes the placement of a task. Returns false if the task is no longer placed under the named attempt. */
   private completeTask([job, index, attempt, outcome]: CompletionRow): boolean {
     const progress = this.jobs.get(job);
     const placement = progress?.placements.get(index);
@@ -269,7 +272,7 @@
     progress.placements.delete(index);
     this.index.remove(placement);
     if (outcome !== 'done') return true;
-    // A gang's tasks complete together: none of them is to run again, even where a machine was lost meanwhile.
+    // The tasks of a gang complete together: none of them may run again, even if its machine was lost meanwhile.
     if (placement.gangSize !== null) progress.done.addAll(placement.gangSize);
     else progress.done.add(index);
     return true;
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -1,4 +1,4 @@
-/** All live state as the state service lists it, read into a ledger; and changes that no node ever makes. */
+/** Builds a ledger from all live rows of the state service, and detects rows and changes that indicate data loss. */
 import type { Change, Row } from '#store';
 import {
   CHECKPOINT_HEAD_KEY,
@@ -23,16 +23,16 @@
 /** All live rows as of one revision. */
 export interface LiveRows {
   rows: Row[];
-  /** The revision up to which the rows are complete. */
+  /** Revision up to which the rows are complete. */
   revision: number;
-  /** The revision of the last page read. */
+  /** Revision of the last page read. */
   lastPageRevision: number;
 }
 
-/** What was read lacks parts: something changed meanwhile, or is lost. */
+/** Thrown when a complete read lacks parts: rows changed during the read, or data is lost. */
 export class IncompleteStateError extends Error {}
 
-/** The ledger that checkpoint and logs make; throws {@link IncompleteStateError} where parts are missing. */
+/** Builds the ledger from the checkpoint and the logs. Throws {@link IncompleteStateError} if parts are missing. */
 export function buildLedger({ rows }: LiveRows): Ledger {
   const ledger = new Ledger();
   const head = rows.find((r) => r.path === CHECKPOINT_HEAD_KEY)?.value;
@@ -49,7 +49,7 @@
     }
     ledger.restore(positions, checkpointRows);
   }
-  // The order of commits is the order of their revisions, whichever logs they went to.
+  // Records of all logs are applied in the order of their commits, which is the order of their revisions.
   const records = rows.filter((row) => row.path.startsWith(LOG_PREFIX)).sort(byCommitOrder);
   const liveJobIds = findLiveJobs(rows);
   for (const { path, value } of records) {
@@ -64,36 +64,39 @@
   return ledger;
 }
 
-/** Jobs that have not ended. */
+/** Returns the ids of the jobs that have not ended. */
 function findLiveJobs(rows: readonly Row[]): Set<string> {
   const live = rows.filter(({ path, value }) => path.startsWith(JOB_PREFIX) && !isTerminal(value));
   return new Set(live.map(({ path }) => path.slice(JOB_PREFIX.length)));
 }
 
-/** The cluster's fencing token as these rows have it. */
+/** Returns the cluster's fencing token in these rows. */
 export function fencingTokenIn({ rows }: LiveRows): number {
   const value = rows.find((row) => row.path === FENCING_TOKEN_KEY)?.value ?? null;
   return decodeFencingToken(value) ?? UNREADABLE_FENCING_TOKEN;
 }
 
-/** The order of commits, and within one that of its records: the same on every node, however it reads them. */
+/**
+ * Compares changes by commit, and within one commit by the position of the record. The order is the same on every node,
+ * whether it got the changes from a complete read or from a watch.
+ */
 export function byCommitOrder(x: Change, y: Change): number {
   return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
 }
 
-/** The record that lies in a slot of a log: its sequence, and the revision of the row. */
+/** The record in a slot of a log: its sequence number and the revision of its row. */
 export interface LogSlot {
   sequence: number;
   revision: number;
 }
 
-/** The revisions of the rows that a copy holds, and the records in the slots of its logs. */
+/** Rows of a replica that are compared with a later complete read. Both maps are keyed by the key of the row. */
 export interface ReplicaRows {
   revisions: ReadonlyMap<string, number>;
   logSlots: ReadonlyMap<string, LogSlot>;
 }
 
-/** Compares rows that were read with what a copy held before: in one history no row grows older. */
+/** Compares rows of a complete read with those of the replica. Without data loss no row's revision decreases. */
 export function compareRows({ rows }: LiveRows, { revisions, logSlots }: ReplicaRows): RowDifferences {
   const shown = new Map(rows.map((row) => [row.path, row]));
   const forked: string[] = [];
@@ -113,16 +116,19 @@
   return { forked, regressed, absent };
 }
 
-/** What a copy holds that changes are compared with. */
+/** The part of a replica's state that changes are compared with. */
 export interface ReplicaView {
+  /** Id of the current checkpoint. */
   checkpointId: string;
   isLive(job: string): boolean;
+  /** Returns the position of the log that this slot key belongs to. */
   position(path: string): number;
 }
 
 /**
- * Keys that changes take away, or take back to an earlier record, though no node ever does so: records, the token, the
- * present checkpoint, jobs that have not ended, and what became of jobs. The changes come in the order of their commits.
+ * Returns keys that the changes remove, or reset to an earlier record, although no node ever does so. This concerns the
+ * keys of records, the fencing token, the current checkpoint, jobs that have not ended, and terminal statuses. The
+ * changes must be in the order of their commits.
  */
 export function findLostKeys(changes: readonly Change[], replica: ReplicaView): string[] {
   const lost: string[] = [];
@@ -142,12 +148,15 @@
   return lost;
 }
 
-/** A key whose presence explains a missing one: a job's terminal status replaces its row. Null if there is none. */
+/**
+ * Returns the key whose presence explains that the given key is missing, or null if there is none. The row of a job is
+ * replaced by its archived terminal status.
+ */
 export function successorKeyOf(path: string): string | null {
   return path.startsWith(JOB_PREFIX) ? terminalKey(path.slice(JOB_PREFIX.length)) : null;
 }
 
-/** A chunk of a checkpoint other than the present one of these rows. */
+/** Returns true if the key is that of a chunk of a checkpoint other than the current one in these rows. */
 export function isObsoleteChunk(path: string, { rows }: LiveRows): boolean {
   const head = rows.find((row) => row.path === CHECKPOINT_HEAD_KEY);
   return (
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -13,24 +13,24 @@
 import type { Guard, RateLimiter, Write, WriteLimits } from '#store';
 import { type Clock, type Micros, MS, SECOND } from '#wire';
 
-/** What a {@link LogWriter} works with. */
+/** Dependencies of {@link LogWriter}. */
 export interface LogWriterOptions {
   readonly store: FencedStore;
   readonly replica: Replica;
   readonly roles: RoleRegistry;
   readonly clock: Clock;
   readonly limits: WriteLimits;
-  /** Rate of records and of terminal statuses, in values. */
+  /** Limits the rate of records and terminal statuses, in values. */
   readonly recordLimiter: RateLimiter;
   /**
-   * Rate of checkpoints, which only the leader writes: dozens of values each at a thousand machines. Within the rate
-   * of its records they would hold up its scheduling rounds for seconds.
+   * Limits the rate of checkpoint writes. Only the leader writes checkpoints. At a thousand machines a checkpoint has
+   * dozens of values, which would delay the leader's scheduling rounds for seconds if they shared the record limiter.
    */
   readonly checkpointLimiter: RateLimiter;
   readonly log: Logger;
 }
 
-/** A part of a record, small enough for one value, and the log that it is meant for. */
+/** A part of a draft that fits into one value, and the log that it is to be appended to. */
 interface PendingRecord {
   readonly log: LogId;
   readonly draft: StoredRecordDraft;
@@ -43,9 +43,9 @@
 }
 
 /**
- * Writes to the logs for a node. Every commit carries a guard on the ownership that it is made under, so that none is
- * applied once that is over, and a guard on the slot of each record, so that a commit whose answer was lost and the
- * one after it can't both be applied.
+ * Writes to the logs that a node owns. Every commit is guarded by the ownership that it is made under, so that it is
+ * not applied after that ownership has ended. Every record is also guarded by the revision of its slot, so that a
+ * commit whose answer was lost and the commit after it cannot both be applied.
  */
 export class LogWriter {
   private readonly checkpointWriter: CheckpointWriter;
@@ -55,15 +55,15 @@
     this.checkpointWriter = new CheckpointWriter({ store, replica, roles, clock, limits, rateLimiter, log });
   }
 
-  /** How long the next record should wait, so that users' submissions get their part of the write rate. */
+  /** Returns the delay before the next append, which leaves users' submissions their part of the write rate. */
   appendDelay(): Micros {
     return this.options.recordLimiter.delay();
   }
 
   /**
-   * Appends drafts to logs that this node writes. True once all are committed and applied here. False: some of them
-   * may have been applied, or none; plan anew. `requiredRoles`: ownerships on which the drafts rely besides those of
-   * their own logs.
+   * Appends drafts to logs that this node owns. Resolves to true once all drafts are committed and applied to this
+   * replica. Resolves to false if none or only some of them may have been applied; the caller must then plan again.
+   * `requiredRoles`: roles that the drafts rely on besides the ownership of their logs.
    */
   async append(
     drafts: ReadonlyMap<LogId, RecordDraft>,
@@ -83,39 +83,39 @@
     return true;
   }
 
-  /** Ends jobs whose tasks are all done, under the ownership of these shards. */
+  /** Writes the terminal status of jobs whose tasks are all done, under the ownership of these shards. */
   async completeJobs(jobs: [string, LiveJob][], shards: readonly LogId[]): Promise<void> {
     const batchSize = this.options.limits.txnOps;
     for (let i = 0; i < jobs.length; i += batchSize) {
       const proofs = this.proveRolesHeld(new Set(shards));
       if (!proofs) return;
       const batch = jobs.slice(i, i + batchSize);
-      // A cancellation that came first has changed the key: then the job stays cancelled.
+      // An earlier cancellation has changed the key: the guard then fails, and the job stays cancelled.
       const guards = batch.map(([id, job]) => ({ path: jobKey(id), revision: job.acceptedRevision }));
       const writes = batch.map(([id]) => terminalStatusWrite(id, 'done'));
       if (!(await this.commitAndAwait({ proofs, action: 'end jobs', guards, writes }))) return;
     }
   }
 
-  /** See {@link CheckpointWriter.maintain}. */
+  /** Performs one maintenance step; see {@link CheckpointWriter.maintain}. */
   maintain(): Promise<void> {
     return this.checkpointWriter.maintain();
   }
 
-  /** Parts that fit into one value each, in the order in which they are committed. */
+  /** Splits drafts into parts that fit into one value each, in the order in which they are committed. */
   private splitDrafts(drafts: ReadonlyMap<LogId, RecordDraft>): PendingRecord[] {
     const maxBytes = this.options.limits.valueBytes - VALUE_FRAME_BYTES;
     const records: PendingRecord[] = [];
     for (const [log, draft] of drafts) {
       for (const part of splitDraft(encodeRecordDraft(draft), maxBytes)) records.push({ log, draft: part });
     }
-    // Completions of every log come before starts of any: a limit may rely on them.
+    // Completions of all logs come before starts of any log: a start may need the quota that a completion frees.
     return records.sort(
       (a, b) => Number(a.draft.starts !== undefined) - Number(b.draft.starts !== undefined),
     );
   }
 
-  /** Gives each record the next slot of its log. Null if one of the logs is full. */
+  /** Assigns each record the next slot of its log. Returns null if one of the logs is full. */
   private prepareBatch(records: readonly PendingRecord[]): RecordBatch | null {
     const { replica, clock } = this.options;
     const batch: RecordBatch = { guards: [], writes: [] };
@@ -136,7 +136,7 @@
     return batch;
   }
 
-  /** Proofs of all these roles, or null if this node no longer holds one of them. */
+  /** Returns term proofs of all these roles, or null if this node no longer holds one of them. */
   private proveRolesHeld(roles: ReadonlySet<RoleName>): TermProofs | null {
     const proofs: TermProof[] = [];
     for (const role of roles) {
@@ -148,7 +148,7 @@
     return first ? [first, ...others] : null;
   }
 
-  /** True once the commit is applied here. */
+  /** Commits, and resolves to true once the replica has applied the commit; false if it may not have been applied. */
   private async commitAndAwait(commit: FencedCommit): Promise<boolean> {
     const { store, replica, limits, recordLimiter: rateLimiter, log } = this.options;
     const { action, guards, writes } = commit;
@@ -157,15 +157,15 @@
     if (result.kind === 'applied') return replica.waitForRevision(result.revision, SECOND);
     adaptLimits(result, { limits, rateLimiter, log });
     log.debug({ result, action, key: guards.at(-1)?.path }, 'commit not applied');
-    // What the log says now decides: a lost answer may hide a commit that was applied.
+    // The answer to an applied commit may have been lost, so the replica must first catch up with the log.
     await replica.barrier();
     return false;
   }
 }
 
 /**
- * The write that ends a job, in place: its terminal status must not wait for the changes that archiving the job takes.
- * From then on the key holds nothing but that status.
+ * Returns the write that ends a job. It replaces the job's row by its terminal status, so that the status need not wait
+ * for the additional changes of archiving the job.
  */
 export function terminalStatusWrite(id: string, status: TerminalStatus): Write {
   return { set: jobKey(id), value: encodeFinal(status) };
--- a/packages/cluster/logger.ts
+++ b/packages/cluster/logger.ts
@@ -1,6 +1,6 @@
-/** The logging interface of the packages. */
+/** The logging interface that all packages use. */
 
-/** The part of a logger that the packages use; pino's has this shape. `text` names the event. */
+/** The subset of pino's logger that the packages use. `text` is the name of the event. */
 export interface Logger {
   debug(fields: object, text: string): void;
   info(fields: object, text: string): void;
--- a/packages/cluster/member-status.ts
+++ b/packages/cluster/member-status.ts
@@ -5,37 +5,37 @@
 import type { CommitResult } from '#store';
 import { SECOND } from '#wire';
 
-/** The member record of this very process, and the lease that it is bound to. */
+/** The member record of this process and the lease that it is bound to. */
 export interface OwnMemberRecord {
   readonly record: Member;
   readonly lease: MemberLease;
 }
 
-/** What a {@link MemberStatusPublisher} works with. */
+/** Dependencies of {@link MemberStatusPublisher}. */
 export interface MemberStatusPublisherOptions {
   readonly replica: Replica;
   readonly log: Logger;
-  /** Null while this process has no member record. */
+  /** Returns the member record of this process, or null while there is none. */
   readonly ownRecord: () => OwnMemberRecord | null;
-  /** Replaces this member record by one with the present status, guarded by the record's revision. */
+  /** Replaces this member record by one with the current status, guarded by the record's revision. */
   readonly replaceRecord: (memberRecord: OwnMemberRecord) => Promise<CommitResult>;
 }
 
-/** Brings the member record of a node in line with the node's status. */
+/** Writes the member record of a node whenever it differs from the node's status. */
 export class MemberStatusPublisher {
   private currentStatus: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   private isPublishing = false;
 
   constructor(private readonly options: MemberStatusPublisherOptions) {}
 
-  /** The status as it should be published, which may be ahead of the member record. */
+  /** The latest status, which the member record may not contain yet. */
   get status(): MemberStatus {
     return this.currentStatus;
   }
 
   /**
-   * Changes the status, and writes it unless the member record has it already or a write is under way. A write that
-   * fails is not repeated here: the next call compares the status with the record again.
+   * Changes the status and writes it, unless the member record already has it or another write is in progress. A failed
+   * write is not retried here: the next call compares the status with the record again.
    */
   async publish(change: Partial<MemberStatus>): Promise<void> {
     this.currentStatus = { ...this.currentStatus, ...change };
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -1,6 +1,6 @@
 /**
  * A node's membership in the cluster: the lease that all its keys are bound to, its member record and its announced
- * capabilities. Joining, renewing and leaving form a state machine, see {@link MembershipState}.
+ * capabilities. Joining, renewing and leaving form a state machine; see {@link MembershipState}.
  */
 import { SUPPORTED_CAPABILITIES } from './capabilities.js';
 import { capabilityKey, LEADER_KEY, memberKey, ownershipKey } from './keys.js';
@@ -16,39 +16,39 @@
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
 /**
- * `outside`: without a lease. `joining`: the member record is written, and not seen yet. `member`: the replica shows
- * the record. `stopped`: for good.
+ * `outside`: the node has no lease. `joining`: the node has a lease and writes its member record, which the replica
+ * does not show yet. `member`: the replica shows the record. `stopped`: final.
  */
 export type MembershipState = 'outside' | 'joining' | 'member' | 'stopped';
 
-/** How long a lease outlives its last renewal. */
+/** Time from the last renewal of a lease to its expiry. */
 const LEASE_DURATION: Micros = 3 * SECOND;
 const RENEW_INTERVAL: Micros = 800 * MS;
 const RETRY_INTERVAL: Micros = 250 * MS;
-/** How long a join whose outcome is unknown is waited for. */
+/** Time after which a join whose outcome is unknown is abandoned. */
 const JOIN_TIMEOUT: Micros = 2 * SECOND;
 
-/** What a {@link Membership} works with. */
+/** Dependencies of {@link Membership}. */
 export interface MembershipOptions {
   readonly member: string;
   readonly zone: string;
-  /** Distinguishes this start of the process from every other, so that an earlier one's keys aren't taken for ours. */
+  /** Unique to this run of the process, so that keys of an earlier run are not mistaken for its own. */
   readonly incarnation: string;
   readonly store: StoreClient;
   readonly replica: Replica;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
 }
 
 /**
- * A node's membership. All that the node holds (its member key, the leadership, its shards) is bound to one lease, so
- * that all of it ends together when the node does.
+ * A node's membership. The member key, the leadership and the shards of the node are bound to one lease, so that all of
+ * them end together when the node fails.
  */
 export class Membership {
   state: MembershipState = 'outside';
-  /** The right to act for what this process holds. */
+  /** The roles of this process, and its right to act under them. */
   readonly roles: RoleRegistry;
   private readonly election: LeaderElection;
   private readonly statusPublisher: MemberStatusPublisher;
@@ -79,34 +79,34 @@
     });
   }
 
-  /** The leader key if this very process holds it. */
+  /** Returns the leader key's holder if it is this process, or else null. */
   ownLeaderLease(): LeaseHolder | null {
     const { leader } = this.options.replica;
     return leader && this.isOurs(leader.nonce) ? leader : null;
   }
 
-  /** The shards that this very process owns. */
+  /** Returns the shards that this process owns. An earlier process of the same member does not count. */
   ownedShards(): Map<number, ShardOwner> {
     const owners = this.options.replica.shardOwners;
     return new Map([...owners].filter(([, owner]) => this.isOurs(owner.nonce)));
   }
 
-  /** Changes the status that other nodes see of this one; see {@link MemberStatusPublisher.publish}. */
+  /** Changes the published status of this node; see {@link MemberStatusPublisher.publish}. */
   publishStatus(change: Partial<MemberStatus>): Promise<void> {
     return this.statusPublisher.publish(change);
   }
 
-  /** Leaves the leadership to other members for this long, as after resigning it. */
+  /** Stops campaigning for the leadership for this duration, for example after resigning it. */
   withdrawCandidacy(duration: Micros): void {
     this.election.withdraw(duration);
   }
 
-  /** The shards that this node is giving up. */
+  /** The shards that this node has resigned. */
   get resignedShards(): readonly number[] {
     return this.statusPublisher.status.resignedShards;
   }
 
-  /** Gives up all that this process holds, at once and for good: revoking its lease deletes every key bound to it. */
+  /** Stops the membership and revokes the lease, which deletes all keys of this process at once. */
   async retire(): Promise<void> {
     const leaseId = this.lease?.leaseId;
     this.lease = null;
@@ -115,19 +115,20 @@
     if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
-  /** Ends {@link run} without giving anything up: the lease runs out by itself. */
+  /** Makes {@link run} return without revoking the lease, which then expires by itself. */
   stop(): void {
     this.transitionTo('stopped');
   }
 
-  /** Joins the cluster and stays in it until stopped. Rejects only on errors other than a {@link StoreError}. */
+  /** Joins the cluster and stays a member until stopped. Rejects only on errors other than {@link StoreError}. */
   async run(): Promise<void> {
     while (!this.isStopped()) {
       try {
         if (this.lease) await this.renewLease(this.lease);
         else if (this.options.replica.state === 'following') await this.join();
       } catch (cause) {
-        // In an outage leases don't run out; after a lone 503 a later 404 shows that ours has.
+        // Leases don't expire during an outage of the state service. If this lease expires after a single 503, a later
+        // renewal is answered with 404.
         if (!(cause instanceof StoreError)) throw cause;
       }
       await sleep(this.options.clock, this.state === 'member' ? RENEW_INTERVAL : RETRY_INTERVAL);
@@ -151,7 +152,7 @@
     return this.state === 'member' && nonce === this.lease?.nonce;
   }
 
-  /** The member record of this very process, as the replica shows it; null while there is none. */
+  /** Returns the member record of this process as the replica shows it, or null while there is none. */
   private ownRecord(): OwnMemberRecord | null {
     const { lease } = this;
     const record = this.options.replica.members.get(this.options.member);
@@ -165,7 +166,7 @@
     this.roles.onLeaseRenewed(sentAt);
     this.lease = { nonce: `${incarnation}.${++this.joinCount}`, leaseId, createdAt: clock.now() };
     this.transitionTo('joining');
-    // Only one process of a member runs at a time: the record of an earlier one may be replaced.
+    // Only one process of a member runs at a time, so the record of an earlier process may be replaced.
     const result = await this.writeRecord(this.lease, replica.members.get(member)?.revision ?? 0);
     if (result.kind !== 'applied' && result.kind !== 'unknown') await this.leave();
   }
@@ -181,7 +182,7 @@
     }
     this.roles.onLeaseRenewed(sentAt);
     if (this.state === 'joining' && clock.now() > lease.createdAt + JOIN_TIMEOUT) {
-      // The commit's answer was lost. Once its lease is gone the commit can't be applied any more.
+      // The answer to the commit was lost. Once the lease is revoked, the commit can no longer be applied.
       await this.leave();
     } else if (this.state === 'member') {
       this.election.campaign();
@@ -189,14 +190,14 @@
     }
   }
 
-  /** Writes what this version understands to a key that outlives the process, if it isn't there yet. */
+  /** Writes the capabilities of this version to a key that outlives the process, unless the key has them already. */
   private async announceCapabilities(): Promise<void> {
     const { store, replica, member } = this.options;
     const announcedCapabilities = replica.capabilities.get(member);
     const ownRecord = this.ownRecord();
     if (!ownRecord || SUPPORTED_CAPABILITIES.every((capability) => announcedCapabilities?.has(capability)))
       return;
-    // Guarded by this process's own record: a late commit can't announce for a later process.
+    // The guard on this process's record prevents a delayed commit from announcing for a later process.
     await store.compareAndSwap(
       [{ path: memberKey(member), revision: ownRecord.record.revision }],
       [{ set: capabilityKey(member), value: encodeCapabilities(SUPPORTED_CAPABILITIES) }],
@@ -210,7 +211,7 @@
     if (leaseId !== undefined) await this.options.store.revokeLease(leaseId).catch(() => undefined);
   }
 
-  /** Follows a change of the replica. */
+  /** Updates the membership state and the roles after a change of the replica. */
   private onReplicaChange(): void {
     const { replica, member } = this.options;
     const record = replica.members.get(member);
@@ -224,7 +225,7 @@
     if (this.state === 'member') this.election.campaign();
   }
 
-  /** Writes the member record of this process with its present status, over the record of this revision. */
+  /** Writes the member record of this process with its current status, replacing the record of this revision. */
   private writeRecord(
     { nonce, leaseId }: Pick<MemberLease, 'nonce' | 'leaseId'>,
     revision: number,
@@ -251,7 +252,7 @@
   }
 }
 
-/** Who holds which role, according to this replica. */
+/** Returns the holder of each role that the replica shows as held. */
 function roleHolders({ leader, shardOwners }: Replica): Map<RoleName, RoleHolder> {
   const holders = new Map<RoleName, RoleHolder>();
   if (leader) holders.set('lead', roleHolder(leader));
--- a/packages/cluster/peer-monitor.ts
+++ b/packages/cluster/peer-monitor.ts
@@ -1,75 +1,76 @@
-/** Pings between nodes: which peers can be reached, and what they publish of themselves. */
+/** Pings between nodes: the reachability of peers, and the status that peers publish. */
 import type { Logger } from './logger.js';
 import { type Clock, type Micros, MS, sleep } from '#wire';
 
-/** Outcome of a ping: `refused` hints at a dead process, `silent` at a network partition. Neither proves anything. */
+/** Outcome of a ping. `refused` suggests a dead process, `silent` a network partition; neither is a proof. */
 export type PingResult = 'ok' | 'refused' | 'silent';
 
-/** What a node publishes to its peers with every ping. */
+/** The status that a node publishes to its peers with every ping. */
 export interface PeerStatus {
-  /** The highest fencing token that it has seen. */
+  /** The highest fencing token that the node has seen. */
   fencingToken: number;
-  /** Whether it reaches the state service. */
+  /** True if the node reaches the state service. */
   isStoreReachable: boolean;
-  /** By owner: number of machines whose workers it has lately redirected there. */
+  /** Keyed by owner. Number of machines whose workers the node has recently redirected to that owner. */
   redirectedWorkers: Record<string, number>;
-  /** What it has seen of the state; null if it does not publish that. */
+  /** High-water mark of the state; null if the node does not publish it. */
   highWaterMark: PeerHighWaterMark | null;
 }
 
-/** What a peer has seen of the state, for nodes that have seen less. */
+/** A peer's high-water mark of the state, by which a node with lower marks detects data loss. */
 export interface PeerHighWaterMark {
-  /** The highest revision that the state service has shown it. */
+  /** The highest revision that the peer has received from the state service. */
   revision: number;
-  /** What it has seen contradicts what the state service shows now. */
+  /** True if the current answers of the state service contradict the state that the peer has seen. */
   isInconsistent: boolean;
 }
 
-/** Outcome of a ping, and what the peer published with its answer. */
+/** Outcome of a ping, and the status that the peer published with its answer. */
 export interface PingReply {
   result: PingResult;
   status: PeerStatus | null;
 }
 
-/** Pings the peer at this endpoint; `silent` once the timeout has passed. Never rejects. */
+/** Pings the peer at this endpoint. Resolves to `silent` after the timeout. Never rejects. */
 export type Ping = (endpoint: string, timeout: Micros) => Promise<PingReply>;
 
 const PING_INTERVAL: Micros = 500 * MS;
 const PING_TIMEOUT: Micros = 1200 * MS;
-/** A peer that does not answer counts as unreachable this long after its last answer. */
+/** Time after the last answer of a peer from which the peer counts as unreachable if it does not answer. */
 const SILENT_PEER_TIMEOUT: Micros = 1700 * MS;
 /**
- * The same for a peer whose host refuses the connection. A dead process does, too; by then its member key is gone, and
- * it counts as dead rather than partitioned.
+ * The same for a peer whose host refuses the connection. The host of a dead process does so, too. After this longer
+ * time the member key of a dead process has expired, so that the process counts as dead rather than partitioned.
  */
 const REFUSING_PEER_TIMEOUT: Micros = 4500 * MS;
 
-/** A peer of this node. */
+/** Another node of the cluster, and the endpoint that it is pinged at. */
 export interface Peer {
   readonly member: string;
   readonly endpoint: string;
 }
 
-/** What a {@link PeerMonitor} works with. */
+/** Dependencies of {@link PeerMonitor}. */
 export interface PeerMonitorOptions {
   readonly peers: readonly Peer[];
   readonly ping: Ping;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Called after each ping with the members out of reach, sorted. */
+  /** Called after each ping with the unreachable members, sorted. */
   readonly onReachabilityChange: (unreachable: string[]) => void;
   readonly onStatus: (status: PeerStatus, member: string) => void;
 }
 
-/** A peer, and the outcome of its pings. */
+/** A peer and the outcome of its latest pings. */
 interface PeerState extends Peer {
+  /** Monotonic time. */
   lastAnswerAt: Micros;
   lastResult: PingResult;
 }
 
 /**
- * Monitors which peers can be reached. Only a hint, by which the leader transfers machines sooner when zones are
- * partitioned from each other: no invariant depends on it.
+ * Monitors which peers can be reached. The result is only a hint by which the leader transfers machines sooner during a
+ * network partition between zones. No invariant depends on it.
  */
 export class PeerMonitor {
   private readonly peers: PeerState[];
@@ -80,17 +81,17 @@
     this.peers = peers.map((peer) => ({ ...peer, lastAnswerAt: clock.now(), lastResult: 'ok' }));
   }
 
-  /** Starts one ping loop for each peer; they run until {@link stop}. */
+  /** Starts one ping loop for each peer. The loops run until {@link stop} is called. */
   start(): void {
     for (const peer of this.peers) void this.monitor(peer);
   }
 
-  /** Every loop ends after the ping that is under way. */
+  /** Makes every ping loop end after its current ping. */
   stop(): void {
     this.isRunning = false;
   }
 
-  /** Members out of reach for long enough to act on it, sorted. */
+  /** Returns the members that count as unreachable, sorted. */
   unreachable(): string[] {
     const now = this.options.clock.now();
     return this.peers
--- a/packages/cluster/placement-index.ts
+++ b/packages/cluster/placement-index.ts
@@ -1,23 +1,24 @@
-/** Placements by machine, and what they use by team. */
+/** Indexes of the placements: by machine, and the resource usage by team. */
 import type { Placement, ResourceDemand } from './placement.js';
 
-/** Follows the placements of a ledger, for queries by machine and by team. */
+/** Indexes the placements of a ledger for queries by machine and by team. */
 export class PlacementIndex {
-  /** By host, then by task name. Machines without placements have no entry. */
+  /** Keyed by host, then by task name. Machines without placements have no entry. */
   readonly byHost = new Map<string, Map<string, Placement>>();
+  /** Keyed by team. */
   private readonly usageByTeam = new Map<string, ResourceDemand>();
 
-  /** The placements on a machine, in the order of their starts. */
+  /** Returns the placements on a machine, in the order of their starts. */
   onHost(host: string): Iterable<Placement> {
     return this.byHost.get(host)?.values() ?? [];
   }
 
-  /** The resources that the placements of a team use together. */
+  /** Returns the sum of the resources that a team's placements use. */
   teamUsage(team: string): ResourceDemand {
     return this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0, memGb: 0 };
   }
 
-  /** Adds a placement that is not there yet. */
+  /** Adds a placement, which must not be in the index. */
   add(placement: Placement): void {
     let onHost = this.byHost.get(placement.host);
     if (!onHost) {
@@ -28,7 +29,7 @@
     this.addUsage(placement, 1);
   }
 
-  /** Removes a placement that is there. */
+  /** Removes a placement, which must be in the index. */
   remove(placement: Placement): void {
     const onHost = this.byHost.get(placement.host);
     onHost?.delete(placement.taskName);
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -1,47 +1,48 @@
-/** Types of the placement state, and of the records that change it. */
+/** Types of the placement state and of the records that change it. */
 import type { GangAttempt } from './gang.js';
 import type { Count } from '#wire';
 
-/** Price of each resource on one shape. */
+/** Price of each resource on machines of one shape. */
 export interface ShapePrice {
   cpu: number;
   gpu: number;
   mem: number;
 }
 
-/** Resources that a task needs, or that several use together. */
+/** Resources that one task needs, or the sum for several tasks. */
 export interface ResourceDemand {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-/** A task that is, or may be, on a machine. It is there until its completion is recorded. */
+/** A task that is, or may be, on a machine. The placement ends when the completion of the attempt is recorded. */
 export interface Placement extends ResourceDemand {
   job: string;
   index: number;
   taskName: string;
   team: string;
   attempt: number;
-  /** How many tasks its gang has; null for an independent task. */
+  /** Number of tasks of the gang; null for an independent task. */
   gangSize: number | null;
   host: string;
-  /** The worker incarnation for which the start was decided; in any other the start has no effect. */
+  /** The worker incarnation that may start the task. The start has no effect in any other incarnation. */
   workerIncarnation: Count;
-  /** Time of day of the record, in milliseconds. */
+  /** Wall-clock time of the record, in milliseconds. */
   startedAtMs: number;
 }
 
 /**
- * What its owner last recorded of a machine: not up yet, up, silent for a while, recalled by the cloud, failing
- * its tasks, or silent beyond its lease.
+ * The status of a machine that its owner recorded last. `new`: not up yet. `unresponsive`: without heartbeats for a
+ * while. `reclaimed`: the cloud takes it back. `quarantined`: its tasks fail. `lost`: without heartbeats beyond the
+ * worker's lease.
  */
 export type MachineStatus = 'new' | 'up' | 'unresponsive' | 'reclaimed' | 'quarantined' | 'lost';
 
-/** Where a machine is to go: a shard, or back to the cloud. */
+/** The transfer target of a machine: a shard, or `scale_in` for its return to the cloud. */
 export type Destination = number | 'scale_in';
 
-/** A heartbeat of a worker: its incarnation, and the sequence within that. */
+/** Identifies a heartbeat by the worker incarnation and the sequence number within the incarnation. */
 export type HeartbeatPosition = [incarnation: Count, sequence: Count];
 
 /** A machine of the fleet. */
@@ -50,48 +51,49 @@
   machineType: string;
   zone: string;
   spot: boolean;
-  /** Time of day at which it was acquired (or first seen), in milliseconds. */
+  /** Wall-clock time at which the machine was acquired from the cloud, or first seen, in milliseconds. */
   acquiredAtMs: number;
-  /** The shard it belongs to; null while it is between two. */
+  /** The shard that the machine belongs to; null between its release by one shard and its acquisition by the next. */
   shard: number | null;
-  /** Named by the leader; the present owner releases the machine, the new one acquires it. */
+  /** Transfer target that the leader named, or null. The current owner releases the machine, the next acquires it. */
   destination: Destination | null;
   status: MachineStatus;
-  /** Raised with each acquisition: distinguishes one ownership of the machine from the next. */
+  /** Incremented with each acquisition, to distinguish one ownership of the machine from the next. */
   ownershipCount: number;
-  /** Newest heartbeat that its last owner had processed when it released it: older ones tell a later owner nothing. */
+  /** Newest heartbeat that the last owner had processed at the release. Later owners ignore older heartbeats. */
   lastHeartbeat: HeartbeatPosition | null;
-  /** Images fetched for tasks on it, the most recent last. */
+  /** Images fetched for tasks on the machine, the most recent last. */
   cachedImages: string[];
-  /** Tasks that failed here since the last that did not, and the time of day of the last one. */
+  /** Number of tasks that failed on the machine since the last that was done. */
   consecutiveFailures: number;
+  /** Wall-clock time of the last failure, in milliseconds. */
   lastFailureAtMs: number;
 }
 
-/** A scale-out that was requested and is not settled yet. */
+/** A scale-out that was requested and whose outcome is not recorded yet. */
 export interface PendingScaleOut {
   id: string;
   machineType: string;
   zone: string;
   spot: boolean;
   count: number;
-  /** The shard that its machines will belong to. */
+  /** The shard that the machines will belong to. */
   shard: number;
-  /** Time of day of the request, in milliseconds. */
+  /** Wall-clock time of the request, in milliseconds. */
   requestedAtMs: number;
 }
 
 /** How an attempt of a task ended. */
 export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
 
-/** A task, its machine, and the worker incarnation that may start it. */
+/** The start of one task: its index, its machine, and the worker incarnation that may start it. */
 export type TaskRow = [index: number, host: string, incarnation: Count];
 
-/** Starts of one job. For independent tasks the record's sequence makes the attempt. */
+/** Starts of tasks of one job. The attempt number of independent tasks is derived from the record's sequence. */
 export interface StartGroup {
   job: string;
   team: string;
-  /** Name of its image, which the machines will have from then on. */
+  /** Name of the job's image, which the machines have cached from then on. */
   image: string;
   need: [cpus: number, gpus: number, memGb: number];
   /** Absent for independent tasks. */
@@ -99,7 +101,7 @@
   tasks: TaskRow[];
 }
 
-/** A machine that joins the fleet; `since`: time of day in milliseconds. */
+/** A machine that joins the fleet. `since`: wall-clock time in milliseconds. */
 export type MachineRow = [
   host: string,
   machineType: string,
@@ -109,7 +111,7 @@
   shard: number,
 ];
 
-/** A request for machines. */
+/** A scale-out request. */
 export type ScaleOutRow = [
   id: string,
   machineType: string,
@@ -123,16 +125,16 @@
 export type CompletionRow = [job: string, index: number, attempt: number, outcome: Outcome];
 /** A machine's new status. */
 export type StatusRow = [host: string, status: MachineStatus];
-/** A machine that its shard gives up, and the last heartbeat that its owner processed. */
+/** A machine that its shard releases, and the last heartbeat that the owner processed. */
 export type ReleaseRow = [host: string, lastHeartbeat: HeartbeatPosition | null];
-/** Prices of each resource on one shape. */
+/** Price of each resource on machines of one shape. */
 export type PriceRow = [cpu: number, gpu: number, mem: number];
 
-/** One entry of a log. The first group of fields is the leader's, the second that of a shard's owner. */
+/** One entry of a log. The leader writes the first group of optional fields, the owner of a shard the second. */
 export interface PlacementRecord {
   sequence: number;
   recordedAtMs: number;
-  /** Place within its commit: a later record may start what an earlier one of another log has completed. */
+  /** Position within the commit. A later record may start a task that an earlier record of another log completed. */
   commitIndex?: number;
 
   machines?: MachineRow[];
@@ -150,11 +152,11 @@
   unmetCpus?: Record<string, number>;
 }
 
-/** A position in every log. */
+/** Positions by log. */
 export type Positions = Record<string, number>;
 
-/** What a writer decides of a record; the log gives it its position. */
+/** The content of a record without its position, which {@link RecordPosition} holds. */
 export type RecordDraft = Omit<PlacementRecord, 'sequence' | 'recordedAtMs' | 'commitIndex'>;
 
-/** Where a record stands in its log and its commit. */
+/** The position of a record in its log and its commit, and its time. */
 export type RecordPosition = Pick<PlacementRecord, 'sequence' | 'recordedAtMs' | 'commitIndex'>;
--- a/packages/cluster/read-barrier.ts
+++ b/packages/cluster/read-barrier.ts
@@ -1,42 +1,43 @@
-/** The read barrier: confirms that a node's copy holds everything that was committed before a given time. */
+/** The read barrier: confirms that a node's replica contains every commit made before a given time. */
 import { type RateLimiter, UNUSED_KEY } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/** Least time between two reads of the revision: calls in between share the next one. */
+/** Minimum time between two reads of the revision. Calls in between share the next read. */
 const MIN_READ_INTERVAL: Micros = 60 * MS;
-/** How long the copy may take to apply everything up to the revision that was read. */
+/** Time within which the replica must apply all commits up to the revision that was read. */
 const APPLY_TIMEOUT: Micros = SECOND;
 
-/** Reads the present revision of the state service, which comes with every answer. */
+/** Reads the current revision of the state service, which every answer contains. */
 export interface RevisionReader {
   get(path: string): Promise<{ readonly revision: number }>;
 }
 
-/** What a barrier relies on. */
+/** Dependencies of {@link ReadBarrier}. */
 export interface ReadBarrierOptions {
   readonly store: RevisionReader;
   readonly clock: Clock;
-  /** Limits the reads of the revision. */
+  /** Limits the rate of revision reads. */
   readonly limiter: RateLimiter;
-  /** Resolves true once the copy has applied the revision, false after the timeout. */
+  /** Resolves to true once the replica has applied the revision, or to false after the timeout. */
   readonly waitForRevision: (revision: number, timeout: Micros) => Promise<boolean>;
-  /** Whether the copy, which holds all that was committed before `sentAt`, may be relied on. */
+  /** Returns true if the replica, which contains all commits before `sentAt`, may be relied on. */
   readonly confirmReplica: (sentAt: Micros) => boolean;
 }
 
-/** Reads the revision of the state service, and waits until the copy has applied it. */
+/** Reads the revision of the state service and waits until the replica has applied it. */
 export class ReadBarrier {
-  /** Steady time at which the copy was last known to be complete, or -Infinity. */
+  /** Monotonic time at which the replica was last confirmed to be complete; -Infinity before the first time. */
   verifiedAt: Micros = -Infinity;
-  /** The read that callers share until it is sent. */
+  /** The next read, which callers share until it is sent. */
   private pendingRead: Promise<boolean> | null = null;
   private lastReadAt: Micros = -Infinity;
 
   constructor(private readonly options: ReadBarrierOptions) {}
 
   /**
-   * Resolves true once everything that the state service had committed when this was called is applied to the
-   * copy; false if that can't be had now. Never rejects. Callers that come close together share one read.
+   * Resolves to true once the replica has applied everything that the state service had committed at the time of the
+   * call. Resolves to false if the replica cannot confirm that now. Never rejects. Calls in quick succession share one
+   * read.
    */
   wait(): Promise<boolean> {
     this.pendingRead ??= this.readRevision();
@@ -45,12 +46,12 @@
 
   private async readRevision(): Promise<boolean> {
     const { store, clock, limiter, waitForRevision, confirmReplica } = this.options;
-    // Always yields first: the caller's assignment must come before the reset below, or every later barrier
-    // would share this one read for ever.
+    // The sleep always yields, so that the caller assigns `pendingRead` before the reset below. Otherwise every later
+    // call would share this read.
     const intervalLeft = this.lastReadAt + MIN_READ_INTERVAL - clock.now();
     await sleep(clock, Math.max(0, intervalLeft, limiter.delay()));
     limiter.consume(1);
-    // From here on a caller needs the next read, since this one may be answered before it called.
+    // Later callers need the next read, since the answer to this one may predate their call.
     this.pendingRead = null;
     const sentAt = clock.now();
     this.lastReadAt = sentAt;
--- a/packages/cluster/replica-loader.ts
+++ b/packages/cluster/replica-loader.ts
@@ -1,14 +1,14 @@
-/** The complete read of the live state, by which a node's copy begins and begins anew. */
+/** The complete read of the live state, by which a node's replica is loaded and reloaded. */
 import type { Ledger } from './ledger.js';
 import { LIVE_PREFIX } from './keys.js';
 import { buildLedger, isObsoleteChunk, type LiveRows, successorKeyOf } from './live-state.js';
 import type { StateIntegrityCheck } from './state-integrity-check.js';
 import type { Row } from '#store';
 
-/** How many missing keys one read looks for. */
+/** Number of missing keys that one complete read looks up individually. */
 const MAX_MISSING_KEY_LOOKUPS = 20;
 
-/** Reads rows of the state service, page by page. */
+/** Lists rows of the state service page by page. */
 export interface RowReader {
   list(
     prefix: string,
@@ -16,21 +16,24 @@
   ): Promise<{ readonly rows: Row[]; readonly more: boolean; readonly revision: number }>;
 }
 
-/** All live state as one complete read showed it. */
+/** The result of one complete read of the live state. */
 export interface LoadedState {
   readonly live: LiveRows;
-  /** The ledger that its checkpoint and logs make. */
+  /** The ledger built from the checkpoint and the logs among the rows. */
   readonly ledger: Ledger;
 }
 
-/** Reads all live state; whether it may be taken for the copy is for the caller to judge. */
+/** Reads all live state. The caller decides whether the replica accepts the result. */
 export class ReplicaLoader {
   constructor(
     private readonly store: RowReader,
     private readonly integrityCheck: StateIntegrityCheck,
   ) {}
 
-  /** Throws IncompleteStateError if parts are missing, StoreError if the state service does not answer. */
+  /**
+   * Reads all live state. Throws {@link IncompleteStateError} if parts are missing, and {@link StoreError} if the state
+   * service does not answer.
+   */
   async load(): Promise<LoadedState> {
     const live = await this.readLiveState();
     const ledger = buildLedger(live);
@@ -39,9 +42,10 @@
   }
 
   /**
-   * All live rows as of the revision `from`. Pages are read one after the other, so a later page may hold what was
-   * committed after an earlier one was read. Such rows are left to the watch, which brings them in their order
-   * with all that the earlier pages missed: applied here, a start could come before the completion that it relies on.
+   * Returns all live rows as of the revision of the first page. Pages are read one after the other, so a later page may
+   * contain rows committed after an earlier page was read. This method drops such rows. The watch delivers them in
+   * commit order, together with the commits that the earlier pages missed. If they were applied here, a start could be
+   * applied before the completion that it relies on.
    */
   private async readLiveState(): Promise<LiveRows> {
     const rows: Row[] = [];
@@ -57,7 +61,7 @@
     }
   }
 
-  /** Looks for keys that had gone: there again, replaced by what follows them, or not needed any more. */
+  /** Reports the missing keys that are present again, replaced by their successor key, or no longer needed. */
   private async findMissingKeys(live: LiveRows): Promise<void> {
     const shown = new Set(live.rows.map(({ path }) => path));
     const missing = this.integrityCheck.missingKeys();
--- a/packages/cluster/replica-state.ts
+++ b/packages/cluster/replica-state.ts
@@ -1,13 +1,13 @@
-/** How current a node's copy of the live state is. */
+/** The states of a node's replica of the live state. */
 import type { Ledger } from './ledger.js';
 
 /**
- * `loading`: reads all live state, page by page. `catching_up`: applies what was committed while it read.
- * `following`: complete up to the applied revision, and kept so by the watch.
+ * `loading`: the replica reads all live state, page by page. `catching_up`: it applies the commits made during that
+ * read. `following`: it is complete up to the applied revision, and the watch keeps it current. `stopped`: final.
  */
 export type ReplicaState = 'loading' | 'catching_up' | 'following' | 'stopped';
 
-/** What a node's copy of the state holds at this moment, for tests and tools. */
+/** The current content of a node's replica, for tests and tools. */
 export interface ReplicaSnapshot {
   member: string;
   state: ReplicaState;
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -1,6 +1,7 @@
 /**
- * A node's copy of all live state: a complete read first, then kept current by one watch. It changes only by what the
- * state service says, in the order of its revisions, on the node that wrote it as on every other.
+ * A node's replica of all live state. The node loads the replica by one complete read and then keeps it current by one
+ * watch. A replica changes only by commits that the state service reports, in the order of their revisions. This also
+ * holds on the node that wrote the commit.
  */
 import { allSupport, type Capability } from './capabilities.js';
 import { ChangeApplier } from './change-applier.js';
@@ -30,33 +31,33 @@
 import { type Change, RateLimiter, RateMeter, type StoreClient, StoreError } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/** How long the state service may keep a watch open before it answers without changes. */
+/** Time for which the state service may keep a watch open before it answers without changes. */
 const WATCH_TIMEOUT: Micros = 10 * SECOND;
-/** Parts of the requests that the state service allows which the watch and the read barrier may take. */
+/** Fractions of the allowed request rate of the state service that the watches and the read barriers may use. */
 const WATCH_QUOTA_FRACTION = 0.3;
 const BARRIER_QUOTA_FRACTION = 0.25;
-/** Time before another attempt where the state service refused or did not answer. */
+/** Delay before the next attempt after the state service refused a request or did not answer. */
 const RETRY_DELAY: Micros = 250 * MS;
-/** Time between two complete reads while what they show is not accepted. */
+/** Delay between two complete reads while the integrity check does not accept their results. */
 const RELOAD_INTERVAL: Micros = SECOND;
-/** Time between two looks at whether the integrity check is ready. */
+/** Interval at which a starting replica polls whether the integrity check is ready. */
 const READY_POLL_INTERVAL: Micros = 50 * MS;
 
-/** What a replica needs. */
+/** Dependencies of {@link Replica}. */
 export interface ReplicaOptions {
   readonly store: StoreClient;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Requests a second that the state service allows all nodes together. */
+  /** Requests per second that the state service allows for all nodes together. */
   readonly stateRps: number;
-  /** Judges what the state service shows; by default everything is accepted. */
+  /** Verifies the data that the state service returns. The default accepts everything. */
   readonly integrity?: StateIntegrityCheck;
 }
 
-/** Follows the live state of the cluster. Every node has one; what it holds is a {@link ClusterState}. */
+/** Loads and follows the live state of the cluster, which it holds as a {@link ClusterState}. Every node has one. */
 export class Replica extends ClusterState {
   state: ReplicaState = 'loading';
-  /** Revision of the last page read: before it is applied, the copy may lack what other pages missed. */
+  /** Revision of the last page read. Until it is applied, the replica may lack commits that earlier pages missed. */
   private catchUpRevision = 0;
   private listeners: (() => void)[] = [];
   private abortWatch: () => void = () => undefined;
@@ -95,37 +96,37 @@
     });
   }
 
-  /** This node's part of a quota that all nodes have together: each living member has the same. */
+  /** Returns this node's part of a quota that all nodes share. Each living member gets an equal part. */
   perMemberQuota(total: number): number {
     return total / Math.max(1, this.members.size);
   }
 
-  /** Every one of these members supports the capability, those that are down included. */
+  /** Returns true if each of these members supports the capability, including members that are down. */
   allSupport(members: readonly string[], capability: Capability): boolean {
     return allSupport(members, { livingMembers: this.members, lastAnnounced: this.capabilities }, capability);
   }
 
-  /** Changes a second by all nodes, as the watch has shown them lately. */
+  /** Recent rate of changes by all nodes, in changes per second, as the watch reported them. */
   get changeRate(): number {
     return this.changeMeter.rate();
   }
 
-  /** Steady time at which the copy was last known to be complete, or -Infinity. */
+  /** Monotonic time at which the replica was last confirmed to be complete; -Infinity before the first time. */
   get verifiedAt(): Micros {
     return this.readBarrier.verifiedAt;
   }
 
-  /** Calls the listener after each step of the watch while the copy is complete. */
+  /** Registers a listener that is called after each update while the replica is in state `following`. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Ends {@link run} after its present step. */
+  /** Makes {@link run} return after its current step. */
   stop(): void {
     this.transitionTo('stopped');
   }
 
-  /** Loads and follows the live state until {@link stop} is called; errors are logged and retried. */
+  /** Loads and follows the live state until {@link stop} is called. Logs errors and retries. */
   async run(): Promise<void> {
     while (!this.integrity.isReady()) await sleep(this.clock, READY_POLL_INTERVAL);
     while (!this.isStopped()) {
@@ -142,20 +143,20 @@
   }
 
   /**
-   * Resolves true once everything that the state service had committed when this was called is applied
-   * here; false if that can't be had now. Callers that come close together share one read.
+   * Resolves to true once this replica has applied everything that the state service had committed at the time of the
+   * call. Resolves to false if the replica cannot confirm that now. Calls in quick succession share one read.
    */
   barrier(): Promise<boolean> {
     return this.readBarrier.wait();
   }
 
-  /** Resolves true when the given revision is applied, or false after the timeout. */
+  /** Resolves to true once the given revision is applied, or to false after the timeout. */
   waitForRevision(revision: number, timeout: Micros): Promise<boolean> {
     if (this.appliedRevision >= revision && this.state === 'following') return Promise.resolve(true);
     return this.waiters.wait(revision, timeout);
   }
 
-  /** Terminal status of a job that is not live, read from the state service if need be; null if there is none. */
+  /** Returns the terminal status of a job, or null if it has none. Reads the state service if it is not cached. */
   async terminalStatus(id: string): Promise<TerminalStatus | null> {
     const cachedStatus = this.cachedTerminalStatus(id);
     if (cachedStatus) return cachedStatus;
@@ -165,7 +166,10 @@
     return this.cachedTerminalStatus(id);
   }
 
-  /** A page of the terminal statuses after this job, in the order of job names; fails while the state is not intact. */
+  /**
+   * Returns the page of terminal statuses that follows this job in the order of job ids.
+   * Throws {@link StoreError} while the integrity check is closed.
+   */
   async terminalStatusesAfter(id: string): Promise<{ id: string; status: TerminalStatus }[]> {
     if (!this.integrity.isOpen()) throw new StoreError(0);
     const { rows } = await this.store.list(TERMINAL_PREFIX, id === '' ? '' : terminalKey(id));
@@ -175,7 +179,7 @@
     }));
   }
 
-  /** Terminal status of a job as far as this node knows it without a read. */
+  /** Returns the terminal status of a job if this node has it in memory, or else null. */
   cachedTerminalStatus(id: string): TerminalStatus | null {
     return this.terminalJobs.get(id)?.status ?? this.terminalStatuses.get(id);
   }
@@ -190,7 +194,7 @@
     this.state = state;
   }
 
-  /** Reads all live state, and takes it for the copy unless it contradicts what is known. */
+  /** Reads all live state and replaces this replica by it, unless the integrity check rejects the result. */
   private async load(): Promise<void> {
     const sentAt = this.clock.now();
     const previous =
@@ -198,7 +202,7 @@
         ? { ...this.highWaterMarks(), revision: this.integrity.minimumRevision() }
         : null;
     const loaded = await this.loader.load();
-    // Until it is accepted the copy stays: of what was lost, it may be the only one.
+    // The old state stays until the new one is accepted: after a data loss it may be the only copy of the lost data.
     if (!this.isAccepted(loaded, sentAt, previous)) throw new StoreError(0);
     this.replaceState(loaded);
   }
@@ -235,7 +239,7 @@
     this.notifyIfCurrent();
   }
 
-  /** The records of the logs are in the ledger already: only their slots are noted. */
+  /** Applies the rows of a complete read. The ledger already has the log records, so only their slots are tracked. */
   private applyLiveRows({ rows }: LiveRows): void {
     for (const row of rows) {
       if (row.path.startsWith(LOG_PREFIX)) this.applier.trackLogSlot(row);
@@ -244,7 +248,7 @@
   }
 
   private async watch(): Promise<void> {
-    // Changes that come close together are fetched together: every answer costs one request for the next.
+    // The delay batches changes in quick succession: after every answer the next watch costs one more request.
     const delay = this.watchLimiter.delay();
     if (delay > 0) await sleep(this.clock, delay);
     this.watchLimiter.consume(1);
@@ -267,12 +271,12 @@
 
   private applyChanges(changes: readonly Change[]): void {
     for (const change of changes) {
-      // A gap can only mean that this copy missed something: start over rather than guess.
+      // A sequence gap means that this replica missed a record, so it loads the complete state again.
       if (!this.applier.apply(change)) this.transitionTo('loading');
     }
   }
 
-  /** The answer of a watch; fails as soon as the integrity check closes, since a watch may stay open for long. */
+  /** Resolves to the answer of a watch. Rejects when the integrity check closes, since a watch may stay open long. */
   private failOnIntegrityLoss<T>(watch: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       this.abortWatch = () => {
@@ -282,7 +286,7 @@
     });
   }
 
-  /** Throws, before anything of it is applied, if the changes take away what no node ever removes. */
+  /** Throws {@link StoreError} if the changes remove keys that no node ever removes. Called before they are applied. */
   private rejectLosses(changes: readonly Change[]): void {
     const lost = findLostKeys(changes, {
       checkpointId: this.checkpoint.id,
--- a/packages/cluster/revision-waiters.ts
+++ b/packages/cluster/revision-waiters.ts
@@ -1,4 +1,4 @@
-/** Callers that wait until a copy of the state has reached a revision. */
+/** Callers that wait until a replica has applied a revision. */
 import type { Clock, Micros } from '#wire';
 
 interface Waiter {
@@ -6,13 +6,13 @@
   readonly settle: (isReached: boolean) => void;
 }
 
-/** Waits of any number of callers, each with its revision and timeout. */
+/** Manages the waits of any number of callers, each with its own revision and timeout. */
 export class RevisionWaiters {
   private waiters: Waiter[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Resolves true once the revision is reached, or false after the timeout. */
+  /** Resolves to true once the replica has applied the revision, or to false after the timeout. */
   wait(revision: number, timeout: Micros): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = this.clock.after(timeout, () => {
@@ -30,7 +30,7 @@
     });
   }
 
-  /** The copy has applied everything up to this revision. */
+  /** Settles the waits for this revision and earlier ones. Called after the replica has applied the revision. */
   onRevision(revision: number): void {
     const reached = this.waiters.filter((waiter) => waiter.revision <= revision);
     this.waiters = this.waiters.filter((waiter) => waiter.revision > revision);
--- a/packages/cluster/shard-assignment.ts
+++ b/packages/cluster/shard-assignment.ts
@@ -1,6 +1,6 @@
-/** The assignment of shards to members: pure functions of what the leader sees. */
+/** The assignment of shards to members, as pure functions of the leader's replica. */
 
-/** The process that owns a shard. */
+/** The process that owns a shard, identified by its member and the nonce of its membership. */
 export interface ShardHolder {
   readonly member: string;
   readonly nonce: string;
@@ -9,7 +9,7 @@
 /** A member as a candidate for shards. */
 export interface AssignableMember extends ShardHolder {
   readonly zone: string;
-  /** Shards that it gives up: they go to other members. */
+  /** Shards that the member has resigned, which are assigned to other members. */
   readonly resignedShards?: readonly number[];
 }
 
@@ -19,18 +19,19 @@
   readonly member: string;
 }
 
-/** What the assignment of shards is planned from. */
+/** Input of {@link planShardAssignments}. */
 export interface ShardAssignmentInput {
   readonly shardCount: number;
+  /** Keyed by shard. */
   readonly owners: ReadonlyMap<number, ShardHolder>;
   readonly members: readonly AssignableMember[];
-  /** By member; one that is missing has weight 1. */
+  /** Keyed by member. The default weight is 1. */
   readonly weights: ReadonlyMap<string, number>;
 }
 
 /**
- * Number of shards that each member should own: in proportion to its weight, rounded by largest remainder. Ties go
- * by name, so that every leader comes to the same result.
+ * Returns the number of shards that each member should own: in proportion to its weight, rounded by the largest
+ * remainder method. Ties are broken by name, so that every leader computes the same result.
  */
 export function targetShardCounts(
   members: readonly AssignableMember[],
@@ -49,7 +50,7 @@
   return new Map(quotas.map(({ member, exact }) => [member, Math.floor(exact) + (remaining-- > 0 ? 1 : 0)]));
 }
 
-/** Members that may own shards: those whose workers reach them, or all if there is none. */
+/** Returns the members that may own shards: those that workers reach, or all members if workers reach none. */
 export function eligibleOwners<M extends { workersUnreachable: boolean }>(
   members: readonly M[],
 ): readonly M[] {
@@ -58,8 +59,8 @@
 }
 
 /**
- * Shards that get a new owner: all that have no living one; if there are none, at most one shard of a member above its
- * target goes to a member below its own.
+ * Returns the shards that get a new owner. These are all shards without a living owner or with an owner that resigned
+ * them. If there are none, at most one shard is transferred from a member above its target to a member below it.
  */
 export function planShardAssignments(input: ShardAssignmentInput): ShardAssignment[] {
   if (input.members.length === 0) return [];
@@ -70,12 +71,12 @@
   return transfer ? [transfer] : [];
 }
 
-/** The shards of each member while an assignment is planned. */
+/** Planned shards of each member during one planning pass. */
 class ShardPlan {
   private readonly members: readonly AssignableMember[];
   private readonly targets: ReadonlyMap<string, number>;
   private readonly ownedShards: Map<string, number[]>;
-  /** Shards without a living owner that keeps them. */
+  /** Shards whose owner is no longer a member or has resigned them. */
   private readonly orphans: number[] = [];
 
   constructor({ shardCount, owners, members, weights }: ShardAssignmentInput) {
@@ -89,6 +90,7 @@
     }
   }
 
+  /** Assigns each orphaned shard to the candidate with the largest deficit. */
   assignOrphans(): ShardAssignment[] {
     const assignments: ShardAssignment[] = [];
     for (const shard of this.orphans) {
@@ -100,7 +102,10 @@
     return assignments;
   }
 
-  /** Moves one shard from the member furthest above its target to the one furthest below, if both are by one or more. */
+  /**
+   * Returns the transfer of one shard from the member furthest above its target to the member furthest below its own.
+   * Returns null unless both differ from their targets by at least one shard.
+   */
   rebalance(): ShardAssignment | null {
     const names = [...this.ownedShards.keys()];
     const [receiver] = this.byDeficit(names);
@@ -111,7 +116,7 @@
     return this.deficit(receiver) >= 1 && this.deficit(donor) <= -1 ? { shard, member: receiver } : null;
   }
 
-  /** The very process that owns the shard is still a member, and does not give it up. */
+  /** Returns true if the process that owns the shard is still a member and has not resigned the shard. */
   private keepsShard(owner: ShardHolder, shard: number): boolean {
     return this.members.some(
       (member) =>
@@ -119,13 +124,13 @@
     );
   }
 
-  /** Members that may get the shard: all but those that give it up, unless that is everybody. */
+  /** Returns the members that may get the shard: those that have not resigned it, or all if every member has. */
   private candidatesFor(shard: number): string[] {
     const candidates = this.members.filter((member) => !hasResignedShard(member, shard));
     return candidates.length > 0 ? candidates.map(({ member }) => member) : [...this.ownedShards.keys()];
   }
 
-  /** Number of shards that the member is below its target; negative above it. */
+  /** Returns the number of shards that the member lacks to its target; negative if it has more than its target. */
   private deficit(member: string): number {
     return (this.targets.get(member) ?? 0) - (this.ownedShards.get(member)?.length ?? 0);
   }
--- a/packages/cluster/state-integrity-check.ts
+++ b/packages/cluster/state-integrity-check.ts
@@ -1,61 +1,67 @@
-/** The interface by which a node's copy of the state has what it reads checked for data loss. */
+/** The interface by which a replica has the data that it reads checked for data loss. */
 import type { Micros } from '#wire';
 import type { Positions } from './placement.js';
 
-/** Numbers that never fall while the state service keeps what was committed. */
+/** Values that never decrease while the state service keeps all committed data. */
 export interface HighWaterMarks {
+  /** Highest revision seen. */
   revision: number;
   /** The cluster's fencing token. */
   fencingToken: number;
-  /** The last record of each log. */
+  /** Sequence number of the last record of each log. */
   positions: Positions;
 }
 
-/** What one complete read of the live state showed. */
+/** The result of one complete read of the live state, in the form that is checked. */
 export interface StateReading {
-  /** Steady time at which the read was begun. */
+  /** Monotonic time at which the read began. */
   sentAt: Micros;
+  /** High-water marks of the rows that were read. */
   current: HighWaterMarks;
-  /** What was known when it was begun; null before the first reading. */
+  /** High-water marks of the replica when the read began; null before the first complete read. */
   previous: HighWaterMarks | null;
-  /** How the rows that were read differ from those that the copy holds. */
+  /** Differences between the rows that were read and those of the replica. */
   differences: RowDifferences;
 }
 
-/** Keys of the copy that a later reading can't show like this if nothing was lost. */
+/** Keys of replica rows that differ from those of a later read in a way that indicates data loss. */
 export interface RowDifferences {
-  /** Another record under a number that the copy has, too. */
+  /** Log slots that hold another record under the same sequence number. */
   forked: readonly string[];
-  /** A row older than the copy's. */
+  /** Rows whose revision is lower than in the replica. */
   regressed: readonly string[];
-  /** Not there any more; that may be as it should where a job has ended. */
+  /** Rows that are missing. This is no data loss where a job has ended. */
   absent: readonly string[];
 }
 
-/** Judges what the state service shows. While it is closed a copy stays as it is and reads all live state anew. */
+/**
+ * Checks the data that the state service returns for data loss. While the check is closed, a replica keeps its state
+ * and repeats the complete read.
+ */
 export interface StateIntegrityCheck {
+  /** Returns true unless data loss is suspected. */
   isOpen(): boolean;
-  /** False for a while after the start: observations of a loss may yet arrive, and no read is of use. */
+  /** Returns false for a while after the start, since peers' and workers' observations of a loss may still arrive. */
   isReady(): boolean;
-  /** Has this called whenever the check closes. */
+  /** Registers a listener that is called whenever the check closes. */
   onClose(listener: () => void): void;
-  /** The highest revision that any answer has shown. */
+  /** Returns the highest revision that any answer of the state service has shown. */
   minimumRevision(): number;
-  /** Whether the reading may be taken for the state; opens or closes the check. */
+  /** Returns true if the replica may accept this read. Opens or closes the check accordingly. */
   verifyReading(reading: StateReading): boolean;
-  /** The copy holds all that was committed before this time: may it be relied on? */
+  /** Returns true if the replica, which holds all commits before the time `sentAt`, may be relied on. */
   confirmReplica(sentAt: Micros, replicaMarks: HighWaterMarks): boolean;
-  /** Keys have gone that this program never removes; true if that closes the check. */
+  /** Reports keys that were removed although no node removes them. Returns true if that closes the check. */
   reportLostKeys(lostKeys: readonly string[]): boolean;
-  /** Those of them that no reading has shown again. */
+  /** Returns the reported keys that no read has found again. */
   missingKeys(): readonly string[];
-  /** One of them has been shown again. */
+  /** Reports that a missing key was found again. */
   reportFoundKey(key: string): void;
-  /** A reading that lacks parts, as a change while it was made may cause, too. */
+  /** Reports a read that lacks parts. A change during the read may cause this, too. */
   reportIncompleteRead(reason: string): void;
 }
 
-/** Accepts whatever is shown. */
+/** A check that accepts everything. */
 export const NO_STATE_INTEGRITY_CHECK: StateIntegrityCheck = {
   isOpen: () => true,
   isReady: () => true,
--- a/packages/cluster/worker-reachability.ts
+++ b/packages/cluster/worker-reachability.ts
@@ -1,24 +1,32 @@
 /**
- * Detects whether workers still reach this node. A node that loses only its workers goes on serving users and peers and
- * reaches the state service, so its lease never expires; its workers ask the other nodes, which redirect them to it
- * until the workers' leases expire. Only a hint, by which the leader assigns the shards to other members in time.
+ * Detects whether workers still reach this node. A node that only its workers cannot reach still serves users and
+ * peers and reaches the state service, so its lease never expires. Its workers contact the other nodes, which redirect
+ * them to it until the workers' leases expire. The result is only a hint by which the leader assigns the shards to
+ * other members before that.
  */
 import { type Micros, MS, SECOND } from '#wire';
 
-/** Time between two calls of {@link WorkerReachability.check}. */
+/** Interval at which {@link WorkerReachability.check} must be called. */
 export const REACHABILITY_CHECK_INTERVAL: Micros = 500 * MS;
 
-/** `unreachable` ends by itself: without shards no worker arrives, so the node has to be tried again. */
+/**
+ * The state `unreachable` ends after a pause: without shards a node gets no heartbeats, so only a new trial with shards
+ * shows whether workers reach it again.
+ */
 export type WorkerReachabilityState = 'reached' | 'unreachable';
 
-/** For how long a machine that was redirected to its owner counts as on its way there. */
+/** Time for which a redirected worker counts as on its way to the owner of its machine. */
 const REDIRECT_LIFETIME: Micros = 3 * SECOND;
-/** A single machine may be broken; of several one would have arrived. */
+/** Fewest redirected machines that count: a single machine may be broken, but one of several would have arrived. */
 const MIN_REDIRECTED_MACHINES = 2;
-/** Checks in a row: a redirected worker arrives within half a second, and peers publish every half second. */
+/**
+ * Consecutive checks with redirects after which the node may count as unreachable. A redirected worker arrives within
+ * half a second, and peers publish their redirects every half second.
+ */
 const MIN_CONSECUTIVE_REDIRECT_CHECKS = 3;
-/** Pause before a node is tried again, in workers' leases; doubled each time that it fails again at once. */
+/** Pause before an unreachable node is tried again, in worker leases. It doubles with each immediate failure. */
 const MIN_PAUSE_LEASES = 3;
+/** Upper bound of the pause, in worker leases. */
 const MAX_PAUSE_LEASES = 24;
 
 /** Settings of the workers' heartbeats. */
@@ -27,25 +35,25 @@
   readonly workerLease: Micros;
 }
 
-/** Whether workers reach this node, judged by its own heartbeats and by the redirects that peers publish. */
+/** Determines whether workers reach this node, by the heartbeats that it gets and the redirects that peers publish. */
 export class WorkerReachability {
   state: WorkerReachabilityState = 'reached';
   /**
-   * Checks without a heartbeat. Counted in checks and not in time: a suspended process makes no checks, and what its
-   * workers did meanwhile proves nothing.
+   * Consecutive checks without a heartbeat. The unit is checks, not time: a suspended process makes no checks, and its
+   * missed heartbeats prove nothing.
    */
   private checksWithoutHeartbeat = 0;
   private consecutiveRedirectChecks = 0;
-  /** Largest number of machines that a peer has redirected here since the last check. */
+  /** Largest number of machines whose workers a single peer has redirected here since the last check. */
   private redirectedMachines = 0;
   private pause: Micros = 0;
   private unreachableUntil: Micros = -Infinity;
-  /** By owner: the hosts whose workers this node has redirected there, and when. */
+  /** Keyed by owner, then by host. Monotonic time of the last redirect of the host's worker to that owner. */
   private readonly redirectedHosts = new Map<string, Map<string, Micros>>();
 
   constructor(private readonly limits: HeartbeatLimits) {}
 
-  /** A worker's heartbeat has arrived here, whichever member owns its machine. */
+  /** Records that a worker's heartbeat has arrived here, whichever member owns its machine. */
   onHeartbeat(): void {
     this.checksWithoutHeartbeat = 0;
     this.pause = 0;
@@ -53,14 +61,14 @@
     this.state = 'reached';
   }
 
-  /** This node has redirected a worker to the owner of its machine. */
+  /** Records that this node has redirected a worker to the owner of its machine. */
   onRedirect(owner: string, host: string, now: Micros): void {
     let hosts = this.redirectedHosts.get(owner);
     if (!hosts) this.redirectedHosts.set(owner, (hosts = new Map<string, Micros>()));
     hosts.set(host, now);
   }
 
-  /** By owner: number of machines whose workers this node has lately redirected there. */
+  /** Returns, keyed by owner, the number of machines whose workers this node has recently redirected there. */
   redirectCounts(now: Micros): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const [owner, hosts] of this.redirectedHosts) {
@@ -71,12 +79,15 @@
     return counts;
   }
 
-  /** A peer has lately redirected the workers of this number of machines to this node. */
+  /** Records that a peer has recently redirected the workers of this number of machines to this node. */
   onPeerRedirects(machines: number): void {
     this.redirectedMachines = Math.max(this.redirectedMachines, machines);
   }
 
-  /** To be called every {@link REACHABILITY_CHECK_INTERVAL}. `ownsShards`: workers should arrive here. */
+  /**
+   * Updates the state; must be called every {@link REACHABILITY_CHECK_INTERVAL}. `ownsShards`: true if this node owns
+   * shards, so that it should get heartbeats.
+   */
   check(ownsShards: boolean, now: Micros): void {
     const hasRedirects = this.redirectedMachines >= MIN_REDIRECTED_MACHINES;
     this.redirectedMachines = 0;
@@ -95,7 +106,7 @@
     }
   }
 
-  /** Number of checks within which every worker that reaches this node sends a heartbeat. */
+  /** Returns the number of checks within which every worker that reaches this node sends a heartbeat. */
   private heartbeatDeadlineChecks(): number {
     return Math.ceil((this.limits.heartbeatInterval * 1.25) / REACHABILITY_CHECK_INTERVAL) + 1;
   }
--- a/packages/cluster/zone-partitions.ts
+++ b/packages/cluster/zone-partitions.ts
@@ -1,13 +1,13 @@
-/** Network partitions between zones, as far as the members' published reachability shows them. */
+/** Network partitions between zones, derived from the reachability that members publish. */
 
-/** What a member publishes of its zone and of the members that it can't reach. */
+/** The zone of a member, and the members that it publishes as unreachable. */
 export interface ZoneObserver {
   readonly member: string;
   readonly zone: string;
   readonly unreachable: readonly string[];
 }
 
-/** Pairs of zones that can't reach each other according to at least one member; each as {@link zonePair} names it. */
+/** Returns the pairs of zones, named by {@link zonePair}, between which at least one member reports a partition. */
 export function partitionedZonePairs(members: readonly ZoneObserver[]): Set<string> {
   const partitioned = new Set<string>();
   for (const { zone, unreachable } of members) {
@@ -19,7 +19,7 @@
   return partitioned;
 }
 
-/** Name of an unordered pair of zones: `a|b` with a < b. */
+/** Returns the name of an unordered pair of zones: `a|b` with a < b. */
 export function zonePair(a: string, b: string): string {
   return a < b ? `${a}|${b}` : `${b}|${a}`;
 }
