--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -34,7 +34,7 @@
   return copy;
 }
 
-test('a start in several records counts only once all of it has come, also after a checkpoint between them', () => {
+test('a gang is complete only after all records of its start, also if a checkpoint lies between them', () => {
   let ledger = ledgerWithMachines();
   ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0])] });
   ledger = restoreFromCheckpoint(ledger);
@@ -48,13 +48,13 @@
   assert.deepEqual(attempts, [ATTEMPT, ATTEMPT, ATTEMPT]);
 });
 
-test('the parts of a start that is cut to fit its values bear one attempt', () => {
+test('all parts of a gang start that is split to fit the value size carry the same attempt', () => {
   const parts = splitDraft(encodeRecordDraft({ starts: [partialStart([0, 1, 2])] }), 100);
   assert.ok(parts.length > 1);
   for (const { starts } of parts) assert.deepEqual(starts?.[0]?.gang, { attempt: ATTEMPT, size: 3 });
 });
 
-test('once a task has ended, the attempt is over for the others, and no other attempt joins them', () => {
+test('the end of one task makes the gang incomplete, and starts of another attempt are ignored', () => {
   const ledger = ledgerWithMachines();
   ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0, 1, 2])] });
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 0, ATTEMPT, 'lost']] });
@@ -63,7 +63,7 @@
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
-test('one task that is done makes the whole gang done, also one whose machine is lost then', () => {
+test('the completion of one task completes the whole gang, including a task whose machine is lost afterwards', () => {
   const ledger = ledgerWithMachines();
   ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts: [partialStart([0, 1, 2])] });
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, completions: [['j-1', 1, ATTEMPT, 'done']] });
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -14,7 +14,7 @@
 
 const MACHINE_DEFAULTS = { spot: true, since: 0 };
 
-/** A script of random steps, turned into records that the leader and two owners might write. */
+/** Converts random steps into records that the leader and the owners of two shards might write. */
 function recordsFromSteps(steps: readonly (readonly [number, number, number])[]): Step[] {
   const ledger = new Ledger();
   const loggedRecords: Step[] = [];
@@ -55,14 +55,14 @@
 
 const steps = fc.array(fc.tuple(fc.nat(6), fc.nat(6), fc.nat(12)), { maxLength: 120 });
 
-/** All that a ledger holds, in an order of its own. */
+/** Returns the content of a ledger in an order that does not depend on the order of insertion. */
 function normalizedState(ledger: Ledger): unknown {
   const sorted = (rows: Iterable<object>): string[] =>
     [...rows].map((row) => JSON.stringify(Object.entries(row).sort())).sort();
   const entries = [...ledger.jobs].filter(([, b]) => b.placements.size > 0 || b.done.count > 0);
   return {
     positions: ledger.allPositions(),
-    // A job's failures in a row are left out of a checkpoint, so who is to blame for one more may differ.
+    // Checkpoints don't contain the consecutive failures of a job, so the failure counts of machines may differ.
     machines: sorted(
       [...ledger.machines.values()].map((host) => ({ ...host, consecutiveFailures: 0, lastFailureAtMs: 0 })),
     ),
@@ -75,7 +75,7 @@
   };
 }
 
-test('a checkpoint at any point plus the records after it gives the same state as all records', () => {
+test('a checkpoint at any point plus the records after it yields the same state as all records', () => {
   fc.assert(
     fc.property(steps, fc.nat(120), (script, cut) => {
       const all = recordsFromSteps(script);
@@ -96,7 +96,7 @@
   );
 });
 
-test('a checkpoint of a thousand machines and two thousand tasks takes few values', () => {
+test('a checkpoint of 1000 machines and 2000 tasks fits into at most 25 values of 4 KiB', () => {
   const ledger = new Ledger();
   const hosts = [...Array(1000).keys()].map((i) => `n-${String(i).padStart(6, '0')}`);
   const machineRows = hosts.map((host, i): MachineRow => [
@@ -126,7 +126,7 @@
   assert.ok(chunks.length <= 25, `${chunks.length} values`);
 });
 
-test('usage is what is placed, after whatever records', () => {
+test('the team usage equals the number of placed tasks after any sequence of records', () => {
   fc.assert(
     fc.property(steps, (script) => {
       const ledger = new Ledger();
@@ -148,7 +148,7 @@
 const machineRow = (host: string, shard: number): MachineRow => [host, 'small', 'east', false, 0, shard];
 const START_GROUP = { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 1] as [number, number, number] };
 
-test('a record that is not the next of its log is refused, one already applied changes nothing', () => {
+test('rejects a record after a gap in its log and ignores a record that is already applied', () => {
   const ledger = new Ledger();
   assert.equal(ledger.apply('lead', { sequence: 2, recordedAtMs: 0 }), false);
   assert.equal(
@@ -159,7 +159,7 @@
   assert.equal(ledger.machines.size, 1);
 });
 
-test('a completion names its attempt: that of an earlier one leaves the present one alone', () => {
+test('a completion of an earlier attempt does not end the current attempt', () => {
   const ledger = new Ledger();
   ledger.apply('lead', {
     sequence: 1,
@@ -179,7 +179,7 @@
   assert.equal(ledger.jobs.get('j-1')?.done.count, 0);
 });
 
-test('a machine has one owner: only between a release and the next acquisition does it change hands, and steps of any other shard have no effect', () => {
+test('a machine changes owner only by release and acquisition, and other shards cannot change it', () => {
   const ledger = new Ledger();
   ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines: [machineRow('n-1', 0)] });
   ledger.apply(1, {
@@ -205,12 +205,12 @@
   assert.equal(ledger.machines.get('n-1')?.shard, 1);
   const { attempt } = ledger.placement('j-1', 0) ?? { attempt: -1 };
   ledger.apply(0, { sequence: 4, recordedAtMs: 0, completions: [['j-1', 0, attempt, 'done']] });
-  assert.ok(ledger.placement('j-1', 0), 'the old owner has no more say');
+  assert.ok(ledger.placement('j-1', 0), 'a completion by the former owner has no effect');
   ledger.apply(1, { sequence: 3, recordedAtMs: 0, completions: [['j-1', 0, attempt, 'done']] });
   assert.equal(ledger.placement('j-1', 0), undefined);
 });
 
-test('a set of done tasks survives being written out', () => {
+test('a set of done tasks is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(fc.uniqueArray(fc.nat(400)), (indices) => {
       const set = new DoneSet();
@@ -227,7 +227,7 @@
   );
 });
 
-test('a draft of any size is cut into values within the limit, nothing lost, no start before an end', () => {
+test('splits a draft of any size into parts within the limit, losing nothing, with completions before starts', () => {
   fc.assert(
     fc.property(fc.nat(400), fc.nat(400), fc.integer({ min: 600, max: 4000 }), (ends, starts, limit) => {
       const draft: StoredRecordDraft = {
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -9,7 +9,7 @@
 import { Replica } from './replica.js';
 import { LogWriter } from './log-writer.js';
 
-/** Roles of a process that leads under term 1 and owns these shards, each under the given term. */
+/** Returns the roles of a process that leads under term 1 and owns these shards. `shards`: terms, keyed by shard. */
 function rolesOf(clock: Clock, shards: ReadonlyMap<number, number>): RoleRegistry {
   const holder = (term: number): RoleHolder => ({ member: 'node-0', nonce: 'ours', term });
   const holders = new Map<RoleName, RoleHolder>([['lead', holder(1)]]);
@@ -20,8 +20,9 @@
 
 const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
 
-// At nine hundred machines the leader once planned a round every two seconds, the others four a second.
-test('a checkpoint of many values is paced by its own limiter and does not hold up the scheduling rounds of the leader', async () => {
+// Guards against slow scheduling rounds of the leader. When checkpoints and records shared one limiter, the leader
+// planned one round every two seconds at 900 machines, while the other nodes planned four per second.
+test('a large checkpoint is paced by its own limiter and does not delay the leader from appending records', async () => {
   const clock = new SimClock();
   const view = clock.view(
     (step) => {
@@ -64,11 +65,11 @@
   });
   for (let i = 0; i < 600 && !maintenance.isOver; i++) {
     await clock.run(clock.time + 100 * MS, () => undefined);
-    assert.equal(writer.appendDelay(), 0, `a round has to wait after ${i / 10} s`);
+    assert.equal(writer.appendDelay(), 0, `the next append is delayed after ${i / 10} s`);
   }
   assert.ok(maintenance.isOver);
   const values = sent.reduce((sum, s) => sum + s.writes, 0);
-  assert.ok(values > 20, `only ${values} values`);
+  assert.ok(values > 20, `the checkpoint has only ${values} values`);
   const elapsed = (sent.at(-1)?.at ?? 0) - (sent[0]?.at ?? 0);
   assert.ok(elapsed > ((values - 10) / 4) * SECOND, `${values} values in ${elapsed / SECOND} s`);
 });
@@ -79,7 +80,7 @@
   readonly sent: { guards: Guard[]; writes: Write[] }[];
 }
 
-/** A writer over a state service that records and refuses every commit; its node owns shard 0 and leads. */
+/** Returns a writer of a node that leads and owns shard 0. The state service records and refuses every commit. */
 function recordingWriter(): RecordingWriter {
   const clock = new SimClock();
   const view = clock.view(
@@ -113,8 +114,8 @@
   return { writer, replica, sent };
 }
 
-// Of a cancellation and the completion of a job only one may win: whoever comes second must find the key changed.
-test('the completion of a job is guarded by the revision of its key and by the ownership of its shard', () => {
+// Guards against a job that is both cancelled and done. The second of the two commits must fail on the changed key.
+test('guards the completion of a job by the revision of its key and by the ownership of its shard', () => {
   const { writer, sent } = recordingWriter();
   void writer.completeJobs([['j-1', { spec: sampleJob('j-1'), acceptedAtMs: 0, acceptedRevision: 31 }]], [0]);
   assert.deepEqual(sent[0]?.guards, [
@@ -124,7 +125,7 @@
   assert.deepEqual(sent[0].writes, [{ set: jobKey('j-1'), value: { Status: 'done' } }]);
 });
 
-test('a terminal job is archived only at the revision that was read', async () => {
+test('archives a terminal job only at the revision that was read', async () => {
   const { writer, replica, sent } = recordingWriter();
   replica.terminalJobs.set('j-1', { status: 'cancelled', revision: 32 });
   await writer.maintain();
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * A task runs on a machine of shard 0, is stopped there, and starts again on a machine of shard 1. In between, one
- * owner releases a machine and another acquires it.
+ * Commits in which a task runs on a machine of shard 0, is stopped there, and starts again on a machine of shard 1. In
+ * between, the owner of shard 0 releases a machine and the owner of shard 1 acquires it.
  */
 const COMMITS: Commit[] = [
   {
@@ -51,7 +51,7 @@
   { log: 1, record: { sequence: 2, recordedAtMs: 3, acquisitions: ['n-3'], starts: startOn('n-2') } },
 ];
 
-/** A state service with one row a page; `betweenPages` may commit before each page but the first. */
+/** A state service with one row per page. `betweenPages` is called before each page but the first, and may commit. */
 class PagedStore {
   revision = 0;
   private readonly rows = new Map<string, Row>();
@@ -85,15 +85,15 @@
   }
 }
 
-/** Lets simulated time pass in steps, so that whatever is under way in between can settle. */
+/** Advances the simulated time in steps, so that pending promises can settle in between. */
 async function advanceInSteps(clock: SimClock, duration: Micros): Promise<void> {
   for (let at = 0; at < duration; at += 100 * MS) clock.at(at, () => undefined);
   await clock.run(clock.time + duration, () => undefined);
 }
 
 /**
- * The copy of a node that reads all live state while the commits from `committed` on land: `burst` of them before each
- * page but the first `pages`.
+ * Returns a replica whose complete read overlaps with commits. The first `initialCommits` commits precede the read. Of
+ * the others, `burst` are made before each page but the first `quietPages`, and the rest after the read.
  */
 async function readWhileCommitting(
   initialCommits: number,
@@ -129,15 +129,15 @@
   return replica;
 }
 
-// Pages of a list are read one after the other. The record of a later page used to be applied before an earlier one
-// of another log that had landed meanwhile: the start of a task had no effect, since its end was not known yet, and
-// the node started the task a second time.
-test('commits that land while the live state is read are applied in their order', async () => {
+// Guards against a task that is started twice. Pages are read one after the other, so a page can contain a record whose
+// predecessor in another log was committed after that log's page was read. If the record is applied at once, a start
+// comes before the completion that it relies on and has no effect.
+test('applies commits made during the complete read in commit order', async () => {
   for (let initialCommits = 0; initialCommits <= COMMITS.length; initialCommits++) {
     for (let quietPages = 1; quietPages <= COMMITS.length; quietPages++) {
       for (const burst of [1, 2, 3]) {
         const { ledger } = await readWhileCommitting(initialCommits, quietPages, burst);
-        const scenario = `${initialCommits} commits before the reading, ${burst} after page ${quietPages}`;
+        const scenario = `${initialCommits} commits before the read, ${burst} per page after page ${quietPages}`;
         assert.equal(ledger.totalRecords, COMMITS.length, scenario);
         assert.equal(ledger.placement('j-1', 0)?.host, 'n-2', scenario);
         assert.equal(ledger.machines.get('n-3')?.shard, 1, scenario);
--- a/packages/cluster/shard-assignment.test.ts
+++ b/packages/cluster/shard-assignment.test.ts
@@ -18,7 +18,7 @@
   return planShardAssignments({ shardCount, owners, members, weights: new Map() });
 }
 
-test('assigning shards again and again ends with every shard owned by a living member, evenly', () => {
+test('repeated assignment converges to an even distribution of all shards over the living members', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 6 }),
@@ -47,7 +47,7 @@
   );
 });
 
-test('a member that came back as another incarnation owns nothing of before', () => {
+test('reassigns the shards of a member that rejoined under another nonce', () => {
   const owners = new Map([[0, { member: 'a', nonce: 'a.0' }]]);
   assert.deepEqual(plan(1, owners, [member('a')]), [{ shard: 0, member: 'a' }]);
 });
--- a/packages/cluster/worker-reachability.test.ts
+++ b/packages/cluster/worker-reachability.test.ts
@@ -13,10 +13,11 @@
   readonly duration: Micros;
   /** Number of machines whose workers a peer redirects here before each check. */
   readonly redirected: number;
+  /** Time before the first check interval. */
   readonly from?: Micros;
 }
 
-/** Checks of a node that owns shards, while peers redirect workers to it. */
+/** Runs the checks of a node that owns shards, while peers redirect workers to it. */
 function runChecks(reachability: WorkerReachability, { duration, redirected, from = 0 }: CheckPeriod): void {
   for (let at = REACHABILITY_CHECK_INTERVAL; at <= duration; at += REACHABILITY_CHECK_INTERVAL) {
     reachability.onPeerRedirects(redirected);
@@ -24,7 +25,7 @@
   }
 }
 
-test('a node whose workers are all redirected to it and never arrive is unreachable, for a while', () => {
+test('a node is temporarily unreachable if workers are redirected to it and none arrives', () => {
   const reachability = new WorkerReachability(LIMITS);
   reachability.onHeartbeat();
   runChecks(reachability, { duration: 2 * SECOND, redirected: 5 });
@@ -35,7 +36,7 @@
   assert.equal(reachability.state, 'reached');
 });
 
-test('a broken machine, an idle node, a first worker on its way, and silence everywhere are distinguished', () => {
+test('a node counts as reached with one broken machine, no redirects, no shards, or a first heartbeat due', () => {
   const oneMachine = new WorkerReachability(LIMITS);
   runChecks(oneMachine, { duration: 60 * SECOND, redirected: 1 });
   assert.equal(oneMachine.state, 'reached');
@@ -60,7 +61,7 @@
   assert.equal(newOwner.state, 'reached');
 });
 
-test('what happened while the process stood still counts for no more than one check', () => {
+test('a long pause of the process counts as no more than one check', () => {
   const reachability = new WorkerReachability(LIMITS);
   reachability.onHeartbeat();
   reachability.onPeerRedirects(9);
@@ -70,7 +71,7 @@
   assert.equal(reachability.state, 'reached');
 });
 
-test('a node that fails again at once is tried again later each time, and one that got a heartbeat is trusted', () => {
+test('the pause grows with each immediate failure and is reset by a heartbeat', () => {
   const reachability = new WorkerReachability(LIMITS);
   const pauses: Micros[] = [];
   let now = 0;
@@ -94,7 +95,7 @@
   assert.equal(pauses[2], pauses[0]);
 });
 
-test('machines that were redirected to their owner count for a few seconds, each once', () => {
+test('redirected machines count once each, and only for a few seconds', () => {
   const reachability = new WorkerReachability(LIMITS);
   reachability.onRedirect('node-1', 'n-1', 0);
   reachability.onRedirect('node-1', 'n-1', SECOND);
--- a/packages/cluster/zone-partitions.test.ts
+++ b/packages/cluster/zone-partitions.test.ts
@@ -8,7 +8,7 @@
   unreachable,
 });
 
-test('a partition counts once either side publishes it, and only between zones', () => {
+test('reports a partition that one side publishes, and only between different zones', () => {
   const a = member('a', 'east', ['b', 'c', 'unknown']);
   assert.deepEqual([...partitionedZonePairs([a, member('b', 'west'), member('c', 'east')])], ['east|west']);
 });
