--- a/packages/cluster/cluster-state.ts
+++ b/packages/cluster/cluster-state.ts
@@ -30,7 +30,7 @@
 /** The current checkpoint, as its head row describes it. */
 export interface CurrentCheckpoint {
   readonly id: string;
-  /** By log: sequence of the last record that the checkpoint covers. */
+  /** Keyed by log. Sequence of the last record that the checkpoint covers. */
   readonly positions: Positions;
   readonly chunkCount: number;
   /** Revision of the head's row; 0 while there is no checkpoint. */
@@ -43,13 +43,18 @@
 /** The live state of the cluster up to one revision, by table. Only the replica that extends it changes it. */
 export class ClusterState {
   ledger = new Ledger();
+  /** Keyed by job id. Jobs that have not ended. */
   readonly jobs = new Map<string, LiveJob>();
+  /** Keyed by job id. Jobs that have ended but are not archived yet. */
   readonly terminalJobs = new Map<string, TerminalJob>();
+  /** Keyed by name. */
   readonly machineTypes = new Map<string, MachineType>();
   leader: LeaseHolder | null = null;
+  /** Keyed by member. Members whose lease has not expired. */
   readonly members = new Map<string, Member>();
   /** Keyed by member. Announced capabilities of members, including those that are down. */
   readonly capabilities = new Map<string, ReadonlySet<string>>();
+  /** Keyed by shard. */
   readonly shardOwners = new Map<number, ShardOwner>();
   fencingToken = NO_FENCING_TOKEN;
   checkpoint = NO_CHECKPOINT;
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -22,7 +22,7 @@
 
 // Guards against slow scheduling rounds of the leader. When checkpoints and records shared one limiter, the leader
 // planned one round every two seconds at 900 machines, while the other nodes planned four per second.
-test('a large checkpoint is paced by its own limiter and does not delay the leader from appending records', async () => {
+test('a large checkpoint is paced by its own limiter and does not delay the scheduling rounds of the leader', async () => {
   const clock = new SimClock();
   const view = clock.view(
     (step) => {
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -62,7 +62,7 @@
 
   /**
    * Appends drafts to logs that this node owns. Resolves to true once all drafts are committed and applied to this
-   * replica. Resolves to false if none or only some of them may have been applied; the caller must then plan again.
+   * replica. Resolves to false otherwise: any number of them may have been applied, so the caller must plan again.
    * `requiredRoles`: roles that the drafts rely on besides the ownership of their logs.
    */
   async append(
@@ -148,7 +148,7 @@
     return first ? [first, ...others] : null;
   }
 
-  /** Commits, and resolves to true once the replica has applied the commit; false if it may not have been applied. */
+  /** Commits, and resolves to true once the replica has applied the commit. False leaves open whether it is applied. */
   private async commitAndAwait(commit: FencedCommit): Promise<boolean> {
     const { store, replica, limits, recordLimiter: rateLimiter, log } = this.options;
     const { action, guards, writes } = commit;
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -83,7 +83,11 @@
   requestedAtMs: number;
 }
 
-/** How an attempt of a task ended. */
+/**
+ * How an attempt of a task ended. `stopped`: the task exited on request or with its gang. `refused`: the worker did not
+ * start it. `lost`: the worker ended it unreported, or its machine was lost. `undelivered`: the start can no longer
+ * reach the worker.
+ */
 export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
 
 /** The start of one task: its index, its machine, and the worker incarnation that may start it. */
@@ -95,6 +99,7 @@
   team: string;
   /** Name of the job's image, which the machines have cached from then on. */
   image: string;
+  /** Resources of each task. */
   need: [cpus: number, gpus: number, memGb: number];
   /** Absent for independent tasks. */
   gang?: GangAttempt;
@@ -132,22 +137,28 @@
 
 /** One entry of a log. The leader writes the first group of optional fields, the owner of a shard the second. */
 export interface PlacementRecord {
+  /** Position in the log, from 1 on without gaps. */
   sequence: number;
+  /** Wall-clock time at which the record was written, in milliseconds. */
   recordedAtMs: number;
   /** Position within the commit. A later record may start a task that an earlier record of another log completed. */
   commitIndex?: number;
 
   machines?: MachineRow[];
+  /** Hosts of machines that have left the fleet. */
   removed?: string[];
   scaleOuts?: ScaleOutRow[];
+  /** Ids of scale-outs that are no longer pending. */
   settledScaleOuts?: string[];
   transferTargets?: [host: string, to: Destination][];
 
   completions?: CompletionRow[];
   statuses?: StatusRow[];
   releases?: ReleaseRow[];
+  /** Hosts of machines that the shard acquires. */
   acquisitions?: string[];
   starts?: StartGroup[];
+  /** Keyed by shape. */
   prices?: Record<string, PriceRow>;
   unmetCpus?: Record<string, number>;
 }
