--- a/packages/cluster/cluster-state.ts
+++ b/packages/cluster/cluster-state.ts
@@ -117,7 +117,7 @@
   get fullestLogRecords(): number {
     const coveredPositions = this.checkpoint.positions;
     const counts = Object.entries(this.ledger.allPositions()).map(
-      ([log, seq]) => seq - (coveredPositions[log] ?? 0),
+      ([log, sequence]) => sequence - (coveredPositions[log] ?? 0),
     );
     return Math.max(0, ...counts);
   }
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -57,19 +57,21 @@
 
 /** Returns the content of a ledger in an order that does not depend on the order of insertion. */
 function normalizedState(ledger: Ledger): unknown {
-  const sorted = (rows: Iterable<object>): string[] =>
+  const sortedJson = (rows: Iterable<object>): string[] =>
     [...rows].map((row) => JSON.stringify(Object.entries(row).sort())).sort();
   const entries = [...ledger.jobs].filter(([, b]) => b.placements.size > 0 || b.done.count > 0);
   return {
     positions: ledger.allPositions(),
     // Checkpoints don't contain the consecutive failures of a job, so the failure counts of machines may differ.
-    machines: sorted(
+    machines: sortedJson(
       [...ledger.machines.values()].map((host) => ({ ...host, consecutiveFailures: 0, lastFailureAtMs: 0 })),
     ),
-    scaleOuts: sorted(ledger.pendingScaleOuts.values()),
-    prices: sorted([...ledger.prices].map(([shard, shapes]) => [shard, ...shapes])),
-    placed: sorted([...ledger.placementsByHost.values()].flatMap((there) => [...there.values()])),
-    done: sorted(
+    scaleOuts: sortedJson(ledger.pendingScaleOuts.values()),
+    prices: sortedJson([...ledger.prices].map(([shard, shapes]) => [shard, ...shapes])),
+    placed: sortedJson(
+      [...ledger.placementsByHost.values()].flatMap((placements) => [...placements.values()]),
+    ),
+    done: sortedJson(
       entries.map(([job, entry]) => [job, entry.done.ranges(), [...entry.placements.keys()].sort()]),
     ),
   };
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -53,13 +53,13 @@
   /** Sum of all positions: the number of records ever written to the logs. */
   get totalRecords(): number {
     let sum = 0;
-    for (const seq of this.positions.values()) sum += seq;
+    for (const sequence of this.positions.values()) sum += sequence;
     return sum;
   }
 
   /** Returns the position in every log. */
   allPositions(): Positions {
-    return Object.fromEntries([...this.positions].map(([log, seq]) => [String(log), seq]));
+    return Object.fromEntries([...this.positions].map(([log, sequence]) => [String(log), sequence]));
   }
 
   /** Returns the progress of a job. Creates it if there is none yet. */
@@ -116,8 +116,8 @@
   /** Loads a checkpoint into this ledger, which must be empty. */
   restore(positions: Positions, rows: readonly CheckpointRow[]): void {
     this.ownershipChangeCount++;
-    for (const [log, seq] of Object.entries(positions)) {
-      this.positions.set(log === 'lead' ? 'lead' : Number(log), seq);
+    for (const [log, sequence] of Object.entries(positions)) {
+      this.positions.set(log === 'lead' ? 'lead' : Number(log), sequence);
     }
     readRows(rows, {
       machine: (machine) => this.machines.set(machine.host, machine),
@@ -160,8 +160,8 @@
     for (const completion of record.completions ?? []) {
       const [job, index, , outcome] = completion;
       const host = this.placement(job, index)?.host;
-      const machine = host === undefined ? null : this.machineOf(shard, host);
-      if (!machine || !this.completeTask(completion)) continue;
+      const machine = host === undefined ? null : this.ownedMachine(shard, host);
+      if (!machine || !this.endAttempt(completion)) continue;
       if (outcome === 'done') this.clearFailures(job, machine);
       else if (outcome === 'failed') this.countFailure(job, machine, record.recordedAtMs);
     }
@@ -169,7 +169,7 @@
 
   private applyStatuses(shard: number, record: PlacementRecord): void {
     for (const [host, status] of record.statuses ?? []) {
-      const machine = this.machineOf(shard, host);
+      const machine = this.ownedMachine(shard, host);
       if (machine) machine.status = status;
     }
   }
@@ -197,7 +197,7 @@
     const { job, image } = start.group;
     const [index, host] = task;
     const isAlreadyStarted = this.placement(job, index) ?? this.jobs.get(job)?.done.has(index);
-    const machine = this.machineOf(shard, host);
+    const machine = this.ownedMachine(shard, host);
     if (!machine || isAlreadyStarted) return;
     const otherImages = machine.cachedImages.filter((cached) => cached !== image);
     machine.cachedImages = [...otherImages, image].slice(-MAX_CACHED_IMAGES);
@@ -206,7 +206,7 @@
 
   private applyReleases(shard: number, record: PlacementRecord): void {
     for (const [host, lastHeartbeat] of record.releases ?? []) {
-      const machine = this.machineOf(shard, host);
+      const machine = this.ownedMachine(shard, host);
       if (!machine) continue;
       // The leader named no destination, so the machine stays in its shard.
       if (machine.destination === null) continue;
@@ -216,7 +216,7 @@
   }
 
   /** Returns the machine if it belongs to this shard, or else null. */
-  private machineOf(shard: number, host: string): MachineEntry | null {
+  private ownedMachine(shard: number, host: string): MachineEntry | null {
     const machine = this.machines.get(host);
     return machine?.shard === shard ? machine : null;
   }
@@ -265,7 +265,7 @@
   }
 
   /** Removes the placement of a task. Returns false if the task is no longer placed under the named attempt. */
-  private completeTask([job, index, attempt, outcome]: CompletionRow): boolean {
+  private endAttempt([job, index, attempt, outcome]: CompletionRow): boolean {
     const progress = this.jobs.get(job);
     const placement = progress?.placements.get(index);
     if (!progress || placement?.attempt !== attempt) return false;
@@ -280,7 +280,7 @@
 
   private removeMachine(host: string): void {
     for (const { job, index, attempt } of [...this.placementsOn(host)]) {
-      this.completeTask([job, index, attempt, 'lost']);
+      this.endAttempt([job, index, attempt, 'lost']);
     }
     this.machines.delete(host);
   }
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -37,13 +37,13 @@
   const ledger = new Ledger();
   const head = rows.find((r) => r.path === CHECKPOINT_HEAD_KEY)?.value;
   if (head) {
-    const byPath = new Map(
+    const chunksByKey = new Map(
       rows.filter((r) => r.path.startsWith(CHECKPOINT_CHUNK_PREFIX)).map((r) => [r.path, r]),
     );
     const checkpointRows: CheckpointRow[] = [];
     const { id, positions, chunkCount } = decodeCheckpointHead(head);
     for (let i = 0; i < chunkCount; i++) {
-      const chunk = byPath.get(checkpointChunkKey(id, i));
+      const chunk = chunksByKey.get(checkpointChunkKey(id, i));
       if (!chunk) throw new IncompleteStateError(`checkpoint lacks part ${i}`);
       checkpointRows.push(...decodeChunk(chunk.value));
     }
@@ -98,18 +98,18 @@
 
 /** Compares rows of a complete read with those of the replica. Without data loss no row's revision decreases. */
 export function compareRows({ rows }: LiveRows, { revisions, logSlots }: ReplicaRows): RowDifferences {
-  const shown = new Map(rows.map((row) => [row.path, row]));
+  const rowsByKey = new Map(rows.map((row) => [row.path, row]));
   const forked: string[] = [];
   const regressed: string[] = [];
   const absent: string[] = [];
   for (const [path, { sequence, revision }] of logSlots) {
-    const row = shown.get(path);
+    const row = rowsByKey.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) regressed.push(path);
     else if (storedSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
   }
   for (const [path, revision] of revisions) {
-    const row = shown.get(path);
+    const row = rowsByKey.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) regressed.push(path);
   }
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -82,13 +82,13 @@
   /** Returns the leader key's holder if it is this process, or else null. */
   ownLeaderLease(): LeaseHolder | null {
     const { leader } = this.options.replica;
-    return leader && this.isOurs(leader.nonce) ? leader : null;
+    return leader && this.isOwnNonce(leader.nonce) ? leader : null;
   }
 
   /** Returns the shards that this process owns. An earlier process of the same member does not count. */
   ownedShards(): Map<number, ShardOwner> {
     const owners = this.options.replica.shardOwners;
-    return new Map([...owners].filter(([, owner]) => this.isOurs(owner.nonce)));
+    return new Map([...owners].filter(([, owner]) => this.isOwnNonce(owner.nonce)));
   }
 
   /** Changes the published status of this node; see {@link MemberStatusPublisher.publish}. */
@@ -139,7 +139,7 @@
     const { replica, clock } = this.options;
     const source = {
       holders: () => roleHolders(replica),
-      isOurs: (nonce: string) => this.isOurs(nonce),
+      isOurs: (nonce: string) => this.isOwnNonce(nonce),
     };
     return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_DURATION });
   }
@@ -148,7 +148,7 @@
     return this.state === 'stopped';
   }
 
-  private isOurs(nonce: string): boolean {
+  private isOwnNonce(nonce: string): boolean {
     return this.state === 'member' && nonce === this.lease?.nonce;
   }
 
@@ -156,7 +156,7 @@
   private ownRecord(): OwnMemberRecord | null {
     const { lease } = this;
     const record = this.options.replica.members.get(this.options.member);
-    return lease && record && this.isOurs(record.nonce) ? { lease, record } : null;
+    return lease && record && this.isOwnNonce(record.nonce) ? { lease, record } : null;
   }
 
   private async join(): Promise<void> {
--- a/packages/cluster/peer-monitor.ts
+++ b/packages/cluster/peer-monitor.ts
@@ -83,7 +83,7 @@
 
   /** Starts one ping loop for each peer. The loops run until {@link stop} is called. */
   start(): void {
-    for (const peer of this.peers) void this.monitor(peer);
+    for (const peer of this.peers) void this.runPingLoop(peer);
   }
 
   /** Makes every ping loop end after its current ping. */
@@ -102,7 +102,7 @@
       .sort();
   }
 
-  private async monitor(peer: PeerState): Promise<void> {
+  private async runPingLoop(peer: PeerState): Promise<void> {
     const { ping, clock, log, onReachabilityChange, onStatus } = this.options;
     while (this.isRunning) {
       const { result, status } = await ping(peer.endpoint, PING_TIMEOUT);
--- a/packages/cluster/replica-loader.ts
+++ b/packages/cluster/replica-loader.ts
@@ -63,10 +63,10 @@
 
   /** Reports the missing keys that are present again, replaced by their successor key, or no longer needed. */
   private async findMissingKeys(live: LiveRows): Promise<void> {
-    const shown = new Set(live.rows.map(({ path }) => path));
+    const liveKeys = new Set(live.rows.map(({ path }) => path));
     const missing = this.integrityCheck.missingKeys();
     for (const key of missing)
-      if (shown.has(key) || isObsoleteChunk(key, live)) this.integrityCheck.reportFoundKey(key);
+      if (liveKeys.has(key) || isObsoleteChunk(key, live)) this.integrityCheck.reportFoundKey(key);
     for (const key of this.integrityCheck.missingKeys().slice(0, MAX_MISSING_KEY_LOOKUPS)) {
       if (await this.isStored(successorKeyOf(key) ?? key)) this.integrityCheck.reportFoundKey(key);
     }
