--- a/packages/cloud/cloud-client.ts
+++ b/packages/cloud/cloud-client.ts
@@ -13,7 +13,7 @@
   decodeMachines,
   decodeMachineTypes,
   decodeNewHosts,
-  encodeDeletion,
+  encodeDeleteRequest,
   encodeScaleOutRequest,
 } from './wire-format.js';
 
@@ -27,8 +27,8 @@
   | { readonly kind: 'failed' }
   | { readonly kind: 'unknown' };
 
-const TIMEOUT: Micros = 4 * SECOND;
-const PAGE_MACHINES = 500;
+const REQUEST_TIMEOUT: Micros = 4 * SECOND;
+const MAX_MACHINES_PER_PAGE = 500;
 /** Maximum number of machines that one request may delete. */
 export const MAX_MACHINES_PER_DELETE = 100;
 /** Maximum number of machines that one request may ask for. */
@@ -59,7 +59,7 @@
 
   /** Deletes machines; true if they and all tasks on them are gone. */
   async deleteMachines(hosts: readonly string[]): Promise<boolean> {
-    const reply = await this.send('POST', '/rentals/delete', encodeDeletion(hosts));
+    const reply = await this.send('POST', '/rentals/delete', encodeDeleteRequest(hosts));
     return reply?.status === 200;
   }
 
@@ -69,7 +69,7 @@
     for (let after = ''; ;) {
       const reply = await this.send(
         'GET',
-        `/rentals?${after === '' ? '' : `After=${after}&`}Limit=${PAGE_MACHINES}`,
+        `/rentals?${after === '' ? '' : `After=${after}&`}Limit=${MAX_MACHINES_PER_PAGE}`,
       );
       const page = reply?.status === 200 ? decodeMachines(reply.body) : null;
       if (!reply || !page) return null;
@@ -83,7 +83,7 @@
   /** The answer; null if none came in time. */
   private async send(method: HttpMethod, path: string, body?: unknown): Promise<HttpReply | null> {
     try {
-      return await this.httpClient(this.endpoint, method, path, body, TIMEOUT);
+      return await this.httpClient(this.endpoint, method, path, body, REQUEST_TIMEOUT);
     } catch {
       return null;
     }
--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -7,23 +7,23 @@
 const TIMEOUT: Micros = 4_000_000;
 
 /** A cloud that gives these answers in their order, null for none, and records the requests. */
-function cloudOf(...replies: (HttpReply | null)[]): { client: CloudClient; asked: string[] } {
-  const asked: string[] = [];
-  const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
+function clientWithReplies(...replies: (HttpReply | null)[]): { client: CloudClient; requests: string[] } {
+  const requests: string[] = [];
+  const httpClient: HttpClient = (...[endpoint, method, path, body, timeout]) => {
     assert.equal(endpoint, '10.2.0.2:8443');
     assert.equal(timeout, TIMEOUT);
-    asked.push([method, path, ...(body === undefined ? [] : [JSON.stringify(body)])].join(' '));
+    requests.push([method, path, ...(body === undefined ? [] : [JSON.stringify(body)])].join(' '));
     const reply = replies.shift();
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
   };
-  return { client: new CloudClient('10.2.0.2:8443', call), asked };
+  return { client: new CloudClient('10.2.0.2:8443', httpClient), requests };
 }
 
-function answer(status: number, json = '{}'): HttpReply {
+function makeReply(status: number, json = '{}'): HttpReply {
   return { status, body: JSON.parse(json) as WireFields };
 }
 
-const OUTAGE = answer(503, '{"error":"trouble"}');
+const OUTAGE = makeReply(503, '{"error":"trouble"}');
 const REQUEST = { id: 'r-17', machineType: 'g8', zone: 'a', spot: true, count: 12 };
 
 test('machine types are requested and read under the protocol names', async () => {
@@ -57,21 +57,27 @@
       zones: [],
     },
   ];
-  const { client, asked } = cloudOf(answer(200, json), OUTAGE, answer(429), answer(200), null);
+  const { client, requests } = clientWithReplies(
+    makeReply(200, json),
+    OUTAGE,
+    makeReply(429),
+    makeReply(200),
+    null,
+  );
   assert.deepEqual(await client.listMachineTypes(), types);
   for (let i = 0; i < 4; i++) assert.equal(await client.listMachineTypes(), null);
-  assert.deepEqual(asked, Array(5).fill('GET /machine_types'));
+  assert.deepEqual(requests, Array(5).fill('GET /machine_types'));
 });
 
 test('machines are requested under the protocol names, and each answer is read as its result', async () => {
-  const { client, asked } = cloudOf(
-    answer(200, '{"Hosts":["n-000231","n-000232"]}'),
-    answer(200, '{"Hosts":[]}'),
-    answer(503, '{"error":"no capacity"}'),
+  const { client, requests } = clientWithReplies(
+    makeReply(200, '{"Hosts":["n-000231","n-000232"]}'),
+    makeReply(200, '{"Hosts":[]}'),
+    makeReply(503, '{"error":"no capacity"}'),
     OUTAGE,
-    answer(400),
-    answer(429),
-    answer(200),
+    makeReply(400),
+    makeReply(429),
+    makeReply(200),
     null,
   );
   const results = [];
@@ -87,16 +93,16 @@
     { kind: 'unknown' },
   ]);
   const request = 'POST /rentals {"Hire":"r-17","Build":"g8","Hall":"a","Loaners":true,"Number":12}';
-  assert.deepEqual(asked, Array(8).fill(request));
+  assert.deepEqual(requests, Array(8).fill(request));
   assert.equal(MAX_MACHINES_PER_REQUEST, 50);
 });
 
 test('machines are deleted under the protocol names, and only status 200 confirms it', async () => {
-  const { client, asked } = cloudOf(answer(200), answer(400), OUTAGE, null);
+  const { client, requests } = clientWithReplies(makeReply(200), makeReply(400), OUTAGE, null);
   const results = [];
   for (let i = 0; i < 4; i++) results.push(await client.deleteMachines(['n-000231', 'n-000232']));
   assert.deepEqual(results, [true, false, false, false]);
-  assert.deepEqual(asked, Array(4).fill('POST /rentals/delete {"Hosts":["n-000231","n-000232"]}'));
+  assert.deepEqual(requests, Array(4).fill('POST /rentals/delete {"Hosts":["n-000231","n-000232"]}'));
   assert.equal(MAX_MACHINES_PER_DELETE, 100);
 });
 
@@ -139,13 +145,16 @@
     },
   ];
   const pages = ['GET /rentals?Limit=500', 'GET /rentals?After=n-000232&Limit=500'];
-  const whole = cloudOf(answer(200, FIRST_PAGE), answer(200, LAST_PAGE));
-  assert.deepEqual(await whole.client.listMachines(), machines);
-  assert.deepEqual(whole.asked, pages);
-  for (const second of [OUTAGE, answer(200), null]) {
-    const interrupted = cloudOf(answer(200, FIRST_PAGE), second);
+  const complete = clientWithReplies(makeReply(200, FIRST_PAGE), makeReply(200, LAST_PAGE));
+  assert.deepEqual(await complete.client.listMachines(), machines);
+  assert.deepEqual(complete.requests, pages);
+  for (const second of [OUTAGE, makeReply(200), null]) {
+    const interrupted = clientWithReplies(makeReply(200, FIRST_PAGE), second);
     assert.equal(await interrupted.client.listMachines(), null);
-    assert.deepEqual(interrupted.asked, pages);
+    assert.deepEqual(interrupted.requests, pages);
   }
-  assert.deepEqual(await cloudOf(answer(200, '{"Hosts":[],"More":false}')).client.listMachines(), []);
+  assert.deepEqual(
+    await clientWithReplies(makeReply(200, '{"Hosts":[],"More":false}')).client.listMachines(),
+    [],
+  );
 });
--- a/packages/cloud/wire-format.ts
+++ b/packages/cloud/wire-format.ts
@@ -9,7 +9,7 @@
 
 /** The machine types that an answer lists; null if it lists none. */
 export function decodeMachineTypes(body: WireFields): MachineType[] | null {
-  return listOf(body['Builds'])?.map(decodeMachineType) ?? null;
+  return decodeMaps(body['Builds'])?.map(decodeMachineType) ?? null;
 }
 
 function decodeMachineType(fields: WireFields): MachineType {
@@ -38,13 +38,13 @@
 }
 
 /** The body of a request to delete machines. */
-export function encodeDeletion(hosts: readonly string[]): WireFields {
+export function encodeDeleteRequest(hosts: readonly string[]): WireFields {
   return { Hosts: hosts };
 }
 
 /** The machines of a page; null if the answer is not a page. */
 export function decodeMachines(body: WireFields): ListedMachine[] | null {
-  return listOf(body['Hosts'])?.map(decodeMachine) ?? null;
+  return decodeMaps(body['Hosts'])?.map(decodeMachine) ?? null;
 }
 
 function decodeMachine(fields: WireFields): ListedMachine {
@@ -59,6 +59,6 @@
   };
 }
 
-function listOf(value: unknown): WireFields[] | null {
+function decodeMaps(value: unknown): WireFields[] | null {
   return Array.isArray(value) ? value.filter(isWireFields) : null;
 }
--- a/packages/cluster/change-applier.ts
+++ b/packages/cluster/change-applier.ts
@@ -19,15 +19,15 @@
 import { decodeCheckpointHead } from './stored/checkpoint-codec.js';
 import {
   decodeFencingToken,
-  decodeHolder,
+  decodeLeaseHolder,
   decodeShardOwner,
-  isReadable,
+  isHolderReadable,
   UNREADABLE_FENCING_TOKEN,
 } from './stored/holder-codec.js';
 import { decodeJobRow, decodeTerminalStatus, isTerminal } from './stored/job-codec.js';
 import { decodeMachineTypeRow } from './stored/machine-type-codec.js';
 import { decodeCapabilities, decodeMember } from './stored/member-codec.js';
-import { decodeRecord, storedSequence } from './stored/record-codec.js';
+import { decodeRecord, decodeSequence } from './stored/record-codec.js';
 import type { TerminalStatusCache } from './terminal-status-cache.js';
 import type { Change, Row } from '#store';
 
@@ -69,7 +69,7 @@
 
   /** Notes which record lies in a slot of a log. */
   trackLogSlot({ path, value, revision }: Row): void {
-    this.state.logSlots.set(path, { sequence: storedSequence(value), revision });
+    this.state.logSlots.set(path, { sequence: decodeSequence(value), revision });
   }
 
   private applyRecord({ path, value, revision }: Change): boolean {
@@ -98,7 +98,7 @@
   }
 
   private applyLeader({ path, value, revision }: Change): void {
-    this.state.leader = value && this.checkReadable(path, decodeHolder(value, revision));
+    this.state.leader = value && this.checkReadable(path, decodeLeaseHolder(value, revision));
   }
 
   private applyShardOwner({ path, value, revision }: Change): void {
@@ -147,7 +147,7 @@
 
   /** Passes on the holder of a role; a row that can't be read closes the role, and is logged. */
   private checkReadable<H extends LeaseHolder>(path: string, holder: H): H {
-    if (!isReadable(holder)) this.logUnreadable(path, holder.revision);
+    if (!isHolderReadable(holder)) this.logUnreadable(path, holder.revision);
     return holder;
   }
 
--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -10,8 +10,13 @@
 } from './keys.js';
 import type { Logger } from './logger.js';
 import type { Replica } from './replica.js';
-import { checkpointRows, encodeCheckpointHead, encodeChunk, packRows } from './stored/checkpoint-codec.js';
-import { encodeFinal } from './stored/job-codec.js';
+import {
+  encodeCheckpointRows,
+  encodeCheckpointHead,
+  encodeChunk,
+  packIntoChunks,
+} from './stored/checkpoint-codec.js';
+import { encodeTerminalStatus } from './stored/job-codec.js';
 import type { FencedStore, RoleRegistry, TermProof } from '#roles';
 import {
   type CommitResult,
@@ -94,7 +99,7 @@
     const writes: Write[] = [];
     for (const [id, { status, revision }] of terminal) {
       guards.push({ path: jobKey(id), revision });
-      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeFinal(status) });
+      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeTerminalStatus(status) });
     }
     rateLimiter.consume(writes.length);
     const action = 'put away ended jobs';
@@ -109,8 +114,8 @@
     const positions = ledger.allPositions();
     const id = checkpointId(ledger.totalRecords, termProof.term, ++this.attempts);
     const previousRevision = replica.checkpointRevision;
-    const rows = checkpointRows(ledger, (job) => jobs.has(job));
-    const chunks = packRows(rows, limits.valueBytes - VALUE_FRAME_BYTES);
+    const rows = encodeCheckpointRows(ledger, (job) => jobs.has(job));
+    const chunks = packIntoChunks(rows, limits.valueBytes - VALUE_FRAME_BYTES);
     const writes = chunks.map((chunk, i) => ({ set: checkpointChunkKey(id, i), value: encodeChunk(chunk) }));
     if (!(await this.writeChunks(termProof, writes))) return;
     // Once a newer checkpoint is the current one, the chunks of its predecessors are removed: a late commit of this
--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Ledger } from './ledger.js';
 import type { MachineRow, StartGroup } from './placement.js';
-import { checkpointRows } from './stored/checkpoint-codec.js';
+import { encodeCheckpointRows } from './stored/checkpoint-codec.js';
 import { encodeRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
 
@@ -29,7 +29,7 @@
   const copy = new Ledger();
   copy.restore(
     ledger.allPositions(),
-    checkpointRows(ledger, () => true),
+    encodeCheckpointRows(ledger, () => true),
   );
   return copy;
 }
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -6,7 +6,7 @@
 import type { LogId } from './keys.js';
 import { Ledger } from './ledger.js';
 import type { MachineRow, PlacementRecord, StartGroup } from './placement.js';
-import { checkpointRows, packRows } from './stored/checkpoint-codec.js';
+import { encodeCheckpointRows, packIntoChunks } from './stored/checkpoint-codec.js';
 import type { StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
 
@@ -84,7 +84,7 @@
       const second = new Ledger();
       second.restore(
         first.allPositions(),
-        checkpointRows(first, () => true),
+        encodeCheckpointRows(first, () => true),
       );
       for (const [log, r] of all) second.apply(log, r);
       assert.deepEqual(picture(second), picture(whole));
@@ -111,8 +111,8 @@
     }
     ledger.apply(shard, { sequence: 1, recordedAtMs: 1.7e12 + 500, starts });
   }
-  const rows = checkpointRows(ledger, () => true);
-  const chunks = packRows(rows, 4096 - 200);
+  const rows = encodeCheckpointRows(ledger, () => true);
+  const chunks = packIntoChunks(rows, 4096 - 200);
   assert.ok(chunks.every((chunk) => jsonBytes({ Rows: chunk }) <= 4096));
   assert.ok(chunks.length <= 25, `${chunks.length} values`);
 });
--- a/packages/cluster/ledger.ts
+++ b/packages/cluster/ledger.ts
@@ -19,7 +19,7 @@
   TaskRow,
 } from './placement.js';
 import { PlacementIndex } from './placement-index.js';
-import { readRows } from './stored/checkpoint-codec.js';
+import { decodeCheckpointRows } from './stored/checkpoint-codec.js';
 import type { CheckpointRow } from './stored/checkpoint-row.js';
 
 /** Images that a machine is taken to have: those of its last starts. */
@@ -115,16 +115,16 @@
     for (const [log, seq] of Object.entries(positions)) {
       this.positions.set(log === 'lead' ? 'lead' : Number(log), seq);
     }
-    readRows(rows, {
-      machine: (machine) => this.machines.set(machine.host, machine),
-      scaleOut: (scaleOut) => this.pendingScaleOuts.set(scaleOut.id, scaleOut),
-      price: (shard, shape, row) => {
+    decodeCheckpointRows(rows, {
+      restoreMachine: (machine) => this.machines.set(machine.host, machine),
+      restoreScaleOut: (scaleOut) => this.pendingScaleOuts.set(scaleOut.id, scaleOut),
+      restorePrice: (shard, shape, row) => {
         this.setPrice(shard, shape, row);
       },
-      done: (job, ranges) => {
+      restoreDoneTasks: (job, ranges) => {
         this.jobProgress(job).done.addRanges(ranges);
       },
-      start: (group, attempt, startedAtMs) => {
+      restoreStartGroup: (group, attempt, startedAtMs) => {
         for (const task of group.tasks) this.addPlacement(task, { group, attempt, startedAtMs });
       },
     });
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -18,7 +18,7 @@
 import type { CheckpointRow } from './stored/checkpoint-row.js';
 import { decodeFencingToken, UNREADABLE_FENCING_TOKEN } from './stored/holder-codec.js';
 import { isTerminal } from './stored/job-codec.js';
-import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
+import { decodeRecord, decodeCommitIndex, decodeSequence } from './stored/record-codec.js';
 
 /** All live rows as of one revision. */
 export interface LiveRows {
@@ -78,7 +78,7 @@
 
 /** The order of commits, and within one that of its records: the same on every node, however it reads them. */
 export function byCommitOrder(x: Change, y: Change): number {
-  return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
+  return x.revision - y.revision || decodeCommitIndex(x.value) - decodeCommitIndex(y.value);
 }
 
 /** The record that lies in a slot of a log: its sequence, and the revision of the row. */
@@ -103,7 +103,7 @@
     const row = shown.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) regressed.push(path);
-    else if (storedSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
+    else if (decodeSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
   }
   for (const [path, revision] of revisions) {
     const row = shown.get(path);
@@ -135,7 +135,7 @@
       if (value && isTerminal(value)) ended.add(job);
       else if (!value && copy.isLive(job) && !ended.has(job)) lost.push(path);
     } else if (path.startsWith(LOG_PREFIX)) {
-      const isOlder = value !== null && storedSequence(value) <= copy.position(path);
+      const isOlder = value !== null && decodeSequence(value) <= copy.position(path);
       if (!value || isOlder) lost.push(path);
     } else if (!value && isKeptForever(path, checkpointId)) lost.push(path);
   }
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -6,7 +6,7 @@
 import type { Logger } from './logger.js';
 import type { RecordDraft, RecordPosition } from './placement.js';
 import type { Replica } from './replica.js';
-import { encodeFinal } from './stored/job-codec.js';
+import { encodeTerminalStatus } from './stored/job-codec.js';
 import { encodeRecord, encodeRecordDraft, type StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
 import type { FencedCommit, FencedStore, RoleName, RoleRegistry, TermProof, TermProofs } from '#roles';
@@ -168,5 +168,5 @@
  * From then on the key holds nothing but that status.
  */
 export function terminalStatusWrite(id: string, status: TerminalStatus): Write {
-  return { set: jobKey(id), value: encodeFinal(status) };
+  return { set: jobKey(id), value: encodeTerminalStatus(status) };
 }
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -9,7 +9,7 @@
 import { MemberStatusPublisher, type OwnMemberRecord } from './member-status.js';
 import type { LeaseHolder, MemberLease, MemberStatus, ShardOwner } from './members.js';
 import type { Replica } from './replica.js';
-import { encodeHolder } from './stored/holder-codec.js';
+import { encodeLeader } from './stored/holder-codec.js';
 import { encodeCapabilities, encodeMember } from './stored/member-codec.js';
 import { type RoleHolder, type RoleName, RoleRegistry } from '#roles';
 import { type CommitResult, type StoreClient, StoreError } from '#store';
@@ -239,7 +239,7 @@
 
   private writeLeader({ nonce, leaseId }: MemberLease, revision: number): Promise<CommitResult> {
     const { store, member } = this.options;
-    const value = encodeHolder({ member, nonce });
+    const value = encodeLeader({ member, nonce });
     return store.compareAndSwap([{ path: LEADER_KEY, revision }], [{ set: LEADER_KEY, value, leaseId }]);
   }
 
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -8,7 +8,7 @@
 import { RateLimiter, StoreClient, WriteLimits } from '#store';
 import { sampleJob, SimClock, SimNet, SimStore } from '#testkit';
 import { type Clock, type Count, type WireFields, type Micros, MS, SECOND } from '#wire';
-import { checkpointRows } from './stored/checkpoint-codec.js';
+import { encodeCheckpointRows } from './stored/checkpoint-codec.js';
 import { encodeJobRow } from './stored/job-codec.js';
 import {
   ROOT_PREFIX,
@@ -52,27 +52,27 @@
 import { Replica } from './replica.js';
 import { terminalStatusWrite, LogWriter } from './log-writer.js';
 
-const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
-const STATE = '10.2.0.1:2379';
+const NO_LOG = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const STORE_ENDPOINT = '10.2.0.1:2379';
 /** Time of day of every record, in milliseconds. */
-const AT = 1_790_000_000_123;
+const WALL_MS = 1_790_000_000_123;
 /** An integer that no number holds exactly. */
-const HUGE = 2n ** 63n + 1n;
+const UNSAFE_COUNT = 2n ** 63n + 1n;
 
-function textOf(value: unknown): string {
+function toText(value: unknown): string {
   return JSON.stringify(value, (_key, part: unknown) => (typeof part === 'bigint' ? `${part}n` : part));
 }
 
-function valueOf(text: string): WireFields {
+function fromText(text: string): WireFields {
   const revive = (_key: string, part: unknown): unknown =>
     typeof part === 'string' && /^\d+n$/.test(part) ? BigInt(part.slice(0, -1)) : part;
   return JSON.parse(text, revive) as WireFields;
 }
 
 /** The state service, and what reaches it. */
-class NodeService {
+class StoreFixture {
   readonly clock = new SimClock();
-  readonly view: Clock = {
+  readonly nodeClock: Clock = {
     ...this.clock.view(
       (step) => {
         step();
@@ -80,7 +80,7 @@
       0,
       0,
     ),
-    wall: () => AT * MS,
+    wall: () => WALL_MS * MS,
   };
   readonly store = new SimStore(this.clock, () => 0.5, {
     rps: 100_000,
@@ -92,46 +92,46 @@
   private readonly net = new SimNet(this.clock, () => 0.5);
 
   constructor() {
-    this.net.serve(STATE, null, this.store.handler);
+    this.net.serve(STORE_ENDPOINT, null, this.store.handler);
   }
 
   client(): StoreClient {
     const call = this.net.caller('node-1', null, (step) => {
       step();
     });
-    return new StoreClient(STATE, call);
+    return new StoreClient(STORE_ENDPOINT, call);
   }
 
-  async pass(duration: Micros): Promise<void> {
+  async advance(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => undefined);
   }
 
-  async until<T>(work: Promise<T>): Promise<T> {
-    let isOver = false;
-    const watched = work.finally(() => {
-      isOver = true;
+  async runUntil<T>(promise: Promise<T>): Promise<T> {
+    let isSettled = false;
+    const watched = promise.finally(() => {
+      isSettled = true;
     });
-    while (!isOver) await this.pass(10 * MS);
+    while (!isSettled) await this.advance(10 * MS);
     return watched;
   }
 
   /** Rows below this prefix in the order of their keys: the text of each. */
-  texts(prefix: string): Record<string, string> {
+  rowTexts(prefix: string): Record<string, string> {
     const rows = [...this.store.rows].filter(([path]) => path.startsWith(prefix));
     rows.sort(([a], [b]) => (a < b ? -1 : 1));
-    return Object.fromEntries(rows.map(([path, { value }]) => [path, textOf(value)]));
+    return Object.fromEntries(rows.map(([path, { value }]) => [path, toText(value)]));
   }
 
   /** The copy of a node that starts now. */
-  async load(): Promise<Replica> {
+  async loadReplica(): Promise<Replica> {
     const replica = new Replica({
       store: this.client(),
-      clock: this.view,
-      log: SILENT,
+      clock: this.nodeClock,
+      log: NO_LOG,
       stateRps: 10_000,
     });
     void replica.run();
-    await this.pass(SECOND);
+    await this.advance(SECOND);
     assert.equal(replica.state, 'following');
     replica.stop();
     return replica;
@@ -139,11 +139,11 @@
 }
 
 /** One member that leads and owns share 0, and writes through the real code. */
-class Writer extends NodeService {
+class LeaderFixture extends StoreFixture {
   readonly replica = new Replica({
     store: this.client(),
-    clock: this.view,
-    log: SILENT,
+    clock: this.nodeClock,
+    log: NO_LOG,
     stateRps: 10_000,
   });
   readonly membership = new Membership({
@@ -152,58 +152,58 @@
     incarnation: 'p1',
     store: this.client(),
     replica: this.replica,
-    clock: this.view,
+    clock: this.nodeClock,
     random: () => 0.5,
-    log: SILENT,
+    log: NO_LOG,
   });
-  private log: LogWriter | null = null;
+  private logWriter: LogWriter | null = null;
 
   async start(valueBytes = 4096): Promise<this> {
     void this.replica.run();
     void this.membership.run();
-    await this.pass(3 * SECOND);
+    await this.advance(3 * SECOND);
     assert.ok(this.membership.ownLeaderLease());
     for (const shard of [0, 1]) {
       const value = { Member: 'node-1', Nonce: 'p1.1', Token: 1 };
       this.store.spoil({ Set: shardKey(shard), V: value, Permit: 1 });
     }
-    await this.pass(SECOND);
-    this.log = this.writerFor(valueBytes);
+    await this.advance(SECOND);
+    this.logWriter = this.writerFor(valueBytes);
     return this;
   }
 
   writerFor(valueBytes: number): LogWriter {
     const { roles } = this.membership;
-    const pace = new RateLimiter(this.view, () => 1000);
+    const limiter = new RateLimiter(this.nodeClock, () => 1000);
     const limits = new WriteLimits(valueBytes, 20);
     const store = new FencedStore(this.client(), roles);
     return new LogWriter({
       store,
       replica: this.replica,
       roles,
-      clock: this.view,
+      clock: this.nodeClock,
       limits,
-      recordLimiter: pace,
-      checkpointLimiter: pace,
-      log: SILENT,
+      recordLimiter: limiter,
+      checkpointLimiter: limiter,
+      log: NO_LOG,
     });
   }
 
   get writer(): LogWriter {
-    assert.ok(this.log);
-    return this.log;
+    assert.ok(this.logWriter);
+    return this.logWriter;
   }
 
   async append(...drafts: [LogId, RecordDraft][]): Promise<void> {
-    assert.ok(await this.until(this.writer.append(new Map(drafts))));
+    assert.ok(await this.runUntil(this.writer.append(new Map(drafts))));
   }
 }
 
 /** The copy of a node that finds these rows, written in this order. */
-async function readBack(texts: Record<string, string>): Promise<Replica> {
-  const service = new NodeService();
-  for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: valueOf(text) });
-  return service.load();
+async function loadFromTexts(texts: Record<string, string>): Promise<Replica> {
+  const service = new StoreFixture();
+  for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: fromText(text) });
+  return service.loadReplica();
 }
 
 test('keys: where each kind of row lies', () => {
@@ -274,11 +274,11 @@
 const CAPABILITIES_TEXT = '{"Capabilities":["gangs","handover","memory"]}';
 
 test('rows of a member, of the lead and of what it announces', async () => {
-  const node = await new Writer().start();
-  const lead = '{"Member":"node-1","Nonce":"p1.1"}';
-  assert.deepEqual(node.texts(LIVE_PREFIX), {
+  const node = await new LeaderFixture().start();
+  const leaderRow = '{"Member":"node-1","Nonce":"p1.1"}';
+  assert.deepEqual(node.rowTexts(LIVE_PREFIX), {
     'mw/now/capability/node-1': CAPABILITIES_TEXT,
-    'mw/now/lead': lead,
+    'mw/now/lead': leaderRow,
     'mw/now/member/node-1':
       '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":[],"WorkersUnreachable":false,"Capabilities":["gangs","handover","memory"]}',
     'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
@@ -289,27 +289,27 @@
     workersUnreachable: true,
     resignedShards: [0, 2],
   };
-  await node.until(node.membership.publishStatus(notes));
-  const member =
+  await node.runUntil(node.membership.publishStatus(notes));
+  const memberRow =
     '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
-  assert.deepEqual(node.texts(MEMBER_PREFIX), { 'mw/now/member/node-1': member });
+  assert.deepEqual(node.rowTexts(MEMBER_PREFIX), { 'mw/now/member/node-1': memberRow });
 
-  const copy = await readBack({
+  const replica = await loadFromTexts({
     'mw/now/token': '{"Token":41}',
-    'mw/now/lead': lead,
-    'mw/now/member/node-1': member,
+    'mw/now/lead': leaderRow,
+    'mw/now/member/node-1': memberRow,
     'mw/now/capability/node-1': CAPABILITIES_TEXT,
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1","Token":41}',
   });
-  assert.deepEqual(copy.fencingToken, { value: 41, revision: 1 });
-  assert.deepEqual<LeaseHolder>(copy.leader, { member: 'node-1', nonce: 'p1.1', revision: 2 });
+  assert.deepEqual(replica.fencingToken, { value: 41, revision: 1 });
+  assert.deepEqual<LeaseHolder>(replica.leader, { member: 'node-1', nonce: 'p1.1', revision: 2 });
   const capabilities = new Set(['gangs', 'handover', 'memory']);
   assert.deepEqual<Member[]>(
-    [...copy.members.values()],
+    [...replica.members.values()],
     [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
   );
-  assert.deepEqual(copy.capabilities.get('node-1'), capabilities);
-  assert.deepEqual<ShardOwner>(copy.shardOwners.get(2), {
+  assert.deepEqual(replica.capabilities.get('node-1'), capabilities);
+  assert.deepEqual<ShardOwner>(replica.shardOwners.get(2), {
     member: 'node-1',
     nonce: 'p1.1',
     revision: 5,
@@ -319,18 +319,18 @@
 
 /** What an older version left out, and rows that can't be read. */
 test('rows of older versions and unreadable rows', async () => {
-  const copy = await readBack({
+  const replica = await loadFromTexts({
     'mw/now/token': '{"Token":"x"}',
     'mw/now/lead': '{"Member":7}',
     'mw/now/member/node-1':
       '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":[],"WorkersUnreachable":false}',
     'mw/now/share/2': '{"Member":"node-1","Nonce":"p1.1"}',
   });
-  assert.deepEqual(copy.fencingToken, { value: -1, revision: 1 });
-  assert.deepEqual<LeaseHolder>(copy.leader, { member: '', nonce: '', revision: 2 });
+  assert.deepEqual(replica.fencingToken, { value: -1, revision: 1 });
+  assert.deepEqual<LeaseHolder>(replica.leader, { member: '', nonce: '', revision: 2 });
   const notes: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   assert.deepEqual<Member[]>(
-    [...copy.members.values()],
+    [...replica.members.values()],
     [
       {
         member: 'node-1',
@@ -343,7 +343,7 @@
       },
     ],
   );
-  assert.deepEqual<ShardOwner>(copy.shardOwners.get(2), {
+  assert.deepEqual<ShardOwner>(replica.shardOwners.get(2), {
     member: '',
     nonce: '',
     revision: 4,
@@ -351,13 +351,13 @@
   });
 });
 
-const LEAD_DRAFT: RecordDraft = {
+const LEADER_DRAFT: RecordDraft = {
   machines: [
-    ['n-1', 'small', 'east', false, AT - 5, 0],
-    ['n-2', 'large', 'west', true, AT - 4, 1],
-    ['n-3', 'small', 'east', false, AT - 3, 0],
-    ['n-4', 'small', 'east', true, AT - 2, 0],
-    ['n-5', 'small', 'east', true, AT - 1, 1],
+    ['n-1', 'small', 'east', false, WALL_MS - 5, 0],
+    ['n-2', 'large', 'west', true, WALL_MS - 4, 1],
+    ['n-3', 'small', 'east', false, WALL_MS - 3, 0],
+    ['n-4', 'small', 'east', true, WALL_MS - 2, 0],
+    ['n-5', 'small', 'east', true, WALL_MS - 1, 1],
   ],
   removed: ['n-8', 'n-9'],
   scaleOuts: [
@@ -372,16 +372,16 @@
   ],
 };
 
-const LEAD_RECORD =
+const LEADER_RECORD =
   '{"removed":["n-8","n-9"],"machines":[["n-1","small","east",false,1790000000118,0],["n-2","large","west",true,1790000000119,1],["n-3","small","east",false,1790000000120,0],["n-4","small","east",true,1790000000121,0],["n-5","small","east",true,1790000000122,1]],"settledRentals":["hire-8","hire-9"],"rentals":[["hire-1","small","east",false,2,0],["hire-2","large","west",true,1,1]],"moves":[["n-3",1],["n-4","return"],["n-5",0]],"sequence":1,"at":1790000000123}';
 
-function machine(host: string, change: Partial<MachineEntry>): MachineEntry {
+function machine(host: string, overrides: Partial<MachineEntry>): MachineEntry {
   return {
     host,
     machineType: 'small',
     zone: 'east',
     spot: false,
-    acquiredAtMs: AT,
+    acquiredAtMs: WALL_MS,
     shard: 0,
     destination: null,
     status: 'new',
@@ -390,25 +390,25 @@
     cachedImages: [],
     consecutiveFailures: 0,
     lastFailureAtMs: 0,
-    ...change,
+    ...overrides,
   };
 }
 
 test("records of the leader's log, with every field", async () => {
-  const node = await new Writer().start();
-  await node.append(['lead', LEAD_DRAFT]);
-  assert.deepEqual(node.texts(LOG_PREFIX), { 'mw/now/log/lead/0001': LEAD_RECORD });
+  const node = await new LeaderFixture().start();
+  await node.append(['lead', LEADER_DRAFT]);
+  assert.deepEqual(node.rowTexts(LOG_PREFIX), { 'mw/now/log/lead/0001': LEADER_RECORD });
 
-  const { ledger } = await readBack({ 'mw/now/log/lead/0001': LEAD_RECORD });
+  const { ledger } = await loadFromTexts({ 'mw/now/log/lead/0001': LEADER_RECORD });
   assert.equal(ledger.position('lead'), 1);
   assert.deepEqual(
     [...ledger.machines.values()],
     [
-      machine('n-1', { acquiredAtMs: AT - 5 }),
-      machine('n-2', { machineType: 'large', zone: 'west', spot: true, acquiredAtMs: AT - 4, shard: 1 }),
-      machine('n-3', { acquiredAtMs: AT - 3, destination: 1 }),
-      machine('n-4', { spot: true, acquiredAtMs: AT - 2, destination: 'scale_in' }),
-      machine('n-5', { spot: true, acquiredAtMs: AT - 1, shard: 1, destination: 0 }),
+      machine('n-1', { acquiredAtMs: WALL_MS - 5 }),
+      machine('n-2', { machineType: 'large', zone: 'west', spot: true, acquiredAtMs: WALL_MS - 4, shard: 1 }),
+      machine('n-3', { acquiredAtMs: WALL_MS - 3, destination: 1 }),
+      machine('n-4', { spot: true, acquiredAtMs: WALL_MS - 2, destination: 'scale_in' }),
+      machine('n-5', { spot: true, acquiredAtMs: WALL_MS - 1, shard: 1, destination: 0 }),
     ],
   );
   assert.deepEqual<PendingScaleOut[]>(
@@ -421,16 +421,24 @@
         spot: false,
         count: 2,
         shard: 0,
-        requestedAtMs: AT,
+        requestedAtMs: WALL_MS,
+      },
+      {
+        id: 'hire-2',
+        machineType: 'large',
+        zone: 'west',
+        spot: true,
+        count: 1,
+        shard: 1,
+        requestedAtMs: WALL_MS,
       },
-      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, count: 1, shard: 1, requestedAtMs: AT },
     ],
   );
 });
 
 test('a later record of the leader takes away machines and rentals', async () => {
-  const { ledger } = await readBack({
-    'mw/now/log/lead/0001': LEAD_RECORD,
+  const { ledger } = await loadFromTexts({
+    'mw/now/log/lead/0001': LEADER_RECORD,
     'mw/now/log/lead/0002':
       '{"removed":["n-1"],"settledRentals":["hire-1"],"moves":[["n-3",0]],"sequence":2,"at":1790000000124}',
   });
@@ -449,7 +457,7 @@
       team: 'blue',
       image: 'img-1',
       need: [2, 0, 4.5],
-      tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? HUGE : 1]),
+      tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? UNSAFE_COUNT : 1]),
     },
     {
       job: 'j-2',
@@ -470,7 +478,7 @@
 const START_RECORD =
   '{"prices":{"small":[0.25,0,0.0125],"large*":[0,1.5,0]},"unmet":{"blue":12.5,"green":0},"starts":[{"job":"j-1","team":"blue","image":"img-1","need":[2,0,4.5],"tasks":[[0,"n-1","9223372036854775809n"],[1,"n-1",1],[2,"n-1",1],[3,"n-1",1],[4,"n-1",1],[5,"n-1",1]]},{"job":"j-2","team":"green","image":"img-2","need":[1.5,1,8],"gang":{"attempt":1024,"size":2},"tasks":[[0,"n-1",1],[1,"n-4",3]]}],"sequence":1,"at":1790000000123}';
 
-const END_DRAFT: RecordDraft = {
+const COMPLETION_DRAFT: RecordDraft = {
   completions: OUTCOMES.map((outcome, i): [string, number, number, Outcome] => ['j-1', i, 1024, outcome]),
   statuses: [
     ['n-1', 'up'],
@@ -481,18 +489,18 @@
     ['n-4', 'new'],
   ],
   releases: [
-    ['n-3', [HUGE, 7]],
+    ['n-3', [UNSAFE_COUNT, 7]],
     ['n-4', null],
   ],
   acquisitions: ['n-5'],
 };
 
-const END_RECORD =
+const COMPLETION_RECORD =
   '{"ends":[["j-1",0,1024,"done"],["j-1",1,1024,"stopped"],["j-1",2,1024,"failed"],["j-1",3,1024,"refused"],["j-1",4,1024,"lost"],["j-1",5,1024,"undelivered"]],"statuses":[["n-1","up"],["n-3","silent"],["n-4","recalled"],["n-1","faulty"],["n-3","lost"],["n-4","new"]],"takes":["n-5"],"releases":[["n-3",["9223372036854775809n",7]],["n-4",null]],"sequence":2,"at":1790000000123}';
 
 const RELEASE_RECORD = '{"releases":[["n-5",[4,5]]],"sequence":1,"at":1790000000123}';
 
-function placement(change: Partial<Placement>): Placement {
+function placement(overrides: Partial<Placement>): Placement {
   return {
     job: 'j-1',
     index: 0,
@@ -501,33 +509,33 @@
     attempt: 1024,
     host: 'n-1',
     workerIncarnation: 1,
-    startedAtMs: AT,
+    startedAtMs: WALL_MS,
     cpus: 2,
     gpus: 0,
     memGb: 4.5,
     gangSize: null,
-    ...change,
+    ...overrides,
   };
 }
 
 test("records of an owner's log, with every field, status and outcome", async () => {
-  const node = await new Writer().start();
-  await node.append(['lead', LEAD_DRAFT]);
+  const node = await new LeaderFixture().start();
+  await node.append(['lead', LEADER_DRAFT]);
   await node.append([0, START_DRAFT]);
   await node.append([1, { releases: [['n-5', [4, 5]]] }]);
-  await node.append([0, END_DRAFT]);
-  assert.deepEqual(node.texts(LOG_PREFIX), {
+  await node.append([0, COMPLETION_DRAFT]);
+  assert.deepEqual(node.rowTexts(LOG_PREFIX), {
     'mw/now/log/0/0001': START_RECORD,
-    'mw/now/log/0/0002': END_RECORD,
+    'mw/now/log/0/0002': COMPLETION_RECORD,
     'mw/now/log/1/0001': RELEASE_RECORD,
-    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/lead/0001': LEADER_RECORD,
   });
 
   // The job is live: what is done of it counts.
-  const job = { 'mw/now/job/j-1': textOf(encodeJobRow(sampleJob('j-1'), AT)) };
-  const started = await readBack({
+  const job = { 'mw/now/job/j-1': toText(encodeJobRow(sampleJob('j-1'), WALL_MS)) };
+  const started = await loadFromTexts({
     ...job,
-    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/lead/0001': LEADER_RECORD,
     'mw/now/log/0/0001': START_RECORD,
   });
   const gang: Partial<Placement> = {
@@ -541,7 +549,7 @@
   assert.deepEqual(
     [...started.ledger.placementsOn('n-1')],
     [
-      placement({ workerIncarnation: HUGE }),
+      placement({ workerIncarnation: UNSAFE_COUNT }),
       ...[1, 2, 3, 4, 5].map((index) => placement({ index, taskName: `j-1/${index}` })),
       placement({ ...gang, taskName: 'j-2/0' }),
     ],
@@ -558,49 +566,52 @@
     ],
   );
 
-  const ended = await readBack({
+  const ended = await loadFromTexts({
     ...job,
-    'mw/now/log/lead/0001': LEAD_RECORD,
+    'mw/now/log/lead/0001': LEADER_RECORD,
     'mw/now/log/0/0001': START_RECORD,
     'mw/now/log/1/0001': RELEASE_RECORD,
-    'mw/now/log/0/0002': END_RECORD,
+    'mw/now/log/0/0002': COMPLETION_RECORD,
   });
-  const { machines: hosts, jobs: jobEntries } = ended.ledger;
+  const { machines, jobs: jobEntries } = ended.ledger;
   assert.deepEqual(
-    ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => hosts.get(host)),
+    ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => machines.get(host)),
     [
       machine('n-1', {
-        acquiredAtMs: AT - 5,
+        acquiredAtMs: WALL_MS - 5,
         status: 'quarantined',
         cachedImages: ['img-1', 'img-2'],
         consecutiveFailures: 1,
-        lastFailureAtMs: AT,
+        lastFailureAtMs: WALL_MS,
       }),
       machine('n-3', {
-        acquiredAtMs: AT - 3,
+        acquiredAtMs: WALL_MS - 3,
         shard: null,
         destination: 1,
         status: 'lost',
-        lastHeartbeat: [HUGE, 7],
+        lastHeartbeat: [UNSAFE_COUNT, 7],
       }),
       machine('n-4', {
-        acquiredAtMs: AT - 2,
+        acquiredAtMs: WALL_MS - 2,
         spot: true,
         shard: null,
         destination: 'scale_in',
         cachedImages: ['img-2'],
       }),
-      machine('n-5', { acquiredAtMs: AT - 1, spot: true, ownershipCount: 1, lastHeartbeat: [4, 5] }),
+      machine('n-5', { acquiredAtMs: WALL_MS - 1, spot: true, ownershipCount: 1, lastHeartbeat: [4, 5] }),
     ],
   );
   const entry = jobEntries.get('j-1');
   assert.deepEqual(entry?.done.ranges(), ['0']);
-  assert.deepEqual([entry.placements.size, entry.consecutiveFailures, entry.lastFailureAtMs], [0, 1, AT]);
+  assert.deepEqual(
+    [entry.placements.size, entry.consecutiveFailures, entry.lastFailureAtMs],
+    [0, 1, WALL_MS],
+  );
 });
 
 test('records of one commit carry their place in it; a draft too large for a value is cut', async () => {
-  const node = await new Writer().start(640);
-  await node.append(['lead', { machines: LEAD_DRAFT.machines ?? [] }]);
+  const node = await new LeaderFixture().start(640);
+  await node.append(['lead', { machines: LEADER_DRAFT.machines ?? [] }]);
   const tasks = [...Array(60).keys()].map((i): [number, string, Count] => [i, 'n-1', 1]);
   const start: StartGroup = {
     job: 'j-1',
@@ -625,16 +636,16 @@
     'mw/now/log/lead/0001':
       '{"machines":[["n-1","small","east",false,1790000000118,0],["n-2","large","west",true,1790000000119,1],["n-3","small","east",false,1790000000120,0],["n-4","small","east",true,1790000000121,0],["n-5","small","east",true,1790000000122,1]],"sequence":1,"at":1790000000123}',
   };
-  assert.deepEqual(node.texts(LOG_PREFIX), records);
+  assert.deepEqual(node.rowTexts(LOG_PREFIX), records);
 
   // Pages of rows come in the order of their keys, not of their commits.
-  const copy = await node.load();
-  const placed = [...(copy.ledger.jobs.get('j-1')?.placements.values() ?? [])];
-  assert.equal(placed.length, 60);
-  assert.ok(placed.every((p) => p.attempt === 1024 && copy.ledger.isGangComplete(p)));
+  const replica = await node.loadReplica();
+  const placements = [...(replica.ledger.jobs.get('j-1')?.placements.values() ?? [])];
+  assert.equal(placements.length, 60);
+  assert.ok(placements.every((p) => p.attempt === 1024 && replica.ledger.isGangComplete(p)));
   const changes = Object.entries(records).map(([path, text]) => ({
     path,
-    value: valueOf(text),
+    value: fromText(text),
     revision: path.includes('lead') ? 1 : 2,
   }));
   assert.deepEqual(
@@ -650,60 +661,61 @@
 });
 
 test('how a job ended, where it lies among the live ones and where it is put away', async () => {
-  const node = await new Writer().start();
+  const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-2']) {
-    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), AT) });
+    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
   }
-  await node.pass(SECOND);
+  await node.advance(SECOND);
   const done = [...node.replica.jobs].filter(([id]) => id === 'j-1');
-  await node.until(node.writer.completeJobs(done, [0]));
-  await node.until(node.client().compareAndSwap([], [terminalStatusWrite('j-2', 'cancelled')]));
-  await node.pass(SECOND);
-  const live = { 'mw/now/job/j-1': '{"Status":"done"}', 'mw/now/job/j-2': '{"Status":"cancelled"}' };
-  assert.deepEqual(node.texts(JOB_PREFIX), live);
-  const copy = await readBack(live);
-  assert.deepEqual([...copy.jobs], []);
+  await node.runUntil(node.writer.completeJobs(done, [0]));
+  await node.runUntil(node.client().compareAndSwap([], [terminalStatusWrite('j-2', 'cancelled')]));
+  await node.advance(SECOND);
+  const liveRows = { 'mw/now/job/j-1': '{"Status":"done"}', 'mw/now/job/j-2': '{"Status":"cancelled"}' };
+  assert.deepEqual(node.rowTexts(JOB_PREFIX), liveRows);
+  const replica = await loadFromTexts(liveRows);
+  assert.deepEqual([...replica.jobs], []);
   assert.deepEqual(
-    [...copy.terminalJobs],
+    [...replica.terminalJobs],
     [
       ['j-1', { status: 'done', revision: 1 }],
       ['j-2', { status: 'cancelled', revision: 2 }],
     ],
   );
 
-  await node.until(node.writer.maintain());
-  await node.pass(SECOND);
-  assert.deepEqual(node.texts(JOB_PREFIX), {});
-  const over = { 'mw/over/j-1': '{"Status":"done"}', 'mw/over/j-2': '{"Status":"cancelled"}' };
-  assert.deepEqual(node.texts(TERMINAL_PREFIX), over);
-  const service = new NodeService();
-  for (const [path, text] of Object.entries(over)) service.store.spoil({ Set: path, V: valueOf(text) });
-  const later = await service.load();
-  assert.equal(await service.until(later.terminalStatus('j-1')), 'done');
-  assert.equal(await service.until(later.terminalStatus('j-2')), 'cancelled');
-  assert.equal(await service.until(later.terminalStatus('j-3')), null);
+  await node.runUntil(node.writer.maintain());
+  await node.advance(SECOND);
+  assert.deepEqual(node.rowTexts(JOB_PREFIX), {});
+  const terminalRows = { 'mw/over/j-1': '{"Status":"done"}', 'mw/over/j-2': '{"Status":"cancelled"}' };
+  assert.deepEqual(node.rowTexts(TERMINAL_PREFIX), terminalRows);
+  const service = new StoreFixture();
+  for (const [path, text] of Object.entries(terminalRows))
+    service.store.spoil({ Set: path, V: fromText(text) });
+  const restarted = await service.loadReplica();
+  assert.equal(await service.runUntil(restarted.terminalStatus('j-1')), 'done');
+  assert.equal(await service.runUntil(restarted.terminalStatus('j-2')), 'cancelled');
+  assert.equal(await service.runUntil(restarted.terminalStatus('j-3')), null);
 });
 
 /** A node whose ledger has something of every kind that a checkpoint holds. */
-async function fullNode(): Promise<Writer> {
-  const node = await new Writer().start();
+async function nodeWithFullLedger(): Promise<LeaderFixture> {
+  const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-3']) {
-    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), AT) });
+    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
   }
-  await node.append(['lead', LEAD_DRAFT]);
+  await node.append(['lead', LEADER_DRAFT]);
   await node.append([0, START_DRAFT]);
   await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'reclaimed']] }]);
-  await node.append([0, END_DRAFT]);
+  await node.append([0, COMPLETION_DRAFT]);
   // More names than one row holds.
-  const more = [...Array(14).keys()].map((i): MachineRow => [
+  const namedMachines = [...Array(14).keys()].map((i): MachineRow => [
     `n-${i + 6}`,
     `type-${i}`,
     'north',
     true,
-    AT + i,
+    WALL_MS + i,
     0,
   ]);
-  await node.append(['lead', { machines: more }]);
+  await node.append(['lead', { machines: namedMachines }]);
   await node.append([
     0,
     {
@@ -714,14 +726,18 @@
     },
   ]);
   // More tasks, and more gaps between those that are done, than one row holds.
-  const odd = [...Array(61).keys()].map((i) => 2 * i + 1);
-  const tasks = odd.map((i): [number, string, Count] => [i, i % 4 === 1 ? 'n-1' : 'n-5', i === 3 ? HUGE : 2]);
+  const oddIndexes = [...Array(61).keys()].map((i) => 2 * i + 1);
+  const tasks = oddIndexes.map((i): [number, string, Count] => [
+    i,
+    i % 4 === 1 ? 'n-1' : 'n-5',
+    i === 3 ? UNSAFE_COUNT : 2,
+  ]);
   const image = `img-${'x'.repeat(300)}`;
   await node.append([0, { starts: [{ job: 'j-3', team: 'blue', image, need: [0.5, 0, 1], tasks }] }]);
   const attempt = 4 * 1024;
   await node.append([
     0,
-    { completions: odd.map((i): [string, number, number, Outcome] => ['j-3', i, attempt, 'done']) },
+    { completions: oddIndexes.map((i): [string, number, number, Outcome] => ['j-3', i, attempt, 'done']) },
   ]);
   await node.append([
     0,
@@ -732,7 +748,7 @@
           team: 'blue',
           image,
           need: [0.5, 0, 1],
-          tasks: tasks.map(([, host, session], i): [number, string, Count] => [i, host, session]),
+          tasks: tasks.map(([, host, incarnation], i): [number, string, Count] => [i, host, incarnation]),
         },
       ],
     },
@@ -783,72 +799,81 @@
 ];
 
 const LIVE_JOBS = {
-  'mw/now/job/j-1': textOf(encodeJobRow(sampleJob('j-1'), AT)),
-  'mw/now/job/j-3': textOf(encodeJobRow(sampleJob('j-3'), AT)),
+  'mw/now/job/j-1': toText(encodeJobRow(sampleJob('j-1'), WALL_MS)),
+  'mw/now/job/j-3': toText(encodeJobRow(sampleJob('j-3'), WALL_MS)),
 };
 
 test('rows of a checkpoint, of every kind, and its head', async () => {
-  const node = await fullNode();
-  await node.until(node.writer.maintain());
+  const node = await nodeWithFullLedger();
+  await node.runUntil(node.writer.maintain());
   const chunk = `{"Rows":[${CHECKPOINT_ROWS.join()}]}`;
   const texts = {
     'mw/now/checkpoint': CHECKPOINT_HEAD_TEXT,
     'mw/now/chunk/000000000090-000000000002-000000000001/0000': chunk,
   };
-  assert.deepEqual({ ...node.texts(CHECKPOINT_HEAD_KEY), ...node.texts(CHECKPOINT_CHUNK_PREFIX) }, texts);
+  assert.deepEqual(
+    { ...node.rowTexts(CHECKPOINT_HEAD_KEY), ...node.rowTexts(CHECKPOINT_CHUNK_PREFIX) },
+    texts,
+  );
 
   const {
     ledger,
-    checkpointChunkCount: checkpointChunks,
-    recordsSinceCheckpoint: sinceCheckpoint,
-  } = await readBack({ ...LIVE_JOBS, ...texts });
-  assert.deepEqual([checkpointChunks, sinceCheckpoint], [1, 0]);
+    checkpointChunkCount: chunkCount,
+    recordsSinceCheckpoint: recordCount,
+  } = await loadFromTexts({ ...LIVE_JOBS, ...texts });
+  assert.deepEqual([chunkCount, recordCount], [1, 0]);
   assert.deepEqual(ledger.allPositions(), { 0: 7, 1: 1, lead: 82 });
   const isLive = (job: string): boolean => job !== 'j-2';
-  assert.equal(textOf({ Rows: checkpointRows(ledger, isLive) }), chunk);
+  assert.equal(toText({ Rows: encodeCheckpointRows(ledger, isLive) }), chunk);
   const image = `img-${'x'.repeat(300)}`;
   assert.deepEqual(
     ['n-1', 'n-2', 'n-3', 'n-4', 'n-5', 'n-6', 'n-7'].map((host) => ledger.machines.get(host)),
     [
       machine('n-1', {
-        acquiredAtMs: AT - 5,
+        acquiredAtMs: WALL_MS - 5,
         status: 'quarantined',
         cachedImages: ['img-1', 'img-2', image],
         consecutiveFailures: 1,
-        lastFailureAtMs: AT,
+        lastFailureAtMs: WALL_MS,
       }),
       machine('n-2', {
         machineType: 'large',
         zone: 'west',
         spot: true,
-        acquiredAtMs: AT - 4,
+        acquiredAtMs: WALL_MS - 4,
         shard: 1,
         status: 'reclaimed',
       }),
       machine('n-3', {
-        acquiredAtMs: AT - 3,
+        acquiredAtMs: WALL_MS - 3,
         shard: null,
         destination: 1,
         status: 'lost',
-        lastHeartbeat: [HUGE, 7],
+        lastHeartbeat: [UNSAFE_COUNT, 7],
       }),
       machine('n-4', {
-        acquiredAtMs: AT - 2,
+        acquiredAtMs: WALL_MS - 2,
         spot: true,
         shard: null,
         destination: 'scale_in',
         cachedImages: ['img-2'],
       }),
       machine('n-5', {
-        acquiredAtMs: AT - 1,
+        acquiredAtMs: WALL_MS - 1,
         spot: true,
         status: 'unresponsive',
         ownershipCount: 1,
         lastHeartbeat: [4, 5],
         cachedImages: [image],
       }),
-      machine('n-6', { machineType: 'type-0', zone: 'north', spot: true, acquiredAtMs: AT, status: 'up' }),
-      machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, acquiredAtMs: AT + 1 }),
+      machine('n-6', {
+        machineType: 'type-0',
+        zone: 'north',
+        spot: true,
+        acquiredAtMs: WALL_MS,
+        status: 'up',
+      }),
+      machine('n-7', { machineType: 'type-1', zone: 'north', spot: true, acquiredAtMs: WALL_MS + 1 }),
     ],
   );
   assert.deepEqual<PendingScaleOut[]>(
@@ -861,9 +886,17 @@
         spot: false,
         count: 2,
         shard: 0,
-        requestedAtMs: AT,
+        requestedAtMs: WALL_MS,
+      },
+      {
+        id: 'hire-2',
+        machineType: 'large',
+        zone: 'west',
+        spot: true,
+        count: 1,
+        shard: 1,
+        requestedAtMs: WALL_MS,
       },
-      { id: 'hire-2', machineType: 'large', zone: 'west', spot: true, count: 1, shard: 1, requestedAtMs: AT },
     ],
   );
   assert.deepEqual(
@@ -879,7 +912,7 @@
       index: 1,
       taskName: 'j-1/1',
       host: 'n-5',
-      workerIncarnation: HUGE,
+      workerIncarnation: UNSAFE_COUNT,
       attempt: 6 * 1024,
       cpus: 0.5,
       memGb: 1,
@@ -904,12 +937,12 @@
 });
 
 test('a checkpoint larger than a value is cut into chunks', async () => {
-  const node = await fullNode();
-  await node.until(node.writerFor(1024).maintain());
-  const chunks = Object.entries(node.texts(CHECKPOINT_CHUNK_PREFIX));
+  const node = await nodeWithFullLedger();
+  await node.runUntil(node.writerFor(1024).maintain());
+  const chunks = Object.entries(node.rowTexts(CHECKPOINT_CHUNK_PREFIX));
   const prefix = 'mw/now/chunk/000000000090-000000000002-000000000001';
   assert.deepEqual(
-    chunks.map(([path, text]) => [path, (valueOf(text)['Rows'] as unknown[]).length]),
+    chunks.map(([path, text]) => [path, (fromText(text)['Rows'] as unknown[]).length]),
     [
       [`${prefix}/0000`, 11],
       [`${prefix}/0001`, 17],
@@ -918,9 +951,12 @@
     ],
   );
   const head = CHECKPOINT_HEAD_TEXT.replace('"Chunks":1', '"Chunks":4');
-  assert.deepEqual(node.texts(CHECKPOINT_HEAD_KEY), { 'mw/now/checkpoint': head });
-  const rows = chunks.flatMap(([, text]) => valueOf(text)['Rows'] as unknown[]);
-  assert.equal(textOf(rows), `[${CHECKPOINT_ROWS.join()}]`);
-  const copy = await node.load();
-  assert.equal(textOf(checkpointRows(copy.ledger, (job) => job !== 'j-2')), `[${CHECKPOINT_ROWS.join()}]`);
+  assert.deepEqual(node.rowTexts(CHECKPOINT_HEAD_KEY), { 'mw/now/checkpoint': head });
+  const rows = chunks.flatMap(([, text]) => fromText(text)['Rows'] as unknown[]);
+  assert.equal(toText(rows), `[${CHECKPOINT_ROWS.join()}]`);
+  const replica = await node.loadReplica();
+  assert.equal(
+    toText(encodeCheckpointRows(replica.ledger, (job) => job !== 'j-2')),
+    `[${CHECKPOINT_ROWS.join()}]`,
+  );
 });
--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -1,8 +1,8 @@
 /**
- * Checkpoints as they are stored: rows that are packed into chunks, and the head that names the present one. A fleet of
- * a thousand machines is written every minute or so into values of a few KiB, so rows are bare lists: names and
- * machines are given once and then go by their number, times count from the first row's, and trailing cells with their
- * usual values are left out.
+ * Codec of checkpoints. A checkpoint is stored as rows packed into chunks, and a head row that names the current
+ * checkpoint. A fleet of a thousand machines is written about once a minute into values of a few KiB, so the format is
+ * compact: rows are arrays, names and machines are written once and then referred to by number, times are relative to
+ * the time in the first row, and trailing cells with default values are omitted.
  */
 import type {
   MachineEntry,
@@ -14,55 +14,64 @@
   StartGroup,
   TaskRow,
 } from '../placement.js';
-import type { CheckpointRow, StoredPlacedTask, StoredRental } from './checkpoint-row.js';
+import type { CheckpointRow, StoredPlacedTask, StoredPendingScaleOut } from './checkpoint-row.js';
 import { decodeMachine, encodeMachine } from './machine-cells.js';
 import { NameTable } from './name-table.js';
 import type { StoredResources } from './record-codec.js';
 import { jsonBytes, type WireFields } from '#wire';
 
-/** What the head of a checkpoint says. */
+/** The head of a checkpoint, which makes it the current one. */
 export interface CheckpointHead {
   id: string;
-  /** Position in each log up to which the checkpoint covers it. */
+  /** Sequence number, in each log, of the last record that the checkpoint includes. */
   positions: Positions;
   chunkCount: number;
 }
 
-/** What is written to a checkpoint: the placement state, as a ledger holds it. */
+/** The placement state that is written to a checkpoint. Implemented by the ledger. */
 export interface CheckpointSource {
+  /** Keyed by host. */
   readonly machines: ReadonlyMap<string, MachineEntry>;
+  /** Keyed by request id. */
   readonly pendingScaleOuts: ReadonlyMap<string, PendingScaleOut>;
+  /** Keyed by shard, then by machine shape. */
   readonly prices: ReadonlyMap<number, ReadonlyMap<string, ShapePrice>>;
-  readonly jobs: ReadonlyMap<string, CheckpointJob>;
+  /** Keyed by job id. */
+  readonly jobs: ReadonlyMap<string, CheckpointJobEntry>;
 }
 
-interface CheckpointJob {
+interface CheckpointJobEntry {
+  /** Keyed by task index. */
   readonly placements: ReadonlyMap<number, Placement>;
+  /** The indexes of the done tasks. */
   readonly done: { ranges(): string[] };
 }
 
-/** What a checkpoint is read back into. */
+/** Receives the content of a checkpoint that is read. */
 export interface CheckpointSink {
-  machine(entry: MachineEntry): void;
-  scaleOut(entry: PendingScaleOut): void;
-  price(shard: number, shape: string, row: PriceRow): void;
-  done(job: string, ranges: string): void;
-  start(group: StartGroup, attempt: number, startedAtMs: number): void;
-}
-
-/** Tasks in one row, so that a row fits into any value. */
-const ROW_TASKS = 40;
-const ROW_RANGES = 60;
-/** What the frame of a chunk takes, and the comma after a row. */
-const CHUNK_FRAME_BYTES = 12;
+  restoreMachine(entry: MachineEntry): void;
+  restoreScaleOut(entry: PendingScaleOut): void;
+  restorePrice(shard: number, shape: string, row: PriceRow): void;
+  /** `ranges` is a comma-separated list of ranges of task indexes. */
+  restoreDoneTasks(job: string, ranges: string): void;
+  /** `startedAtMs` is the time of day in milliseconds. */
+  restoreStartGroup(group: StartGroup, attempt: number, startedAtMs: number): void;
+}
+
+/** Limits of one row, so that it fits into any value. */
+const MAX_TASKS_PER_ROW = 40;
+const MAX_RANGES_PER_ROW = 60;
+/** Size of a chunk without rows, with a small margin. */
+const EMPTY_CHUNK_BYTES = 12;
+/** Size of the comma after a row. */
 const SEPARATOR_BYTES = 1;
 
-/** The row that names the present checkpoint. */
+/** Encodes the head of the current checkpoint. */
 export function encodeCheckpointHead({ id, positions, chunkCount }: CheckpointHead): WireFields {
   return { Id: id, Positions: { ...positions }, Chunks: chunkCount };
 }
 
-/** Reads the row that names the present checkpoint. */
+/** Reads the head of the current checkpoint. */
 export function decodeCheckpointHead(value: WireFields): CheckpointHead {
   return {
     id: String(value['Id']),
@@ -71,73 +80,80 @@
   };
 }
 
-/** The row of one part of a checkpoint. */
+/** Encodes one chunk of a checkpoint. */
 export function encodeChunk(rows: readonly CheckpointRow[]): WireFields {
   return { Rows: rows };
 }
 
-/** Reads one part of a checkpoint. */
+/** Reads one chunk of a checkpoint. */
 export function decodeChunk(value: WireFields): readonly CheckpointRow[] {
   return value['Rows'] as CheckpointRow[];
 }
 
-/** Packs rows into as few chunks of this many bytes as their order allows. */
-export function packRows(rows: readonly CheckpointRow[], limit: number): CheckpointRow[][] {
+/** Packs rows, in their order, into as few chunks as possible. A chunk exceeds `maxChunkBytes` only if a single row does. */
+export function packIntoChunks(rows: readonly CheckpointRow[], maxChunkBytes: number): CheckpointRow[][] {
   const chunks: CheckpointRow[][] = [[]];
-  let size = CHUNK_FRAME_BYTES;
+  let chunkBytes = EMPTY_CHUNK_BYTES;
   for (const row of rows) {
-    const bytes = jsonBytes(row) + SEPARATOR_BYTES;
-    if (size + bytes > limit) {
+    const rowBytes = jsonBytes(row) + SEPARATOR_BYTES;
+    if (chunkBytes + rowBytes > maxChunkBytes) {
       chunks.push([]);
-      size = CHUNK_FRAME_BYTES;
+      chunkBytes = EMPTY_CHUNK_BYTES;
     }
-    size += bytes;
+    chunkBytes += rowBytes;
     chunks[chunks.length - 1]?.push(row);
   }
   return chunks;
 }
 
-/** All rows of a checkpoint, in their order. Done tasks are written only of jobs that are live. */
-export function checkpointRows(source: CheckpointSource, isLive: (job: string) => boolean): CheckpointRow[] {
+/** Encodes all rows of a checkpoint, in the order in which they must be read. Done tasks are written for live jobs only. */
+export function encodeCheckpointRows(
+  source: CheckpointSource,
+  isLive: (job: string) => boolean,
+): CheckpointRow[] {
   const names = new NameTable();
   const rows: CheckpointRow[] = [];
-  let base = 0;
-  for (const host of source.machines.values()) base = Math.max(base, host.acquiredAtMs);
-  const machines = new Map<string, number>();
-  for (const host of source.machines.values()) {
-    machines.set(host.host, machines.size);
-    rows.push(['h', ...encodeMachine(host, base, names)]);
+  let baseMs = 0;
+  for (const machine of source.machines.values()) baseMs = Math.max(baseMs, machine.acquiredAtMs);
+  const machineNumbers = new Map<string, number>();
+  for (const machine of source.machines.values()) {
+    machineNumbers.set(machine.host, machineNumbers.size);
+    rows.push(['h', ...encodeMachine(machine, baseMs, names)]);
   }
-  for (const scaleOut of source.pendingScaleOuts.values()) rows.push(['q', encodeRental(scaleOut)]);
+  for (const scaleOut of source.pendingScaleOuts.values()) rows.push(['q', encodePendingScaleOut(scaleOut)]);
   for (const [shard, shapes] of source.prices) {
     for (const [shape, price] of shapes) rows.push(['p', shard, shape, price.cpu, price.gpu, price.mem]);
   }
   for (const [job, entry] of source.jobs) {
-    rows.push(...placementRows(entry, { base, names, machines }));
-    if (isLive(job)) rows.push(...doneRows(job, entry));
+    rows.push(...placementRows(entry, { baseMs, names, machineNumbers }));
+    if (isLive(job)) rows.push(...doneTaskRows(job, entry));
   }
-  return [['t', base], ...names.rows(), ...rows];
+  return [['t', baseMs], ...names.rows(), ...rows];
 }
 
-/** What rows of placements refer to. */
-interface RowContext {
-  base: number;
+/** What the rows of placements refer to. */
+interface PlacementRowContext {
+  baseMs: number;
   names: NameTable;
-  /** Numbers of the machines. */
-  machines: ReadonlyMap<string, number>;
+  /** Keyed by host. */
+  machineNumbers: ReadonlyMap<string, number>;
 }
 
-function placementRows({ placements }: CheckpointJob, context: RowContext): CheckpointRow[] {
+function placementRows({ placements }: CheckpointJobEntry, context: PlacementRowContext): CheckpointRow[] {
   const rows: CheckpointRow[] = [];
   const openRows = new Map<number, StoredPlacedTask[]>();
   for (const placement of placements.values()) {
     let tasks = openRows.get(placement.attempt);
-    if (!tasks || tasks.length === ROW_TASKS) {
+    if (!tasks || tasks.length === MAX_TASKS_PER_ROW) {
       tasks = [];
       openRows.set(placement.attempt, tasks);
       rows.push(placementRow(placement, tasks, context));
     }
-    tasks.push([placement.index, context.machines.get(placement.host) ?? -1, placement.workerIncarnation]);
+    tasks.push([
+      placement.index,
+      context.machineNumbers.get(placement.host) ?? -1,
+      placement.workerIncarnation,
+    ]);
   }
   return rows;
 }
@@ -145,55 +161,55 @@
 function placementRow(
   placement: Placement,
   tasks: StoredPlacedTask[],
-  { base, names }: RowContext,
+  { baseMs, names }: PlacementRowContext,
 ): CheckpointRow {
   const { job, team, startedAtMs, attempt, gangSize } = placement;
   const need: StoredResources = [placement.cpus, placement.gpus, placement.memGb];
-  const row: CheckpointRow = ['s', job, names.numberOf(team), startedAtMs - base, attempt, need, tasks];
+  const row: CheckpointRow = ['s', job, names.numberOf(team), startedAtMs - baseMs, attempt, need, tasks];
   if (gangSize !== null) row.push(gangSize);
   return row;
 }
 
-function doneRows(job: string, { done }: CheckpointJob): CheckpointRow[] {
+function doneTaskRows(job: string, { done }: CheckpointJobEntry): CheckpointRow[] {
   const rows: CheckpointRow[] = [];
   const ranges = done.ranges();
-  for (let i = 0; i < ranges.length; i += ROW_RANGES) {
-    rows.push(['d', job, ranges.slice(i, i + ROW_RANGES).join(',')]);
+  for (let i = 0; i < ranges.length; i += MAX_RANGES_PER_ROW) {
+    rows.push(['d', job, ranges.slice(i, i + MAX_RANGES_PER_ROW).join(',')]);
   }
   return rows;
 }
 
-/** Reads all rows of a checkpoint, in their order, into the sink. */
-export function readRows(rows: readonly CheckpointRow[], sink: CheckpointSink): void {
-  let base = 0;
+/** Reads all rows of a checkpoint, in their order, and passes their content to the sink. */
+export function decodeCheckpointRows(rows: readonly CheckpointRow[], sink: CheckpointSink): void {
+  let baseMs = 0;
   const names: string[] = [];
-  const machines: string[] = [];
-  const name = (number: number): string => names[number] ?? '';
+  const hosts: string[] = [];
+  const nameByNumber = (number: number): string => names[number] ?? '';
   for (const row of rows) {
-    if (row[0] === 't') base = row[1];
+    if (row[0] === 't') baseMs = row[1];
     else if (row[0] === 'n') names.push(...row.slice(1));
     else if (row[0] === 'h') {
       const [, ...cells] = row;
-      machines.push(cells[0]);
-      sink.machine(decodeMachine(cells, base, name));
-    } else if (row[0] === 'q') sink.scaleOut(decodeRental(row[1]));
-    else if (row[0] === 'p') sink.price(row[1], row[2], [row[3], row[4], row[5]]);
-    else if (row[0] === 'd') sink.done(row[1], row[2]);
+      hosts.push(cells[0]);
+      sink.restoreMachine(decodeMachine(cells, baseMs, nameByNumber));
+    } else if (row[0] === 'q') sink.restoreScaleOut(decodePendingScaleOut(row[1]));
+    else if (row[0] === 'p') sink.restorePrice(row[1], row[2], [row[3], row[4], row[5]]);
+    else if (row[0] === 'd') sink.restoreDoneTasks(row[1], row[2]);
     else {
-      const [, job, team, at, attempt, need, placed, gangSize] = row;
-      const tasks = placed.map(([index, machine, incarnation]): TaskRow => [
+      const [, job, team, startedOffsetMs, attempt, need, placedTasks, gangSize] = row;
+      const tasks = placedTasks.map(([index, machine, incarnation]): TaskRow => [
         index,
-        machines[machine] ?? '',
+        hosts[machine] ?? '',
         incarnation,
       ]);
-      const group: StartGroup = { job, team: name(team), image: '', need, tasks };
+      const group: StartGroup = { job, team: nameByNumber(team), image: '', need, tasks };
       if (gangSize !== undefined) group.gang = { attempt, size: gangSize };
-      sink.start(group, attempt, base + at);
+      sink.restoreStartGroup(group, attempt, baseMs + startedOffsetMs);
     }
   }
 }
 
-function encodeRental(scaleOut: PendingScaleOut): StoredRental {
+function encodePendingScaleOut(scaleOut: PendingScaleOut): StoredPendingScaleOut {
   return {
     id: scaleOut.id,
     machineType: scaleOut.machineType,
@@ -205,7 +221,7 @@
   };
 }
 
-function decodeRental(stored: StoredRental): PendingScaleOut {
+function decodePendingScaleOut(stored: StoredPendingScaleOut): PendingScaleOut {
   return {
     id: stored.id,
     machineType: stored.machineType,
--- a/packages/cluster/stored/holder-codec.ts
+++ b/packages/cluster/stored/holder-codec.ts
@@ -1,56 +1,69 @@
-/** Rows that name who leads and who owns a shard, and the row of the fencing token. */
+/** Codecs of the rows of the leader, of shard owners and of the fencing token. */
 import type { WireFields } from '#wire';
 import type { LeaseHolder, ShardOwner } from '../members.js';
 
-/** Stands for a holder whose row can't be read; no member has this name, no process this nonce. */
+/** The member name and nonce of a holder whose row is unreadable. No member has this name, and no process this nonce. */
 const UNREADABLE = '';
 
-/** One process of a member. */
-interface Holder {
+/** A process of a member. The nonce distinguishes it from earlier processes of the same member. */
+interface HolderProcess {
   member: string;
   nonce: string;
 }
 
-/** The row of the lead. */
-export function encodeHolder({ member, nonce }: Holder): WireFields {
+/** Encodes the row of the leader. */
+export function encodeLeader({ member, nonce }: HolderProcess): WireFields {
   return { Member: member, Nonce: nonce };
 }
 
-/** The row of a shard's owner. `token`: the fencing token that was raised when the shard was assigned. */
-export function encodeOwner({ member, nonce, token: fencingToken }: Holder & { token: number }): WireFields {
+/** Encodes the row of a shard's owner. `token` is the fencing token that was raised when the shard was assigned. */
+export function encodeShardOwner({
+  member,
+  nonce,
+  token: fencingToken,
+}: HolderProcess & { token: number }): WireFields {
   return { Member: member, Nonce: nonce, Token: fencingToken };
 }
 
 /**
- * Who holds a role. A row that can't be read closes it: nobody is taken for its holder, and nobody may take it as if it
- * were vacant, until the row is written anew or its lease expires.
+ * Reads the holder of a role. An unreadable row blocks the role: no member counts as its holder, and no member may
+ * acquire it as vacant, until the row is rewritten or its lease expires.
  */
-export function decodeHolder({ Member: member, Nonce: nonce }: WireFields, revision: number): LeaseHolder {
-  const isNamed = typeof member === 'string' && typeof nonce === 'string' && member !== '' && nonce !== '';
-  return isNamed ? { member, nonce, revision } : { member: UNREADABLE, nonce: UNREADABLE, revision };
+export function decodeLeaseHolder(
+  { Member: member, Nonce: nonce }: WireFields,
+  revision: number,
+): LeaseHolder {
+  const hasHolder = typeof member === 'string' && typeof nonce === 'string' && member !== '' && nonce !== '';
+  return hasHolder ? { member, nonce, revision } : { member: UNREADABLE, nonce: UNREADABLE, revision };
 }
 
-/** The same for a shard, whose row holds the token that was raised for it. */
+/**
+ * Reads the owner of a shard and the fencing token of its assignment. A row without a readable token blocks the shard
+ * as {@link decodeLeaseHolder} describes.
+ */
 export function decodeShardOwner(value: WireFields, revision: number): ShardOwner {
   const fencingToken = Number(value['Token']);
-  if (Number.isSafeInteger(fencingToken)) return { ...decodeHolder(value, revision), fencingToken };
-  return { ...decodeHolder({}, revision), fencingToken: 0 };
+  if (Number.isSafeInteger(fencingToken)) return { ...decodeLeaseHolder(value, revision), fencingToken };
+  return { ...decodeLeaseHolder({}, revision), fencingToken: 0 };
 }
 
-/** False where the row named no holder in a readable form. */
-export function isReadable({ nonce }: LeaseHolder): boolean {
+/** True if the holder's row was readable. */
+export function isHolderReadable({ nonce }: LeaseHolder): boolean {
   return nonce !== UNREADABLE;
 }
 
-/** Lower than any that a worker shows: under it no worker is answered, and no shard is assigned. */
+/**
+ * Stands for the fencing token while its row is unreadable. It is lower than any token that a worker sends, so no
+ * heartbeat is answered and no shard is assigned.
+ */
 export const UNREADABLE_FENCING_TOKEN = -1;
 
-/** The row of the fencing token. */
-export function encodeToken(fencingToken: number): WireFields {
+/** Encodes the row of the fencing token. */
+export function encodeFencingToken(fencingToken: number): WireFields {
   return { Token: fencingToken };
 }
 
-/** The cluster's fencing token, 0 before the first; null if the row can't be read. */
+/** Reads the cluster's fencing token. Returns 0 if there is no row yet, and null if the row is unreadable. */
 export function decodeFencingToken(value: WireFields | null): number | null {
   const fencingToken = Number(value ? value['Token'] : 0);
   return Number.isSafeInteger(fencingToken) && fencingToken >= 0 ? fencingToken : null;
--- a/packages/cluster/stored/index.ts
+++ b/packages/cluster/stored/index.ts
@@ -1,6 +1,6 @@
 /**
- * Codecs between the state service's rows and the cluster's domain types. They alone know the names under which data is
- * stored: fields of the domain types may be renamed freely, while every version reads what another has written.
+ * Codecs between the rows of the state store and the cluster's domain types. Only these codecs know the stored names.
+ * The fields of the domain types can therefore be renamed, and every version can read the rows that another has written.
  */
 export * from './checkpoint-codec.js';
 export * from './checkpoint-row.js';
--- a/packages/cluster/stored/job-codec.ts
+++ b/packages/cluster/stored/job-codec.ts
@@ -1,9 +1,9 @@
-/** Rows of jobs, while they are live and once they are terminal. */
+/** Codecs of the rows of live and terminal jobs. */
 import { type WireFields, isWireFields, type JobShape, type JobSpec, type Rank } from '#wire';
 import type { TerminalStatus, LiveJob } from '../jobs.js';
-import { storedWords } from './words.js';
+import { enumCodec } from './enum-codec.js';
 
-/** A job as its user submitted it. */
+/** The stored form of a job specification. */
 export interface StoredJobSpec {
   id: string;
   jobClass: string;
@@ -27,23 +27,23 @@
   deadlineS: number | null;
 }
 
-const SHAPE_WORDS = storedWords<JobShape>({ array: 'array', gang: 'gang' });
+const SHAPE_CODEC = enumCodec<JobShape>({ array: 'array', gang: 'gang' });
 
-const RANK_WORDS = storedWords<Rank>({
+const RANK_CODEC = enumCodec<Rank>({
   best_effort: 'best_effort',
   normal: 'normal',
   urgent: 'urgent',
   prod: 'prod',
 });
 
-/** The stored form of a job; limits of values are counted in it. */
+/** Encodes a job specification. The size limits of values apply to this form. */
 export function encodeJobSpec(spec: JobSpec): StoredJobSpec {
   return {
     id: spec.id,
     jobClass: spec.jobClass,
     team: spec.team,
-    shape: SHAPE_WORDS.encode(spec.shape),
-    rank: RANK_WORDS.encode(spec.rank),
+    shape: SHAPE_CODEC.encode(spec.shape),
+    rank: RANK_CODEC.encode(spec.rank),
     taskCount: spec.taskCount,
     cpus: spec.cpus,
     gpus: spec.gpus,
@@ -62,14 +62,14 @@
   };
 }
 
-/** Reads the stored form; fields that are missing stay undefined. */
+/** Reads a job specification. Missing fields are undefined. */
 export function decodeJobSpec(stored: StoredJobSpec): JobSpec {
   return {
     id: stored.id,
     jobClass: stored.jobClass,
     team: stored.team,
-    shape: SHAPE_WORDS.decode(stored.shape),
-    rank: RANK_WORDS.decode(stored.rank),
+    shape: SHAPE_CODEC.decode(stored.shape),
+    rank: RANK_CODEC.decode(stored.rank),
     taskCount: stored.taskCount,
     cpus: stored.cpus,
     gpus: stored.gpus,
@@ -88,12 +88,12 @@
   };
 }
 
-/** The row of a live job; `acceptedAtMs`: time of day. */
+/** Encodes the row of a live job. `acceptedAtMs` is the time of day in milliseconds. */
 export function encodeJobRow(spec: JobSpec, acceptedAtMs: number): WireFields {
   return { At: acceptedAtMs, Job: encodeJobSpec(spec) };
 }
 
-/** Reads the row of a live job. */
+/** Reads the row of a live job. `revision` is the revision of the commit that wrote it. */
 export function decodeJobRow(value: WireFields, revision: number): LiveJob {
   const stored: Partial<StoredJobSpec> = isWireFields(value['Job']) ? value['Job'] : {};
   return {
@@ -103,17 +103,17 @@
   };
 }
 
-/** From the end of a job on its row says nothing but its terminal status. */
+/** True if a job's row holds a terminal status, which replaces the whole row when the job ends. */
 export function isTerminal(value: WireFields): boolean {
   return value['Status'] !== undefined;
 }
 
-/** The row of a job that ended, wherever it lies. */
-export function encodeFinal(status: TerminalStatus): WireFields {
+/** Encodes the row of a terminal job. The row is the same under the live key and under the terminal key. */
+export function encodeTerminalStatus(status: TerminalStatus): WireFields {
   return { Status: status === 'done' ? 'done' : 'cancelled' };
 }
 
-/** How a job ended. */
+/** Reads the row of a terminal job. */
 export function decodeTerminalStatus(value: WireFields): TerminalStatus {
   return value['Status'] === 'done' ? 'done' : 'cancelled';
 }
--- a/packages/cluster/stored/machine-cells.ts
+++ b/packages/cluster/stored/machine-cells.ts
@@ -1,30 +1,37 @@
-/** Machines in a checkpoint: trailing cells with their usual values are left out. */
+/** Codec of machines in a checkpoint. Trailing cells with default values are omitted. */
 import type { MachineEntry, MachineStatus } from '../placement.js';
 import type { StoredMachineCells } from './checkpoint-row.js';
 import type { NameTable } from './name-table.js';
 import { decodeDestination, encodeDestination } from './record-codec.js';
 
-/** Machine statuses by the number that stands for each. */
-const STATUSES: readonly MachineStatus[] = ['up', 'new', 'unresponsive', 'reclaimed', 'quarantined', 'lost'];
+/** Machine statuses in the order of their stored numbers, which must not change. */
+const STATUS_BY_NUMBER: readonly MachineStatus[] = [
+  'up',
+  'new',
+  'unresponsive',
+  'reclaimed',
+  'quarantined',
+  'lost',
+];
 
-/** Cells from this one on are left out at the end while they have their usual value. */
+/** Position of the first cell that may be omitted. */
 const FIRST_OPTIONAL_CELL = 6;
-/** Usual values of the cells from that one on; for the images, an empty list. */
-const USUAL_CELLS = [0, undefined, 0, null, null, 0, 0] as const;
+/** Default values of the optional cells. The default of the images, `undefined` here, is an empty list. */
+const DEFAULT_CELLS = [0, undefined, 0, null, null, 0, 0] as const;
 
-/** The cells of a machine; `base`: the time that its own is counted from, in milliseconds. */
-export function encodeMachine(machine: MachineEntry, base: number, names: NameTable): StoredMachineCells {
+/** Encodes a machine. `baseMs` is the time of day, in milliseconds, to which its stored time is relative. */
+export function encodeMachine(machine: MachineEntry, baseMs: number, names: NameTable): StoredMachineCells {
   const { lastHeartbeat, destination } = machine;
-  // Images come before the type and the zone in the table of names.
+  // The images are numbered before the machine type and the zone. This fixes the order of names in the stored table.
   const images = machine.cachedImages.map((image) => names.numberOf(image));
   const cells: StoredMachineCells = [
     machine.host,
     names.numberOf(machine.machineType),
     names.numberOf(machine.zone),
     machine.spot ? 1 : 0,
-    machine.acquiredAtMs - base,
+    machine.acquiredAtMs - baseMs,
     machine.shard,
-    STATUSES.indexOf(machine.status),
+    STATUS_BY_NUMBER.indexOf(machine.status),
     images,
     machine.ownershipCount,
     lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]],
@@ -32,36 +39,36 @@
     machine.consecutiveFailures,
     machine.lastFailureAtMs,
   ];
-  while (cells.length > FIRST_OPTIONAL_CELL && isUsual(cells.at(-1), cells.length - 1)) cells.pop();
+  while (cells.length > FIRST_OPTIONAL_CELL && isDefault(cells.at(-1), cells.length - 1)) cells.pop();
   return cells;
 }
 
-function isUsual(cell: unknown, position: number): boolean {
+function isDefault(cell: unknown, position: number): boolean {
   if (Array.isArray(cell)) return cell.length === 0;
-  return cell === USUAL_CELLS[position - FIRST_OPTIONAL_CELL];
+  return cell === DEFAULT_CELLS[position - FIRST_OPTIONAL_CELL];
 }
 
-/** Reads the cells of a machine. */
+/** Reads a machine. `baseMs` is the same as for {@link encodeMachine}; `nameByNumber` looks up the table of names. */
 export function decodeMachine(
   cells: StoredMachineCells,
-  base: number,
-  name: (number: number) => string,
+  baseMs: number,
+  nameByNumber: (number: number) => string,
 ): MachineEntry {
-  const [host, machineType, zone, spot, since, shard, status, images, ...rest] = cells;
-  const [ownershipCount, lastHeartbeat, destination, errors, failedAt] = rest;
+  const [host, machineType, zone, spot, acquiredOffsetMs, shard, status, images, ...rest] = cells;
+  const [ownershipCount, lastHeartbeat, destination, consecutiveFailures, lastFailureAtMs] = rest;
   return {
     host,
-    machineType: name(machineType),
-    zone: name(zone),
+    machineType: nameByNumber(machineType),
+    zone: nameByNumber(zone),
     spot: spot === 1,
-    acquiredAtMs: base + since,
+    acquiredAtMs: baseMs + acquiredOffsetMs,
     shard,
     destination: destination === undefined || destination === null ? null : decodeDestination(destination),
-    status: STATUSES[status ?? 0] ?? 'up',
+    status: STATUS_BY_NUMBER[status ?? 0] ?? 'up',
     ownershipCount: ownershipCount ?? 0,
     lastHeartbeat: lastHeartbeat ? [lastHeartbeat[0], lastHeartbeat[1]] : null,
-    cachedImages: (images ?? []).map(name),
-    consecutiveFailures: errors ?? 0,
-    lastFailureAtMs: failedAt ?? 0,
+    cachedImages: (images ?? []).map(nameByNumber),
+    consecutiveFailures: consecutiveFailures ?? 0,
+    lastFailureAtMs: lastFailureAtMs ?? 0,
   };
 }
--- a/packages/cluster/stored/machine-type-codec.ts
+++ b/packages/cluster/stored/machine-type-codec.ts
@@ -1,7 +1,7 @@
-/** Rows of machine types, as a leader last read them from the cloud. */
+/** Codec of the rows of machine types, which a leader copies from the cloud. */
 import { type WireFields, isWireFields, type MachineType } from '#wire';
 
-/** A machine type: resources of one machine, prices an hour, boot time in seconds. */
+/** The stored form of a machine type: resources of one machine, prices per hour, and boot time in seconds. */
 export interface StoredMachineType {
   name: string;
   cpus: number;
@@ -15,7 +15,7 @@
   zones: readonly string[];
 }
 
-/** The stored form of a machine type. */
+/** Encodes a machine type. */
 export function encodeMachineType(type: MachineType): StoredMachineType {
   return {
     name: type.name,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Reads the stored form; fields that are missing stay undefined. */
+/** Reads a machine type. Missing fields are undefined. */
 export function decodeMachineType(stored: StoredMachineType): MachineType {
   return {
     name: stored.name,
@@ -47,12 +47,12 @@
   };
 }
 
-/** The row of a machine type. */
+/** Encodes the row of a machine type. */
 export function encodeMachineTypeRow(type: MachineType): WireFields {
   return { Type: encodeMachineType(type) };
 }
 
-/** Reads the row of a machine type. */
+/** Reads the row of a machine type. If the row has none, all fields are undefined. */
 export function decodeMachineTypeRow(value: WireFields): MachineType {
   const stored: Partial<StoredMachineType> = isWireFields(value['Type']) ? value['Type'] : {};
   return decodeMachineType(stored as StoredMachineType);
--- a/packages/cluster/stored/member-codec.ts
+++ b/packages/cluster/stored/member-codec.ts
@@ -1,17 +1,17 @@
-/** Rows of members and of the capabilities that they announce. */
+/** Codecs of the rows of members and of the capabilities that they announce. */
 import type { Count, WireFields } from '#wire';
 import type { Capability } from '../capabilities.js';
 import type { Member, MemberStatus } from '../members.js';
-import { storedWords } from './words.js';
+import { enumCodec } from './enum-codec.js';
 
-const CAPABILITY_WORDS = storedWords<Capability>({
+const CAPABILITY_CODEC = enumCodec<Capability>({
   gangs: 'gangs',
   handover: 'handover',
   memory: 'memory',
 });
 
-/** What a member record is made of. */
-export interface MemberDraft {
+/** The data of a member's row. The member's name is in the key. */
+export interface MemberRowSource {
   nonce: string;
   zone: string;
   leaseId: Count;
@@ -19,8 +19,8 @@
   capabilities: readonly Capability[];
 }
 
-/** The row of a member. */
-export function encodeMember({ nonce, zone, leaseId, notes, capabilities }: MemberDraft): WireFields {
+/** Encodes the row of a member. */
+export function encodeMember({ nonce, zone, leaseId, notes, capabilities }: MemberRowSource): WireFields {
   const value: WireFields = {
     Nonce: nonce,
     Zone: zone,
@@ -28,12 +28,12 @@
     Unreachable: notes.unreachable,
     WorkersUnreachable: notes.workersUnreachable,
   };
-  // Only once all nodes have announced to know it, and left out where there is nothing to say.
+  // Shards are resigned only once all nodes have announced that they support it. The field is omitted if it is empty.
   if (notes.resignedShards.length > 0) value['Resigned'] = notes.resignedShards;
   return { ...value, ...encodeCapabilities(capabilities) };
 }
 
-/** Reads the row of a member; what older versions don't write counts as empty. */
+/** Reads the row of a member. Fields that older versions don't write are read as empty. */
 export function decodeMember(member: string, value: WireFields, revision: number): Member {
   const unreachable = value['Unreachable'];
   return {
@@ -49,13 +49,17 @@
   };
 }
 
-/** An announcement, as it lies in a member record and, beyond the process's end, under a key of its own. */
+/** Encodes a capability announcement. It is part of the member's row, and has a key of its own that outlives the process. */
 export function encodeCapabilities(capabilities: readonly Capability[]): WireFields {
-  return { Capabilities: capabilities.map((capability) => CAPABILITY_WORDS.encode(capability)) };
+  return { Capabilities: capabilities.map((capability) => CAPABILITY_CODEC.encode(capability)) };
 }
 
-/** Reads an announcement; a value without one, as older versions write it, announces nothing. */
+/** Reads a capability announcement. A row without one, written by an older version, announces no capabilities. */
 export function decodeCapabilities(value: WireFields | null): ReadonlySet<string> {
-  const listed = value?.['Capabilities'];
-  return new Set(Array.isArray(listed) ? listed.map((word) => CAPABILITY_WORDS.decode(String(word))) : []);
+  const storedCapabilities = value?.['Capabilities'];
+  return new Set(
+    Array.isArray(storedCapabilities)
+      ? storedCapabilities.map((capability) => CAPABILITY_CODEC.decode(String(capability)))
+      : [],
+  );
 }
--- a/packages/cluster/stored/name-table.ts
+++ b/packages/cluster/stored/name-table.ts
@@ -1,36 +1,39 @@
-/** Names in a checkpoint, which the rows after them refer to by number. */
+/** The table of names in a checkpoint. Later rows refer to a name by its number, which keeps the checkpoint small. */
 import type { CheckpointRow } from './checkpoint-row.js';
 
-/** Names in one row, and how long they may be together. */
-const ROW_NAMES = 20;
-const ROW_NAME_LENGTH = 300;
+/** Limits of the names in one row, so that the row fits into any value. */
+const MAX_NAMES_PER_ROW = 20;
+const MAX_NAME_CHARS_PER_ROW = 300;
 
-/** Names in the order in which they were first met: each stands for its number in the rows after the names. */
+/** Numbers names consecutively from 0, in the order of their first use. */
 export class NameTable {
   private readonly numbers = new Map<string, number>();
 
-  /** The name's number; the next one if the name is new. */
+  /** Returns the number of a name. A new name is added under the next free number. */
   numberOf(name: string): number {
     let number = this.numbers.get(name);
     if (number === undefined) this.numbers.set(name, (number = this.numbers.size));
     return number;
   }
 
-  /** The rows that hold the names, in the order of their numbers. */
+  /** Returns the checkpoint rows that hold the names, in the order of their numbers. */
   rows(): CheckpointRow[] {
     const rows: CheckpointRow[] = [];
-    let names: string[] = [];
-    let length = 0;
+    let rowNames: string[] = [];
+    let rowChars = 0;
     for (const name of this.numbers.keys()) {
-      if (names.length === ROW_NAMES || (names.length > 0 && length + name.length > ROW_NAME_LENGTH)) {
-        rows.push(['n', ...names]);
-        names = [];
-        length = 0;
+      if (
+        rowNames.length === MAX_NAMES_PER_ROW ||
+        (rowNames.length > 0 && rowChars + name.length > MAX_NAME_CHARS_PER_ROW)
+      ) {
+        rows.push(['n', ...rowNames]);
+        rowNames = [];
+        rowChars = 0;
       }
-      names.push(name);
-      length += name.length;
+      rowNames.push(name);
+      rowChars += name.length;
     }
-    if (names.length > 0) rows.push(['n', ...names]);
+    if (rowNames.length > 0) rows.push(['n', ...rowNames]);
     return rows;
   }
 }
--- a/packages/cluster/stored/record-codec.ts
+++ b/packages/cluster/stored/record-codec.ts
@@ -1,4 +1,4 @@
-/** Placement records as they are stored in the logs. */
+/** Codec of the placement records that are stored in the logs. */
 import type { Count, WireFields } from '#wire';
 import type {
   CompletionRow,
@@ -14,29 +14,29 @@
   StartGroup,
   StatusRow,
 } from '../placement.js';
-import { storedWords } from './words.js';
+import { enumCodec } from './enum-codec.js';
 
-/** What one task takes. */
+/** The resources of one task. */
 export type StoredResources = [cpus: number, gpus: number, memGb: number];
-/** The last heartbeat that an owner took in. */
+/** The last heartbeat of a worker that a shard owner processed. */
 export type StoredHeartbeatPosition = [incarnation: Count, sequence: Count];
-/** The status of a machine. */
+/** The stored words of machine statuses. */
 export type StoredMachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
-/** The number of a shard, or `return` for the cloud. */
+/** The number of the shard that a machine is transferred to, or `return` if it is to be scaled in. */
 export type StoredDestination = number | 'return';
 
-/** A machine that joins the fleet; `since`: time of day in milliseconds. */
+/** A machine that joins the fleet. `acquiredAtMs` is the time of day in milliseconds. */
 export type StoredMachineRow = [
   host: string,
   machineType: string,
   zone: string,
   spot: boolean,
-  since: number,
+  acquiredAtMs: number,
   shard: number,
 ];
 
-/** A request for machines. */
-export type StoredRentalRow = [
+/** A scale-out request. */
+export type StoredScaleOutRow = [
   id: string,
   machineType: string,
   zone: string,
@@ -45,14 +45,14 @@
   shard: number,
 ];
 
-/** How a task ended. */
+/** The end of one attempt of a task, and its outcome. */
 export type StoredCompletionRow = [job: string, index: number, attempt: number, outcome: string];
 /** A task, its machine, and the incarnation of the worker that may start it. */
 export type StoredTaskRow = [index: number, host: string, incarnation: Count];
-/** Prices of one shape. */
+/** Prices of one machine shape. */
 export type StoredPriceRow = [cpu: number, gpu: number, mem: number];
 
-/** Starts of one job. */
+/** Task starts of one job in one record. */
 export interface StoredStartGroup {
   job: string;
   team: string;
@@ -63,36 +63,36 @@
   tasks: StoredTaskRow[];
 }
 
-/** A record, but for its position. Its fields are stored in the order in which a split draft gets them. */
+/** A record without its position. The fields are stored in the order in which they are set on a split draft. */
 export interface StoredRecordDraft {
   machines?: StoredMachineRow[];
   removed?: string[];
-  rentals?: StoredRentalRow[];
+  rentals?: StoredScaleOutRow[];
   settledRentals?: string[];
-  moves?: [host: string, to: StoredDestination][];
+  moves?: [host: string, destination: StoredDestination][];
 
   ends?: StoredCompletionRow[];
   statuses?: [host: string, status: string][];
-  releases?: [host: string, lastReport: StoredHeartbeatPosition | null][];
+  releases?: [host: string, lastHeartbeat: StoredHeartbeatPosition | null][];
   takes?: string[];
   starts?: StoredStartGroup[];
   prices?: Record<string, StoredPriceRow>;
   unmet?: Record<string, number>;
 }
 
-/** Where a record stands in its log and its commit. */
+/** The position of a record in its log and its commit. */
 export interface StoredRecordPosition {
   sequence: number;
   /** Time of day, in milliseconds. */
   at: number;
-  /** Absent for the first record of a commit. */
+  /** Position among the records of the same commit. Absent for the first. */
   order?: number;
 }
 
-/** A record as it lies in its log. */
+/** A record as it is stored in its log. */
 export interface StoredPlacementRecord extends StoredRecordDraft, StoredRecordPosition {}
 
-const MACHINE_STATUS_WORDS = storedWords<MachineStatus>({
+const MACHINE_STATUS_CODEC = enumCodec<MachineStatus>({
   new: 'new',
   up: 'up',
   unresponsive: 'silent',
@@ -101,7 +101,7 @@
   lost: 'lost',
 } satisfies Record<MachineStatus, StoredMachineStatus>);
 
-const OUTCOME_WORDS = storedWords<Outcome>({
+const OUTCOME_CODEC = enumCodec<Outcome>({
   done: 'done',
   stopped: 'stopped',
   failed: 'failed',
@@ -110,48 +110,52 @@
   undelivered: 'undelivered',
 });
 
-/** The stored form of a draft, to be split before it is given its position. */
+/** Encodes a draft, which may then be split before its parts get their positions. */
 export function encodeRecordDraft(draft: RecordDraft): StoredRecordDraft {
   const stored: StoredRecordDraft = {};
   if (draft.removed) stored.removed = [...draft.removed];
   if (draft.machines) stored.machines = draft.machines.map(encodeMachineRow);
   if (draft.settledScaleOuts) stored.settledRentals = [...draft.settledScaleOuts];
-  if (draft.scaleOuts) stored.rentals = draft.scaleOuts.map(encodeRentalRow);
+  if (draft.scaleOuts) stored.rentals = draft.scaleOuts.map(encodeScaleOutRow);
   if (draft.transferTargets)
-    stored.moves = draft.transferTargets.map(([host, to]) => [host, encodeDestination(to)]);
-  if (draft.completions) stored.ends = draft.completions.map(encodeCompletion);
-  if (draft.statuses) stored.statuses = draft.statuses.map(encodeStatus);
+    stored.moves = draft.transferTargets.map(([host, destination]) => [host, encodeDestination(destination)]);
+  if (draft.completions) stored.ends = draft.completions.map(encodeCompletionRow);
+  if (draft.statuses) stored.statuses = draft.statuses.map(encodeStatusRow);
   if (draft.acquisitions) stored.takes = [...draft.acquisitions];
-  if (draft.releases) stored.releases = draft.releases.map(encodeRelease);
+  if (draft.releases) stored.releases = draft.releases.map(encodeReleaseRow);
   if (draft.prices) stored.prices = { ...draft.prices };
   if (draft.unmetCpus) stored.unmet = { ...draft.unmetCpus };
   if (draft.starts) stored.starts = draft.starts.map(encodeStartGroup);
   return stored;
 }
 
-/** The value that is stored: the draft's fields first, its position after them. */
+/** Returns the stored value of a record: the fields of the draft, followed by its position. */
 export function encodeRecord(
   draft: StoredRecordDraft,
-  { sequence, recordedAtMs: acceptedAtMs, commitIndex: order }: RecordPosition,
+  { sequence, recordedAtMs: atMs, commitIndex: order }: RecordPosition,
 ): WireFields {
-  const value: WireFields = { ...draft, sequence, at: acceptedAtMs };
+  const value: WireFields = { ...draft, sequence, at: atMs };
   if (order !== undefined) value['order'] = order;
   return value;
 }
 
-/** Reads a record; fields that this version does not know are left out. */
+/** Reads a record. Fields that this version does not know are ignored. */
 export function decodeRecord(value: WireFields): PlacementRecord {
   const stored = value as Partial<StoredPlacementRecord>;
-  const record: PlacementRecord = { sequence: storedSequence(value), recordedAtMs: Number(stored.at) };
+  const record: PlacementRecord = { sequence: decodeSequence(value), recordedAtMs: Number(stored.at) };
   if (stored.order !== undefined) record.commitIndex = stored.order;
   if (stored.machines) record.machines = stored.machines.map(decodeMachineRow);
   if (stored.removed) record.removed = stored.removed;
-  if (stored.rentals) record.scaleOuts = stored.rentals.map(decodeRentalRow);
+  if (stored.rentals) record.scaleOuts = stored.rentals.map(decodeScaleOutRow);
   if (stored.settledRentals) record.settledScaleOuts = stored.settledRentals;
-  if (stored.moves) record.transferTargets = stored.moves.map(([host, to]) => [host, decodeDestination(to)]);
-  if (stored.ends) record.completions = stored.ends.map(decodeCompletion);
-  if (stored.statuses) record.statuses = stored.statuses.map(decodeStatus);
-  if (stored.releases) record.releases = stored.releases.map(decodeRelease);
+  if (stored.moves)
+    record.transferTargets = stored.moves.map(([host, destination]) => [
+      host,
+      decodeDestination(destination),
+    ]);
+  if (stored.ends) record.completions = stored.ends.map(decodeCompletionRow);
+  if (stored.statuses) record.statuses = stored.statuses.map(decodeStatusRow);
+  if (stored.releases) record.releases = stored.releases.map(decodeReleaseRow);
   if (stored.takes) record.acquisitions = stored.takes;
   if (stored.starts) record.starts = stored.starts.map(decodeStartGroup);
   if (stored.prices) record.prices = stored.prices;
@@ -159,72 +163,100 @@
   return record;
 }
 
-/** The record's number in its log; NaN if the row names none. */
-export function storedSequence(value: WireFields): number {
+/** Reads the sequence number of a record in its log. Returns NaN if the row has none. */
+export function decodeSequence(value: WireFields): number {
   return Number(value['sequence']);
 }
 
-/** The record's place in its commit; 0 for the first, and for rows of other kinds. */
-export function storedCommitOrder(value: WireFields | null): number {
+/** Reads the index of a record in its commit. Returns 0 for the first record, and for rows that aren't records. */
+export function decodeCommitIndex(value: WireFields | null): number {
   return Number(value?.['order'] ?? 0);
 }
 
-/** Where a machine is to go, as it is stored. */
-export function encodeDestination(to: Destination): StoredDestination {
-  return to === 'scale_in' ? 'return' : to;
+/** Encodes the destination of a machine. */
+export function encodeDestination(destination: Destination): StoredDestination {
+  return destination === 'scale_in' ? 'return' : destination;
 }
 
-/** Reads where a machine is to go. */
-export function decodeDestination(to: StoredDestination): Destination {
-  return to === 'return' ? 'scale_in' : to;
+/** Reads the destination of a machine. */
+export function decodeDestination(destination: StoredDestination): Destination {
+  return destination === 'return' ? 'scale_in' : destination;
 }
 
-function encodeMachineRow([host, machineType, zone, spot, since, shard]: MachineRow): StoredMachineRow {
-  return [host, machineType, zone, spot, since, shard];
+function encodeMachineRow([
+  host,
+  machineType,
+  zone,
+  spot,
+  acquiredAtMs,
+  shard,
+]: MachineRow): StoredMachineRow {
+  return [host, machineType, zone, spot, acquiredAtMs, shard];
 }
 
-function decodeMachineRow([host, machineType, zone, spot, since, shard]: StoredMachineRow): MachineRow {
-  return [host, machineType, zone, spot, since, shard];
+function decodeMachineRow([
+  host,
+  machineType,
+  zone,
+  spot,
+  acquiredAtMs,
+  shard,
+]: StoredMachineRow): MachineRow {
+  return [host, machineType, zone, spot, acquiredAtMs, shard];
 }
 
-function encodeRentalRow([id, machineType, zone, spot, machineCount, shard]: ScaleOutRow): StoredRentalRow {
+function encodeScaleOutRow([
+  id,
+  machineType,
+  zone,
+  spot,
+  machineCount,
+  shard,
+]: ScaleOutRow): StoredScaleOutRow {
   return [id, machineType, zone, spot, machineCount, shard];
 }
 
-function decodeRentalRow([id, machineType, zone, spot, machineCount, shard]: StoredRentalRow): ScaleOutRow {
+function decodeScaleOutRow([
+  id,
+  machineType,
+  zone,
+  spot,
+  machineCount,
+  shard,
+]: StoredScaleOutRow): ScaleOutRow {
   return [id, machineType, zone, spot, machineCount, shard];
 }
 
-function encodeCompletion([job, index, attempt, outcome]: CompletionRow): StoredCompletionRow {
-  return [job, index, attempt, OUTCOME_WORDS.encode(outcome)];
+function encodeCompletionRow([job, index, attempt, outcome]: CompletionRow): StoredCompletionRow {
+  return [job, index, attempt, OUTCOME_CODEC.encode(outcome)];
 }
 
-function decodeCompletion([job, index, attempt, outcome]: StoredCompletionRow): CompletionRow {
-  return [job, index, attempt, OUTCOME_WORDS.decode(outcome)];
+function decodeCompletionRow([job, index, attempt, outcome]: StoredCompletionRow): CompletionRow {
+  return [job, index, attempt, OUTCOME_CODEC.decode(outcome)];
 }
 
-function encodeStatus([host, status]: StatusRow): [string, string] {
-  return [host, MACHINE_STATUS_WORDS.encode(status)];
+function encodeStatusRow([host, status]: StatusRow): [string, string] {
+  return [host, MACHINE_STATUS_CODEC.encode(status)];
 }
 
-function decodeStatus([host, status]: [string, string]): StatusRow {
-  return [host, MACHINE_STATUS_WORDS.decode(status)];
+function decodeStatusRow([host, status]: [string, string]): StatusRow {
+  return [host, MACHINE_STATUS_CODEC.decode(status)];
 }
 
-function encodeRelease([host, last]: ReleaseRow): [string, StoredHeartbeatPosition | null] {
-  return [host, last && [last[0], last[1]]];
+function encodeReleaseRow([host, lastHeartbeat]: ReleaseRow): [string, StoredHeartbeatPosition | null] {
+  return [host, lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]]];
 }
 
-function decodeRelease([host, last]: [string, StoredHeartbeatPosition | null]): ReleaseRow {
-  return [host, last && [last[0], last[1]]];
+function decodeReleaseRow([host, lastHeartbeat]: [string, StoredHeartbeatPosition | null]): ReleaseRow {
+  return [host, lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]]];
 }
 
 function encodeStartGroup({ job, team, image, need, gang, tasks }: StartGroup): StoredStartGroup {
   const [cpus, gpus, memGb] = need;
-  const head = { job, team, image, need: [cpus, gpus, memGb] satisfies StoredResources };
+  const header = { job, team, image, need: [cpus, gpus, memGb] satisfies StoredResources };
   const rows = tasks.map(([index, host, incarnation]): StoredTaskRow => [index, host, incarnation]);
-  if (!gang) return { ...head, tasks: rows };
-  return { ...head, gang: { attempt: gang.attempt, size: gang.size }, tasks: rows };
+  if (!gang) return { ...header, tasks: rows };
+  return { ...header, gang: { attempt: gang.attempt, size: gang.size }, tasks: rows };
 }
 
 function decodeStartGroup({ job, team, image, need, gang, tasks }: StoredStartGroup): StartGroup {
--- a/packages/cluster/stored/record-splitter.ts
+++ b/packages/cluster/stored/record-splitter.ts
@@ -1,20 +1,21 @@
-/** Splits drafts of records that are too large for one value of the state service. */
+/** Splits drafts of records that are too large for one value of the state store. */
 import type { StoredRecordDraft, StoredStartGroup } from './record-codec.js';
 import { jsonBytes } from '#wire';
 
-/** Bytes of an empty draft. */
+/** Size of an empty draft, `{}`. */
 const EMPTY_DRAFT_BYTES = 2;
-/** Bytes that are allowed for a row beside the row itself and the name of its field. */
+/** Bytes reserved for the syntax around a row, beside the row itself and the name of its field. */
 const ROW_OVERHEAD_BYTES = 6;
-/** Bytes that are allowed for a shape's prices beside the row and the shape. */
+/** Bytes reserved for the syntax and the field name around a shape's prices, beside the row and the shape. */
 const PRICE_OVERHEAD_BYTES = 14;
-/** Bytes that are allowed for a team's unmet demand beside the team. */
+/** Bytes reserved for a team's unmet demand: the number, the syntax and the field name, beside the team. */
 const UNMET_OVERHEAD_BYTES = 34;
-/** Bytes that are allowed for a group of starts beside its fields and tasks. */
+/** Bytes reserved for the syntax and the field name around a group of starts, beside its fields and tasks. */
 const GROUP_OVERHEAD_BYTES = 14;
+/** Size of the comma after a task. */
 const SEPARATOR_BYTES = 1;
 
-/** Fields of a draft that are plain lists, in the order in which a split draft carries them. */
+/** Fields of a draft that are plain lists, in the order in which they are written to a split draft. */
 const LIST_FIELDS = [
   'removed',
   'machines',
@@ -27,39 +28,39 @@
   'releases',
 ] as const;
 
-/** The parts of a draft as they fill up, each within the limit. */
+/** The parts of a split draft. Rows are added to the last part until it is full. */
 class DraftParts {
   readonly parts: StoredRecordDraft[] = [];
   private current: StoredRecordDraft = {};
-  private size = EMPTY_DRAFT_BYTES;
+  private currentBytes = EMPTY_DRAFT_BYTES;
 
-  constructor(private readonly limit: number) {
+  constructor(private readonly maxPartBytes: number) {
     this.parts.push(this.current);
   }
 
-  /** Reserves so many bytes in the last part, or in a new one if they don't fit; returns that part. */
+  /** Reserves bytes in the last part, or in a new part if they don't fit. Returns that part. */
   reserve(bytes: number): StoredRecordDraft {
-    if (this.size > EMPTY_DRAFT_BYTES && this.size + bytes > this.limit) {
+    if (this.currentBytes > EMPTY_DRAFT_BYTES && this.currentBytes + bytes > this.maxPartBytes) {
       this.current = {};
       this.parts.push(this.current);
-      this.size = EMPTY_DRAFT_BYTES;
+      this.currentBytes = EMPTY_DRAFT_BYTES;
     }
-    this.size += bytes;
+    this.currentBytes += bytes;
     return this.current;
   }
 
-  /** Counts bytes that the last part takes in any case. */
-  addBytes(bytes: number): void {
-    this.size += bytes;
+  /** Reserves bytes in the last part, even if that exceeds its limit. */
+  reserveInCurrent(bytes: number): void {
+    this.currentBytes += bytes;
   }
 }
 
 /**
- * Splits a draft into parts that each fit into one value, completions before starts, so that no prefix of the
- * parts holds a start that relies on a completion after it. `limit`: bytes of a value.
+ * Splits a draft into parts that each fit into one value of `maxValueBytes` bytes. Completions come before starts, so
+ * that no prefix of the parts holds a start that depends on a later completion.
  */
-export function splitDraft(draft: StoredRecordDraft, limit: number): StoredRecordDraft[] {
-  const parts = new DraftParts(limit);
+export function splitDraft(draft: StoredRecordDraft, maxValueBytes: number): StoredRecordDraft[] {
+  const parts = new DraftParts(maxValueBytes);
   for (const field of LIST_FIELDS) {
     for (const row of draft[field] ?? []) addRow(parts, field, row);
   }
@@ -80,15 +81,15 @@
   (part[field] ??= []).push(row);
 }
 
-/** Each part that holds tasks of the group repeats the group's other fields. */
+/** Adds a group of starts. Each part that holds tasks of the group repeats the group's other fields. */
 function addStartGroup(parts: DraftParts, group: StoredStartGroup): void {
-  const headBytes = jsonBytes({ ...group, tasks: [] }) + GROUP_OVERHEAD_BYTES;
+  const headerBytes = jsonBytes({ ...group, tasks: [] }) + GROUP_OVERHEAD_BYTES;
   let openGroup: StoredStartGroup | null = null;
   let openPart: StoredRecordDraft | null = null;
   for (const task of group.tasks) {
-    const part = parts.reserve(jsonBytes(task) + SEPARATOR_BYTES + (openGroup ? 0 : headBytes));
+    const part = parts.reserve(jsonBytes(task) + SEPARATOR_BYTES + (openGroup ? 0 : headerBytes));
     if (!openGroup || part !== openPart) {
-      if (openGroup) parts.addBytes(headBytes);
+      if (openGroup) parts.reserveInCurrent(headerBytes);
       openGroup = { ...group, tasks: [] };
       openPart = part;
       (part.starts ??= []).push(openGroup);
--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -1,8 +1,8 @@
 /** Assigns shards to the members of the cluster: the part of the leader that writes the owner records. */
 import {
   eligibleOwners,
-  encodeOwner,
-  encodeToken,
+  encodeShardOwner,
+  encodeFencingToken,
   FENCING_TOKEN_KEY,
   type Logger,
   type Member,
@@ -109,11 +109,11 @@
   }
 
   private writes(assignments: readonly ShardAssignment[], fencingToken: number): Write[] {
-    const writes: Write[] = [{ set: FENCING_TOKEN_KEY, value: encodeToken(fencingToken) }];
+    const writes: Write[] = [{ set: FENCING_TOKEN_KEY, value: encodeFencingToken(fencingToken) }];
     for (const { shard, member } of assignments) {
       const memberRecord = this.options.replica.members.get(member);
       if (!memberRecord) continue;
-      const value = encodeOwner({ member, nonce: memberRecord.nonce, token: fencingToken });
+      const value = encodeShardOwner({ member, nonce: memberRecord.nonce, token: fencingToken });
       writes.push({ set: shardKey(shard), value, leaseId: memberRecord.leaseId });
     }
     return writes;
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -3,7 +3,7 @@
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { gzipSync } from 'node:zlib';
-import { checkpointRows, Ledger, Replica } from '#cluster';
+import { encodeCheckpointRows, Ledger, Replica } from '#cluster';
 import { sampleJob } from '#testkit';
 import type { MachineType } from '#wire';
 import { MAX_LINE_BYTES, SNAPSHOT_FORMAT, SNAPSHOT_VERSION, type SnapshotLine } from './snapshot-format.js';
@@ -259,8 +259,8 @@
   restored.restore(positions, rows);
   assert.deepEqual(restored.allPositions(), { '0': 2, '1': 1, lead: 1 });
   assert.deepEqual(
-    checkpointRows(restored, () => true),
-    checkpointRows(sampleLedger(), () => true),
+    encodeCheckpointRows(restored, () => true),
+    encodeCheckpointRows(sampleLedger(), () => true),
   );
 });
 
--- a/packages/recovery/snapshot-writer.ts
+++ b/packages/recovery/snapshot-writer.ts
@@ -1,6 +1,6 @@
 /** Writes a snapshot: the state as one node's copy holds it at one revision of the state service. */
 import { createHash } from 'node:crypto';
-import { checkpointRows, type Replica, type TerminalStatus } from '#cluster';
+import { encodeCheckpointRows, type Replica, type TerminalStatus } from '#cluster';
 import {
   encodeCheckpointRow,
   encodeHeader,
@@ -41,7 +41,7 @@
   for (const type of replica.machineTypes.values()) lines.push(encodeMachineType(type));
   for (const [id, job] of replica.jobs) lines.push(encodeJob(id, job));
   for (const [id, { status }] of replica.terminalJobs) lines.push(encodeTerminalStatus(id, status));
-  const rows = checkpointRows(replica.ledger, (job) => replica.jobs.has(job));
+  const rows = encodeCheckpointRows(replica.ledger, (job) => replica.jobs.has(job));
   for (const row of rows) lines.push(encodeCheckpointRow(row));
   return lines;
 }
--- a/packages/store/rate-limiter.ts
+++ b/packages/store/rate-limiter.ts
@@ -2,39 +2,39 @@
 import { type Clock, type Micros, SECOND } from '#wire';
 
 /** The sliding window over which a rate is measured. */
-const WINDOW: Micros = 3 * SECOND;
+const RATE_WINDOW: Micros = 3 * SECOND;
 
 /** Measures a rate over the last seconds. */
 export class RateMeter {
-  private readonly counts: { at: Micros; count: number }[] = [];
-  private sum = 0;
+  private readonly entries: { at: Micros; count: number }[] = [];
+  private total = 0;
 
   constructor(private readonly clock: Clock) {}
 
   /** Counts events that happen now. */
   add(count: number): void {
     if (count === 0) return;
-    this.counts.push({ at: this.clock.now(), count });
-    this.sum += count;
+    this.entries.push({ at: this.clock.now(), count });
+    this.total += count;
   }
 
   /** Events per second over the window. */
   rate(): number {
-    const from = this.clock.now() - WINDOW;
-    for (let first = this.counts[0]; first && first.at < from; first = this.counts[0]) {
-      this.sum -= first.count;
-      this.counts.shift();
+    const from = this.clock.now() - RATE_WINDOW;
+    for (let first = this.entries[0]; first && first.at < from; first = this.entries[0]) {
+      this.total -= first.count;
+      this.entries.shift();
     }
-    return (this.sum * SECOND) / WINDOW;
+    return (this.total * SECOND) / RATE_WINDOW;
   }
 }
 
 /** A rejected request multiplies the rate by this. */
-const BACKOFF_FACTOR = 0.7;
+const REJECTION_FACTOR = 0.7;
 /** Rejections leave at least this fraction of the rate. */
-const MIN_FACTOR = 0.25;
+const MIN_RATE_FACTOR = 0.25;
 /** Time without a rejection after which the full rate is restored. */
-const RECOVERY: Micros = 20 * SECOND;
+const FULL_RATE_RECOVERY: Micros = 20 * SECOND;
 
 /**
  * A token bucket that keeps one kind of request within its quota of what the store allows. It holds up to a second's worth
@@ -72,18 +72,21 @@
 
   /** To be called when the store rejected a request as too fast: its limit was lowered, or others exceed their quota. */
   onRejected(): void {
-    this.backoff = { at: this.clock.now(), factor: Math.max(MIN_FACTOR, this.factor() * BACKOFF_FACTOR) };
+    this.backoff = {
+      at: this.clock.now(),
+      factor: Math.max(MIN_RATE_FACTOR, this.rateFactor() * REJECTION_FACTOR),
+    };
   }
 
   /** The fraction of the rate that rejections have left; it recovers linearly while there are none. */
-  private factor(): number {
+  private rateFactor(): number {
     const { at, factor } = this.backoff;
     if (factor === 1) return 1;
-    return Math.min(1, factor + ((1 - factor) * (this.clock.now() - at)) / RECOVERY);
+    return Math.min(1, factor + ((1 - factor) * (this.clock.now() - at)) / FULL_RATE_RECOVERY);
   }
 
   private rate(): number {
-    return this.rateFor(this.consumed.rate()) * this.factor();
+    return this.rateFor(this.consumed.rate()) * this.rateFactor();
   }
 
   private refill(): void {
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -15,14 +15,14 @@
 interface Fixture {
   client: StoreClient;
   /** Each request: its method, path, body if it has one, and the time in milliseconds that it may take. */
-  asked: string[];
+  requests: string[];
 }
 
 /** A store that gives these answers in their order, null for none, and records the requests. */
-function storeOf(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Fixture {
-  const asked: string[] = [];
-  const left = [...replies];
-  const call: HttpClient = (...[endpoint, method, path, body, timeout]) => {
+function clientWithReplies(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Fixture {
+  const requests: string[] = [];
+  const remainingReplies = [...replies];
+  const httpClient: HttpClient = (...[endpoint, method, path, body, timeout]) => {
     assert.equal(endpoint, '10.2.0.1:2379');
     const parts = [
       method,
@@ -30,18 +30,18 @@
       ...(body === undefined ? [] : [JSON.stringify(body)]),
       `${timeout / 1000} ms`,
     ];
-    asked.push(parts.join(' '));
-    const reply = left.shift();
+    requests.push(parts.join(' '));
+    const reply = remainingReplies.shift();
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
   };
-  return { client: new StoreClient('10.2.0.1:2379', call, check), asked };
+  return { client: new StoreClient('10.2.0.1:2379', httpClient, check), requests };
 }
 
-function answer(status: number, json = '{}'): HttpReply {
+function makeReply(status: number, json = '{}'): HttpReply {
   return { status, body: JSON.parse(json) as WireFields };
 }
 
-const isError =
+const isStoreError =
   (status: number) =>
   (cause: unknown): boolean => {
     const message = status === 0 ? 'state service: no response' : `state service: ${status}`;
@@ -49,11 +49,11 @@
   };
 
 test('a key is read by its path, unescaped', async () => {
-  const { client, asked } = storeOf([
-    answer(200, '{"Path":"a/b","V":{"N":1},"Stamp":412,"Permit":7}'),
-    answer(404, '{"Epoch":431}'),
-    answer(200, '{"Path":"a/b","V":7,"Stamp":412}'),
-    answer(503),
+  const { client, requests } = clientWithReplies([
+    makeReply(200, '{"Path":"a/b","V":{"N":1},"Stamp":412,"Permit":7}'),
+    makeReply(404, '{"Epoch":431}'),
+    makeReply(200, '{"Path":"a/b","V":7,"Stamp":412}'),
+    makeReply(503),
     null,
   ]);
   assert.deepEqual(await client.get('a/b'), {
@@ -65,20 +65,20 @@
     row: { path: 'a/b', value: {}, revision: 412 },
     revision: 412,
   });
-  await assert.rejects(client.get('a/b'), isError(503));
-  await assert.rejects(client.get('a/b'), isError(0));
-  assert.deepEqual(asked, Array(5).fill('GET /store/a/b 1500 ms'));
+  await assert.rejects(client.get('a/b'), isStoreError(503));
+  await assert.rejects(client.get('a/b'), isStoreError(0));
+  assert.deepEqual(requests, Array(5).fill('GET /store/a/b 1500 ms'));
 });
 
 test('keys are listed in pages of a thousand', async () => {
-  const { client, asked } = storeOf([
-    answer(
+  const { client, requests } = clientWithReplies([
+    makeReply(
       200,
       '{"Rows":[{"Path":"c/1","V":{"N":1},"Stamp":4},7,{"Path":"c/2","Stamp":9}],"More":true,"Epoch":431}',
     ),
-    answer(200, '{"Rows":[],"More":false,"Epoch":432}'),
-    answer(200, '{"Epoch":432}'),
-    answer(429),
+    makeReply(200, '{"Rows":[],"More":false,"Epoch":432}'),
+    makeReply(200, '{"Epoch":432}'),
+    makeReply(429),
     null,
   ]);
   assert.deepEqual(await client.list('c/', ''), {
@@ -91,9 +91,9 @@
   });
   assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, revision: 432 });
   assert.deepEqual(await client.list('c/', 'c/2'), { rows: [], more: false, revision: 432 });
-  await assert.rejects(client.list('c/', ''), isError(429));
-  await assert.rejects(client.list('c/', ''), isError(0));
-  assert.deepEqual(asked, [
+  await assert.rejects(client.list('c/', ''), isStoreError(429));
+  await assert.rejects(client.list('c/', ''), isStoreError(0));
+  assert.deepEqual(requests, [
     'GET /store?Starts=c/&Limit=1000 4000 ms',
     'GET /store?Starts=c/&After=c/2&Limit=1000 4000 ms',
     'GET /store?Starts=c/&After=c/2&Limit=1000 4000 ms',
@@ -103,7 +103,10 @@
 });
 
 test('a transaction names its conditions and its writes, with a lease only where one is given', async () => {
-  const { client, asked } = storeOf([answer(200, '{"Epoch":432}'), answer(200, '{"Epoch":433}')]);
+  const { client, requests } = clientWithReplies([
+    makeReply(200, '{"Epoch":432}'),
+    makeReply(200, '{"Epoch":433}'),
+  ]);
   const guards = [
     { path: 'a/b', revision: 0 },
     { path: 'a/c', revision: 412 },
@@ -115,7 +118,7 @@
   ]);
   assert.deepEqual(result, { kind: 'applied', revision: 432 });
   assert.deepEqual(await client.compareAndSwap([], []), { kind: 'applied', revision: 433 });
-  assert.deepEqual(asked, [
+  assert.deepEqual(requests, [
     'POST /commit {"Guards":[{"Path":"a/b","Stamp":0},{"Path":"a/c","Stamp":412}],' +
       '"Writes":[{"Set":"a/b","V":{"N":1},"Permit":7},{"Set":"a/c","V":{}},{"Remove":"c/d"}]} 1500 ms',
     'POST /commit {"Guards":[],"Writes":[]} 1500 ms',
@@ -124,16 +127,16 @@
 
 test('each answer to a transaction is read as its result', async () => {
   const replies = [
-    answer(409, '{"failed":["a/b"],"Epoch":431}'),
-    answer(409, '{"Epoch":431}'),
-    answer(400, '{"error":"no such lease"}'),
-    answer(400, '{"error":"malformed"}'),
-    answer(429),
-    answer(503),
-    answer(302),
+    makeReply(409, '{"failed":["a/b"],"Epoch":431}'),
+    makeReply(409, '{"Epoch":431}'),
+    makeReply(400, '{"error":"no such lease"}'),
+    makeReply(400, '{"error":"malformed"}'),
+    makeReply(429),
+    makeReply(503),
+    makeReply(302),
     null,
   ];
-  const { client } = storeOf(replies);
+  const { client } = clientWithReplies(replies);
   const results: CommitResult[] = [];
   while (results.length < replies.length) {
     results.push(await client.compareAndSwap([], [{ remove: 'a/b' }]));
@@ -153,28 +156,28 @@
 });
 
 test('leases are created, renewed and revoked by their ids, up to 2^64 - 1', async () => {
-  const most = 18_446_744_073_709_551_615n;
-  const { client, asked } = storeOf([
-    answer(200, '{"Permit":7}'),
-    { status: 200, body: { Permit: most } },
-    answer(503),
-    answer(200),
-    answer(404),
-    answer(503),
-    answer(200),
-    answer(404),
+  const maxLeaseId = 18_446_744_073_709_551_615n;
+  const { client, requests } = clientWithReplies([
+    makeReply(200, '{"Permit":7}'),
+    { status: 200, body: { Permit: maxLeaseId } },
+    makeReply(503),
+    makeReply(200),
+    makeReply(404),
+    makeReply(503),
+    makeReply(200),
+    makeReply(404),
     null,
   ]);
   assert.equal(await client.createLease(3_000_000), 7);
-  assert.equal(await client.createLease(2_999_600), most);
-  await assert.rejects(client.createLease(3_000_000), isError(503));
+  assert.equal(await client.createLease(2_999_600), maxLeaseId);
+  await assert.rejects(client.createLease(3_000_000), isStoreError(503));
   assert.equal(await client.renewLease(7), true);
-  assert.equal(await client.renewLease(most), false);
-  await assert.rejects(client.renewLease(7), isError(503));
-  await client.revokeLease(most);
+  assert.equal(await client.renewLease(maxLeaseId), false);
+  await assert.rejects(client.renewLease(7), isStoreError(503));
+  await client.revokeLease(maxLeaseId);
   await client.revokeLease(7);
-  await assert.rejects(client.revokeLease(7), isError(0));
-  assert.deepEqual(asked, [
+  await assert.rejects(client.revokeLease(7), isStoreError(0));
+  assert.deepEqual(requests, [
     'POST /grants {"LifeMs":3000} 1500 ms',
     'POST /grants {"LifeMs":3000} 1500 ms',
     'POST /grants {"LifeMs":3000} 1500 ms',
@@ -188,19 +191,19 @@
 });
 
 test('changes are watched from a revision on, and read in the order of the answer', async () => {
-  const { client, asked } = storeOf([
-    answer(
+  const { client, requests } = clientWithReplies([
+    makeReply(
       200,
       '{"Epoch":433,"News":[{"Set":"c/9","V":{"N":1},"Stamp":433},{"Remove":"c/d","Stamp":432},7,' +
         '{"Set":null,"Remove":"c/e","Stamp":431}]}',
     ),
-    answer(200, '{"Epoch":433}'),
-    answer(410),
-    answer(503),
+    makeReply(200, '{"Epoch":433}'),
+    makeReply(410),
+    makeReply(503),
     null,
   ]);
-  const follow = () => client.watch('c/', 431, 10_000_000);
-  assert.deepEqual(await follow(), {
+  const watch = () => client.watch('c/', 431, 10_000_000);
+  assert.deepEqual(await watch(), {
     revision: 433,
     changes: [
       { path: 'c/9', revision: 433, value: { N: 1 } },
@@ -208,11 +211,11 @@
       { path: 'c/e', revision: 431, value: null },
     ],
   });
-  assert.deepEqual(await follow(), { revision: 433, changes: [] });
-  assert.equal(await follow(), null);
-  await assert.rejects(follow(), isError(503));
-  await assert.rejects(follow(), isError(0));
-  assert.deepEqual(asked, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
+  assert.deepEqual(await watch(), { revision: 433, changes: [] });
+  assert.equal(await watch(), null);
+  await assert.rejects(watch(), isStoreError(503));
+  await assert.rejects(watch(), isStoreError(0));
+  assert.deepEqual(requests, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
 });
 
 test('the expiry of a lease is confirmed by a read of the present revision where revisions are checked', async () => {
@@ -222,12 +225,12 @@
     accepts: (floor, revision) => revision >= floor,
     acceptsCommitted: (floor, revision) => revision > floor,
   };
-  const whole = storeOf([answer(404), answer(404, '{"Epoch":400}')], check);
-  assert.equal(await whole.client.renewLease(7), false);
-  const lost = storeOf([answer(404), answer(404, '{"Epoch":399}')], check);
-  await assert.rejects(lost.client.renewLease(7), isError(503));
-  for (const { asked } of [whole, lost]) {
-    assert.deepEqual(asked, ['POST /grants/7/renew 1500 ms', 'GET /store/mw/nothing 1500 ms']);
+  const intact = clientWithReplies([makeReply(404), makeReply(404, '{"Epoch":400}')], check);
+  assert.equal(await intact.client.renewLease(7), false);
+  const withLostHistory = clientWithReplies([makeReply(404), makeReply(404, '{"Epoch":399}')], check);
+  await assert.rejects(withLostHistory.client.renewLease(7), isStoreError(503));
+  for (const { requests } of [intact, withLostHistory]) {
+    assert.deepEqual(requests, ['POST /grants/7/renew 1500 ms', 'GET /store/mw/nothing 1500 ms']);
   }
   assert.equal(UNUSED_KEY, 'mw/nothing');
 });
@@ -239,12 +242,12 @@
     accepts: () => true,
     acceptsCommitted: () => true,
   };
-  const { client, asked } = storeOf([], closed);
-  await assert.rejects(client.get('a/b'), isError(503));
-  await assert.rejects(client.createLease(3_000_000), isError(503));
-  await assert.rejects(client.renewLease(7), isError(503));
-  await assert.rejects(client.watch('c/', 431, 10_000_000), isError(503));
+  const { client, requests } = clientWithReplies([], closed);
+  await assert.rejects(client.get('a/b'), isStoreError(503));
+  await assert.rejects(client.createLease(3_000_000), isStoreError(503));
+  await assert.rejects(client.renewLease(7), isStoreError(503));
+  await assert.rejects(client.watch('c/', 431, 10_000_000), isStoreError(503));
   const result = await client.compareAndSwap([], [{ remove: 'a/b' }]);
   assert.deepEqual(result, { kind: 'not_executed', status: 503 });
-  assert.deepEqual(asked, []);
+  assert.deepEqual(requests, []);
 });
--- a/packages/store/revision-check.ts
+++ b/packages/store/revision-check.ts
@@ -7,9 +7,9 @@
   /** The highest revision that any answer has shown: answers to requests sent from now on can't show a lower one. */
   minimumRevision(): number;
   /** Records the revision of an answer; false if it is below the minimum (`floor`) that held when the request was sent. */
-  accepts(floor: number, revision: number): boolean;
+  accepts(minimum: number, revision: number): boolean;
   /** The same for the revision of an applied commit: it has to be higher than any shown before the request. */
-  acceptsCommitted(floor: number, revision: number): boolean;
+  acceptsCommitted(minimum: number, revision: number): boolean;
 }
 
 /** Accepts every answer. */
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -12,10 +12,10 @@
   encodeCommit,
 } from './wire-format.js';
 
-const TIMEOUT: Micros = 1500 * MS;
+const REQUEST_TIMEOUT: Micros = 1500 * MS;
 /** For large answers; a watch may take this long beyond the time for which it blocks. */
 const LONG_TIMEOUT: Micros = 4 * SECOND;
-const PAGE_ROWS = 1000;
+const MAX_ROWS_PER_PAGE = 1000;
 /** Also the status of a {@link StoreError} for a request that the revision check doesn't allow: callers treat it as an outage. */
 const UNAVAILABLE = 503;
 const OK = 200;
@@ -44,10 +44,10 @@
 
   /** Reads one key. */
   async get(path: string): Promise<KeyRead> {
-    const floor = this.requireOpen();
+    const minimum = this.requireAllowed();
     const { status, body } = await this.send('GET', `/store/${path}`);
     if (status === NOT_FOUND)
-      return { row: null, revision: this.requireAccepted(floor, decodeRevision(body)) };
+      return { row: null, revision: this.requireAccepted(minimum, decodeRevision(body)) };
     if (status !== OK) throw new StoreError(status);
     // The row's own revision says nothing of the store's present revision.
     const row = decodeRow(path, body);
@@ -59,7 +59,7 @@
    * revision check doesn't guard it: whoever reads the complete state has to check the revisions of its pages.
    */
   async list(prefix: string, after: string): Promise<RowPage> {
-    const query = `Starts=${prefix}${after === '' ? '' : `&After=${after}`}&Limit=${PAGE_ROWS}`;
+    const query = `Starts=${prefix}${after === '' ? '' : `&After=${after}`}&Limit=${MAX_ROWS_PER_PAGE}`;
     const { status, body } = await this.send('GET', `/store?${query}`, { timeout: LONG_TIMEOUT });
     if (status !== OK) throw new StoreError(status);
     return { rows: decodeRows(body), more: body['More'] === true, revision: decodeRevision(body) };
@@ -69,27 +69,31 @@
   async compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): Promise<CommitResult> {
     const body = encodeCommit(guards, writes);
     if (!this.revisionCheck.isOpen()) return { kind: 'not_executed', status: UNAVAILABLE };
-    const floor = this.revisionCheck.minimumRevision();
+    const minimum = this.revisionCheck.minimumRevision();
     let reply: HttpReply;
     try {
       reply = await this.send('POST', '/commit', { body });
     } catch {
       return { kind: 'unknown' };
     }
-    return this.isOfKnownHistory(reply, writes, floor) ? decodeCommitResult(reply) : { kind: 'unknown' };
+    return this.continuesSeenHistory(reply, writes, minimum)
+      ? decodeCommitResult(reply)
+      : { kind: 'unknown' };
   }
 
   /** Creates a lease that expires when it was not renewed for `life`; resolves with its id. */
-  async createLease(life: Micros): Promise<Count> {
-    this.requireOpen();
-    const { status, body } = await this.send('POST', '/grants', { body: { LifeMs: Math.round(life / MS) } });
+  async createLease(duration: Micros): Promise<Count> {
+    this.requireAllowed();
+    const { status, body } = await this.send('POST', '/grants', {
+      body: { LifeMs: Math.round(duration / MS) },
+    });
     if (status !== OK) throw new StoreError(status);
     return body['Permit'] as Count;
   }
 
   /** Resolves with false if the lease has expired. */
   async renewLease(leaseId: Count): Promise<boolean> {
-    this.requireOpen();
+    this.requireAllowed();
     const { status } = await this.send('POST', `/grants/${leaseId}/renew`);
     if (status === NOT_FOUND) return this.confirmExpiry();
     if (status !== OK) throw new StoreError(status);
@@ -106,21 +110,25 @@
    * to be read again.
    */
   async watch(prefix: string, after: number, block: Micros): Promise<ChangeBatch | null> {
-    const floor = this.requireOpen();
+    const minimum = this.requireAllowed();
     const query = `Starts=${prefix}&After=${after}&BlockMs=${Math.round(block / MS)}`;
     const { status, body } = await this.send('GET', `/follow?${query}`, { timeout: block + LONG_TIMEOUT });
     if (status === GONE) return null;
     if (status !== OK) throw new StoreError(status);
     const changes = decodeChanges(body);
-    return { revision: this.requireAccepted(floor, decodeRevision(body)), changes };
+    return { revision: this.requireAccepted(minimum, decodeRevision(body)), changes };
   }
 
   /** Whether the answer to a commit belongs to the history that this node knows; if not, the result is unknown. */
-  private isOfKnownHistory({ status, body }: HttpReply, writes: readonly Write[], floor: number): boolean {
+  private continuesSeenHistory(
+    { status, body }: HttpReply,
+    writes: readonly Write[],
+    minimum: number,
+  ): boolean {
     const revision = decodeRevision(body);
     const createsRevision = status === OK && writes.some((write) => 'set' in write);
-    if (createsRevision && !this.revisionCheck.acceptsCommitted(floor, revision)) return false;
-    return status !== CONFLICT || this.revisionCheck.accepts(floor, revision);
+    if (createsRevision && !this.revisionCheck.acceptsCommitted(minimum, revision)) return false;
+    return status !== CONFLICT || this.revisionCheck.accepts(minimum, revision);
   }
 
   /**
@@ -133,20 +141,26 @@
   }
 
   /** The lowest revision that the answer to a request sent now may show; throws while the revision check is closed. */
-  private requireOpen(): number {
+  private requireAllowed(): number {
     if (!this.revisionCheck.isOpen()) throw new StoreError(UNAVAILABLE);
     return this.revisionCheck.minimumRevision();
   }
 
   /** Returns the revision if it passes the revision check, else throws. */
-  private requireAccepted(floor: number, revision: number): number {
-    if (!this.revisionCheck.accepts(floor, revision)) throw new StoreError(UNAVAILABLE);
+  private requireAccepted(minimum: number, revision: number): number {
+    if (!this.revisionCheck.accepts(minimum, revision)) throw new StoreError(UNAVAILABLE);
     return revision;
   }
 
   private async send(method: HttpMethod, path: string, options: RequestOptions = {}): Promise<HttpReply> {
     try {
-      return await this.httpClient(this.endpoint, method, path, options.body, options.timeout ?? TIMEOUT);
+      return await this.httpClient(
+        this.endpoint,
+        method,
+        path,
+        options.body,
+        options.timeout ?? REQUEST_TIMEOUT,
+      );
     } catch (cause) {
       throw new StoreError(0, { cause });
     }
--- a/packages/store/wire-format.ts
+++ b/packages/store/wire-format.ts
@@ -19,12 +19,12 @@
 
 /** The rows of a page. */
 export function decodeRows(body: WireFields): Row[] {
-  return listOf(body['Rows']).map((row) => decodeRow(String(row['Path']), row));
+  return decodeMaps(body['Rows']).map((row) => decodeRow(String(row['Path']), row));
 }
 
 /** The changes in the answer to a watch. */
 export function decodeChanges(body: WireFields): Change[] {
-  return listOf(body['News']).map((entry) => {
+  return decodeMaps(body['News']).map((entry) => {
     const revision = Number(entry['Stamp']);
     const isRemoval = entry['Set'] === undefined || entry['Set'] === null;
     if (isRemoval) return { path: String(entry['Remove']), revision, value: null };
@@ -60,6 +60,6 @@
   return { kind: 'unknown' };
 }
 
-function listOf(value: unknown): WireFields[] {
+function decodeMaps(value: unknown): WireFields[] {
   return Array.isArray(value) ? value.filter(isWireFields) : [];
 }
--- a/packages/store/write-limits.ts
+++ b/packages/store/write-limits.ts
@@ -10,23 +10,26 @@
  */
 export class WriteLimits {
   constructor(
-    private value: number,
-    private operations: number,
+    private maxValueBytes: number,
+    private maxTxnOps: number,
   ) {}
 
   /** Maximum size of a value in bytes. */
   get valueBytes(): number {
-    return this.value;
+    return this.maxValueBytes;
   }
 
   /** Maximum number of operations of a commit. */
   get txnOps(): number {
-    return this.operations;
+    return this.maxTxnOps;
   }
 
   /** To be called when a write built to the present limits was refused as too large. */
   shrink(): void {
-    this.value = Math.max(Math.min(this.value, MIN_VALUE_BYTES), Math.floor(this.value / 2));
-    this.operations = Math.max(Math.min(this.operations, MIN_TXN_OPS), Math.floor(this.operations / 2));
+    this.maxValueBytes = Math.max(
+      Math.min(this.maxValueBytes, MIN_VALUE_BYTES),
+      Math.floor(this.maxValueBytes / 2),
+    );
+    this.maxTxnOps = Math.max(Math.min(this.maxTxnOps, MIN_TXN_OPS), Math.floor(this.maxTxnOps / 2));
   }
 }
--- a/packages/wire/codec.test.ts
+++ b/packages/wire/codec.test.ts
@@ -9,7 +9,7 @@
 import { encodeSubmission, parseSubmission } from './submission-codec.js';
 import type { Command } from './heartbeat.js';
 
-const JOB = {
+const SUBMISSION = {
   Uid: 'j-000412',
   Lane: 'train',
   Crew: 'vision',
@@ -35,22 +35,22 @@
 test('counts up to 2^64 - 1 survive the wire', () => {
   fc.assert(
     fc.property(fc.bigInt(0n, (1n << 64n) - 1n), (count) => {
-      const back = decode(encode({ count })) as { count: number | bigint };
-      assert.ok(isCount(back.count));
-      assert.ok(countsEqual(back.count, count));
+      const decoded = decode(encode({ count })) as { count: number | bigint };
+      assert.ok(isCount(decoded.count));
+      assert.ok(countsEqual(decoded.count, count));
     }),
     { seed: 7, numRuns: 300 },
   );
 });
 
-function parsed(body: unknown): JobSpec {
+function parseValidSubmission(body: unknown): JobSpec {
   const result = parseSubmission(body);
   if ('invalid' in result) assert.fail(`${result.invalid} is invalid`);
   return result.job;
 }
 
 test('each field of a submission is read by its name in the protocol', () => {
-  assert.deepEqual(parsed(JOB), {
+  assert.deepEqual(parseValidSubmission(SUBMISSION), {
     id: 'j-000412',
     jobClass: 'train',
     team: 'vision',
@@ -137,14 +137,19 @@
 });
 
 test('a submission is read without unknown fields; optional ones may be left out', () => {
-  const { Builds, Hall, DueS, ...rest } = JOB;
-  assert.deepEqual(encodeSubmission(parsed({ ...JOB, Extra: 1 })), JOB);
-  assert.deepEqual(encodeSubmission(parsed(rest)), { ...rest, Builds: null, Hall: null, DueS: null });
+  const { Builds, Hall, DueS, ...rest } = SUBMISSION;
+  assert.deepEqual(encodeSubmission(parseValidSubmission({ ...SUBMISSION, Extra: 1 })), SUBMISSION);
+  assert.deepEqual(encodeSubmission(parseValidSubmission(rest)), {
+    ...rest,
+    Builds: null,
+    Hall: null,
+    DueS: null,
+  });
   assert.deepEqual([Builds, Hall, DueS], [['g8'], null, 900]);
 });
 
 test('a gang is submitted under the protocol name of its shape', () => {
-  const submitted = parseSubmission({ ...JOB, Shape: 'ensemble' });
+  const submitted = parseSubmission({ ...SUBMISSION, Shape: 'ensemble' });
   assert.ok('job' in submitted);
   assert.equal(submitted.job.shape, 'gang');
   assert.equal(encodeSubmission(submitted.job)['Shape'], 'ensemble');
@@ -152,13 +157,13 @@
 
 test('a submission with a field missing or of the wrong type names that field as invalid', () => {
   const optional = ['Builds', 'Hall', 'DueS'];
-  for (const field of Object.keys(JOB)) {
+  for (const field of Object.keys(SUBMISSION)) {
     if (!optional.includes(field)) {
-      assert.deepEqual(parseSubmission({ ...JOB, [field]: undefined }), { invalid: field });
+      assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: undefined }), { invalid: field });
     }
-    assert.deepEqual(parseSubmission({ ...JOB, [field]: { odd: 1 } }), { invalid: field });
+    assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: { odd: 1 } }), { invalid: field });
   }
-  const bad: [string, unknown][] = [
+  const invalidFields: [string, unknown][] = [
     ['Uid', 'x-1'],
     ['Uid', 'j-1/2'],
     ['Shape', 'service'],
@@ -174,8 +179,8 @@
     ['DueS', -5],
     ['Bundle', ''],
   ];
-  for (const [field, value] of bad) {
-    assert.deepEqual(parseSubmission({ ...JOB, [field]: value }), { invalid: field });
+  for (const [field, value] of invalidFields) {
+    assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: value }), { invalid: field });
   }
   for (const body of [null, 1, 'x', [], new Uint8Array(2)]) {
     assert.deepEqual(parseSubmission(body), { invalid: 'body' });
--- a/packages/wire/heartbeat-codec.ts
+++ b/packages/wire/heartbeat-codec.ts
@@ -3,7 +3,7 @@
 import type { ExitCause, TaskStatus, TaskState } from './tasks.js';
 import type { Command, HeartbeatResponse, Heartbeat } from './heartbeat.js';
 
-const TASK_STATES: ReadonlyMap<unknown, TaskState> = new Map<unknown, TaskState>([
+const TASK_STATES_BY_WIRE_NAME: ReadonlyMap<unknown, TaskState> = new Map<unknown, TaskState>([
   ['pulling', 'fetching'],
   ['gathering', 'gathering'],
   ['running', 'running'],
@@ -11,7 +11,7 @@
   ['exited', 'exited'],
 ]);
 
-const EXIT_CAUSES: ReadonlyMap<unknown, ExitCause> = new Map<unknown, ExitCause>([
+const EXIT_CAUSES_BY_WIRE_NAME: ReadonlyMap<unknown, ExitCause> = new Map<unknown, ExitCause>([
   ['done', 'done'],
   ['halted', 'stopped'],
   ['error', 'failed'],
@@ -26,10 +26,10 @@
 export function parseHeartbeat(body: unknown): Heartbeat | null {
   if (!isWireFields(body) || !Array.isArray(body['Pieces'])) return null;
   const { Host, Endpoint, Build, Hall, Loaners, Shift, Tally, Baton, RecallS } = body;
-  const areTexts = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
-  const areCounts = [Shift, Tally, Baton].every(isCount);
+  const hasTextFields = [Host, Endpoint, Build, Hall].every((value) => typeof value === 'string');
+  const hasCountFields = [Shift, Tally, Baton].every(isCount);
   const spotNoticeS = RecallS ?? null;
-  if (!areTexts || !areCounts || typeof Loaners !== 'boolean') return null;
+  if (!hasTextFields || !hasCountFields || typeof Loaners !== 'boolean') return null;
   if (spotNoticeS !== null && typeof spotNoticeS !== 'number') return null;
   const tasks = parseTasks(body['Pieces']);
   if (!tasks) return null;
@@ -47,23 +47,23 @@
   };
 }
 
-function parseTasks(pieces: readonly unknown[]): TaskStatus[] | null {
+function parseTasks(entries: readonly unknown[]): TaskStatus[] | null {
   const tasks: TaskStatus[] = [];
-  for (const piece of pieces) {
-    const task = parseTask(piece);
+  for (const entry of entries) {
+    const task = parseTask(entry);
     if (!task) return null;
     tasks.push(task);
   }
   return tasks;
 }
 
-function parseTask(piece: unknown): TaskStatus | null {
-  if (!isWireFields(piece)) return null;
-  const { Piece, Try, Status, Cause } = piece;
+function parseTask(entry: unknown): TaskStatus | null {
+  if (!isWireFields(entry)) return null;
+  const { Piece, Try, Status, Cause } = entry;
   if (typeof Piece !== 'string' || !isCount(Try) || typeof Status !== 'string') return null;
   // A task in a state that this version doesn't know is on its machine all the same.
-  const state = TASK_STATES.get(Status) ?? 'fetching';
-  return { task: Piece, attempt: Try, state, cause: EXIT_CAUSES.get(Cause) ?? null };
+  const state = TASK_STATES_BY_WIRE_NAME.get(Status) ?? 'fetching';
+  return { task: Piece, attempt: Try, state, cause: EXIT_CAUSES_BY_WIRE_NAME.get(Cause) ?? null };
 }
 
 /** The body of the response that renews a worker's lease and carries its commands. */
--- a/packages/wire/http-client.ts
+++ b/packages/wire/http-client.ts
@@ -7,7 +7,7 @@
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const MAX_IDLE_CONNECTIONS = 8;
-const FIRST_ERROR_STATUS = 400;
+const MIN_ERROR_STATUS = 400;
 
 /** The methods that the protocol uses. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
@@ -121,7 +121,7 @@
     return { status, body: isWireFields(value) ? value : {} };
   } catch (cause) {
     // An error page need not be MessagePack; its status still counts.
-    if (status >= FIRST_ERROR_STATUS) return { status, body: {} };
+    if (status >= MIN_ERROR_STATUS) return { status, body: {} };
     throw cause;
   }
 }
--- a/packages/wire/job-state-codec.ts
+++ b/packages/wire/job-state-codec.ts
@@ -2,18 +2,18 @@
 import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
-const STATUS_NAMES: Readonly<Record<JobStatus, string>> = {
+const WIRE_STATUSES: Readonly<Record<JobStatus, string>> = {
   pending: 'pending',
   running: 'running',
   done: 'done',
   cancelled: 'withdrawn',
 };
 
-const STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
+const STATUSES = Object.keys(WIRE_STATUSES) as JobStatus[];
 
 /** The body of an answer with the state of a job. Task counts are left out where the state has none. */
 export function encodeJobState(state: JobState): WireFields {
-  const fields: WireFields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
+  const fields: WireFields = { Uid: state.id, Status: WIRE_STATUSES[state.status] };
   if (state.done !== undefined) fields['done'] = state.done;
   if (state.running !== undefined) fields['running'] = state.running;
   return fields;
@@ -21,5 +21,5 @@
 
 /** The status in an answer's body, or null if the body holds none, as that of an error does. */
 export function decodeJobStatus(body: WireFields): JobStatus | null {
-  return STATUSES.find((status) => STATUS_NAMES[status] === body['Status']) ?? null;
+  return STATUSES.find((status) => WIRE_STATUSES[status] === body['Status']) ?? null;
 }
--- a/packages/wire/submission-codec.ts
+++ b/packages/wire/submission-codec.ts
@@ -4,56 +4,56 @@
 
 const MAX_TEXT_LENGTH = 200;
 
-const SHAPE_NAMES: Readonly<Record<JobShape, string>> = { array: 'array', gang: 'ensemble' };
-const SHAPES: ReadonlyMap<unknown, JobShape> = new Map<unknown, JobShape>([
-  [SHAPE_NAMES.array, 'array'],
-  [SHAPE_NAMES.gang, 'gang'],
+const WIRE_SHAPES: Readonly<Record<JobShape, string>> = { array: 'array', gang: 'ensemble' };
+const SHAPES_BY_WIRE_NAME: ReadonlyMap<unknown, JobShape> = new Map<unknown, JobShape>([
+  [WIRE_SHAPES.array, 'array'],
+  [WIRE_SHAPES.gang, 'gang'],
 ]);
 
-type Check = (value: unknown) => boolean;
+type Validator = (value: unknown) => boolean;
 
-const isAbsent: Check = (value) => value === null || value === undefined;
-const isText: Check = (value) =>
+const isAbsent: Validator = (value) => value === null || value === undefined;
+const isText: Validator = (value) =>
   typeof value === 'string' && value.length > 0 && value.length <= MAX_TEXT_LENGTH;
-const isAmount: Check = (value) =>
+const isNonNegativeNumber: Validator = (value) =>
   (typeof value === 'number' || typeof value === 'bigint') &&
   Number.isFinite(Number(value)) &&
   Number(value) >= 0;
-const isFlag: Check = (value) => typeof value === 'boolean';
-const isShape: Check = (value) => SHAPES.has(value);
-const isRank: Check = (value) => RANKS.includes(value as Rank);
-const isTaskCount: Check = (value) => {
+const isBoolean: Validator = (value) => typeof value === 'boolean';
+const isShape: Validator = (value) => SHAPES_BY_WIRE_NAME.has(value);
+const isRank: Validator = (value) => RANKS.includes(value as Rank);
+const isTaskCount: Validator = (value) => {
   const count = Number(value);
-  return isAmount(value) && Number.isInteger(count) && count >= 1 && count <= MAX_TASKS;
+  return isNonNegativeNumber(value) && Number.isInteger(count) && count >= 1 && count <= MAX_TASKS;
 };
-const isTextList: Check = (value) => Array.isArray(value) && value.every(isText);
+const isTextList: Validator = (value) => Array.isArray(value) && value.every(isText);
 const optional =
-  (check: Check): Check =>
+  (isValid: Validator): Validator =>
   (value) =>
-    isAbsent(value) || check(value);
+    isAbsent(value) || isValid(value);
 
 /** What each field must be, in the order in which they are checked. */
-const FIELD_CHECKS: Readonly<Record<string, Check>> = {
+const FIELD_VALIDATORS: Readonly<Record<string, Validator>> = {
   Uid: isJobId,
   Lane: isText,
   Crew: isText,
   Shape: isShape,
   Rank: isRank,
   Pieces: isTaskCount,
-  Cpus: isAmount,
-  Gpus: isAmount,
-  MemGb: isAmount,
+  Cpus: isNonNegativeNumber,
+  Gpus: isNonNegativeNumber,
+  MemGb: isNonNegativeNumber,
   Bundle: isText,
-  SizeGb: isAmount,
+  SizeGb: isNonNegativeNumber,
   Builds: optional(isTextList),
   Hall: optional(isText),
-  SamePlace: isFlag,
-  Scatter: isFlag,
-  Loaners: isFlag,
-  ExpectS: isAmount,
-  BookmarkS: isAmount,
-  StashS: isAmount,
-  DueS: optional(isAmount),
+  SamePlace: isBoolean,
+  Scatter: isBoolean,
+  Loaners: isBoolean,
+  ExpectS: isNonNegativeNumber,
+  BookmarkS: isNonNegativeNumber,
+  StashS: isNonNegativeNumber,
+  DueS: optional(isNonNegativeNumber),
 };
 
 /** A valid submission, or the name of the first field that is missing or invalid (`body` if it isn't a map). */
@@ -62,7 +62,7 @@
 /** Checks a submission and reads it from a decoded body. Fields that the protocol doesn't name are dropped. */
 export function parseSubmission(body: unknown): ParsedSubmission {
   if (!isWireFields(body)) return { invalid: 'body' };
-  for (const [field, isValid] of Object.entries(FIELD_CHECKS)) {
+  for (const [field, isValid] of Object.entries(FIELD_VALIDATORS)) {
     if (!isValid(body[field])) return { invalid: field };
   }
   return { job: decodeJob(body) };
@@ -74,7 +74,7 @@
     id: body['Uid'] as string,
     jobClass: body['Lane'] as string,
     team: body['Crew'] as string,
-    shape: SHAPES.get(body['Shape'])!,
+    shape: SHAPES_BY_WIRE_NAME.get(body['Shape'])!,
     rank: body['Rank'] as Rank,
     taskCount: Number(body['Pieces']),
     cpus: Number(body['Cpus']),
@@ -100,7 +100,7 @@
     Uid: job.id,
     Lane: job.jobClass,
     Crew: job.team,
-    Shape: SHAPE_NAMES[job.shape],
+    Shape: WIRE_SHAPES[job.shape],
     Rank: job.rank,
     Pieces: job.taskCount,
     Cpus: job.cpus,
--- a/packages/wire/time.ts
+++ b/packages/wire/time.ts
@@ -27,12 +27,12 @@
   /** Time of day, only as exact as the settings' `time_bound_ms`. */
   wall(): Micros;
   /** Runs the callback once after the delay. */
-  after(delay: Micros, run: () => void): Timer;
+  after(delay: Micros, callback: () => void): Timer;
 }
 
 /** Resolves after the delay. */
 export function sleep(clock: Clock, delay: Micros): Promise<void> {
-  return new Promise((done) => {
-    clock.after(delay, done);
+  return new Promise((resolve) => {
+    clock.after(delay, resolve);
   });
 }
--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -193,12 +193,12 @@
   assert.deepEqual(parseHeartbeat(heartbeatWith({ Later: 1, Stored: true })), expected);
   assert.deepEqual(parseHeartbeat(heartbeatWith({ RecallS: 27.5 })), { ...expected, spotNoticeS: 27.5 });
   assert.deepEqual(parseHeartbeat(heartbeatWith({ Loaners: false })), { ...expected, spot: false });
-  const most = 18_446_744_073_709_551_615n;
-  assert.deepEqual(parseHeartbeat(heartbeatWith({ Shift: most, Tally: most, Baton: most })), {
+  const maxCount = 18_446_744_073_709_551_615n;
+  assert.deepEqual(parseHeartbeat(heartbeatWith({ Shift: maxCount, Tally: maxCount, Baton: maxCount })), {
     ...expected,
-    incarnation: most,
-    sequence: most,
-    fencingToken: most,
+    incarnation: maxCount,
+    sequence: maxCount,
+    fencingToken: maxCount,
   });
   const { RecallS, ...rest } = JSON.parse(HEARTBEAT_JSON) as Record<string, unknown>;
   assert.equal(RecallS, null);
@@ -256,13 +256,19 @@
 test('a submission keeps its JSON, and is read back as the job that it names', () => {
   assert.equal(JSON.stringify(encodeSubmission(SUBMISSION)), SUBMISSION_JSON);
   assert.deepEqual(parseSubmission(JSON.parse(SUBMISSION_JSON)), { job: SUBMISSION });
-  const open: JobSpec = { ...SUBMISSION, shape: 'gang', machineTypes: null, zone: null, deadlineS: null };
-  const openJson = SUBMISSION_JSON.replace('"array"', '"ensemble"')
+  const unrestricted: JobSpec = {
+    ...SUBMISSION,
+    shape: 'gang',
+    machineTypes: null,
+    zone: null,
+    deadlineS: null,
+  };
+  const unrestrictedJson = SUBMISSION_JSON.replace('"array"', '"ensemble"')
     .replace('["g8"]', 'null')
     .replace('"Hall":"a"', '"Hall":null')
     .replace('"DueS":900', '"DueS":null');
-  assert.equal(JSON.stringify(encodeSubmission(open)), openJson);
-  assert.deepEqual(parseSubmission(JSON.parse(openJson)), { job: open });
+  assert.equal(JSON.stringify(encodeSubmission(unrestricted)), unrestrictedJson);
+  assert.deepEqual(parseSubmission(JSON.parse(unrestrictedJson)), { job: unrestricted });
   for (const rank of ['best_effort', 'normal', 'urgent', 'prod'] as const) {
     const json = SUBMISSION_JSON.replace('"urgent"', `"${rank}"`);
     assert.equal(JSON.stringify(encodeSubmission({ ...SUBMISSION, rank })), json);
@@ -273,8 +279,8 @@
 test('ids of jobs and names of tasks keep their form', () => {
   assert.equal(formatTaskName('j-000412', 3), 'j-000412/3');
   assert.deepEqual(parseTaskName('j-000412/3'), { job: 'j-000412', index: 3 });
-  for (const piece of ['j-000412', '/3', 'j-1/x', 'j-1/-1', 'j-1/1.5'])
-    assert.equal(parseTaskName(piece), null);
+  for (const name of ['j-000412', '/3', 'j-1/x', 'j-1/-1', 'j-1/1.5'])
+    assert.equal(parseTaskName(name), null);
   assert.equal(submittedId({ Uid: 'j-000412' }), 'j-000412');
   assert.equal(submittedId({ Uid: `j-${'1'.repeat(32)}`, Shape: 7 }), `j-${'1'.repeat(32)}`);
   for (const body of [{}, { Uid: `j-${'1'.repeat(33)}` }, { Uid: 'J-1' }, null, 'j-1']) {
@@ -282,7 +288,7 @@
   }
 });
 
-interface Seen {
+interface ReceivedRequest {
   method: string | undefined;
   url: string | undefined;
   type: string | undefined;
@@ -290,7 +296,7 @@
   body: string;
 }
 
-async function seenOf(req: IncomingMessage): Promise<Seen> {
+async function readRequest(req: IncomingMessage): Promise<ReceivedRequest> {
   const chunks: Buffer[] = [];
   for await (const chunk of req) chunks.push(chunk as Buffer);
   const { method, url, headers } = req;
@@ -299,19 +305,19 @@
 }
 
 test('a request carries its body as MessagePack, and any answer is read as a status and a map', async () => {
-  const seen: Seen[] = [];
+  const received: ReceivedRequest[] = [];
   let answer: [status: number, bytes: Buffer] = [200, encode({ Epoch: 4 })];
   const server = createServer((req, res) => {
-    void seenOf(req).then((one) => {
-      seen.push(one);
+    void readRequest(req).then((request) => {
+      received.push(request);
       res.writeHead(answer[0]).end(answer[1]);
     });
   });
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   const endpoint = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const call = createHttpClient(2);
+  const httpClient = createHttpClient(2);
   const send = (method: HttpMethod, path: string, body?: unknown): Promise<unknown> =>
-    call(endpoint, method, path, body, 5 * SECOND);
+    httpClient(endpoint, method, path, body, 5 * SECOND);
   assert.deepEqual(await send('POST', '/grants', { LifeMs: 3000 }), { status: 200, body: { Epoch: 4 } });
   assert.deepEqual(await send('GET', '/store?Starts=a/&Limit=2'), { status: 200, body: { Epoch: 4 } });
   answer = [503, Buffer.from('<html>')];
@@ -323,7 +329,7 @@
   answer = [200, Buffer.from([0xc1])];
   assert.deepEqual(await send('GET', '/machine_types'), { status: 200, body: {} });
   assert.deepEqual(
-    seen.map(({ method, url, type, length, body }) => [method, url, type, length, body]),
+    received.map(({ method, url, type, length, body }) => [method, url, type, length, body]),
     [
       ['POST', '/grants', 'application/msgpack', '11', '81a64c6966654d73cd0bb8'],
       ['GET', '/store?Starts=a/&Limit=2', undefined, undefined, ''],
@@ -346,14 +352,14 @@
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   const { port } = server.address() as AddressInfo;
   const endpoint = `127.0.0.1:${port}`;
-  const call = createHttpClient(2);
-  await assert.rejects(call(endpoint, 'GET', '/silent', undefined, SECOND / 5), {
+  const httpClient = createHttpClient(2);
+  await assert.rejects(httpClient(endpoint, 'GET', '/silent', undefined, SECOND / 5), {
     message: `no response from ${endpoint} in time`,
   });
-  await assert.rejects(call(endpoint, 'GET', '/cut', undefined, 5 * SECOND), { message: 'aborted' });
+  await assert.rejects(httpClient(endpoint, 'GET', '/cut', undefined, 5 * SECOND), { message: 'aborted' });
   server.closeAllConnections();
   await new Promise((done) => server.close(done));
-  await assert.rejects(call(endpoint, 'GET', '/gone', undefined, 5 * SECOND), {
+  await assert.rejects(httpClient(endpoint, 'GET', '/gone', undefined, 5 * SECOND), {
     message: `connect ECONNREFUSED ${endpoint}`,
     code: 'ECONNREFUSED',
   });
