--- a/packages/cloud/cloud-client.ts
+++ b/packages/cloud/cloud-client.ts
@@ -18,8 +18,9 @@
 } from './wire-format.js';
 
 /**
- * The result of a scale-out request. `rented`: the hosts are starting. `no_capacity`: the cloud has no such machines at
- * present. `failed`: refused for another reason. `unknown`: no answer; it may have been carried out, or may yet be.
+ * The result of a scale-out request. `rented`: the hosts are starting. `no_capacity`: the cloud currently has no such
+ * machines. `failed`: the cloud rejected the request for another reason. `unknown`: there is no answer, so the request
+ * may have been executed or may still be.
  */
 export type ScaleOutResult =
   | { readonly kind: 'rented'; readonly hosts: readonly string[] }
@@ -29,25 +30,25 @@
 
 const REQUEST_TIMEOUT: Micros = 4 * SECOND;
 const MAX_MACHINES_PER_PAGE = 500;
-/** Maximum number of machines that one request may delete. */
+/** The maximum number of machines that one request may delete. */
 export const MAX_MACHINES_PER_DELETE = 100;
-/** Maximum number of machines that one request may ask for. */
+/** The maximum number of machines in one scale-out request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
 
-/** The client of the cloud. Its methods never reject: each result shows a missing or unexpected answer. */
+/** The client of the cloud. Its methods never reject: the results show missing and unexpected answers. */
 export class CloudClient {
   constructor(
     private readonly endpoint: string,
     private readonly httpClient: HttpClient,
   ) {}
 
-  /** All machine types on offer, or null if they could not be read. */
+  /** Returns all machine types that the cloud offers, or null if they could not be read. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.send('GET', '/machine_types');
     return reply?.status === 200 ? decodeMachineTypes(reply.body) : null;
   }
 
-  /** Requests machines. Idempotent: the cloud recognizes a repeated request by its id. */
+  /** Requests machines. The request is idempotent: the cloud recognizes a repeated request by its id. */
   async requestMachines(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const reply = await this.send('POST', '/rentals', encodeScaleOutRequest(request));
     if (!reply) return { kind: 'unknown' };
@@ -57,13 +58,13 @@
     return { kind: 'failed' };
   }
 
-  /** Deletes machines; true if they and all tasks on them are gone. */
+  /** Deletes machines. Returns true if the cloud confirms that the machines and all tasks on them are gone. */
   async deleteMachines(hosts: readonly string[]): Promise<boolean> {
     const reply = await this.send('POST', '/rentals/delete', encodeDeleteRequest(hosts));
     return reply?.status === 200;
   }
 
-  /** All machines that the cloud lists at present, or null if the list could not be read completely. */
+  /** Returns all machines that the cloud lists, or null if the list could not be read completely. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     for (let after = ''; ;) {
@@ -80,7 +81,7 @@
     }
   }
 
-  /** The answer; null if none came in time. */
+  /** Sends a request. Returns its answer, or null if there was none in time. */
   private async send(method: HttpMethod, path: string, body?: unknown): Promise<HttpReply | null> {
     try {
       return await this.httpClient(this.endpoint, method, path, body, REQUEST_TIMEOUT);
--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -1,4 +1,4 @@
-/** The requests to the cloud and how its answers are read, as literals: they change only with the protocol. */
+/** Golden tests of the requests to the cloud and of its answers. Expectations change only with the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpClient, WireFields, ListedMachine, MachineType, Micros, HttpReply } from '#wire';
@@ -6,7 +6,7 @@
 
 const TIMEOUT: Micros = 4_000_000;
 
-/** A cloud that gives these answers in their order, null for none, and records the requests. */
+/** Creates a client whose requests get these replies in order (null for no reply), and records the requests. */
 function clientWithReplies(...replies: (HttpReply | null)[]): { client: CloudClient; requests: string[] } {
   const requests: string[] = [];
   const httpClient: HttpClient = (...[endpoint, method, path, body, timeout]) => {
--- a/packages/cloud/wire-format.ts
+++ b/packages/cloud/wire-format.ts
@@ -7,7 +7,7 @@
   type ScaleOutRequest,
 } from '#wire';
 
-/** The machine types that an answer lists; null if it lists none. */
+/** Reads the machine types from an answer. Returns null if the answer has no list of them. */
 export function decodeMachineTypes(body: WireFields): MachineType[] | null {
   return decodeMaps(body['Builds'])?.map(decodeMachineType) ?? null;
 }
@@ -27,22 +27,22 @@
   };
 }
 
-/** The body of a scale-out request. */
+/** Encodes the body of a scale-out request. */
 export function encodeScaleOutRequest({ id, machineType, zone, spot, count }: ScaleOutRequest): WireFields {
   return { Hire: id, Build: machineType, Hall: zone, Loaners: spot, Number: count };
 }
 
-/** The hosts of the new machines; null if the answer has no list of them. */
+/** Reads the hosts of new machines from an answer. Returns null if the answer has no list of them. */
 export function decodeNewHosts(body: WireFields): string[] | null {
   return Array.isArray(body['Hosts']) ? body['Hosts'].map(String) : null;
 }
 
-/** The body of a request to delete machines. */
+/** Encodes the body of a request to delete machines. */
 export function encodeDeleteRequest(hosts: readonly string[]): WireFields {
   return { Hosts: hosts };
 }
 
-/** The machines of a page; null if the answer is not a page. */
+/** Reads the machines of a page of the machine list. Returns null if the answer is not a page. */
 export function decodeMachines(body: WireFields): ListedMachine[] | null {
   return decodeMaps(body['Hosts'])?.map(decodeMachine) ?? null;
 }
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -1,6 +1,6 @@
 /**
- * The exact text of every row that this package stores, as the version in production reads it. A change here breaks
- * upgrades, restored backups and snapshots: names of fields in the code may change, these may not.
+ * Golden tests of every row that this package stores, in the form that the version in production reads. A changed
+ * expectation breaks upgrades, restored backups and snapshots. Names in the code may change; stored names may not.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -54,22 +54,24 @@
 
 const NO_LOG = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STORE_ENDPOINT = '10.2.0.1:2379';
-/** Time of day of every record, in milliseconds. */
+/** The time of day of every record, in milliseconds. */
 const WALL_MS = 1_790_000_000_123;
-/** An integer that no number holds exactly. */
+/** An integer that a `number` can't represent exactly. */
 const UNSAFE_COUNT = 2n ** 63n + 1n;
 
+/** Returns a value as JSON. A bigint becomes a string of its digits and `n`. */
 function toText(value: unknown): string {
   return JSON.stringify(value, (_key, part: unknown) => (typeof part === 'bigint' ? `${part}n` : part));
 }
 
+/** Reads the JSON of {@link toText}. */
 function fromText(text: string): WireFields {
   const revive = (_key: string, part: unknown): unknown =>
     typeof part === 'string' && /^\d+n$/.test(part) ? BigInt(part.slice(0, -1)) : part;
   return JSON.parse(text, revive) as WireFields;
 }
 
-/** The state service, and what reaches it. */
+/** A simulated state store, and a node's clock and clients of it. */
 class StoreFixture {
   readonly clock = new SimClock();
   readonly nodeClock: Clock = {
@@ -102,10 +104,12 @@
     return new StoreClient(STORE_ENDPOINT, call);
   }
 
+  /** Advances the simulated clock. */
   async advance(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => undefined);
   }
 
+  /** Advances the simulated clock until the promise settles. */
   async runUntil<T>(promise: Promise<T>): Promise<T> {
     let isSettled = false;
     const watched = promise.finally(() => {
@@ -115,14 +119,14 @@
     return watched;
   }
 
-  /** Rows below this prefix in the order of their keys: the text of each. */
+  /** Returns the text of each row below a prefix, sorted by key. */
   rowTexts(prefix: string): Record<string, string> {
     const rows = [...this.store.rows].filter(([path]) => path.startsWith(prefix));
     rows.sort(([a], [b]) => (a < b ? -1 : 1));
     return Object.fromEntries(rows.map(([path, { value }]) => [path, toText(value)]));
   }
 
-  /** The copy of a node that starts now. */
+  /** Returns the replica of a node that starts now. */
   async loadReplica(): Promise<Replica> {
     const replica = new Replica({
       store: this.client(),
@@ -138,7 +142,7 @@
   }
 }
 
-/** One member that leads and owns share 0, and writes through the real code. */
+/** A member that is the leader and the owner of shards 0 and 1, and writes with the production code. */
 class LeaderFixture extends StoreFixture {
   readonly replica = new Replica({
     store: this.client(),
@@ -199,14 +203,14 @@
   }
 }
 
-/** The copy of a node that finds these rows, written in this order. */
+/** Returns the replica of a node that loads these rows, which are written in this order. */
 async function loadFromTexts(texts: Record<string, string>): Promise<Replica> {
   const service = new StoreFixture();
   for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: fromText(text) });
   return service.loadReplica();
 }
 
-test('keys: where each kind of row lies', () => {
+test('each kind of row has its stored key', () => {
   assert.deepEqual(
     [
       ROOT_PREFIX,
@@ -273,7 +277,7 @@
 
 const CAPABILITIES_TEXT = '{"Capabilities":["gangs","handover","memory"]}';
 
-test('rows of a member, of the lead and of what it announces', async () => {
+test('the rows of a member, the leader and its capabilities keep their stored form', async () => {
   const node = await new LeaderFixture().start();
   const leaderRow = '{"Member":"node-1","Nonce":"p1.1"}';
   assert.deepEqual(node.rowTexts(LIVE_PREFIX), {
@@ -317,8 +321,8 @@
   });
 });
 
-/** What an older version left out, and rows that can't be read. */
-test('rows of older versions and unreadable rows', async () => {
+/** Older versions omit fields. An unreadable row of the leader or of a shard must not be taken for a vacant role. */
+test('missing fields of older versions are read as empty, and unreadable rows name no holder', async () => {
   const replica = await loadFromTexts({
     'mw/now/token': '{"Token":"x"}',
     'mw/now/lead': '{"Member":7}',
@@ -394,7 +398,7 @@
   };
 }
 
-test("records of the leader's log, with every field", async () => {
+test("a record of the leader's log keeps its stored form in every field", async () => {
   const node = await new LeaderFixture().start();
   await node.append(['lead', LEADER_DRAFT]);
   assert.deepEqual(node.rowTexts(LOG_PREFIX), { 'mw/now/log/lead/0001': LEADER_RECORD });
@@ -436,7 +440,7 @@
   );
 });
 
-test('a later record of the leader takes away machines and rentals', async () => {
+test('a later record of the leader removes machines and settles scale-outs', async () => {
   const { ledger } = await loadFromTexts({
     'mw/now/log/lead/0001': LEADER_RECORD,
     'mw/now/log/lead/0002':
@@ -447,7 +451,7 @@
   assert.deepEqual([...ledger.pendingScaleOuts.keys()], ['hire-2']);
 });
 
-/** In the order of the protocol; all that a record may say of an end. */
+/** All outcomes that a completion may have, in the order of the protocol. */
 const OUTCOMES: Outcome[] = ['done', 'stopped', 'failed', 'refused', 'lost', 'undelivered'];
 
 const START_DRAFT: RecordDraft = {
@@ -518,7 +522,7 @@
   };
 }
 
-test("records of an owner's log, with every field, status and outcome", async () => {
+test("records of a shard owner's log keep their stored form in every field, status and outcome", async () => {
   const node = await new LeaderFixture().start();
   await node.append(['lead', LEADER_DRAFT]);
   await node.append([0, START_DRAFT]);
@@ -531,7 +535,7 @@
     'mw/now/log/lead/0001': LEADER_RECORD,
   });
 
-  // The job is live: what is done of it counts.
+  // Done tasks are recorded only for live jobs.
   const job = { 'mw/now/job/j-1': toText(encodeJobRow(sampleJob('j-1'), WALL_MS)) };
   const started = await loadFromTexts({
     ...job,
@@ -609,7 +613,7 @@
   );
 });
 
-test('records of one commit carry their place in it; a draft too large for a value is cut', async () => {
+test('records of one commit store their index in it, and a draft too large for a value is split', async () => {
   const node = await new LeaderFixture().start(640);
   await node.append(['lead', { machines: LEADER_DRAFT.machines ?? [] }]);
   const tasks = [...Array(60).keys()].map((i): [number, string, Count] => [i, 'n-1', 1]);
@@ -638,7 +642,7 @@
   };
   assert.deepEqual(node.rowTexts(LOG_PREFIX), records);
 
-  // Pages of rows come in the order of their keys, not of their commits.
+  // Pages list rows in the order of their keys, not of their commits.
   const replica = await node.loadReplica();
   const placements = [...(replica.ledger.jobs.get('j-1')?.placements.values() ?? [])];
   assert.equal(placements.length, 60);
@@ -660,7 +664,7 @@
   );
 });
 
-test('how a job ended, where it lies among the live ones and where it is put away', async () => {
+test('a terminal status is stored under the live key of its job, and later moved to the terminal key', async () => {
   const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-2']) {
     node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
@@ -696,7 +700,7 @@
   assert.equal(await service.runUntil(restarted.terminalStatus('j-3')), null);
 });
 
-/** A node whose ledger has something of every kind that a checkpoint holds. */
+/** Returns a node whose ledger contains every kind of row that a checkpoint can hold. */
 async function nodeWithFullLedger(): Promise<LeaderFixture> {
   const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-3']) {
@@ -706,7 +710,7 @@
   await node.append([0, START_DRAFT]);
   await node.append([1, { releases: [['n-5', [4, 5]]], statuses: [['n-2', 'reclaimed']] }]);
   await node.append([0, COMPLETION_DRAFT]);
-  // More names than one row holds.
+  // More names than fit into one row.
   const namedMachines = [...Array(14).keys()].map((i): MachineRow => [
     `n-${i + 6}`,
     `type-${i}`,
@@ -725,7 +729,7 @@
       ],
     },
   ]);
-  // More tasks, and more gaps between those that are done, than one row holds.
+  // More tasks, and more ranges of done tasks, than fit into one row.
   const oddIndexes = [...Array(61).keys()].map((i) => 2 * i + 1);
   const tasks = oddIndexes.map((i): [number, string, Count] => [
     i,
@@ -803,7 +807,7 @@
   'mw/now/job/j-3': toText(encodeJobRow(sampleJob('j-3'), WALL_MS)),
 };
 
-test('rows of a checkpoint, of every kind, and its head', async () => {
+test('a checkpoint keeps the stored form of its head and of every kind of row', async () => {
   const node = await nodeWithFullLedger();
   await node.runUntil(node.writer.maintain());
   const chunk = `{"Rows":[${CHECKPOINT_ROWS.join()}]}`;
@@ -936,7 +940,7 @@
   assert.equal(ledger.jobs.get('j-3')?.done.count, 61);
 });
 
-test('a checkpoint larger than a value is cut into chunks', async () => {
+test('a checkpoint larger than a value is split into chunks', async () => {
   const node = await nodeWithFullLedger();
   await node.runUntil(node.writerFor(1024).maintain());
   const chunks = Object.entries(node.rowTexts(CHECKPOINT_CHUNK_PREFIX));
--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -90,7 +90,7 @@
   return value['Rows'] as CheckpointRow[];
 }
 
-/** Packs rows, in their order, into as few chunks as possible. A chunk exceeds `maxChunkBytes` only if a single row does. */
+/** Packs rows, in their order, into as few chunks as possible. A chunk exceeds `maxChunkBytes` only if one row does. */
 export function packIntoChunks(rows: readonly CheckpointRow[], maxChunkBytes: number): CheckpointRow[][] {
   const chunks: CheckpointRow[][] = [[]];
   let chunkBytes = EMPTY_CHUNK_BYTES;
@@ -106,7 +106,7 @@
   return chunks;
 }
 
-/** Encodes all rows of a checkpoint, in the order in which they must be read. Done tasks are written for live jobs only. */
+/** Encodes all rows of a checkpoint, in the order in which they are read. Done tasks are written for live jobs only. */
 export function encodeCheckpointRows(
   source: CheckpointSource,
   isLive: (job: string) => boolean,
--- a/packages/cluster/stored/enum-codec.ts
+++ b/packages/cluster/stored/enum-codec.ts
@@ -4,7 +4,7 @@
 export interface EnumCodec<T extends string> {
   /** Returns the stored word of a value. */
   encode(value: T): string;
-  /** Returns the value of a stored word. An unknown word, which a newer version may have written, is returned unchanged. */
+  /** Returns the value of a stored word. An unknown word, as a newer version may write it, is returned unchanged. */
   decode(storedValue: string): T;
 }
 
--- a/packages/cluster/stored/holder-codec.ts
+++ b/packages/cluster/stored/holder-codec.ts
@@ -2,7 +2,7 @@
 import type { WireFields } from '#wire';
 import type { LeaseHolder, ShardOwner } from '../members.js';
 
-/** The member name and nonce of a holder whose row is unreadable. No member has this name, and no process this nonce. */
+/** Member name and nonce of a holder whose row is unreadable. No member has this name, and no process this nonce. */
 const UNREADABLE = '';
 
 /** A process of a member. The nonce distinguishes it from earlier processes of the same member. */
--- a/packages/cluster/stored/index.ts
+++ b/packages/cluster/stored/index.ts
@@ -1,6 +1,6 @@
 /**
  * Codecs between the rows of the state store and the cluster's domain types. Only these codecs know the stored names.
- * The fields of the domain types can therefore be renamed, and every version can read the rows that another has written.
+ * The fields of the domain types can therefore be renamed, and each version can read the rows that another has written.
  */
 export * from './checkpoint-codec.js';
 export * from './checkpoint-row.js';
--- a/packages/cluster/stored/member-codec.ts
+++ b/packages/cluster/stored/member-codec.ts
@@ -15,6 +15,7 @@
   nonce: string;
   zone: string;
   leaseId: Count;
+  /** The status that the member publishes. */
   notes: MemberStatus;
   capabilities: readonly Capability[];
 }
@@ -28,7 +29,7 @@
     Unreachable: notes.unreachable,
     WorkersUnreachable: notes.workersUnreachable,
   };
-  // Shards are resigned only once all nodes have announced that they support it. The field is omitted if it is empty.
+  // Older nodes don't know this field: it is set only once all nodes have announced support, and omitted if empty.
   if (notes.resignedShards.length > 0) value['Resigned'] = notes.resignedShards;
   return { ...value, ...encodeCapabilities(capabilities) };
 }
@@ -49,7 +50,7 @@
   };
 }
 
-/** Encodes a capability announcement. It is part of the member's row, and has a key of its own that outlives the process. */
+/** Encodes a capability announcement, for the member's row and for a key of its own that outlives the process. */
 export function encodeCapabilities(capabilities: readonly Capability[]): WireFields {
   return { Capabilities: capabilities.map((capability) => CAPABILITY_CODEC.encode(capability)) };
 }
--- a/packages/cluster/stored/record-splitter.ts
+++ b/packages/cluster/stored/record-splitter.ts
@@ -4,13 +4,13 @@
 
 /** Size of an empty draft, `{}`. */
 const EMPTY_DRAFT_BYTES = 2;
-/** Bytes reserved for the syntax around a row, beside the row itself and the name of its field. */
+/** Bytes reserved for the syntax around a row, in addition to the row and the name of its field. */
 const ROW_OVERHEAD_BYTES = 6;
-/** Bytes reserved for the syntax and the field name around a shape's prices, beside the row and the shape. */
+/** Bytes reserved for the syntax and the field name around a shape's prices, in addition to the row and the shape. */
 const PRICE_OVERHEAD_BYTES = 14;
-/** Bytes reserved for a team's unmet demand: the number, the syntax and the field name, beside the team. */
+/** Bytes reserved for a team's unmet demand: the number, the syntax and the field name, but not the team. */
 const UNMET_OVERHEAD_BYTES = 34;
-/** Bytes reserved for the syntax and the field name around a group of starts, beside its fields and tasks. */
+/** Bytes reserved for the syntax and the field name around a group of starts, but not its fields and tasks. */
 const GROUP_OVERHEAD_BYTES = 14;
 /** Size of the comma after a task. */
 const SEPARATOR_BYTES = 1;
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -1,4 +1,4 @@
-/** Client of the consensus-backed key-value store, and what keeps requests within its limits. */
+/** Client of the consensus-backed key-value store, with its rate limits, size limits and revision check. */
 export * from './revision-check.js';
 export * from './rate-limiter.js';
 export * from './rows.js';
--- a/packages/store/rate-limiter.ts
+++ b/packages/store/rate-limiter.ts
@@ -1,24 +1,24 @@
-/** Rate limits of requests to the store. */
+/** Rate limiting of requests to the store. */
 import { type Clock, type Micros, SECOND } from '#wire';
 
 /** The sliding window over which a rate is measured. */
 const RATE_WINDOW: Micros = 3 * SECOND;
 
-/** Measures a rate over the last seconds. */
+/** Measures the rate of events over a sliding window. */
 export class RateMeter {
   private readonly entries: { at: Micros; count: number }[] = [];
   private total = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Counts events that happen now. */
+  /** Records events that occur now. */
   add(count: number): void {
     if (count === 0) return;
     this.entries.push({ at: this.clock.now(), count });
     this.total += count;
   }
 
-  /** Events per second over the window. */
+  /** Returns the number of events per second over the window. */
   rate(): number {
     const from = this.clock.now() - RATE_WINDOW;
     for (let first = this.entries[0]; first && first.at < from; first = this.entries[0]) {
@@ -29,27 +29,28 @@
   }
 }
 
-/** A rejected request multiplies the rate by this. */
+/** Each rejected request multiplies the rate by this factor. */
 const REJECTION_FACTOR = 0.7;
-/** Rejections leave at least this fraction of the rate. */
+/** Rejections never reduce the rate below this fraction of it. */
 const MIN_RATE_FACTOR = 0.25;
 /** Time without a rejection after which the full rate is restored. */
 const FULL_RATE_RECOVERY: Micros = 20 * SECOND;
 
 /**
- * A token bucket that keeps one kind of request within its quota of what the store allows. It holds up to a second's worth
- * of tokens for bursts. A large commit may take more tokens than there are; the next one waits until the debt is paid.
+ * A token bucket that keeps one kind of request within its quota of the store's rate limit. The bucket holds the tokens
+ * of one second for bursts. A large commit may take more tokens than are available; later requests then wait until at
+ * least one token is available again.
  */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: Micros;
-  /** When a request was last rejected for coming too fast, and the fraction of the rate that this left. */
+  /** The time of the last rejection by the store's rate limit, and the fraction of the rate that remained after it. */
   private backoff: { at: Micros; factor: number } = { at: -Infinity, factor: 1 };
   private readonly consumed: RateMeter;
 
   constructor(
     private readonly clock: Clock,
-    /** The present rate in tokens per second, given the rate at which tokens were consumed lately. */
+    /** Returns the current rate in tokens per second, given the recent rate of consumption. */
     private readonly rateFor: (consumedRate: number) => number,
   ) {
     this.consumed = new RateMeter(clock);
@@ -57,20 +58,20 @@
     this.refilledAt = clock.now();
   }
 
-  /** Takes tokens, even more than there are. */
+  /** Takes tokens, even if fewer are available. */
   consume(count: number): void {
     this.refill();
     this.tokens -= count;
     this.consumed.add(count);
   }
 
-  /** Time until a token is available; 0 if there is one. */
+  /** Returns the time until a token is available, 0 if one is available now. */
   delay(): Micros {
     this.refill();
     return this.tokens >= 1 ? 0 : Math.ceil(((1 - this.tokens) / this.rate()) * SECOND);
   }
 
-  /** To be called when the store rejected a request as too fast: its limit was lowered, or others exceed their quota. */
+  /** Reduces the rate after the store rejected a request: its rate limit was lowered, or others exceed their quota. */
   onRejected(): void {
     this.backoff = {
       at: this.clock.now(),
@@ -78,7 +79,7 @@
     };
   }
 
-  /** The fraction of the rate that rejections have left; it recovers linearly while there are none. */
+  /** Returns the fraction of the rate that remains after rejections. It recovers linearly while there are none. */
   private rateFactor(): number {
     const { at, factor } = this.backoff;
     if (factor === 1) return 1;
--- a/packages/store/request-format.test.ts
+++ b/packages/store/request-format.test.ts
@@ -1,4 +1,4 @@
-/** The requests to the state service and how its answers are read, as literals: they change only with the protocol. */
+/** Golden tests of the requests to the state service and of its answers. Expectations change only with the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpClient, WireFields, HttpReply } from '#wire';
@@ -14,11 +14,11 @@
 
 interface Fixture {
   client: StoreClient;
-  /** Each request: its method, path, body if it has one, and the time in milliseconds that it may take. */
+  /** The method, path, body (if any) and timeout of each request that was sent. */
   requests: string[];
 }
 
-/** A store that gives these answers in their order, null for none, and records the requests. */
+/** Creates a client whose requests get these replies in order (null for no reply), and records the requests. */
 function clientWithReplies(replies: readonly (HttpReply | null)[], check?: RevisionCheck): Fixture {
   const requests: string[] = [];
   const remainingReplies = [...replies];
@@ -48,7 +48,7 @@
     return cause instanceof StoreError && cause.status === status && cause.message === message;
   };
 
-test('a key is read by its path, unescaped', async () => {
+test('get requests a key by its unescaped path', async () => {
   const { client, requests } = clientWithReplies([
     makeReply(200, '{"Path":"a/b","V":{"N":1},"Stamp":412,"Permit":7}'),
     makeReply(404, '{"Epoch":431}'),
@@ -70,7 +70,7 @@
   assert.deepEqual(requests, Array(5).fill('GET /store/a/b 1500 ms'));
 });
 
-test('keys are listed in pages of a thousand', async () => {
+test('list requests rows in pages of a thousand', async () => {
   const { client, requests } = clientWithReplies([
     makeReply(
       200,
@@ -102,7 +102,7 @@
   ]);
 });
 
-test('a transaction names its conditions and its writes, with a lease only where one is given', async () => {
+test('compareAndSwap sends guards and writes, with a lease only for writes that have one', async () => {
   const { client, requests } = clientWithReplies([
     makeReply(200, '{"Epoch":432}'),
     makeReply(200, '{"Epoch":433}'),
@@ -125,7 +125,7 @@
   ]);
 });
 
-test('each answer to a transaction is read as its result', async () => {
+test('compareAndSwap maps each answer to a commit result', async () => {
   const replies = [
     makeReply(409, '{"failed":["a/b"],"Epoch":431}'),
     makeReply(409, '{"Epoch":431}'),
@@ -190,7 +190,7 @@
   ]);
 });
 
-test('changes are watched from a revision on, and read in the order of the answer', async () => {
+test('watch requests the changes since a revision and returns them in the order of the answer', async () => {
   const { client, requests } = clientWithReplies([
     makeReply(
       200,
@@ -218,7 +218,7 @@
   assert.deepEqual(requests, Array(5).fill('GET /follow?Starts=c/&After=431&BlockMs=10000 14000 ms'));
 });
 
-test('the expiry of a lease is confirmed by a read of the present revision where revisions are checked', async () => {
+test('renewLease confirms an expiry by a read of the current revision if there is a revision check', async () => {
   const check: RevisionCheck = {
     isOpen: () => true,
     minimumRevision: () => 400,
@@ -235,7 +235,7 @@
   assert.equal(UNUSED_KEY, 'mw/nothing');
 });
 
-test('while the revision check is closed no request is sent, and all are refused as in an outage', async () => {
+test('while the revision check allows no requests, none is sent and all fail as in an outage', async () => {
   const closed: RevisionCheck = {
     isOpen: () => false,
     minimumRevision: () => 400,
--- a/packages/store/revision-check.ts
+++ b/packages/store/revision-check.ts
@@ -1,18 +1,18 @@
-/** Guards against a store that has lost a part of its history. */
+/** The check that detects a store that has lost a part of its history. */
 
-/** Tells whether the store still shows the history that it has shown before. */
+/** Checks that the revisions in the store's answers never go back, which would mean that the store has lost commits. */
 export interface RevisionCheck {
-  /** False: the store may be used for nothing but a complete read of its state. */
+  /** True if requests are allowed. While it is false, only a complete read of the store's state is allowed. */
   isOpen(): boolean;
-  /** The highest revision that any answer has shown: answers to requests sent from now on can't show a lower one. */
+  /** Returns the highest revision of any answer so far. Answers to requests sent from now on can't have a lower one. */
   minimumRevision(): number;
-  /** Records the revision of an answer; false if it is below the minimum (`floor`) that held when the request was sent. */
+  /** Records the revision of an answer. Returns false if it is below the minimum at the time of sending the request. */
   accepts(minimum: number, revision: number): boolean;
-  /** The same for the revision of an applied commit: it has to be higher than any shown before the request. */
+  /** Records the revision of an applied commit. Returns false unless it is above the minimum at the time of sending. */
   acceptsCommitted(minimum: number, revision: number): boolean;
 }
 
-/** Accepts every answer. */
+/** A check that accepts every answer. */
 export const NO_REVISION_CHECK: RevisionCheck = {
   isOpen: () => true,
   minimumRevision: () => 0,
--- a/packages/store/rows.ts
+++ b/packages/store/rows.ts
@@ -9,19 +9,19 @@
   readonly revision: number;
 }
 
-/** A row as a commit left it. */
+/** A change of one row by a commit. */
 export interface Change {
   readonly path: string;
   /** The revision of the commit. */
   readonly revision: number;
-  /** Null: the row was removed. */
+  /** Null if the row was removed. */
   readonly value: WireFields | null;
 }
 
-/** A condition of a compare-and-swap: the key still has this revision. */
+/** A condition of a compare-and-swap: the row's revision is unchanged. */
 export interface Guard {
   readonly path: string;
-  /** 0: the key must not exist. */
+  /** The expected revision of the row; 0 if the key must not exist. */
   readonly revision: number;
 }
 
@@ -29,24 +29,24 @@
 export interface KeyRead {
   /** Null if the key does not exist. */
   readonly row: Row | null;
-  /** A revision at which this was so: the store's present one, or for a row that of its commit. */
+  /** The revision of the row, or the store's current revision if the key does not exist. */
   readonly revision: number;
 }
 
 /** One page of the rows below a prefix, sorted by key. */
 export interface RowPage {
   readonly rows: Row[];
-  /** There are further pages. */
+  /** True if there are further pages. */
   readonly more: boolean;
   /** The store's revision when the page was read. */
   readonly revision: number;
 }
 
-/** The changes below a prefix since the revision that was asked for. */
+/** The changes below a prefix since the requested revision. */
 export interface ChangeBatch {
   /** The revision up to which the changes are complete. */
   readonly revision: number;
-  /** In the order of the answer. */
+  /** In the order in which the answer lists them. */
   readonly changes: Change[];
 }
 
@@ -56,9 +56,10 @@
   | { readonly remove: string };
 
 /**
- * The result of a commit. `unknown`: no answer, so it may have been applied or may yet be; its sender has to read the
- * keys before it goes on. `refused`: a guard did not hold; `failed` names its keys. `lease_expired`: the lease of a row
- * doesn't exist any more. `not_executed`: the store answered with an HTTP status of 400 or more.
+ * The result of a commit. `refused`: some guards did not hold, and `failed` lists their keys. `lease_expired`: the
+ * lease of a row no longer exists. `not_executed`: the store answered with another HTTP status of 400 or more.
+ * `unknown`: there is no usable answer. The commit may have been applied or may still be, so the sender has to read the
+ * keys before it continues.
  */
 export type CommitResult =
   | { readonly kind: 'applied'; readonly revision: number }
@@ -70,12 +71,12 @@
 const BAD_REQUEST = 400;
 const TOO_MANY_REQUESTS = 429;
 
-/** Whether a commit exceeds the store's limits, which may have been lowered since it was built. */
+/** True if a commit exceeds the store's size limits, which may have been lowered since the commit was built. */
 export function isTooLarge(result: CommitResult): boolean {
   return result.kind === 'not_executed' && result.status === BAD_REQUEST;
 }
 
-/** Whether a commit was refused because requests come faster than the store accepts them. */
+/** True if a commit was rejected by the store's rate limit. */
 export function isRateLimited(result: CommitResult): boolean {
   return result.kind === 'not_executed' && result.status === TOO_MANY_REQUESTS;
 }
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -13,27 +13,27 @@
 } from './wire-format.js';
 
 const REQUEST_TIMEOUT: Micros = 1500 * MS;
-/** For large answers; a watch may take this long beyond the time for which it blocks. */
+/** The timeout of large answers. A watch may take this long in addition to the time for which it blocks. */
 const LONG_TIMEOUT: Micros = 4 * SECOND;
 const MAX_ROWS_PER_PAGE = 1000;
-/** Also the status of a {@link StoreError} for a request that the revision check doesn't allow: callers treat it as an outage. */
+/** Also the status of a {@link StoreError} from the revision check, so that callers treat it as an outage. */
 const UNAVAILABLE = 503;
 const OK = 200;
 const NOT_FOUND = 404;
 const CONFLICT = 409;
 const GONE = 410;
-/** A key that is never written: reading it costs one request and returns the present revision. */
+/** A key that is never written. Reading it costs one request and returns the store's current revision. */
 export const UNUSED_KEY = 'mw/nothing';
 
-/** What a request carries beside its method and path. */
+/** Optional parts of a request. */
 interface RequestOptions {
   readonly body?: unknown;
   readonly timeout?: Micros;
 }
 
 /**
- * The client of the key-value store. A request without an answer, or with an unexpected one, rejects with a
- * {@link StoreError}; commits resolve with a {@link CommitResult} instead.
+ * The client of the key-value store. A request rejects with a {@link StoreError} if no answer comes or the answer is
+ * unexpected. A commit never rejects: its {@link CommitResult} shows the failure.
  */
 export class StoreClient {
   constructor(
@@ -49,14 +49,14 @@
     if (status === NOT_FOUND)
       return { row: null, revision: this.requireAccepted(minimum, decodeRevision(body)) };
     if (status !== OK) throw new StoreError(status);
-    // The row's own revision says nothing of the store's present revision.
+    // The row's revision may be far below the store's current revision, so the revision check can't apply to it.
     const row = decodeRow(path, body);
     return { row, revision: row.revision };
   }
 
   /**
-   * Reads a page of the rows below a prefix, from the first key after `after` (empty: from the start). The
-   * revision check doesn't guard it: whoever reads the complete state has to check the revisions of its pages.
+   * Reads a page of the rows below a prefix, starting after the key `after` (empty for the first page). The revision
+   * check is not applied: a caller that reads the complete state has to check the revisions of the pages.
    */
   async list(prefix: string, after: string): Promise<RowPage> {
     const query = `Starts=${prefix}${after === '' ? '' : `&After=${after}`}&Limit=${MAX_ROWS_PER_PAGE}`;
@@ -65,7 +65,7 @@
     return { rows: decodeRows(body), more: body['More'] === true, revision: decodeRevision(body) };
   }
 
-  /** Applies all of the writes if all of the guards hold, or none. Never rejects. */
+  /** Applies all of the writes if all of the guards hold, otherwise none. Never rejects. */
   async compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): Promise<CommitResult> {
     const body = encodeCommit(guards, writes);
     if (!this.revisionCheck.isOpen()) return { kind: 'not_executed', status: UNAVAILABLE };
@@ -81,7 +81,7 @@
       : { kind: 'unknown' };
   }
 
-  /** Creates a lease that expires when it was not renewed for `life`; resolves with its id. */
+  /** Creates a lease that expires when it is not renewed for `duration`. Resolves with the id of the lease. */
   async createLease(duration: Micros): Promise<Count> {
     this.requireAllowed();
     const { status, body } = await this.send('POST', '/grants', {
@@ -91,7 +91,7 @@
     return body['Permit'] as Count;
   }
 
-  /** Resolves with false if the lease has expired. */
+  /** Renews a lease. Resolves with false if the lease has expired. */
   async renewLease(leaseId: Count): Promise<boolean> {
     this.requireAllowed();
     const { status } = await this.send('POST', `/grants/${leaseId}/renew`);
@@ -100,14 +100,14 @@
     return true;
   }
 
-  /** Ends a lease, which removes the rows under it. Any answer will do: a lease that isn't ended expires. */
+  /** Revokes a lease, which removes its rows. The answer's status is ignored: a lease that isn't revoked expires. */
   async revokeLease(leaseId: Count): Promise<void> {
     await this.send('DELETE', `/grants/${leaseId}`);
   }
 
   /**
-   * Waits, for `block` at most, for changes below a prefix since the revision `after`. Null if that is too old: the keys have
-   * to be read again.
+   * Waits, for at most `block`, for changes below a prefix since the revision `after`. Resolves with null if the store
+   * no longer has the changes since that revision; the caller then has to read the rows again.
    */
   async watch(prefix: string, after: number, block: Micros): Promise<ChangeBatch | null> {
     const minimum = this.requireAllowed();
@@ -119,7 +119,7 @@
     return { revision: this.requireAccepted(minimum, decodeRevision(body)), changes };
   }
 
-  /** Whether the answer to a commit belongs to the history that this node knows; if not, the result is unknown. */
+  /** True if the answer to a commit passes the revision check. Otherwise the result of the commit is unknown. */
   private continuesSeenHistory(
     { status, body }: HttpReply,
     writes: readonly Write[],
@@ -132,21 +132,21 @@
   }
 
   /**
-   * A lease that doesn't exist has expired, or was lost with the rest of the state. In the latter case others may not take
-   * over what it protected: a read of the present revision rejects then.
+   * Confirms that a missing lease has expired, and was not lost together with other state. If state was lost, no member
+   * may take over what the lease protected, so the read of the current revision rejects.
    */
   private async confirmExpiry(): Promise<false> {
     if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
     return false;
   }
 
-  /** The lowest revision that the answer to a request sent now may show; throws while the revision check is closed. */
+  /** Returns the minimum revision of answers to requests sent now. Throws if the revision check allows no requests. */
   private requireAllowed(): number {
     if (!this.revisionCheck.isOpen()) throw new StoreError(UNAVAILABLE);
     return this.revisionCheck.minimumRevision();
   }
 
-  /** Returns the revision if it passes the revision check, else throws. */
+  /** Returns the revision if it passes the revision check, and throws otherwise. */
   private requireAccepted(minimum: number, revision: number): number {
     if (!this.revisionCheck.accepts(minimum, revision)) throw new StoreError(UNAVAILABLE);
     return revision;
--- a/packages/store/wire-format.ts
+++ b/packages/store/wire-format.ts
@@ -1,28 +1,28 @@
-/** Codecs of the key-value store's requests and answers. Its protocol names `Path`, `V`, `Stamp`, `Permit` and `Epoch` end here. */
+/** Codecs of the key-value store's requests and answers. Only this file knows most names of the store's protocol. */
 import { type WireFields, isWireFields, type HttpReply } from '#wire';
 import type { Change, CommitResult, Guard, Row, Write } from './rows.js';
 
-/** The revision that an answer shows; NaN if it shows none. */
+/** Reads the store's revision from an answer. Returns NaN if the answer has none. */
 export function decodeRevision(body: WireFields): number {
   return Number(body['Epoch']);
 }
 
-/** A value; anything but a map of fields counts as an empty map. */
+/** Reads the value of a row. Anything but a map of fields counts as an empty map. */
 export function decodeValue(value: unknown): WireFields {
   return isWireFields(value) ? value : {};
 }
 
-/** The row in the answer to a read of one key. */
+/** Reads the row from the answer to a read of one key. */
 export function decodeRow(path: string, body: WireFields): Row {
   return { path, value: decodeValue(body['V']), revision: Number(body['Stamp']) };
 }
 
-/** The rows of a page. */
+/** Reads the rows of a page. */
 export function decodeRows(body: WireFields): Row[] {
   return decodeMaps(body['Rows']).map((row) => decodeRow(String(row['Path']), row));
 }
 
-/** The changes in the answer to a watch. */
+/** Reads the changes from the answer to a watch. */
 export function decodeChanges(body: WireFields): Change[] {
   return decodeMaps(body['News']).map((entry) => {
     const revision = Number(entry['Stamp']);
@@ -32,7 +32,7 @@
   });
 }
 
-/** The body of a commit. */
+/** Encodes the body of a commit. */
 export function encodeCommit(guards: readonly Guard[], writes: readonly Write[]): WireFields {
   return {
     Guards: guards.map((guard) => ({ Path: guard.path, Stamp: guard.revision })),
@@ -47,7 +47,7 @@
   return body;
 }
 
-/** The result that the answer to a commit shows. Its revision has yet to pass the revision check. */
+/** Reads the result of a commit from its answer. The caller has to apply the revision check to the answer. */
 export function decodeCommitResult({ status, body }: HttpReply): CommitResult {
   const revision = decodeRevision(body);
   if (status === 200) return { kind: 'applied', revision };
--- a/packages/store/write-limits.ts
+++ b/packages/store/write-limits.ts
@@ -1,12 +1,12 @@
-/** Limits of the size of values and transactions. */
+/** Limits of the size of values and commits. */
 
-/** Limits are not lowered below these: a write that is refused even so is refused for another reason. */
+/** The limits are not lowered below these minimums: a write this small is rejected for another reason. */
 const MIN_VALUE_BYTES = 512;
 const MIN_TXN_OPS = 2;
 
 /**
- * How large a write to the store may be. The store's limits may be lowered without notice: each refusal halves the
- * limits that later writes are built to, so that none is repeated unchanged.
+ * The size limits that writes to the store must meet. The store may lower its limits without notice. Each rejection
+ * therefore halves these limits, so that no write is repeated unchanged.
  */
 export class WriteLimits {
   constructor(
@@ -14,17 +14,17 @@
     private maxTxnOps: number,
   ) {}
 
-  /** Maximum size of a value in bytes. */
+  /** The maximum size of a value in bytes. */
   get valueBytes(): number {
     return this.maxValueBytes;
   }
 
-  /** Maximum number of operations of a commit. */
+  /** The maximum number of operations in a commit. */
   get txnOps(): number {
     return this.maxTxnOps;
   }
 
-  /** To be called when a write built to the present limits was refused as too large. */
+  /** Halves the limits after the store rejected, as too large, a write that met them. */
   shrink(): void {
     this.maxValueBytes = Math.max(
       Math.min(this.maxValueBytes, MIN_VALUE_BYTES),
--- a/packages/wire/codec.test.ts
+++ b/packages/wire/codec.test.ts
@@ -1,4 +1,4 @@
-/** Codecs of the wire: what is encoded reads back, and invalid bodies are refused. */
+/** Tests that the codecs decode what they encode and reject invalid bodies. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -32,7 +32,7 @@
   DueS: 900,
 };
 
-test('counts up to 2^64 - 1 survive the wire', () => {
+test('counts up to 2^64 - 1 are decoded to the same integer', () => {
   fc.assert(
     fc.property(fc.bigInt(0n, (1n << 64n) - 1n), (count) => {
       const decoded = decode(encode({ count })) as { count: number | bigint };
@@ -49,7 +49,7 @@
   return result.job;
 }
 
-test('each field of a submission is read by its name in the protocol', () => {
+test('each field of a submission is read under its protocol name', () => {
   assert.deepEqual(parseValidSubmission(SUBMISSION), {
     id: 'j-000412',
     jobClass: 'train',
@@ -74,7 +74,7 @@
   });
 });
 
-test('a heartbeat and its response keep their meaning on the wire', () => {
+test('a heartbeat and its response are mapped to and from their protocol names', () => {
   const body = {
     Host: 'n-000231',
     Endpoint: '10.1.0.232:9000',
@@ -128,7 +128,7 @@
   assert.deepEqual(encodeRedirect('hive-2'), { Foreman: 'hive-2' });
 });
 
-test('the status of a job survives encoding and decoding', () => {
+test('the status of a job is decoded to the encoded value', () => {
   for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
     assert.equal(decodeJobStatus(encodeJobState({ id: 'j-1', status })), status);
   }
@@ -136,7 +136,7 @@
   assert.equal(decodeJobStatus({ error: 'no such job' }), null);
 });
 
-test('a submission is read without unknown fields; optional ones may be left out', () => {
+test('unknown fields of a submission are ignored, and optional ones may be omitted', () => {
   const { Builds, Hall, DueS, ...rest } = SUBMISSION;
   assert.deepEqual(encodeSubmission(parseValidSubmission({ ...SUBMISSION, Extra: 1 })), SUBMISSION);
   assert.deepEqual(encodeSubmission(parseValidSubmission(rest)), {
@@ -148,14 +148,14 @@
   assert.deepEqual([Builds, Hall, DueS], [['g8'], null, 900]);
 });
 
-test('a gang is submitted under the protocol name of its shape', () => {
+test('the shape of a gang is mapped to and from its protocol name', () => {
   const submitted = parseSubmission({ ...SUBMISSION, Shape: 'ensemble' });
   assert.ok('job' in submitted);
   assert.equal(submitted.job.shape, 'gang');
   assert.equal(encodeSubmission(submitted.job)['Shape'], 'ensemble');
 });
 
-test('a submission with a field missing or of the wrong type names that field as invalid', () => {
+test('a submission with a missing or invalid field is rejected with the name of the field', () => {
   const optional = ['Builds', 'Hall', 'DueS'];
   for (const field of Object.keys(SUBMISSION)) {
     if (!optional.includes(field)) {
--- a/packages/wire/codec.ts
+++ b/packages/wire/codec.ts
@@ -1,7 +1,7 @@
-/** MessagePack, as every interface of the service speaks it, and checks of what was decoded. */
+/** The MessagePack codec of all network protocols of the service, and type checks of decoded values. */
 import { Packr } from 'msgpackr/pack';
 
-/** The part of `Packr` that is used here. The package's declarations of this entry point don't resolve under `nodenext`. */
+/** The part of `Packr` that is used here. The package's types of this entry point don't resolve under `nodenext`. */
 interface MessagePackCodec {
   pack(value: unknown): Buffer;
   unpack(bytes: Buffer): unknown;
@@ -11,7 +11,7 @@
 
 const MessagePack = Packr as unknown as new (options: MessagePackOptions) => MessagePackCodec;
 
-/** Integers up to 2^64 survive: those that a number can't hold exactly come back as bigint, hence {@link Count}. */
+/** Decodes integers below 2^64 exactly: as `bigint` where a `number` is not exact, see {@link Count}. */
 const packr = new MessagePack({
   useRecords: false,
   mapsAsObjects: true,
@@ -20,42 +20,42 @@
   variableMapSize: true,
 });
 
-/** A sequence number, incarnation, fencing token or attempt: an integer from 0 to 2^64 - 1. */
+/** An integer from 0 to 2^64 - 1: a sequence number, worker incarnation, fencing token, attempt or lease id. */
 export type Count = number | bigint;
 
-/** A map with text keys whose values have not been checked. */
+/** A decoded map with string keys whose values have not been validated. */
 export type WireFields = Record<string, unknown>;
 
-/** The MessagePack bytes of a value; undefined becomes null. */
+/** Encodes a value as MessagePack. Encodes `undefined` as null. */
 export function encode(value: unknown): Buffer {
   return packr.pack(value);
 }
 
-/** The value of these MessagePack bytes. Throws if they end early or go on behind it. */
+/** Decodes a MessagePack value. Throws if the bytes end early or continue after the value. */
 export function decode(bytes: Buffer): unknown {
   return packr.unpack(bytes);
 }
 
 /**
- * Whether a decoded value is a plain map. The decoder makes objects of classes of its own from bytes that are no valid
- * value (0xc1) and from extensions.
+ * True if a decoded value is a plain map. The decoder returns instances of its own classes for invalid bytes (0xc1) and
+ * for extensions.
  */
 export function isWireFields(value: unknown): value is WireFields {
   return typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype;
 }
 
-/** Whether a decoded value is an integer from 0 to 2^64 - 1. */
+/** True if a decoded value is an integer from 0 to 2^64 - 1. */
 export function isCount(value: unknown): value is Count {
   if (typeof value === 'number') return Number.isSafeInteger(value) && value >= 0;
   return typeof value === 'bigint' && value >= 0n && value < 1n << 64n;
 }
 
-/** Whether two counts are the same integer, whichever of the two types carries them. */
+/** True if two counts are the same integer, even if one is a `number` and the other a `bigint`. */
 export function countsEqual(a: Count, b: Count): boolean {
   return typeof a === typeof b ? a === b : BigInt(a) === BigInt(b);
 }
 
-/** Size of a value as JSON in bytes, the form in which the protocol counts its limits. */
+/** Returns the size of a value as JSON in bytes. The size limits of the protocol apply to this form. */
 export function jsonBytes(value: unknown): number {
   const text = JSON.stringify(value, (_key, item: unknown) =>
     typeof item === 'bigint' ? Number(item) : item,
--- a/packages/wire/heartbeat-codec.ts
+++ b/packages/wire/heartbeat-codec.ts
@@ -1,4 +1,4 @@
-/** Codec of the workers' heartbeats and of the responses to them. */
+/** Codec of worker heartbeats and of the responses to them. */
 import { type Count, type WireFields, isCount, isWireFields } from './codec.js';
 import type { ExitCause, TaskStatus, TaskState } from './tasks.js';
 import type { Command, HeartbeatResponse, Heartbeat } from './heartbeat.js';
@@ -22,7 +22,7 @@
   ['unknown', 'unknown_task'],
 ]);
 
-/** Reads a worker's heartbeat from a decoded body; null if a field that matters is missing or invalid. */
+/** Reads a worker's heartbeat from a decoded body. Returns null if a required field is missing or any is invalid. */
 export function parseHeartbeat(body: unknown): Heartbeat | null {
   if (!isWireFields(body) || !Array.isArray(body['Pieces'])) return null;
   const { Host, Endpoint, Build, Hall, Loaners, Shift, Tally, Baton, RecallS } = body;
@@ -61,12 +61,12 @@
   if (!isWireFields(entry)) return null;
   const { Piece, Try, Status, Cause } = entry;
   if (typeof Piece !== 'string' || !isCount(Try) || typeof Status !== 'string') return null;
-  // A task in a state that this version doesn't know is on its machine all the same.
+  // A task whose state this version doesn't know is still on its machine, so it is not dropped.
   const state = TASK_STATES_BY_WIRE_NAME.get(Status) ?? 'fetching';
   return { task: Piece, attempt: Try, state, cause: EXIT_CAUSES_BY_WIRE_NAME.get(Cause) ?? null };
 }
 
-/** The body of the response that renews a worker's lease and carries its commands. */
+/** Encodes the response that renews a worker's lease and carries its commands. */
 export function encodeHeartbeatResponse({ fencingToken, commands }: HeartbeatResponse): WireFields {
   return { Baton: fencingToken, Orders: commands.map(encodeCommand) };
 }
@@ -83,7 +83,7 @@
   }
 }
 
-/** The body that redirects a worker to the node that owns its machine. */
+/** Encodes the response that redirects a worker to the node that owns its machine. */
 export function encodeRedirect(member: string): WireFields {
   return { Foreman: member };
 }
--- a/packages/wire/http-client.ts
+++ b/packages/wire/http-client.ts
@@ -1,27 +1,27 @@
-/** The HTTP client that the service and its clients share: HTTP/1.1 with MessagePack bodies. */
+/** The HTTP client of the service and of its users' tools: HTTP/1.1 with MessagePack bodies. */
 import { Agent, type IncomingMessage, request, type RequestOptions } from 'node:http';
 import { decode, encode, type WireFields, isWireFields } from './codec.js';
 import { type Micros, MS } from './time.js';
 
-/** The largest body of a request, and of an answer to a user or worker, in bytes. */
+/** The maximum size, in bytes, of the body of a request, and of an answer to a user or worker. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const MAX_IDLE_CONNECTIONS = 8;
 const MIN_ERROR_STATUS = 400;
 
-/** The methods that the protocol uses. */
+/** The HTTP methods that the protocols use. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
-/** A server's response. */
+/** The response of a server. */
 export interface HttpReply {
   readonly status: number;
-  /** Empty if the body was empty or no map. */
+  /** An empty map if the response had no body or the body was not a map. */
   readonly body: WireFields;
 }
 
 /**
- * One exchange with a server. Rejects when no response came in time, the connection failed, or the body of a response
- * that isn't an error can't be decoded. Without a body (undefined) the request has none.
+ * Sends one request and resolves with its response. `body` is undefined for a request without a body. Rejects if there
+ * is no response in time, the connection fails, or the body of a response with a status below 400 can't be decoded.
  */
 export type HttpClient = (
   endpoint: string,
@@ -31,7 +31,7 @@
   timeout: Micros,
 ) => Promise<HttpReply>;
 
-/** No response came in time: whether the request was carried out is unknown. */
+/** There was no response in time. The server may or may not have executed the request. */
 export class RequestTimeoutError extends Error {
   constructor(readonly endpoint: string) {
     super(`no response from ${endpoint} in time`);
@@ -39,21 +39,21 @@
   }
 }
 
-/** The connection ended within the response: whether the request was carried out is unknown. */
+/** The connection was closed during the response. The server may or may not have executed the request. */
 export class ResponseAbortedError extends Error {
   constructor(readonly endpoint: string) {
-    super('aborted');
+    super(`response from ${endpoint} aborted`);
     this.name = 'ResponseAbortedError';
   }
 }
 
-/** Host and port of an address that the settings give as `host:port`. */
+/** Splits an address of the form `host:port`, as the settings give it. */
 export function parseEndpoint(address: string): { host: string; port: number } {
   const separator = address.lastIndexOf(':');
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-/** The {@link HttpClient} for real servers. Connections are kept open and reused, with at most `maxSockets` per endpoint. */
+/** Creates the {@link HttpClient} for real servers. It reuses connections, at most `maxSockets` of them per endpoint. */
 export function createHttpClient(maxSockets: number): HttpClient {
   const agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: MAX_IDLE_CONNECTIONS });
   return (endpoint, method, path, body, timeout) => {
@@ -64,6 +64,7 @@
   };
 }
 
+/** One request to a server, ready to be sent. */
 interface Exchange {
   readonly endpoint: string;
   readonly options: RequestOptions;
@@ -120,7 +121,7 @@
     const value = decode(bytes);
     return { status, body: isWireFields(value) ? value : {} };
   } catch (cause) {
-    // An error page need not be MessagePack; its status still counts.
+    // The body of an error response may be anything, such as HTML. Its status is still valid.
     if (status >= MIN_ERROR_STATUS) return { status, body: {} };
     throw cause;
   }
--- a/packages/wire/index.ts
+++ b/packages/wire/index.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that crosses the wire: the messages in the terms of the code, their codecs, and the HTTP client. The codecs
- * are the only place that knows the protocol's own names. Clients of the service can use this package by itself.
+ * The messages of the network protocols, their codecs, the HTTP client and the clock interface. Only the codecs know
+ * the field names of the protocol. Clients of the service can use this package without the other packages.
  */
 export * from './codec.js';
 export * from './http-client.js';
--- a/packages/wire/job-state-codec.ts
+++ b/packages/wire/job-state-codec.ts
@@ -1,4 +1,4 @@
-/** Codec of the answers to queries for the state of a job. */
+/** Codec of the answers to queries of the state of a job. */
 import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
@@ -11,7 +11,7 @@
 
 const STATUSES = Object.keys(WIRE_STATUSES) as JobStatus[];
 
-/** The body of an answer with the state of a job. Task counts are left out where the state has none. */
+/** Encodes the state of a job. Task counts are omitted if the state has none. */
 export function encodeJobState(state: JobState): WireFields {
   const fields: WireFields = { Uid: state.id, Status: WIRE_STATUSES[state.status] };
   if (state.done !== undefined) fields['done'] = state.done;
@@ -19,7 +19,7 @@
   return fields;
 }
 
-/** The status in an answer's body, or null if the body holds none, as that of an error does. */
+/** Reads the status of a job from an answer. Returns null if the answer has none, as in an error. */
 export function decodeJobStatus(body: WireFields): JobStatus | null {
   return STATUSES.find((status) => WIRE_STATUSES[status] === body['Status']) ?? null;
 }
--- a/packages/wire/jobs.ts
+++ b/packages/wire/jobs.ts
@@ -1,6 +1,6 @@
-/** Jobs as their users see them: submissions, and the state that queries return. */
+/** Jobs in the users' interface: the specification that is submitted, and the state that queries return. */
 
-/** The most tasks that a job can have. */
+/** The maximum number of tasks of a job. */
 export const MAX_TASKS = 100_000;
 
 /** The priorities of jobs, from the lowest to the highest. */
@@ -9,16 +9,16 @@
 /** The priority of a job. */
 export type Rank = (typeof RANKS)[number];
 
-/** `array`: independent tasks. `gang`: all tasks of the job run at the same time, or none does. */
+/** How a job's tasks run. `array`: independently of each other. `gang`: all at the same time, or none. */
 export type JobShape = 'array' | 'gang';
 
-/** A job as its user submitted it. Resource amounts are those of one task; decimal numbers are allowed. */
+/** The specification of a job, as its user submitted it. Resource amounts apply to one task and may be fractional. */
 export interface JobSpec {
-  /** Chosen by the user, see {@link isJobId}. */
+  /** The id that the user chose, see {@link isJobId}. */
   readonly id: string;
-  /** The class of jobs that it belongs to, for which the settings name service-level objectives. */
+  /** The class of the job. The settings define service-level objectives for each class. */
   readonly jobClass: string;
-  /** The team whose guarantee and limit apply. */
+  /** The team whose quota applies. */
   readonly team: string;
   readonly shape: JobShape;
   readonly rank: Rank;
@@ -28,46 +28,46 @@
   readonly gpus: number;
   /** In GB. */
   readonly memGb: number;
-  /** The image that a machine fetches before the task can start. */
+  /** The image that a machine must fetch before it can run a task of the job. */
   readonly image: string;
-  /** Size of the image in GB. */
+  /** The size of the image in GB. */
   readonly imageGb: number;
-  /** The allowed machine types; null for any. */
+  /** The allowed machine types; null if all are allowed. */
   readonly machineTypes: readonly string[] | null;
-  /** The only allowed zone; null for any. */
+  /** The only allowed zone; null if all are allowed. */
   readonly zone: string | null;
-  /** All tasks must be in the same zone. */
+  /** True if all tasks must be in the same zone. */
   readonly singleZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** True if at most half of the tasks, rounded up, may be in one zone. */
   readonly spreadZones: boolean;
-  /** Tasks may run on spot machines. */
+  /** True if tasks may run on spot machines. */
   readonly allowsSpot: boolean;
-  /** The owner's estimate of a task's run time in seconds, without the image fetch. Often wrong. */
+  /** The user's estimate, often wrong, of the run time of a task in seconds, without the image fetch. */
   readonly estimateS: number;
-  /** Progress, in seconds, after which a task saves a checkpoint by itself; 0 if it never saves. */
+  /** The interval, in seconds of progress, at which a task saves a checkpoint by itself; 0 if it never does. */
   readonly checkpointS: number;
-  /** Time in seconds that a task needs to save when it is stopped. */
+  /** The time in seconds that a task needs to save its progress when it is stopped. */
   readonly saveS: number;
-  /** Seconds from the submission until the job should be complete; null for no deadline. */
+  /** Seconds from the submission until the deadline of the job; null if it has none. */
   readonly deadlineS: number | null;
 }
 
 /** The status of a job; `done` and `cancelled` are terminal. */
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** The state of a job, as a query returns it. */
+/** The state of a job that a query returns. */
 export interface JobState {
   readonly id: string;
   readonly status: JobStatus;
-  /** Number of completed tasks, for display. */
+  /** The number of completed tasks, for display only. */
   readonly done?: number;
-  /** Number of tasks that are on a machine, for display. */
+  /** The number of tasks that are on a machine, for display only. */
   readonly running?: number;
 }
 
 const JOB_ID = /^j-[0-9]{1,32}$/;
 
-/** Whether a value is a valid job id: `j-` and 1 to 32 digits. */
+/** True if a value is a valid job id: `j-` followed by 1 to 32 digits. */
 export function isJobId(id: unknown): id is string {
   return typeof id === 'string' && JOB_ID.test(id);
 }
--- a/packages/wire/machines.ts
+++ b/packages/wire/machines.ts
@@ -1,4 +1,4 @@
-/** Machine types, scale-out requests and machines, as the cloud describes them. */
+/** Machine types, scale-out requests and machines in the cloud's interface. */
 
 /** A machine type that the cloud offers. */
 export interface MachineType {
@@ -7,23 +7,23 @@
   readonly gpus: number;
   /** In GB. */
   readonly memGb: number;
-  /** Capacity for cached images, in GB. */
+  /** The capacity for cached images in GB. */
   readonly cacheGb: number;
-  /** Rate at which images are fetched, in GB per second; actual rates differ by up to a third. */
+  /** The nominal rate of image fetches in GB per second. Actual rates differ by up to a third. */
   readonly fetchGbPerS: number;
-  /** Per hour, for an ordinary machine. */
+  /** The price per hour of an on-demand machine. */
   readonly price: number;
-  /** Present price per hour of a spot machine. */
+  /** The current price per hour of a spot machine. */
   readonly spotPrice: number;
-  /** Usual time in seconds from the request until the machine is up. */
+  /** The usual time in seconds from the scale-out request until the machine is up. */
   readonly bootS: number;
-  /** The zones that have this type. */
+  /** The zones that offer this type. */
   readonly zones: readonly string[];
 }
 
-/** A request for machines of one type, zone and kind. */
+/** A request for machines that all have the same type and zone and are all spot machines or all on demand. */
 export interface ScaleOutRequest {
-  /** Never used twice, not even by another node: the cloud answers a repeated request with the same machines. */
+  /** Unique across all nodes and requests: the cloud answers a repeated id with the same machines. */
   readonly id: string;
   readonly machineType: string;
   readonly zone: string;
@@ -31,16 +31,16 @@
   readonly count: number;
 }
 
-/** A machine as the cloud lists it. The list lags behind. */
+/** An entry of the cloud's list of machines. The list lags behind the actual state. */
 export interface ListedMachine {
   readonly host: string;
-  /** Address of its worker, as `host:port`. */
+  /** The address of the machine's worker, as `host:port`. */
   readonly address: string;
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** `failed`: it stopped by itself, and stays listed until it is deleted. */
+  /** `failed`: the machine stopped by itself. It stays in the list until it is deleted. */
   readonly state: 'starting' | 'running' | 'failed';
-  /** Seconds since the scale-out request, at the time that the list describes. */
+  /** Seconds from the scale-out request to the time that the list describes. */
   readonly ageS: number;
 }
--- a/packages/wire/submission-codec.ts
+++ b/packages/wire/submission-codec.ts
@@ -27,12 +27,13 @@
   return isNonNegativeNumber(value) && Number.isInteger(count) && count >= 1 && count <= MAX_TASKS;
 };
 const isTextList: Validator = (value) => Array.isArray(value) && value.every(isText);
+/** Returns a validator that also accepts an absent field. */
 const optional =
   (isValid: Validator): Validator =>
   (value) =>
     isAbsent(value) || isValid(value);
 
-/** What each field must be, in the order in which they are checked. */
+/** The validator of each field, in the order in which the fields are validated. */
 const FIELD_VALIDATORS: Readonly<Record<string, Validator>> = {
   Uid: isJobId,
   Lane: isText,
@@ -56,10 +57,10 @@
   DueS: optional(isNonNegativeNumber),
 };
 
-/** A valid submission, or the name of the first field that is missing or invalid (`body` if it isn't a map). */
+/** A valid submission, or the name of the first field that is missing or invalid (`body` if the body isn't a map). */
 export type ParsedSubmission = { readonly job: JobSpec } | { readonly invalid: string };
 
-/** Checks a submission and reads it from a decoded body. Fields that the protocol doesn't name are dropped. */
+/** Validates and reads a submission from a decoded body. Fields that are not part of the protocol are ignored. */
 export function parseSubmission(body: unknown): ParsedSubmission {
   if (!isWireFields(body)) return { invalid: 'body' };
   for (const [field, isValid] of Object.entries(FIELD_VALIDATORS)) {
@@ -68,7 +69,7 @@
   return { job: decodeJob(body) };
 }
 
-/** Reads a job from fields that were found valid. */
+/** Reads a job from validated fields. */
 function decodeJob(body: WireFields): JobSpec {
   return {
     id: body['Uid'] as string,
@@ -94,7 +95,7 @@
   };
 }
 
-/** The body of a submission: what {@link parseSubmission} reads back. */
+/** Encodes a job as the body of a submission, the inverse of {@link parseSubmission}. */
 export function encodeSubmission(job: JobSpec): WireFields {
   return {
     Uid: job.id,
@@ -120,7 +121,7 @@
   };
 }
 
-/** The id under which a body was submitted, whatever else is wrong with it; null if it has no valid one. */
+/** Reads the job id from the body of a submission that may be invalid otherwise. Returns null if it has no valid id. */
 export function submittedId(body: unknown): string | null {
   const id = isWireFields(body) ? body['Uid'] : null;
   return isJobId(id) ? id : null;
--- a/packages/wire/time.ts
+++ b/packages/wire/time.ts
@@ -1,4 +1,4 @@
-/** Times and durations, and the clock that they are measured by. */
+/** Units of time, and the interface of the clock. */
 
 /** A time or duration in whole microseconds. */
 export type Micros = number;
@@ -9,22 +9,22 @@
 /** One second. */
 export const SECOND: Micros = 1_000_000;
 
-/** Converts seconds, as messages and settings give them, to the nearest whole microsecond. */
+/** Converts seconds, the unit of messages and settings, to the nearest whole microsecond. */
 export function fromSeconds(seconds: number): Micros {
   return Math.round(seconds * SECOND);
 }
 
-/** A callback that was scheduled. */
+/** A scheduled callback. */
 export interface Timer {
-  /** Does nothing once the callback has run. */
+  /** Cancels the callback. Has no effect once the callback has run. */
   cancel(): void;
 }
 
-/** All time comes through this, so that tests can run on a simulated clock. */
+/** The only source of time in the service, so that tests can run on a simulated clock. */
 export interface Clock {
-  /** Steady time. */
+  /** Returns the monotonic time. */
   now(): Micros;
-  /** Time of day, only as exact as the settings' `time_bound_ms`. */
+  /** Returns the time of day, whose error the setting `time_bound_ms` bounds. */
   wall(): Micros;
   /** Runs the callback once after the delay. */
   after(delay: Micros, callback: () => void): Timer;
--- a/packages/wire/wire-format.test.ts
+++ b/packages/wire/wire-format.test.ts
@@ -1,6 +1,6 @@
 /**
- * The bytes and the JSON of what crosses the wire, as literals. The protocol and the versions in production depend on
- * them: no expectation here changes unless the protocol does.
+ * Golden tests of the bytes and the JSON of all messages. The protocol and the versions in production depend on them,
+ * so an expectation changes only with the protocol.
  */
 import assert from 'node:assert/strict';
 import { createServer, type IncomingMessage } from 'node:http';
@@ -32,7 +32,7 @@
 
 const hex = (value: unknown): string => encode(value).toString('hex');
 
-test('values keep their MessagePack bytes', () => {
+test('values are encoded to their golden MessagePack bytes', () => {
   const cases: [unknown, string][] = [
     [{}, '80'],
     [{ Uid: 'j-1', Status: 'pending' }, '82a3556964a36a2d31a6537461747573a770656e64696e67'],
@@ -50,7 +50,7 @@
   for (const [value, bytes] of cases) assert.equal(hex(value), bytes);
 });
 
-test('counts of any of the integer formats are read back', () => {
+test('counts are decoded from each of the MessagePack integer formats', () => {
   const cases: [string, number | bigint][] = [
     ['05', 5],
     ['cc80', 128],
@@ -66,7 +66,7 @@
   for (const [bytes, value] of cases) assert.equal(decode(Buffer.from(bytes, 'hex')), value, bytes);
 });
 
-test('the state of a job keeps its bytes', () => {
+test('the state of a job is encoded to its golden bytes', () => {
   const cases: [JobState, string, string][] = [
     [
       { id: 'j-1', status: 'pending' },
@@ -101,7 +101,7 @@
   }
 });
 
-test('the response to a worker keeps its bytes, with a command of each kind', () => {
+test('a heartbeat response with a command of each kind is encoded to its golden bytes', () => {
   const commands: Command[] = [
     { kind: 'start', task: 'j-000412/4', attempt: 2 },
     { kind: 'stop', task: 'j-000377/1', attempt: 1, graceS: 10 },
@@ -131,7 +131,7 @@
   assert.equal(hex(encodeRedirect('hive-2')), '81a7466f72656d616ea6686976652d32');
 });
 
-/** A heartbeat as it comes off the wire: `Pieces` is filled in by the tests. */
+/** The JSON of a heartbeat. The tests fill in `Pieces`. */
 const HEARTBEAT_JSON =
   '{"Host":"n-000231","Endpoint":"10.1.0.232:9000","Build":"g8","Hall":"a","Loaners":true,' +
   '"Shift":1,"Tally":88,"Baton":41,"RecallS":null,"Pieces":[]}';
@@ -140,7 +140,7 @@
   return decode(encode({ ...(JSON.parse(HEARTBEAT_JSON) as object), ...change }));
 }
 
-test('each state of a task in a heartbeat is read', () => {
+test('each task state in a heartbeat is read, and an unknown one is read as fetching', () => {
   const states: [string, TaskState][] = [
     ['pulling', 'fetching'],
     ['gathering', 'gathering'],
@@ -156,7 +156,7 @@
   assert.deepEqual(parseHeartbeat(heartbeatWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
-test('each exit cause in a heartbeat is read', () => {
+test('each exit cause in a heartbeat is read, and an unknown one is read as null', () => {
   const causes: [unknown, ExitCause | null][] = [
     ['done', 'done'],
     ['halted', 'stopped'],
@@ -176,7 +176,7 @@
   assert.deepEqual(parseHeartbeat(heartbeatWith({ Pieces: pieces }))?.tasks, tasks);
 });
 
-test('each field of a heartbeat is read, unknown ones are ignored', () => {
+test('each field of a heartbeat is read, and unknown ones are ignored', () => {
   const expected: Heartbeat = {
     host: 'n-000231',
     address: '10.1.0.232:9000',
@@ -205,7 +205,7 @@
   assert.deepEqual(parseHeartbeat(rest), expected);
 });
 
-test('a heartbeat with a field missing or of the wrong type is rejected', () => {
+test('a heartbeat with a missing or invalid field is rejected', () => {
   for (const field of ['Host', 'Endpoint', 'Build', 'Hall', 'Loaners', 'Shift', 'Tally', 'Baton', 'Pieces']) {
     assert.equal(parseHeartbeat(heartbeatWith({ [field]: null })), null, field);
     assert.equal(parseHeartbeat(heartbeatWith({ [field]: { odd: 1 } })), null, field);
@@ -253,7 +253,7 @@
   deadlineS: 900,
 };
 
-test('a submission keeps its JSON, and is read back as the job that it names', () => {
+test('a submission is encoded to its golden JSON and decoded to the same job', () => {
   assert.equal(JSON.stringify(encodeSubmission(SUBMISSION)), SUBMISSION_JSON);
   assert.deepEqual(parseSubmission(JSON.parse(SUBMISSION_JSON)), { job: SUBMISSION });
   const unrestricted: JobSpec = {
@@ -276,7 +276,7 @@
   }
 });
 
-test('ids of jobs and names of tasks keep their form', () => {
+test('job ids and task names have their golden form', () => {
   assert.equal(formatTaskName('j-000412', 3), 'j-000412/3');
   assert.deepEqual(parseTaskName('j-000412/3'), { job: 'j-000412', index: 3 });
   for (const name of ['j-000412', '/3', 'j-1/x', 'j-1/-1', 'j-1/1.5'])
@@ -304,7 +304,7 @@
   return { method, url, type: headers['content-type'], length: headers['content-length'], body };
 }
 
-test('a request carries its body as MessagePack, and any answer is read as a status and a map', async () => {
+test('a request body is sent as MessagePack, and any response is read as a status and a map', async () => {
   const received: ReceivedRequest[] = [];
   let answer: [status: number, bytes: Buffer] = [200, encode({ Epoch: 4 })];
   const server = createServer((req, res) => {
@@ -343,7 +343,7 @@
   server.close();
 });
 
-test('an exchange that fails says why, as the command line shows it', async () => {
+test('a failed request rejects with the message that the command line shows', async () => {
   const server = createServer((req, res) => {
     if (req.url === '/cut') {
       res.writeHead(200, { 'Content-Length': 9 }).write('x', () => res.destroy());
@@ -356,7 +356,9 @@
   await assert.rejects(httpClient(endpoint, 'GET', '/silent', undefined, SECOND / 5), {
     message: `no response from ${endpoint} in time`,
   });
-  await assert.rejects(httpClient(endpoint, 'GET', '/cut', undefined, 5 * SECOND), { message: 'aborted' });
+  await assert.rejects(httpClient(endpoint, 'GET', '/cut', undefined, 5 * SECOND), {
+    message: `response from ${endpoint} aborted`,
+  });
   server.closeAllConnections();
   await new Promise((done) => server.close(done));
   await assert.rejects(httpClient(endpoint, 'GET', '/gone', undefined, 5 * SECOND), {
