--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -577,9 +577,9 @@
     'mw/now/log/1/0001': RELEASE_RECORD,
     'mw/now/log/0/0002': COMPLETION_RECORD,
   });
-  const { machines, jobs: jobEntries } = ended.ledger;
+  const { machines: endedMachines, jobs: jobEntries } = ended.ledger;
   assert.deepEqual(
-    ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => machines.get(host)),
+    ['n-1', 'n-3', 'n-4', 'n-5'].map((host) => endedMachines.get(host)),
     [
       machine('n-1', {
         acquiredAtMs: WALL_MS - 5,
