--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -6,7 +6,7 @@
 import type { LogId } from './keys.js';
 import { Ledger } from './ledger.js';
 import type { MachineRow, PlacementRecord, StartGroup } from './placement.js';
-import { checkpointRows, packRows } from './stored/checkpoint-codec.js';
+import { encodeCheckpointRows, packIntoChunks } from './stored/checkpoint-codec.js';
 import type { StoredRecordDraft } from './stored/record-codec.js';
 import { splitDraft } from './stored/record-splitter.js';
 
@@ -88,7 +88,7 @@
       const restored = new Ledger();
       restored.restore(
         beforeCheckpoint.allPositions(),
-        checkpointRows(beforeCheckpoint, () => true),
+        encodeCheckpointRows(beforeCheckpoint, () => true),
       );
       for (const [log, r] of all) restored.apply(log, r);
       assert.deepEqual(normalizedState(restored), normalizedState(expected));
@@ -122,8 +122,8 @@
     }
     ledger.apply(shard, { sequence: 1, recordedAtMs: 1.7e12 + 500, starts });
   }
-  const rows = checkpointRows(ledger, () => true);
-  const chunks = packRows(rows, 4096 - 200);
+  const rows = encodeCheckpointRows(ledger, () => true);
+  const chunks = packIntoChunks(rows, 4096 - 200);
   assert.ok(chunks.every((chunk) => jsonBytes({ Rows: chunk }) <= 4096));
   assert.ok(chunks.length <= 25, `${chunks.length} values`);
 });
--- a/packages/cluster/live-state.ts
+++ b/packages/cluster/live-state.ts
@@ -18,7 +18,7 @@
 import type { CheckpointRow } from './stored/checkpoint-row.js';
 import { decodeFencingToken, UNREADABLE_FENCING_TOKEN } from './stored/holder-codec.js';
 import { isTerminal } from './stored/job-codec.js';
-import { decodeRecord, storedCommitOrder, storedSequence } from './stored/record-codec.js';
+import { decodeRecord, decodeCommitIndex, decodeSequence } from './stored/record-codec.js';
 
 /** All live rows as of one revision. */
 export interface LiveRows {
@@ -40,14 +40,14 @@
     const chunksByKey = new Map(
       rows.filter((r) => r.path.startsWith(CHECKPOINT_CHUNK_PREFIX)).map((r) => [r.path, r]),
     );
-    const checkpointRows: CheckpointRow[] = [];
+    const encodeCheckpointRows: CheckpointRow[] = [];
     const { id, positions, chunkCount } = decodeCheckpointHead(head);
     for (let i = 0; i < chunkCount; i++) {
       const chunk = chunksByKey.get(checkpointChunkKey(id, i));
       if (!chunk) throw new IncompleteStateError(`checkpoint lacks part ${i}`);
-      checkpointRows.push(...decodeChunk(chunk.value));
+      encodeCheckpointRows.push(...decodeChunk(chunk.value));
     }
-    ledger.restore(positions, checkpointRows);
+    ledger.restore(positions, encodeCheckpointRows);
   }
   // Records of all logs are applied in the order of their commits, which is the order of their revisions.
   const records = rows.filter((row) => row.path.startsWith(LOG_PREFIX)).sort(byCommitOrder);
@@ -81,7 +81,7 @@
  * whether it got the changes from a complete read or from a watch.
  */
 export function byCommitOrder(x: Change, y: Change): number {
-  return x.revision - y.revision || storedCommitOrder(x.value) - storedCommitOrder(y.value);
+  return x.revision - y.revision || decodeCommitIndex(x.value) - decodeCommitIndex(y.value);
 }
 
 /** The record in a slot of a log: its sequence number and the revision of its row. */
@@ -106,7 +106,7 @@
     const row = rowsByKey.get(path);
     if (!row) absent.push(path);
     else if (row.revision < revision) regressed.push(path);
-    else if (storedSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
+    else if (decodeSequence(row.value) === sequence && row.revision !== revision) forked.push(path);
   }
   for (const [path, revision] of revisions) {
     const row = rowsByKey.get(path);
@@ -141,7 +141,7 @@
       if (value && isTerminal(value)) endedJobs.add(job);
       else if (!value && replica.isLive(job) && !endedJobs.has(job)) lost.push(path);
     } else if (path.startsWith(LOG_PREFIX)) {
-      const isOlder = value !== null && storedSequence(value) <= replica.position(path);
+      const isOlder = value !== null && decodeSequence(value) <= replica.position(path);
       if (!value || isOlder) lost.push(path);
     } else if (!value && isNeverRemoved(path, checkpointId)) lost.push(path);
   }
--- a/packages/wire/job-state-codec.ts
+++ b/packages/wire/job-state-codec.ts
@@ -1,25 +1,25 @@
-/** Codec of the answers to queries for the state of a job. */
+/** Codec of the answers to queries of the state of a job. */
 import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
-const STATUS_NAMES: Readonly<Record<JobStatus, string>> = {
+const WIRE_STATUSES: Readonly<Record<JobStatus, string>> = {
   pending: 'pending',
   running: 'running',
   done: 'done',
   cancelled: 'withdrawn',
 };
 
-const STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
+const STATUSES = Object.keys(WIRE_STATUSES) as JobStatus[];
 
-/** The body of an answer with the state of a job. Task counts are left out where the state has none. */
+/** Encodes the state of a job. Task counts are omitted if the state has none. */
 export function encodeJobState(state: JobState): WireFields {
-  const fields: WireFields = { Uid: state.id, Status: STATUS_NAMES[state.status] };
+  const fields: WireFields = { Uid: state.id, Status: WIRE_STATUSES[state.status] };
   if (state.done !== undefined) fields['done'] = state.done;
   if (state.running !== undefined) fields['running'] = state.running;
   return fields;
 }
 
-/** The status in an answer's body, or null if the body holds none, as that of an error does. */
+/** Reads the status of a job from an answer. Returns null if the answer has none, as in an error. */
 export function decodeJobStatus(body: WireFields): JobStatus | null {
-  return STATUSES.find((status) => STATUS_NAMES[status] === body['Status']) ?? null;
+  return STATUSES.find((status) => WIRE_STATUSES[status] === body['Status']) ?? null;
 }
