--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -116,7 +116,7 @@
       const committed = await this.options.logWriter.append(new Map<LogId, RecordDraft>([['lead', draft]]));
       if (!committed) return;
       this.fleet.onRecordCommitted(draft);
-      this.fleet.deleteNamed();
+      this.fleet.deleteReleasedMachines();
     } finally {
       this.isRecording = false;
     }
--- a/packages/daemon/machine-rebalancer.ts
+++ b/packages/daemon/machine-rebalancer.ts
@@ -67,9 +67,9 @@
     const { forecaster } = this.options;
     return forecasts.map(({ member, shards, pendingCapacity }) => ({
       shard: shards[0] ?? 0,
-      unmetDemand: (unmetDemand.get(member) ?? []).map((demand) => forecaster.worthScalingOut(demand)),
+      unmetDemand: (unmetDemand.get(member) ?? []).map((demand) => forecaster.scaleOutDemand(demand)),
       pendingCapacity,
-      reaches: (zone) => reachability.canReach(member, zone),
+      canReach: (zone) => reachability.canReach(member, zone),
     }));
   }
 
@@ -77,7 +77,7 @@
     return planTransfers({
       owners: forecasts.map((forecast) => ({ ...forecast, owner: forecast.member })),
       machines: this.candidates(forecasts),
-      reaches: (owner, zone) => reachability.canReach(owner, zone),
+      canReach: (owner, zone) => reachability.canReach(owner, zone),
       minPriceGap: MIN_PRICE_GAP,
       maxDeficitTransfers: MAX_DEFICIT_TRANSFERS,
     });
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -133,7 +133,7 @@
 ): SchedulingComponents {
   const { settings, tuning, clock, random, log } = options;
   const runTimeEstimator = new RunTimeEstimator({ clock, replica, workers, log });
-  const input = new RoundInputBuilder({
+  const inputBuilder = new RoundInputBuilder({
     settings,
     tuning,
     clock,
@@ -141,17 +141,17 @@
     workers,
     runTimeEstimator,
   });
-  const preemption = new PreemptionPlanner({ settings, clock, replica, workers, runTimeEstimator });
+  const preemptionPlanner = new PreemptionPlanner({ settings, clock, replica, workers, runTimeEstimator });
   const scheduler = new Scheduler({
     settings,
     tuning,
     random,
     replica,
     workers,
-    input,
-    preemption,
+    inputBuilder,
+    preemptionPlanner,
     log,
   });
-  const forecaster = new Forecaster({ settings, replica, input, runTimeEstimator, scheduler });
+  const forecaster = new Forecaster({ settings, replica, inputBuilder, runTimeEstimator, scheduler });
   return { runTimeEstimator, scheduler, forecaster };
 }
--- a/packages/fleet/capacity-backoff.ts
+++ b/packages/fleet/capacity-backoff.ts
@@ -22,7 +22,7 @@
   }
 
   /** The cloud had not all that was requested: each time in a row doubles the backoff, up to its maximum. */
-  onCapacityMissing(offer: Offer): void {
+  onInsufficientCapacity(offer: Offer): void {
     const key = offerKey(offer);
     const lastDuration = this.backoffs.get(key)?.duration ?? INITIAL_BACKOFF / 2;
     const duration = Math.min(MAX_BACKOFF, lastDuration * 2);
@@ -30,7 +30,7 @@
   }
 
   /** The cloud had all that was requested. */
-  onServed(offer: Offer): void {
+  onRequestFulfilled(offer: Offer): void {
     this.backoffs.delete(offerKey(offer));
   }
 
--- a/packages/fleet/drain-planner.ts
+++ b/packages/fleet/drain-planner.ts
@@ -26,7 +26,7 @@
 }
 
 /** At least this part of a machine's CPUs counts as in use when spare capacity is compared with it. */
-const MIN_DRAINED_PART = 0.1;
+const MIN_COUNTED_UTILIZATION = 0.1;
 
 /** The part of a machine's CPUs that is in use, from 0 to 1. */
 export function utilization({ total, free }: Pick<DrainCandidate, 'total' | 'free'>): number {
@@ -42,11 +42,11 @@
   let freeCpus = machines.reduce((sum, machine) => sum + Math.max(0, machine.free.cpus), 0);
   const underused = machines
     .filter((machine) => isUnderused(machine, options))
-    .sort((a, b) => wastedPrice(b) - wastedPrice(a));
+    .sort((a, b) => unusedHourlyCost(b) - unusedHourlyCost(a));
   for (const { host, total, free } of underused) {
     const usedCpus = total.cpus - free.cpus;
     const freeElsewhere = freeCpus - free.cpus;
-    const requiredElsewhere = options.spareFactor * Math.max(usedCpus, total.cpus * MIN_DRAINED_PART);
+    const requiredElsewhere = options.spareFactor * Math.max(usedCpus, total.cpus * MIN_COUNTED_UTILIZATION);
     if (freeElsewhere < requiredElsewhere) continue;
     freeCpus = freeElsewhere - usedCpus;
     drains.push(host);
@@ -63,6 +63,6 @@
 }
 
 /** The part of the hourly price that is paid for unused CPUs. */
-function wastedPrice(machine: DrainCandidate): number {
+function unusedHourlyCost(machine: DrainCandidate): number {
   return machine.price * (1 - utilization(machine));
 }
--- a/packages/fleet/fleet-context.ts
+++ b/packages/fleet/fleet-context.ts
@@ -29,7 +29,7 @@
   /** Capacity that its running tasks are about to free. */
   pendingCapacity: readonly PendingCapacity[];
   /** The owner's node can reach workers in this zone. */
-  reaches: (zone: string) => boolean;
+  canReach: (zone: string) => boolean;
 }
 
 /** What the modules of one fleet manager share. */
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -8,10 +8,10 @@
 import type { FleetState } from './fleet-context.js';
 import { FleetManager } from './fleet-manager.js';
 
-const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const LIST_LAG = 3 * SECOND;
 /** By then the list shows every machine that was there when it was requested, and the manager counts on that. */
-const LIST_CERTAIN: Micros = 2 * LIST_LAG + 12 * SECOND;
+const LIST_COMPLETE_AFTER: Micros = 2 * LIST_LAG + 12 * SECOND;
 
 /** A fleet manager under a term of its own, over a cloud whose list can be taken away. */
 class FleetHarness {
@@ -20,7 +20,7 @@
   listed: ListedMachine[] | null = [];
   deleted: string[] = [];
   readonly manager: FleetManager;
-  private records = 0;
+  private recordCount = 0;
 
   constructor() {
     const clock = this.clock.view(
@@ -55,7 +55,7 @@
       cloud: fencedCloud,
       clock,
       state: () => state,
-      log: SILENT,
+      log: SILENT_LOGGER,
       requestRound: () => undefined,
     });
     const termProof = registry.proveHeld('lead');
@@ -70,14 +70,14 @@
       await this.clock.run(this.clock.time + SECOND, () => undefined);
       const draft = this.manager.draft();
       if (!Object.values(draft).some((rows) => Array.isArray(rows) && rows.length > 0)) continue;
-      this.ledger.apply('lead', { ...draft, sequence: ++this.records, recordedAtMs: 0 });
+      this.ledger.apply('lead', { ...draft, sequence: ++this.recordCount, recordedAtMs: 0 });
       this.manager.onRecordCommitted(draft);
     }
   }
 
   addMachine(host: string): void {
     const row: MachineRow = [host, 'small', 'east', false, 0, 0];
-    this.ledger.apply('lead', { sequence: ++this.records, recordedAtMs: 0, machines: [row] });
+    this.ledger.apply('lead', { sequence: ++this.recordCount, recordedAtMs: 0, machines: [row] });
   }
 
   destination(host: string): unknown {
@@ -91,7 +91,7 @@
   await fleet.run(5 * SECOND);
   fleet.listed = null;
   fleet.addMachine('n-1');
-  await fleet.run(LIST_CERTAIN);
+  await fleet.run(LIST_COMPLETE_AFTER);
   assert.equal(fleet.destination('n-1'), null);
   assert.deepEqual(fleet.deleted, []);
   // A list that was requested long after does not show it: then it is gone.
@@ -103,7 +103,7 @@
 test('a machine missing from the list is recorded as leaving first and deleted after that', async () => {
   const fleet = new FleetHarness();
   fleet.addMachine('n-1');
-  await fleet.run(LIST_CERTAIN + 10 * SECOND);
+  await fleet.run(LIST_COMPLETE_AFTER + 10 * SECOND);
   assert.equal(fleet.ledger.machines.has('n-1'), false);
   assert.deepEqual(fleet.deleted, ['n-1'], 'deleted once');
 });
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -81,7 +81,7 @@
   step(shards: readonly ShardDemand[]): void {
     const { termProof } = this;
     if (!termProof) return;
-    this.machineList.noteMachines(this.state().ledger);
+    this.machineList.trackMachines(this.state().ledger);
     for (const shard of shards) this.scaleOut.plan(shard, termProof);
     this.scaleOut.sendAll(termProof);
     void this.adoption.adoptListed(termProof);
@@ -95,7 +95,7 @@
    * Deletes what the record just committed allows to delete, without waiting for the next step: on a large fleet that
    * is seconds away, and tasks on machines that are gone start elsewhere only once the deletion is answered.
    */
-  deleteNamed(): void {
+  deleteReleasedMachines(): void {
     if (this.termProof) void this.deletion.deleteReleased(this.termProof);
   }
 }
--- a/packages/fleet/machine-list.ts
+++ b/packages/fleet/machine-list.ts
@@ -13,7 +13,7 @@
   /** By host: listed machines that stopped by themselves and are in no record. */
   readonly stoppedMachines = new Map<string, ScaleInIntent>();
   /** Since when this holder has known each machine, by its own steady clock. */
-  private readonly knownSince = new Map<string, Micros>();
+  private readonly firstSeenAt = new Map<string, Micros>();
   private listed: ReadonlyMap<string, ListedMachine> | null = null;
   /** When that list was requested. */
   private listedAt: Micros = -Infinity;
@@ -24,24 +24,24 @@
     private readonly cloud: FencedCloud,
     private readonly clock: Clock,
     /** How old a list may nominally be; it may be twice that. */
-    private readonly lag: () => Micros,
+    private readonly nominalLag: () => Micros,
   ) {}
 
   /** A new term of the leader relies on nothing that was read before it. */
   beginTerm(): void {
     this.stoppedMachines.clear();
-    this.knownSince.clear();
+    this.firstSeenAt.clear();
     this.listed = null;
     this.listedAt = -Infinity;
     this.lastRequestedAt = -Infinity;
   }
 
   /** Notes which machines the ledger knows by now. */
-  noteMachines({ machines }: Ledger): void {
+  trackMachines({ machines }: Ledger): void {
     const now = this.clock.now();
-    for (const host of machines.keys()) if (!this.knownSince.has(host)) this.knownSince.set(host, now);
-    if (this.knownSince.size === machines.size) return;
-    for (const host of this.knownSince.keys()) if (!machines.has(host)) this.knownSince.delete(host);
+    for (const host of machines.keys()) if (!this.firstSeenAt.has(host)) this.firstSeenAt.set(host, now);
+    if (this.firstSeenAt.size === machines.size) return;
+    for (const host of this.firstSeenAt.keys()) if (!machines.has(host)) this.firstSeenAt.delete(host);
   }
 
   /** Reads the list if it is due; null if it isn't, or could not be read under this term. */
@@ -69,7 +69,9 @@
     if (row?.state === 'failed') return 'failed';
     if (status === 'up' || row || !this.listed) return null;
     // The list lags by up to twice its nominal time; a machine that it should show by now is gone.
-    return this.knownBeforeList(host) > this.lag() * 2 + MISSING_MACHINE_MARGIN ? 'not listed' : null;
+    return this.knownTimeBeforeList(host) > this.nominalLag() * 2 + MISSING_MACHINE_MARGIN
+      ? 'not listed'
+      : null;
   }
 
   /**
@@ -77,7 +79,7 @@
    * alone, so that no disagreement of clocks makes a young machine look as if the list should show it. In an outage of
    * the cloud the list gets old, and says nothing of machines that have come since.
    */
-  private knownBeforeList(host: string): Micros {
-    return this.listedAt - (this.knownSince.get(host) ?? this.clock.now());
+  private knownTimeBeforeList(host: string): Micros {
+    return this.listedAt - (this.firstSeenAt.get(host) ?? this.clock.now());
   }
 }
--- a/packages/fleet/offers.ts
+++ b/packages/fleet/offers.ts
@@ -22,7 +22,7 @@
   /** Tasks. */
   count: number;
   /** The zone is not the job's own constraint: if nothing can be had there, another one serves as well. */
-  zoneIsOpen?: boolean;
+  canUseOtherZones?: boolean;
 }
 
 /** Identifies an offer in maps. */
@@ -54,8 +54,8 @@
   for (const machine of pendingCapacity) {
     if (remaining === 0) break;
     if (!isFeasible(job, machine)) continue;
-    const allocated = Math.min(remaining, countFitting(job.need, machine.free));
-    subtractResources(machine.free, job.need, allocated);
+    const allocated = Math.min(remaining, countFitting(job.taskResources, machine.free));
+    subtractResources(machine.free, job.taskResources, allocated);
     remaining -= allocated;
   }
   return count - remaining;
--- a/packages/fleet/scale-in-planner.test.ts
+++ b/packages/fleet/scale-in-planner.test.ts
@@ -5,7 +5,7 @@
 
 test('scale-in takes only machines that have idled long enough and are older than the minimum billed time', () => {
   const idle = { idleFor: 50 * SECOND, age: 90 * SECOND, spot: true };
-  const options = { ordinary: 15 * SECOND, spot: 40 * SECOND, least: 55 * SECOND };
+  const options = { onDemandIdleTime: 15 * SECOND, spotIdleTime: 40 * SECOND, minBilledTime: 55 * SECOND };
   const machines = [
     { ...idle, host: 'n-1' },
     { ...idle, host: 'n-2', idleFor: 20 * SECOND },
--- a/packages/fleet/scale-in-planner.ts
+++ b/packages/fleet/scale-in-planner.ts
@@ -13,11 +13,11 @@
 /** When an idle machine is deleted. */
 export interface ScaleInOptions {
   /** How long an idle on-demand machine is kept. */
-  ordinary: Micros;
+  onDemandIdleTime: Micros;
   /** How long an idle spot machine is kept. */
-  spot: Micros;
+  spotIdleTime: Micros;
   /** Minimum time that a machine is billed for. */
-  least: Micros;
+  minBilledTime: Micros;
 }
 
 /** Hosts of the idle machines to delete, in the given order. */
@@ -25,7 +25,8 @@
   return idle
     .filter(
       (machine) =>
-        machine.idleFor > (machine.spot ? options.spot : options.ordinary) && machine.age > options.least,
+        machine.idleFor > (machine.spot ? options.spotIdleTime : options.onDemandIdleTime) &&
+        machine.age > options.minBilledTime,
     )
     .map((machine) => machine.host);
 }
--- a/packages/fleet/scale-in-selection.ts
+++ b/packages/fleet/scale-in-selection.ts
@@ -5,7 +5,11 @@
 import { ageOf, isBooting } from './machine-age.js';
 import { type IdleMachine, planScaleIn, type ScaleInOptions } from './scale-in-planner.js';
 
-const SCALE_IN_OPTIONS: ScaleInOptions = { ordinary: 15 * SECOND, spot: 40 * SECOND, least: 55 * SECOND };
+const SCALE_IN_OPTIONS: ScaleInOptions = {
+  onDemandIdleTime: 15 * SECOND,
+  spotIdleTime: 40 * SECOND,
+  minBilledTime: 55 * SECOND,
+};
 
 /** Sets the target of the machines it selects; each is deleted once its owner has released it. */
 export class ScaleInSelection {
--- a/packages/fleet/scale-out-planner.test.ts
+++ b/packages/fleet/scale-out-planner.test.ts
@@ -11,10 +11,10 @@
   return {
     id: 'j-1',
     team: 'blue',
-    need: { cpus: 4, gpus: 0, memGb: 8 },
+    taskResources: { cpus: 4, gpus: 0, memGb: 8 },
     priority: 2,
     acceptanceOrder: 1,
-    pendingTasks: 9,
+    pendingTaskCount: 9,
     taskCount: 9,
     isGang: false,
     machineTypes: null,
--- a/packages/fleet/scale-out-planner.ts
+++ b/packages/fleet/scale-out-planner.ts
@@ -79,14 +79,14 @@
   }
 
   serve(demand: UnmetDemand): void {
-    const { job, count } = this.settleZone(demand);
+    const { job, count } = this.chooseZone(demand);
     let remaining = count - allocatePending(this.pendingCapacity, job, count);
     while (remaining > 0) {
       const offer = this.cheapestOffer(job, remaining);
       if (!offer) break;
       const free = this.addMachine(offer);
-      const allocated = Math.min(remaining, countFitting(job.need, free));
-      subtractResources(free, job.need, allocated);
+      const allocated = Math.min(remaining, countFitting(job.taskResources, free));
+      subtractResources(free, job.taskResources, allocated);
       remaining -= allocated;
     }
   }
@@ -107,25 +107,25 @@
    * All that is requested for a gang that has to lie in one zone goes to one zone: where it is being gathered, or,
    * if no machine for it can be had there, where most capacity for the whole gang is on its way.
    */
-  private settleZone(demand: UnmetDemand): UnmetDemand {
-    const { job, count, zoneIsOpen } = demand;
-    if (!job.isGang || !job.singleZone || (job.zone !== null && zoneIsOpen !== true)) return demand;
+  private chooseZone(demand: UnmetDemand): UnmetDemand {
+    const { job, count, canUseOtherZones } = demand;
+    if (!job.isGang || !job.singleZone || (job.zone !== null && canUseOtherZones !== true)) return demand;
     const isServed = job.zone !== null && this.countFittingPending(job) >= count;
     if (job.zone !== null && (isServed || this.cheapestOffer(job, count))) return demand;
     const zones = new Set(this.input.types.flatMap((type) => type.zones));
     const choices = [...zones]
       .map((zone) => ({ ...job, zone }))
-      .filter((choice) => this.cheapestOffer(choice, choice.pendingTasks) !== null)
+      .filter((choice) => this.cheapestOffer(choice, choice.pendingTaskCount) !== null)
       .map((choice) => ({ choice, taskCount: this.countFittingPending(choice) }))
       .sort((a, b) => b.taskCount - a.taskCount);
     const best = choices[0]?.choice;
-    return best ? { job: best, count: best.pendingTasks } : demand;
+    return best ? { job: best, count: best.pendingTaskCount } : demand;
   }
 
   private countFittingPending(job: PendingJob): number {
     let sum = 0;
     for (const machine of this.pendingCapacity) {
-      if (isFeasible(job, machine)) sum += countFitting(job.need, machine.free);
+      if (isFeasible(job, machine)) sum += countFitting(job.taskResources, machine.free);
     }
     return sum;
   }
@@ -136,8 +136,8 @@
     let bestScore = WORST_SCORE;
     for (const type of this.input.types) {
       const capacity = resourcesOf(type);
-      if (!fits(job.need, capacity)) continue;
-      const taskCount = Math.min(count, countFitting(job.need, capacity));
+      if (!fits(job.taskResources, capacity)) continue;
+      const taskCount = Math.min(count, countFitting(job.taskResources, capacity));
       for (const zone of type.zones) {
         for (const spot of SPOT_FIRST) {
           const offer = { machineType: type.name, zone, spot };
--- a/packages/fleet/scale-out-requests.ts
+++ b/packages/fleet/scale-out-requests.ts
@@ -11,7 +11,7 @@
 import { planScaleOut, type ScaleOutPlan } from './scale-out-planner.js';
 
 /** Time between the attempts of one request. */
-const SCALE_OUT_RETRY: Micros = 2 * SECOND;
+const SCALE_OUT_RETRY_INTERVAL: Micros = 2 * SECOND;
 /** Beyond that: an attempt without an answer holds up the next one no longer than this. */
 const ANSWER_TIMEOUT: Micros = 5 * SECOND;
 /** A request without an answer that counts is given up after this time. */
@@ -46,7 +46,7 @@
 
   /** Names the requests for what the shard lacks. They are sent once they are recorded. */
   plan(demand: ShardDemand, termProof: TermProof): void {
-    const { shard, unmetDemand, reaches } = demand;
+    const { shard, unmetDemand, canReach } = demand;
     if (unmetDemand.length === 0) return;
     const { machinesPerZone, booting } = this.surveyMachines(shard);
     const plans = planScaleOut({
@@ -54,7 +54,7 @@
       unmetDemand,
       pendingCapacity: [...demand.pendingCapacity, ...booting, ...this.requestedCapacity(shard)],
       machinesPerZone,
-      isBackedOff: (offer) => this.backoff.isBackedOff(offer) || !reaches(offer.zone),
+      isBackedOff: (offer) => this.backoff.isBackedOff(offer) || !canReach(offer.zone),
     });
     for (const plan of plans) this.addRequests(plan, shard, termProof);
   }
@@ -89,8 +89,8 @@
       for (let i = 0; i < count; i++) requested.push({ machineType, zone, spot, free: resourcesOf(type) });
     };
     for (const scaleOut of ledger.pendingScaleOuts.values()) if (scaleOut.shard === shard) add(scaleOut);
-    for (const [, machineType, zone, spot, count, receiver] of this.context.changes.scaleOuts) {
-      if (receiver === shard) add({ machineType, zone, spot, count });
+    for (const [, machineType, zone, spot, count, requestedShard] of this.context.changes.scaleOuts) {
+      if (requestedShard === shard) add({ machineType, zone, spot, count });
     }
     return requested;
   }
@@ -119,10 +119,10 @@
     const { cloud, clock, state } = this.context;
     const scaleOut = state().ledger.pendingScaleOuts.get(id);
     if (!scaleOut || !this.isDue(id)) return;
-    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY + ANSWER_TIMEOUT);
+    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL + ANSWER_TIMEOUT);
     const result = await cloud.requestMachines(termProof, ScaleOutIntent.fromRecord(scaleOut));
     if (result.kind === 'superseded' || !state().ledger.pendingScaleOuts.has(id)) return;
-    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY);
+    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL);
     if (!this.applyResult(scaleOut, result)) return;
     // An answer that never came may still have started machines: the list shows them, and they are adopted.
     this.context.changes.settleScaleOut(id);
@@ -141,12 +141,12 @@
     const { machineType, zone, spot, shard, count } = scaleOut;
     if (result.kind === 'rented') {
       for (const host of result.hosts) this.adoption.adopt({ host, machineType, zone, spot, shard, ageS: 0 });
-      if (result.hosts.length < count) this.backoff.onCapacityMissing(scaleOut);
-      else this.backoff.onServed(scaleOut);
+      if (result.hosts.length < count) this.backoff.onInsufficientCapacity(scaleOut);
+      else this.backoff.onRequestFulfilled(scaleOut);
       return true;
     }
     if (result.kind === 'no_capacity') {
-      this.backoff.onCapacityMissing(scaleOut);
+      this.backoff.onInsufficientCapacity(scaleOut);
       return true;
     }
     return this.context.clock.wall() - scaleOut.requestedAtMs * MS >= SCALE_OUT_TIMEOUT;
--- a/packages/fleet/transfer-planner.test.ts
+++ b/packages/fleet/transfer-planner.test.ts
@@ -8,10 +8,10 @@
   return {
     id: 'j-1',
     team: 'blue',
-    need: { cpus: 4, gpus: 0, memGb: 8 },
+    taskResources: { cpus: 4, gpus: 0, memGb: 8 },
     priority: 2,
     acceptanceOrder: 1,
-    pendingTasks: 9,
+    pendingTaskCount: 9,
     taskCount: 9,
     isGang: false,
     machineTypes: null,
@@ -54,7 +54,7 @@
     planTransfers({
       owners,
       machines,
-      reaches: () => !isPartitioned,
+      canReach: () => !isPartitioned,
       minPriceGap: 0.5,
       maxDeficitTransfers: 2,
     }).transfers.map(({ host }) => host);
@@ -76,7 +76,7 @@
     { owner: 'b', price: 0, unmetDemand: [], guaranteeDeficit: 0, usageAboveGuarantee: 100 },
   ];
   const busy = [30, 10, 20].map((s) => machine(`n-${s}`, { free: full, busyFor: () => s * SECOND }));
-  const input = { machines: busy, reaches: () => true, minPriceGap: 0.5, maxDeficitTransfers: 2 };
+  const input = { machines: busy, canReach: () => true, minPriceGap: 0.5, maxDeficitTransfers: 2 };
   const hosts = (plan: typeof inDeficit): string[] =>
     planTransfers({ ...input, owners: plan }).transfers.map(({ host }) => host);
   assert.deepEqual(hosts(inDeficit), ['n-10', 'n-20']);
--- a/packages/fleet/transfer-planner.ts
+++ b/packages/fleet/transfer-planner.ts
@@ -35,7 +35,7 @@
   owners: readonly OwnerDemand[];
   machines: readonly TransferCandidate[];
   /** The owner's node can reach workers in this zone. */
-  reaches: (owner: string, zone: string) => boolean;
+  canReach: (owner: string, zone: string) => boolean;
   /** By how much the receiver's price must exceed the donor's for a machine without unused capacity. */
   minPriceGap: number;
   /** Machines at the most that leave one owner in a round for the guarantee deficit of another. */
@@ -149,8 +149,8 @@
   private allocate(machine: TransferCandidate, job: PendingJob, count: number): number {
     const free = this.free.get(machine.host);
     if (!free || count === 0 || !isFeasible(job, machine)) return 0;
-    const allocated = Math.min(count, countFitting(job.need, free));
-    subtractResources(free, job.need, allocated);
+    const allocated = Math.min(count, countFitting(job.taskResources, free));
+    subtractResources(free, job.taskResources, allocated);
     return allocated;
   }
 
@@ -164,12 +164,12 @@
       machine.owner !== owner &&
       !machine.isInCooldown &&
       !this.transferredHosts.has(machine.host) &&
-      this.input.reaches(owner, machine.zone)
+      this.input.canReach(owner, machine.zone)
     );
   }
 
   private hasCapacityFor(job: PendingJob, machine: TransferCandidate): boolean {
-    return isFeasible(job, machine) && fits(job.need, this.free.get(machine.host) ?? machine.free);
+    return isFeasible(job, machine) && fits(job.taskResources, this.free.get(machine.host) ?? machine.free);
   }
 
   /** The donor's machines that could hold a task of the demand, were they empty. */
@@ -179,16 +179,16 @@
         machine.owner === donor.owner &&
         this.isTransferable(machine, owner) &&
         isFeasible(job, machine) &&
-        fits(job.need, machine.total),
+        fits(job.taskResources, machine.total),
     );
   }
 
   /** Orders machines by the part of them that is unused, the largest first. */
   private compareUnused(a: TransferCandidate, b: TransferCandidate): number {
-    return this.unusedPart(b) - this.unusedPart(a);
+    return this.unusedFraction(b) - this.unusedFraction(a);
   }
 
-  private unusedPart({ host, total }: TransferCandidate): number {
+  private unusedFraction({ host, total }: TransferCandidate): number {
     return (this.free.get(host)?.cpus ?? 0) / Math.max(total.cpus, MIN_CPUS);
   }
 }
--- a/packages/pricing/bin-packing.ts
+++ b/packages/pricing/bin-packing.ts
@@ -55,7 +55,7 @@
       group.pop();
       continue;
     }
-    subtractResources(machine.free, job.need, 1);
+    subtractResources(machine.free, job.taskResources, 1);
     zoneConstraint.onTaskPlaced(machine.zone);
     chosen.push(machine);
   }
@@ -63,7 +63,7 @@
 
 /** Whether the next task of the job may be placed on the machine. */
 function hasCapacity(machine: CandidateMachine, job: PendingJob, zoneConstraint: ZoneConstraint): boolean {
-  return zoneConstraint.allows(machine.zone) && fits(job.need, machine.free);
+  return zoneConstraint.allows(machine.zone) && fits(job.taskResources, machine.free);
 }
 
 /**
--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -27,10 +27,10 @@
   return {
     id,
     team: 'blue',
-    need: { cpus: 2, gpus: 0, memGb: 4 },
+    taskResources: { cpus: 2, gpus: 0, memGb: 4 },
     priority: 2,
     acceptanceOrder: 1,
-    pendingTasks: size,
+    pendingTaskCount: size,
     taskCount: size,
     isGang: true,
     machineTypes: null,
@@ -106,7 +106,7 @@
           assert.ok(hosts.length === 0 || hosts.length === job.taskCount, 'all or none');
           const zones = new Set(hosts.map((host) => machines.find((m) => m.host === host)?.zone));
           assert.ok(!job.singleZone || zones.size <= 1, 'one zone');
-          for (const host of hosts) used.set(host, (used.get(host) ?? 0) + job.need.cpus);
+          for (const host of hosts) used.set(host, (used.get(host) ?? 0) + job.taskResources.cpus);
         }
         for (const { host, free } of machines) {
           const freeCpus = result.free.get(host)?.cpus ?? 0;
@@ -154,20 +154,20 @@
   const small = gang('j-2', 1, {
     isGang: false,
     singleZone: false,
-    pendingTasks: 4,
+    pendingTaskCount: 4,
     taskCount: 4,
     priority: 1,
   });
-  const soon = ['a', 'b'].map((name): CandidateMachine => ({
+  const freeSoon = ['a', 'b'].map((name): CandidateMachine => ({
     ...machine(name, 'east', 2),
     busyFor: () => 10 * SECOND,
   }));
-  const reserving = runRound([gang('j-1', 4), small], soon);
+  const reserving = runRound([gang('j-1', 4), small], freeSoon);
   assert.deepEqual(reserving.starts, []);
-  assert.equal(reserving.unmet.get('j-1'), 2);
+  assert.equal(reserving.unmetTaskCounts.get('j-1'), 2);
   assert.equal(reserving.gatheringZones.get('j-1'), 'east');
-  const late = [machine('a', 'east', 2), machine('b', 'east', 2)];
-  assert.equal(startsOf(runRound([gang('j-1', 4), small], late), 'j-2').length, 2);
+  const freeLater = [machine('a', 'east', 2), machine('b', 'east', 2)];
+  assert.equal(startsOf(runRound([gang('j-1', 4), small], freeLater), 'j-2').length, 2);
 });
 
 test('a gang that has to be spread and finds capacity in one zone only is not placed, and its capacity given back', () => {
@@ -176,7 +176,7 @@
   const small = gang('j-2', 1, {
     isGang: false,
     singleZone: false,
-    pendingTasks: 4,
+    pendingTaskCount: 4,
     taskCount: 4,
     priority: 1,
   });
@@ -201,7 +201,7 @@
   const small = gang('j-2', 1, {
     isGang: false,
     singleZone: false,
-    pendingTasks: 8,
+    pendingTaskCount: 8,
     taskCount: 8,
     priority: 1,
   });
@@ -223,7 +223,7 @@
   });
   const preemptionsFor = (count: number): number =>
     planPreemptions({
-      requests: [{ job: gang('j-1', 4), count, rank: 2, guaranteed: false }],
+      requests: [{ job: gang('j-1', 4), count, rank: 2, isWithinGuarantee: false }],
       machines: ['a', 'b'].map((host) => ({
         host,
         freeResources: { cpus: 0, gpus: 0, memGb: 8 },
--- a/packages/pricing/gang-placement.ts
+++ b/packages/pricing/gang-placement.ts
@@ -23,7 +23,7 @@
     };
 
 /** A zone that may take a gang (null: its tasks may lie in different zones), with the machines open to it there. */
-interface Site {
+interface CandidateSite {
   readonly zone: string | null;
   readonly machines: CandidateMachine[];
   /** Tasks of the gang that there is free capacity for. */
@@ -36,17 +36,17 @@
   pools: readonly ShapePool[],
   options: BinPackingOptions,
 ): GangPlacement {
-  const sites = sitesOf(job, pools);
+  const sites = rankedSites(job, pools);
   for (const site of sites) {
-    if (site.taskCapacity < job.pendingTasks) break;
-    const zoneConstraint = new ZoneConstraint(inZone(job, site.zone), []);
+    if (site.taskCapacity < job.pendingTaskCount) break;
+    const zoneConstraint = new ZoneConstraint(boundToZone(job, site.zone), []);
     const candidatePools = narrowToSoonestHeartbeats(job, pools, zoneConstraint);
     const machines = packTasks(
-      { job, pools: candidatePools, zoneConstraint, count: job.pendingTasks },
+      { job, pools: candidatePools, zoneConstraint, count: job.pendingTaskCount },
       options,
     );
-    if (machines.length === job.pendingTasks) return { kind: 'placed', machines };
-    for (const machine of machines) subtractResources(machine.free, job.need, -1);
+    if (machines.length === job.pendingTaskCount) return { kind: 'placed', machines };
+    for (const machine of machines) subtractResources(machine.free, job.taskResources, -1);
   }
   return reserveForGang(job, sites);
 }
@@ -64,10 +64,10 @@
   zoneConstraint: ZoneConstraint,
 ): ShapePool[] {
   const chosen: ShapePool[] = [];
-  let remaining = job.pendingTasks;
+  let remaining = job.pendingTaskCount;
   for (const pool of pools) {
     const candidates = pool.machines.filter(
-      (machine) => zoneConstraint.allows(machine.zone) && countFitting(job.need, machine.free) > 0,
+      (machine) => zoneConstraint.allows(machine.zone) && countFitting(job.taskResources, machine.free) > 0,
     );
     const taskCapacity = taskCapacityOf(candidates, job);
     if (taskCapacity >= remaining) {
@@ -85,7 +85,7 @@
 
 /** How many of the job's tasks the machines have free capacity for. */
 function taskCapacityOf(machines: readonly CandidateMachine[], job: PendingJob): number {
-  return machines.reduce((sum, machine) => sum + countFitting(job.need, machine.free), 0);
+  return machines.reduce((sum, machine) => sum + countFitting(job.taskResources, machine.free), 0);
 }
 
 /** The first machines that together have free capacity for so many tasks; all of them if they have not. */
@@ -98,15 +98,15 @@
   let taskCapacity = 0;
   for (const machine of machines) {
     chosen.push(machine);
-    taskCapacity += countFitting(job.need, machine.free);
+    taskCapacity += countFitting(job.taskResources, machine.free);
     if (taskCapacity >= count) break;
   }
   return chosen;
 }
 
 /** The sites of a gang, the one with most capacity first; of several that have enough, the one that has its image. */
-function sitesOf(job: PendingJob, pools: readonly ShapePool[]): Site[] {
-  const sites = new Map<string | null, Site>();
+function rankedSites(job: PendingJob, pools: readonly ShapePool[]): CandidateSite[] {
+  const sites = new Map<string | null, CandidateSite>();
   for (const pool of pools) {
     for (const machine of pool.machines) addToSite(sites, machine, job);
   }
@@ -115,7 +115,11 @@
   return ranked.map(({ site }) => site);
 }
 
-function addToSite(sites: Map<string | null, Site>, machine: CandidateMachine, job: PendingJob): void {
+function addToSite(
+  sites: Map<string | null, CandidateSite>,
+  machine: CandidateMachine,
+  job: PendingJob,
+): void {
   if (job.zone !== null && machine.zone !== job.zone) return;
   const zone = job.singleZone ? machine.zone : null;
   let site = sites.get(zone);
@@ -124,37 +128,38 @@
     sites.set(zone, site);
   }
   site.machines.push(machine);
-  site.taskCapacity += countFitting(job.need, machine.free);
+  site.taskCapacity += countFitting(job.taskResources, machine.free);
 }
 
 /** How many tasks of the gang would start without fetching their image; 0 where the site can't take the gang. */
-function imageHitsOf(site: Site, job: PendingJob): number {
-  if (site.taskCapacity < job.pendingTasks) return 0;
+function imageHitsOf(site: CandidateSite, job: PendingJob): number {
+  if (site.taskCapacity < job.pendingTaskCount) return 0;
   const withImage = site.machines.filter((machine) => machine.cachedImages.includes(job.image));
-  return Math.min(job.pendingTasks, taskCapacityOf(withImage, job));
+  return Math.min(job.pendingTaskCount, taskCapacityOf(withImage, job));
 }
 
 /**
  * Reserves what capacity there is for a gang where the rest becomes free soon. Nothing is allotted by it: each round
  * decides anew, the gang of highest rank first, so that two gangs never wait for each other's half.
  */
-function reserveForGang(job: PendingJob, sites: readonly Site[]): GangPlacement {
+function reserveForGang(job: PendingJob, sites: readonly CandidateSite[]): GangPlacement {
   const best = sites[0];
-  if (!best) return { kind: 'unplaced', missing: job.pendingTasks, zone: null, reservedHosts: [] };
-  const missing = Math.max(1, job.pendingTasks - best.taskCapacity);
+  if (!best) return { kind: 'unplaced', missing: job.pendingTaskCount, zone: null, reservedHosts: [] };
+  const missing = Math.max(1, job.pendingTaskCount - best.taskCapacity);
   // For one that has to be spread, capacity in one zone says nothing of when the gang can start.
-  const reservedHosts = !job.spreadZones && becomesFree(job, best) ? reserveCapacity(job, best.machines) : [];
+  const reservedHosts =
+    !job.spreadZones && becomesFreeInTime(job, best) ? reserveCapacity(job, best.machines) : [];
   return { kind: 'unplaced', missing, zone: best.zone, reservedHosts };
 }
 
 /** Takes free capacity for as many of the gang's tasks as it can. Returns the hosts. */
 function reserveCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string[] {
   const reservedHosts: string[] = [];
-  let remaining = job.pendingTasks;
+  let remaining = job.pendingTaskCount;
   for (const machine of machines) {
-    const count = Math.min(remaining, countFitting(job.need, machine.free));
+    const count = Math.min(remaining, countFitting(job.taskResources, machine.free));
     if (count === 0) continue;
-    subtractResources(machine.free, job.need, count);
+    subtractResources(machine.free, job.taskResources, count);
     remaining -= count;
     reservedHosts.push(machine.host);
   }
@@ -162,17 +167,18 @@
 }
 
 /** The running tasks of the site end soon enough for the gang to fit within the longest reservation. */
-function becomesFree(job: PendingJob, site: Site): boolean {
+function becomesFreeInTime(job: PendingJob, site: CandidateSite): boolean {
   let taskCapacity = site.taskCapacity;
   for (const machine of site.machines) {
-    if (taskCapacity >= job.pendingTasks) return true;
-    const pendingCapacity = countFitting(job.need, machine.total) - countFitting(job.need, machine.free);
+    if (taskCapacity >= job.pendingTaskCount) return true;
+    const pendingCapacity =
+      countFitting(job.taskResources, machine.total) - countFitting(job.taskResources, machine.free);
     if (pendingCapacity > 0 && machine.busyFor() <= MAX_RESERVATION_TIME) taskCapacity += pendingCapacity;
   }
-  return taskCapacity >= job.pendingTasks;
+  return taskCapacity >= job.pendingTaskCount;
 }
 
 /** The gang as one that is bound to the zone. */
-function inZone(job: PendingJob, zone: string | null): PendingJob {
+function boundToZone(job: PendingJob, zone: string | null): PendingJob {
   return zone === null ? job : { ...job, zone, singleZone: false };
 }
--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -32,7 +32,7 @@
  * of candidates that rank alike the larger one goes first, since it is the harder to place.
  */
 function rankSegments(segments: readonly Segment[], market: Market): RankedSegment[] {
-  const gangSize = ({ job }: Segment): number => (job.isGang ? job.pendingTasks : 0);
+  const gangSize = ({ job }: Segment): number => (job.isGang ? job.pendingTaskCount : 0);
   return segments
     .map((segment) => rankPools(segment, market))
     .sort(
@@ -59,7 +59,7 @@
 /** Places segment after segment, and holds what the round has decided so far. */
 class RoundPlacer {
   private readonly starts: PricingRoundResult['starts'] = [];
-  private readonly unmet = new Map<string, number>();
+  private readonly unmetTaskCounts = new Map<string, number>();
   private readonly reservedHosts = new Set<string>();
   private readonly gatheringZones = new Map<string, string>();
   private readonly zoneConstraints = new Map<string, ZoneConstraint>();
@@ -79,7 +79,7 @@
     return {
       starts: this.starts,
       prices: new Map(pools.map((pool) => [pool.shape, pool.price])),
-      unmet: this.unmet,
+      unmetTaskCounts: this.unmetTaskCounts,
       gatheringZones: this.gatheringZones,
       free: new Map(machines.map((machine) => [machine.host, machine.free])),
       reservedHosts: this.reservedHosts,
@@ -95,7 +95,7 @@
       this.start(job, placement.machines);
       return;
     }
-    this.unmet.set(job.id, placement.missing);
+    this.unmetTaskCounts.set(job.id, placement.missing);
     if (placement.zone !== null) this.gatheringZones.set(job.id, placement.zone);
     this.reserve(placement.reservedHosts);
   }
@@ -108,7 +108,7 @@
     this.start(job, machines);
     let remaining = segment.count - machines.length;
     if (remaining === 0) return;
-    this.unmet.set(job.id, (this.unmet.get(job.id) ?? 0) + remaining);
+    this.unmetTaskCounts.set(job.id, (this.unmetTaskCounts.get(job.id) ?? 0) + remaining);
     for (const pool of pools) {
       const hosts = reserveMachines(pool.machines, { job, zoneConstraint, count: remaining });
       remaining -= hosts.length;
--- a/packages/pricing/preemption.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -7,10 +7,10 @@
 const JOB: PendingJob = {
   id: 'j-1',
   team: 'blue',
-  need: NEED,
+  taskResources: NEED,
   priority: 4,
   acceptanceOrder: 1,
-  pendingTasks: 1,
+  pendingTaskCount: 1,
   taskCount: 1,
   isGang: false,
   machineTypes: null,
@@ -36,10 +36,10 @@
   };
 }
 
-function preempted(victims: Victim[], change: { rank?: number; guaranteed?: boolean } = {}): string[] {
+function preempted(victims: Victim[], change: { rank?: number; isWithinGuarantee?: boolean } = {}): string[] {
   const freeResources = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, freeResources, isAllowed: () => true }));
-  const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...change }];
+  const requests = [{ job: JOB, count: 1, rank: 2, isWithinGuarantee: false, ...change }];
   return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map(({ taskName }) => taskName);
 }
 
@@ -60,5 +60,5 @@
     victim('a/1', { rank: 3, isAboveGuarantee: true }),
   ];
   assert.deepEqual(preempted(high, { rank: 1 }), []);
-  assert.deepEqual(preempted(high, { rank: 1, guaranteed: true }), ['a/0', 'a/1']);
+  assert.deepEqual(preempted(high, { rank: 1, isWithinGuarantee: true }), ['a/0', 'a/1']);
 });
--- a/packages/pricing/preemption.ts
+++ b/packages/pricing/preemption.ts
@@ -22,7 +22,7 @@
   /** Compared with the rank of victims. */
   rank: number;
   /** It lies within its team's guarantee. */
-  guaranteed: boolean;
+  isWithinGuarantee: boolean;
 }
 
 /** A machine on which tasks may be stopped. */
@@ -77,7 +77,7 @@
 }
 
 /** A machine that is to take one task, and what has to be stopped on it. */
-interface Choice {
+interface MachineChoice {
   readonly host: string;
   readonly victims: readonly Victim[];
 }
@@ -94,7 +94,7 @@
 
   /** Adds victims for as many of the request's tasks as possible; for a gang for all of them or none. */
   serve(request: PreemptionRequest): void {
-    const choices: Choice[] = [];
+    const choices: MachineChoice[] = [];
     while (choices.length < request.count) {
       const choice = this.fewestVictims(request);
       if (!choice || this.preempted.length + choice.victims.length > this.maxPreemptions) break;
@@ -105,13 +105,13 @@
     if (request.job.isGang && choices.length < request.count) this.revert(choices);
   }
 
-  private add({ host, victims }: Choice): void {
+  private add({ host, victims }: MachineChoice): void {
     this.usedHosts.add(host);
     this.preempted.push(...victims);
   }
 
   /** Reverts what was added last. */
-  private revert(choices: readonly Choice[]): void {
+  private revert(choices: readonly MachineChoice[]): void {
     for (const { host, victims } of choices) {
       this.usedHosts.delete(host);
       this.preempted.length -= victims.length;
@@ -119,8 +119,8 @@
   }
 
   /** The first of the machines on which the fewest tasks have to be stopped for one of the request's. */
-  private fewestVictims(request: PreemptionRequest): Choice | null {
-    let best: Choice | null = null;
+  private fewestVictims(request: PreemptionRequest): MachineChoice | null {
+    let best: MachineChoice | null = null;
     for (const candidate of this.candidates) {
       if (this.usedHosts.has(candidate.host) || !candidate.isAllowed(request.job)) continue;
       const victims = victimsOn(candidate, request);
@@ -132,14 +132,17 @@
 }
 
 /** What to stop on the machine for one task of the request; null if all that may be stopped is not enough. */
-function victimsOn(candidate: Candidate, { job, rank, guaranteed }: PreemptionRequest): Victim[] | null {
+function victimsOn(
+  candidate: Candidate,
+  { job, rank, isWithinGuarantee }: PreemptionRequest,
+): Victim[] | null {
   const capacity = { ...candidate.freeResources };
   const chosen: Victim[] = [];
   for (const victim of candidate.victims) {
-    if (fits(job.need, capacity)) break;
-    if (victim.rank >= rank && !(guaranteed && victim.isAboveGuarantee)) continue;
+    if (fits(job.taskResources, capacity)) break;
+    if (victim.rank >= rank && !(isWithinGuarantee && victim.isAboveGuarantee)) continue;
     subtractResources(capacity, victim, -1);
     chosen.push(victim);
   }
-  return fits(job.need, capacity) ? chosen : null;
+  return fits(job.taskResources, capacity) ? chosen : null;
 }
--- a/packages/pricing/price-adjustment.ts
+++ b/packages/pricing/price-adjustment.ts
@@ -21,11 +21,12 @@
 
 /** Net utility of a task of the segment on the shape: its priority less its demand at the present prices. */
 export function utility(segment: Segment, pool: ShapePool, market: Market): number {
-  const { need } = segment.job;
+  const { taskResources } = segment.job;
   const { price } = pool;
-  const isGpuWasted = need.gpus === 0 && pool.total.gpus > 0;
+  const isGpuWasted = taskResources.gpus === 0 && pool.total.gpus > 0;
   const gpuShapeCost = isGpuWasted ? market.options.gpuShapeCost * market.highestPriority : 0;
-  const cost = price.cpu * need.cpus + price.gpu * need.gpus + price.mem * need.memGb;
+  const cost =
+    price.cpu * taskResources.cpus + price.gpu * taskResources.gpus + price.mem * taskResources.memGb;
   return segment.priority - cost - gpuShapeCost;
 }
 
@@ -36,9 +37,9 @@
  * above all that any task would pay come down only as capacity becomes free, which on a full fleet takes minutes; until then
  * tasks would rank by the size of their demand alone, and urgent ones that need a whole machine would come last.
  */
-export function movePrices(segments: readonly Segment[], market: Market): void {
+export function adjustPrices(segments: readonly Segment[], market: Market): void {
   const demands = demandByPool(segments, market);
-  for (const pool of market.pools) movePricesOf(pool, demands.get(pool) ?? noResources(), market);
+  for (const pool of market.pools) adjustPoolPrices(pool, demands.get(pool) ?? noResources(), market);
 }
 
 /** The demand on each shape if every task goes where its utility is highest, if that is above zero. */
@@ -46,7 +47,8 @@
   const demands = new Map<ShapePool, Resources>(market.pools.map((pool) => [pool, noResources()]));
   for (const segment of segments) {
     const best = bestPool(segment, market);
-    if (best) subtractResources(demands.get(best) ?? noResources(), segment.job.need, -segment.count);
+    if (best)
+      subtractResources(demands.get(best) ?? noResources(), segment.job.taskResources, -segment.count);
   }
   return demands;
 }
@@ -64,7 +66,7 @@
   return best;
 }
 
-function movePricesOf(pool: ShapePool, demand: Resources, { highestPriority, options }: Market): void {
+function adjustPoolPrices(pool: ShapePool, demand: Resources, { highestPriority, options }: Market): void {
   for (const { price, amount } of RESOURCES) {
     const total = pool.total[amount];
     if (total <= 0) {
--- a/packages/pricing/pricing-round.test.ts
+++ b/packages/pricing/pricing-round.test.ts
@@ -27,10 +27,10 @@
   return {
     id,
     team: 'blue',
-    need: { cpus: 2, gpus: 0, memGb: 4 },
+    taskResources: { cpus: 2, gpus: 0, memGb: 4 },
     priority: 2,
     acceptanceOrder: 1,
-    pendingTasks: 1,
+    pendingTaskCount: 1,
     taskCount: 1,
     isGang: false,
     machineTypes: null,
@@ -82,7 +82,7 @@
     PendingJob,
     | 'team'
     | 'priority'
-    | 'pendingTasks'
+    | 'pendingTaskCount'
     | 'zone'
     | 'machineTypes'
     | 'singleZone'
@@ -96,7 +96,7 @@
   memGb: fc.constantFrom(1, 4, 15),
   gpus: fc.constantFrom(0, 0, 1),
   priority: fc.integer({ min: 1, max: 20 }),
-  pendingTasks: fc.integer({ min: 1, max: 9 }),
+  pendingTaskCount: fc.integer({ min: 1, max: 9 }),
   zone: fc.constantFrom(null, 'east', 'west'),
   machineTypes: fc.constantFrom(null, ['small'], ['large']),
   singleZone: fc.boolean(),
@@ -119,9 +119,9 @@
         const jobs = jobSpecs.map((spec, i) =>
           job(`j-${i}`, {
             ...spec,
-            need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
+            taskResources: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
             acceptanceOrder: i,
-            taskCount: spec.pendingTasks,
+            taskCount: spec.pendingTaskCount,
           }),
         );
         const machines = machineSpecs.map((spec, i) => {
@@ -143,19 +143,19 @@
           const started = jobs.find((candidate) => candidate.id === id)!;
           const target = machines.find((candidate) => candidate.host === host)!;
           const free = freeByHost.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
-          assert.ok(fits(started.need, free), 'capacity');
-          subtractResources(free, started.need, 1);
+          assert.ok(fits(started.taskResources, free), 'capacity');
+          subtractResources(free, started.taskResources, 1);
           assert.ok(started.machineTypes?.includes(target.machineType) ?? true, 'type');
           assert.ok(started.zone === null || started.zone === target.zone, 'zone');
           assert.ok(started.allowsSpot || !target.spot, 'kind');
           const usage = used.get(started.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
-          subtractResources(usage, started.need, -1);
+          subtractResources(usage, started.taskResources, -1);
           used.set(started.team, usage);
           zones.set(id, [...(zones.get(id) ?? []), target.zone]);
           count.set(id, (count.get(id) ?? 0) + 1);
         }
         for (const { cpus, gpus } of used.values()) assert.ok(cpus <= 12 + 1e-6 && gpus <= 1 + 1e-6, 'limit');
-        for (const { id, singleZone, spreadZones, taskCount, pendingTasks } of jobs) {
+        for (const { id, singleZone, spreadZones, taskCount, pendingTaskCount } of jobs) {
           const taskZones = zones.get(id) ?? [];
           if (singleZone) assert.ok(new Set(taskZones).size <= 1, 'one zone');
           if (spreadZones) {
@@ -164,7 +164,10 @@
               assert.ok(inZone <= Math.ceil(taskCount / 2), 'spread');
             }
           }
-          assert.ok((count.get(id) ?? 0) + (result.unmet.get(id) ?? 0) <= pendingTasks, 'count');
+          assert.ok(
+            (count.get(id) ?? 0) + (result.unmetTaskCounts.get(id) ?? 0) <= pendingTaskCount,
+            'count',
+          );
         }
         for (const { cpu, mem, gpu } of result.prices.values())
           assert.ok(cpu >= 0 && mem >= 0 && gpu >= 0, 'price');
@@ -175,12 +178,12 @@
 });
 
 test('prices start from the last round, rise where demand exceeds capacity, and fall back to zero', () => {
-  const crowd = [job('j-1', { pendingTasks: 6, taskCount: 6, priority: 5 })];
-  const first = runPricingRound(input(crowd, [machine('n-1')])).prices.get('small');
+  const contendingJobs = [job('j-1', { pendingTaskCount: 6, taskCount: 6, priority: 5 })];
+  const first = runPricingRound(input(contendingJobs, [machine('n-1')])).prices.get('small');
   assert.ok(first && first.cpu > 0);
   const prices = new Map([['small', first]]);
   const next = runPricingRound(
-    input(crowd, [machine('n-1')], { prices, options: { ...OPTIONS, passes: 1 } }),
+    input(contendingJobs, [machine('n-1')], { prices, options: { ...OPTIONS, passes: 1 } }),
   );
   assert.ok(Math.abs((next.prices.get('small')?.cpu ?? 0) - first.cpu) < 1);
   let idle: PricingRoundInput['prices'] = prices;
@@ -227,8 +230,8 @@
     machine('n-2', { free: { ...half }, busyFor: () => 5 * SECOND }),
     machine('n-3', { free: { ...half }, busyFor: () => 300 * SECOND }),
   ];
-  const whole = job('j-1', { priority: 4, need: { cpus: 4, gpus: 0, memGb: 14 } });
-  const small = job('j-2', { pendingTasks: 3 });
+  const whole = job('j-1', { priority: 4, taskResources: { cpus: 4, gpus: 0, memGb: 14 } });
+  const small = job('j-2', { pendingTaskCount: 3 });
   const hosts = (jobs: PendingJob[]): string[] =>
     runPricingRound(input(jobs, machines))
       .starts.map((start) => `${start.job} ${start.host}`)
@@ -237,8 +240,8 @@
   // None is reserved beyond the longest reservation, nor for what ranks lower.
   assert.deepEqual(
     hosts([
-      { ...whole, pendingTasks: 2 },
-      { ...small, pendingTasks: 1 },
+      { ...whole, pendingTaskCount: 2 },
+      { ...small, pendingTaskCount: 1 },
     ]),
     ['j-2 n-3'],
   );
@@ -269,13 +272,13 @@
 test('prices stay near what tasks would pay while a fleet boots, so that rank decides and not size', () => {
   const whole = { cpus: 4, gpus: 0, memGb: 14 };
   const urgent = job('j-2', {
-    need: whole,
+    taskResources: whole,
     priority: 8,
-    pendingTasks: 40,
+    pendingTaskCount: 40,
     taskCount: 40,
     acceptanceOrder: 2,
   });
-  const normal = job('j-1', { pendingTasks: 400, taskCount: 400, acceptanceOrder: 1 });
+  const normal = job('j-1', { pendingTaskCount: 400, taskCount: 400, acceptanceOrder: 1 });
   const { prices, runRound } = afterBoot([normal, urgent]);
   const cpu = prices.get('small')?.cpu ?? 0;
   assert.ok(cpu < 3, `${cpu} a CPU, where 2 is the most that anyone pays`);
@@ -286,8 +289,13 @@
 // minutes, while small machines stood idle beside a best-effort job: docs/incidents/upgrade-132.md.
 test('a job without feasible machines holds its team back only for as long as a machine takes to boot', () => {
   const startedJobs = (isOverdue: boolean): string[] => {
-    const waitsForLarge = job('j-1', { priority: 24, pendingTasks: 8, machineTypes: ['large'], isOverdue });
-    const runsAnywhere = job('j-2', { priority: 1, acceptanceOrder: 2, pendingTasks: 2 });
+    const waitsForLarge = job('j-1', {
+      priority: 24,
+      pendingTaskCount: 8,
+      machineTypes: ['large'],
+      isOverdue,
+    });
+    const runsAnywhere = job('j-2', { priority: 1, acceptanceOrder: 2, pendingTaskCount: 2 });
     const team = {
       name: 'blue',
       used: { cpus: 0, gpus: 0, memGb: 0 },
@@ -302,7 +310,7 @@
       options: OPTIONS,
       random: random(1),
     });
-    assert.equal(result.unmet.get('j-1'), 8, 'machines for it are still requested');
+    assert.equal(result.unmetTaskCounts.get('j-1'), 8, 'machines for it are still requested');
     return result.starts.map((start) => start.job);
   };
   assert.deepEqual(startedJobs(false), []);
--- a/packages/pricing/pricing-round.ts
+++ b/packages/pricing/pricing-round.ts
@@ -1,7 +1,7 @@
 /** One pricing round: prices every shape, then places pending tasks. */
 import { placeSegments } from './placement.js';
 import { poolByShape } from './shape-pools.js';
-import { movePrices } from './price-adjustment.js';
+import { adjustPrices } from './price-adjustment.js';
 import { segmentsWithinLimits } from './segments.js';
 import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
@@ -14,6 +14,6 @@
   const segments = segmentsWithinLimits(input, pools);
   const highestPriority = Math.max(1, ...segments.map((segment) => segment.priority));
   const market = { pools, highestPriority, options };
-  for (let pass = 0; pass < options.passes; pass++) movePrices(segments, market);
+  for (let pass = 0; pass < options.passes; pass++) adjustPrices(segments, market);
   return placeSegments(input, segments, market);
 }
--- a/packages/pricing/reservation.ts
+++ b/packages/pricing/reservation.ts
@@ -28,8 +28,8 @@
   const partlyFree = machines.filter(
     (machine) =>
       machine.free.cpus > RESOURCE_TOLERANCE &&
-      !fits(job.need, machine.free) &&
-      fits(job.need, machine.total) &&
+      !fits(job.taskResources, machine.free) &&
+      fits(job.taskResources, machine.total) &&
       zoneConstraint.allows(machine.zone),
   );
   const soonest = partlyFree
--- a/packages/pricing/segments.ts
+++ b/packages/pricing/segments.ts
@@ -15,7 +15,7 @@
 /** What the segments of all teams are built with. */
 interface Ranking {
   readonly pools: readonly ShapePool[];
-  readonly rank: (job: PendingJob) => number;
+  readonly weightedPriority: (job: PendingJob) => number;
   /** Added to the rank of tasks within their team's guarantee. */
   readonly guaranteeBonus: number;
 }
@@ -26,9 +26,10 @@
  */
 export function segmentsWithinLimits(input: PricingRoundInput, pools: readonly ShapePool[]): Segment[] {
   const { gpuTaskWeight, guaranteeWeight } = input.options;
-  const rank = (job: PendingJob): number => job.priority * (job.need.gpus > 0 ? 1 + gpuTaskWeight : 1);
-  const highestRank = Math.max(1, ...input.jobs.map(rank));
-  const ranking = { pools, rank, guaranteeBonus: guaranteeWeight * highestRank };
+  const weightedPriority = (job: PendingJob): number =>
+    job.priority * (job.taskResources.gpus > 0 ? 1 + gpuTaskWeight : 1);
+  const highestPriority = Math.max(1, ...input.jobs.map(weightedPriority));
+  const ranking = { pools, weightedPriority, guaranteeBonus: guaranteeWeight * highestPriority };
   return input.teams.flatMap((team) => {
     const jobs = input.jobs.filter((job) => job.team === team.name);
     return segmentsOfTeam(team, jobs, ranking);
@@ -36,33 +37,40 @@
 }
 
 function segmentsOfTeam(team: TeamUsage, jobs: PendingJob[], ranking: Ranking): Segment[] {
-  const { pools, rank, guaranteeBonus } = ranking;
-  const remainingLimit = remaining(team.limit, team.used);
-  const remainingGuarantee = remaining(team.guaranteed, team.used);
+  const { pools, weightedPriority, guaranteeBonus } = ranking;
+  const remainingLimit = remainingQuota(team.limit, team.used);
+  const remainingGuarantee = remainingQuota(team.guaranteed, team.used);
   const segments: Segment[] = [];
-  const queue = jobs.sort((a, b) => rank(b) - rank(a) || a.acceptanceOrder - b.acceptanceOrder);
-  for (const job of queue) {
-    const fitting = Math.min(job.pendingTasks, countFitting(job.need, remainingLimit));
-    const count = usableCount(job, fitting);
-    const guaranteed = usableCount(job, Math.min(count, countFitting(job.need, remainingGuarantee)));
+  const rankedJobs = jobs.sort(
+    (a, b) => weightedPriority(b) - weightedPriority(a) || a.acceptanceOrder - b.acceptanceOrder,
+  );
+  for (const job of rankedJobs) {
+    const fittingCount = Math.min(job.pendingTaskCount, countFitting(job.taskResources, remainingLimit));
+    const count = placeableCount(job, fittingCount);
+    const guaranteedCount = placeableCount(
+      job,
+      Math.min(count, countFitting(job.taskResources, remainingGuarantee)),
+    );
     if (countsAgainstLimit(job, pools)) {
       // A gang beyond what remains of the limit holds back what ranks lower: task by task, that would never leave it enough.
-      subtractResources(remainingLimit, job.need, job.isGang ? job.pendingTasks : count);
-      subtractResources(remainingGuarantee, job.need, count);
+      subtractResources(remainingLimit, job.taskResources, job.isGang ? job.pendingTaskCount : count);
+      subtractResources(remainingGuarantee, job.taskResources, count);
     }
-    if (guaranteed > 0) segments.push({ job, priority: rank(job) + guaranteeBonus, count: guaranteed });
-    if (count > guaranteed) segments.push({ job, priority: rank(job), count: count - guaranteed });
+    if (guaranteedCount > 0)
+      segments.push({ job, priority: weightedPriority(job) + guaranteeBonus, count: guaranteedCount });
+    if (count > guaranteedCount)
+      segments.push({ job, priority: weightedPriority(job), count: count - guaranteedCount });
   }
   return segments;
 }
 
-function remaining(bound: { readonly cpus: number; readonly gpus: number }, used: Resources): Resources {
+function remainingQuota(bound: { readonly cpus: number; readonly gpus: number }, used: Resources): Resources {
   return { cpus: bound.cpus - used.cpus, gpus: bound.gpus - used.gpus, memGb: Infinity };
 }
 
 /** How many of so many fitting tasks are of use: of a gang all or none. */
-function usableCount(job: PendingJob, fitting: number): number {
-  return job.isGang && fitting < job.pendingTasks ? 0 : fitting;
+function placeableCount(job: PendingJob, fittingCount: number): number {
+  return job.isGang && fittingCount < job.pendingTaskCount ? 0 : fittingCount;
 }
 
 /**
--- a/packages/pricing/shape-pools.ts
+++ b/packages/pricing/shape-pools.ts
@@ -66,5 +66,5 @@
 export function isFeasible(job: PendingJob, pool: ShapePool): boolean {
   if (pool.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(pool.machineType)) return false;
-  return fits(job.need, pool.machines[0]?.total ?? noResources());
+  return fits(job.taskResources, pool.machines[0]?.total ?? noResources());
 }
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -20,13 +20,13 @@
 export interface PendingJob {
   id: string;
   team: string;
-  need: Resources;
+  taskResources: Resources;
   /** Rank and waiting time as one number; the higher, the sooner. */
   priority: number;
   /** Order of acceptance, for ties. */
   acceptanceOrder: number;
   /** Tasks without a machine. */
-  pendingTasks: number;
+  pendingTaskCount: number;
   /** Tasks of the whole job. */
   taskCount: number;
   /** All pending tasks are placed in one round, or none is. */
@@ -114,7 +114,7 @@
   /** By shape. */
   prices: Map<string, Price>;
   /** By job: tasks within their team's limit that found no machine with enough free capacity. */
-  unmet: Map<string, number>;
+  unmetTaskCounts: Map<string, number>;
   /** By gang that found no capacity and has to lie in one zone: the zone that serves it best. */
   gatheringZones: Map<string, string>;
   /** By host: capacity left free on each machine. */
--- a/packages/pricing/zone-constraint.ts
+++ b/packages/pricing/zone-constraint.ts
@@ -4,7 +4,7 @@
 
 /** Which zones a job's next task may go to, given where its other tasks are at this moment. */
 export class ZoneConstraint {
-  private readonly counts: Map<string, number>;
+  private readonly tasksByZone: Map<string, number>;
   /** Tasks of a spread job that one zone may hold. */
   private readonly maxPerZone: number;
   /** The zone of a job that is bound to one zone and has no task yet. */
@@ -14,24 +14,25 @@
     private readonly job: PendingJob,
     machines: readonly CandidateMachine[],
   ) {
-    this.counts = new Map(job.placedByZone);
+    this.tasksByZone = new Map(job.placedByZone);
     this.maxPerZone = Math.ceil(job.taskCount / 2);
-    this.firstZone = job.singleZone && this.counts.size === 0 ? zoneWithMostCapacity(job, machines) : null;
+    this.firstZone =
+      job.singleZone && this.tasksByZone.size === 0 ? zoneWithMostCapacity(job, machines) : null;
   }
 
   /** Whether the next task may go to the zone. */
   allows(zone: string): boolean {
-    const { job, counts } = this;
+    const { job, tasksByZone } = this;
     if (job.zone !== null && zone !== job.zone) return false;
     if (job.singleZone) {
-      if (this.firstZone !== null ? zone !== this.firstZone : !counts.has(zone)) return false;
+      if (this.firstZone !== null ? zone !== this.firstZone : !tasksByZone.has(zone)) return false;
     }
-    return !job.spreadZones || (counts.get(zone) ?? 0) < this.maxPerZone;
+    return !job.spreadZones || (tasksByZone.get(zone) ?? 0) < this.maxPerZone;
   }
 
   /** A task was placed in the zone. */
   onTaskPlaced(zone: string): void {
-    this.counts.set(zone, (this.counts.get(zone) ?? 0) + 1);
+    this.tasksByZone.set(zone, (this.tasksByZone.get(zone) ?? 0) + 1);
   }
 }
 
@@ -42,7 +43,7 @@
     if (!admits(job, machine)) continue;
     taskCapacity.set(
       machine.zone,
-      (taskCapacity.get(machine.zone) ?? 0) + countFitting(job.need, machine.free),
+      (taskCapacity.get(machine.zone) ?? 0) + countFitting(job.taskResources, machine.free),
     );
   }
   return [...taskCapacity].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
--- a/packages/scheduling/forecaster.ts
+++ b/packages/scheduling/forecaster.ts
@@ -39,7 +39,7 @@
 export interface ForecasterOptions {
   readonly settings: Settings;
   readonly replica: Replica;
-  readonly input: RoundInputBuilder;
+  readonly inputBuilder: RoundInputBuilder;
   readonly runTimeEstimator: RunTimeEstimator;
   readonly scheduler: Scheduler;
 }
@@ -47,13 +47,13 @@
 /** Simulates the next round of every owner. Nothing is recorded or sent. */
 export class Forecaster {
   /** By job class: its objectives that name a time. */
-  private readonly objectives = new Map<string, Objective[]>();
+  private readonly timedObjectives = new Map<string, Objective[]>();
 
   constructor(private readonly options: ForecasterOptions) {
     for (const objective of options.settings.objectives) {
       const { jobClass, within } = objective;
       if (jobClass === null || within === null) continue;
-      this.objectives.set(jobClass, [...(this.objectives.get(jobClass) ?? []), objective]);
+      this.timedObjectives.set(jobClass, [...(this.timedObjectives.get(jobClass) ?? []), objective]);
     }
   }
 
@@ -69,27 +69,27 @@
 
   /** Time within which the tasks of a class should have started; Infinity if there is no such objective. */
   startObjective(jobClass: string): Micros {
-    return this.options.input.startObjective(jobClass);
+    return this.options.inputBuilder.startObjective(jobClass);
   }
 
   /**
    * The part of a demand that is worth scaling out for: where the job's users leave time, one slot serves several
    * short tasks in turn.
    */
-  worthScalingOut(demand: UnmetDemand): UnmetDemand {
+  scaleOutDemand(demand: UnmetDemand): UnmetDemand {
     const { job, count } = demand;
     const spec = this.options.replica.jobs.get(job.id)?.spec;
     // The tasks of a gang run at the same time, so none of them can use the slot of another.
     if (!spec || job.isGang) return demand;
-    const runTime = this.options.runTimeEstimator.expected(spec);
+    const runTime = this.options.runTimeEstimator.expectedRunTime(spec);
     const timeLeft = Math.max(runTime, this.tolerableWait(spec, runTime));
     return { job, count: Math.ceil((count * runTime) / Math.max(timeLeft, 1)) };
   }
 
   private forecastOwner(member: string, shards: readonly number[]): OwnerForecast {
-    const { input, scheduler } = this.options;
+    const { inputBuilder, scheduler } = this.options;
     const shardSet = new Set(shards);
-    const machines = input.recordedMachines(shardSet);
+    const machines = inputBuilder.recordedMachines(shardSet);
     const round = scheduler.simulateRound(shardSet, machines, new Set());
     const { unmetDemand, free, reservedHosts } = round;
     const price = Math.max(0, ...[...round.prices.values()].map(({ cpu }) => cpu));
@@ -111,7 +111,7 @@
 
   /** Half of the waiting time that the job's objectives and its deadline allow; 0 if it has neither. */
   private tolerableWait(spec: JobSpec, runTime: Micros): Micros {
-    const waits = (this.objectives.get(spec.jobClass) ?? []).map(({ kind, within }) =>
+    const waits = (this.timedObjectives.get(spec.jobClass) ?? []).map(({ kind, within }) =>
       kind === 'wait' ? (within ?? 0) : (within ?? 0) - runTime,
     );
     if (spec.deadlineS !== null) waits.push(fromSeconds(spec.deadlineS) - runTime);
@@ -157,7 +157,7 @@
       if (shard === null || !shards.has(shard) || status !== 'up') continue;
       const free = noResources();
       for (const placement of ledger.placementsOn(host)) {
-        if (runTimeEstimator.remaining(placement) < PENDING_CAPACITY_HORIZON)
+        if (runTimeEstimator.remainingRunTime(placement) < PENDING_CAPACITY_HORIZON)
           subtractResources(free, placement, -1);
       }
       if (free.memGb > 0 || free.cpus > 0) capacities.push({ machineType, zone, spot, free });
@@ -169,7 +169,7 @@
 function unmetCpusByTeam(unmetDemand: readonly UnmetDemand[]): ReadonlyMap<string, number> {
   const unmetCpus = new Map<string, number>();
   for (const { job, count } of unmetDemand) {
-    unmetCpus.set(job.team, (unmetCpus.get(job.team) ?? 0) + count * job.need.cpus);
+    unmetCpus.set(job.team, (unmetCpus.get(job.team) ?? 0) + count * job.taskResources.cpus);
   }
   return unmetCpus;
 }
--- a/packages/scheduling/preemption-planner.ts
+++ b/packages/scheduling/preemption-planner.ts
@@ -57,7 +57,7 @@
 }
 
 /** By team: CPUs that it is guaranteed. */
-type Guarantees = ReadonlyMap<string, number>;
+type GuaranteedCpus = ReadonlyMap<string, number>;
 
 /** A task that may be preempted, as the planner compares it and as it would be stopped. */
 type PreemptionCandidate = Victim & PreemptedTask;
@@ -69,9 +69,9 @@
   /** Tasks to preempt for demand that has been unmet for long enough. */
   planPreemptions(round: PreemptionRound): PreemptedTask[] {
     const guarantees = new Map(this.options.settings.teams.map(({ name, cpus }) => [name, cpus]));
-    const requests = this.requests(round, guarantees);
+    const requests = this.buildRequests(round, guarantees);
     if (requests.length === 0) return [];
-    const candidates = this.candidates(round.machines, guarantees);
+    const candidates = this.findCandidates(round.machines, guarantees);
     const chosen = planPreemptions({
       requests,
       machines: round.machines.map((machine) => preemptibleMachine(machine, round.free)),
@@ -81,7 +81,7 @@
     return chosen.flatMap(({ taskName }) => candidates.get(taskName) ?? []);
   }
 
-  private requests(round: PreemptionRound, guarantees: Guarantees): PreemptionRequest[] {
+  private buildRequests(round: PreemptionRound, guarantees: GuaranteedCpus): PreemptionRequest[] {
     const { ledger, jobs } = this.options.replica;
     const wall = this.options.clock.wall();
     const requests: PreemptionRequest[] = [];
@@ -90,9 +90,9 @@
     // was preempted for them would claim that part again, and further tasks would be preempted for it.
     const usageChanges = new Map(round.usageChanges);
     for (const { job, count } of round.unmetDemand) {
-      const { team, need } = job;
+      const { team, taskResources } = job;
       const usageChange = usageChanges.get(team) ?? 0;
-      usageChanges.set(team, usageChange + count * need.cpus);
+      usageChanges.set(team, usageChange + count * taskResources.cpus);
       const entry = jobs.get(job.id);
       if (!entry || wall - entry.acceptedAtMs * MS < PREEMPTION_MIN_WAIT) continue;
       // Tasks that were preempted before are still saving: no more of them for the same demand meanwhile.
@@ -104,9 +104,9 @@
   }
 
   /** By task name: tasks on these machines that may be preempted. */
-  private candidates(
+  private findCandidates(
     machines: readonly CandidateMachine[],
-    guarantees: Guarantees,
+    guarantees: GuaranteedCpus,
   ): Map<string, PreemptionCandidate> {
     const { ledger, jobs } = this.options.replica;
     const wall = this.options.clock.wall();
@@ -127,7 +127,7 @@
     // Preempting one task of a gang would stop all of them for the capacity of one.
     if (placement.gangSize !== null || spec.checkpointS <= 0) return false;
     if (wall - placement.startedAtMs * MS < VICTIM_MIN_RUN_TIME) return false;
-    return this.options.runTimeEstimator.remaining(placement) >= VICTIM_MIN_REMAINING;
+    return this.options.runTimeEstimator.remainingRunTime(placement) >= VICTIM_MIN_REMAINING;
   }
 
   /** Machines of this node on which tasks are being preempted, with the free capacity that this will leave. */
@@ -162,13 +162,13 @@
 /** Adds a request for the tasks within the guarantee, and one for the others if the rank of the job allows that. */
 function addRequests(requests: PreemptionRequest[], demand: EligibleDemand): void {
   const { job, count, spec, unusedGuarantee } = demand;
-  const cpusOnly = { ...job.need, gpus: 0, memGb: 0 };
+  const cpusOnly = { ...job.taskResources, gpus: 0, memGb: 0 };
   const fitting = countFitting(cpusOnly, { cpus: unusedGuarantee, gpus: 0, memGb: 0 });
   const guaranteed = Math.min(count, fitting);
   const rank = RANKS.indexOf(spec.rank);
-  if (guaranteed > 0) requests.push({ job, count: guaranteed, rank, guaranteed: true });
+  if (guaranteed > 0) requests.push({ job, count: guaranteed, rank, isWithinGuarantee: true });
   if (count > guaranteed && rank > NORMAL_RANK) {
-    requests.push({ job, count: count - guaranteed, rank, guaranteed: false });
+    requests.push({ job, count: count - guaranteed, rank, isWithinGuarantee: false });
   }
 }
 
@@ -198,6 +198,6 @@
   return {
     host: machine.host,
     freeResources: free.get(machine.host) ?? machine.free,
-    isAllowed: (job) => isFeasible(job, machine) && fits(job.need, machine.total),
+    isAllowed: (job) => isFeasible(job, machine) && fits(job.taskResources, machine.total),
   };
 }
--- a/packages/scheduling/round-input-builder.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -41,7 +41,7 @@
 /** A machine that takes more than this many times the nominal boot time is not counted on. */
 const BOOT_TIME_TOLERANCE = 2.2;
 /** Waiting times beyond this many doubling times of the priority raise it by the square. */
-const LONG_WAIT = 2;
+const QUADRATIC_WAIT_THRESHOLD = 2;
 /** Zone of a machine that neither the log nor a heartbeat knows. */
 const UNKNOWN_ZONE = '?';
 
@@ -108,13 +108,13 @@
     for (const [id, job] of replica.jobs) {
       if (!teams.has(job.spec.team)) continue;
       const progress = replica.ledger.jobs.get(id);
-      const pendingTasks = this.pendingTaskCount(job.spec, progress);
-      if (pendingTasks <= 0) continue;
+      const pendingTaskCount = this.pendingTaskCount(job.spec, progress);
+      if (pendingTaskCount <= 0) continue;
       const placedByZone = this.placedByZone(progress, completed);
       const age = Math.max(0, wall - job.acceptedAtMs * MS);
       const priority = this.priority(job.spec, progress, age);
       const isOverdue = age > maxBootTime;
-      pending.push(pendingJob({ id, job, priority, pendingTasks, isOverdue, placedByZone }));
+      pending.push(pendingJob({ id, job, priority, pendingTaskCount, isOverdue, placedByZone }));
     }
     return pending;
   }
@@ -224,7 +224,7 @@
 
 /** What the builder derives of a job for one round. */
 interface PendingJobParts extends Required<
-  Pick<PendingJob, 'id' | 'priority' | 'pendingTasks' | 'isOverdue' | 'placedByZone'>
+  Pick<PendingJob, 'id' | 'priority' | 'pendingTaskCount' | 'isOverdue' | 'placedByZone'>
 > {
   readonly job: LiveJob;
 }
@@ -234,10 +234,10 @@
   return {
     id: parts.id,
     team: spec.team,
-    need: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
+    taskResources: { cpus: spec.cpus, gpus: spec.gpus, memGb: spec.memGb },
     priority: parts.priority,
     acceptanceOrder: acceptedRevision,
-    pendingTasks: parts.pendingTasks,
+    pendingTaskCount: parts.pendingTaskCount,
     taskCount: spec.taskCount,
     isGang: spec.shape === 'gang',
     isOverdue: parts.isOverdue,
@@ -258,8 +258,8 @@
 /**
  * Factor by which waiting raises a priority: linear at first, then by the square. On a fleet that stays full, a linear
  * factor would let best-effort work begin only once all normal work has, minutes after its users gave it up.
- * @param waited - waiting time as a multiple of the time that doubles the priority
+ * @param waitMultiple - waiting time as a multiple of the time that doubles the priority
  */
-export function waitingBoost(waited: number): number {
-  return 1 + waited + Math.max(0, waited - LONG_WAIT) ** 2;
+export function waitingBoost(waitMultiple: number): number {
+  return 1 + waitMultiple + Math.max(0, waitMultiple - QUADRATIC_WAIT_THRESHOLD) ** 2;
 }
--- a/packages/scheduling/run-time-estimator.test.ts
+++ b/packages/scheduling/run-time-estimator.test.ts
@@ -37,14 +37,14 @@
 test('a completion moves the estimate of its class a tenth of the way to the observed run time', () => {
   const { estimator, worker } = estimatorWith(NOW - 200 * SECOND);
   estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
-  assert.equal(Math.round(estimator.expected(SPEC) / SECOND), 110);
+  assert.equal(Math.round(estimator.expectedRunTime(SPEC) / SECOND), 110);
   assert.equal(worker.runningSince.size, 0);
 });
 
 test('one run time of many times the estimate counts as five times', () => {
   const { estimator } = estimatorWith(NOW - 900 * SECOND);
   estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
-  assert.equal(Math.round(estimator.expected(SPEC) / SECOND), 140);
+  assert.equal(Math.round(estimator.expectedRunTime(SPEC) / SECOND), 140);
 });
 
 test('a result that was stored already, a failure and a start that nobody saw leave the estimate as it is', () => {
@@ -56,7 +56,7 @@
   for (const { startedAt, outcome } of cases) {
     const { estimator } = estimatorWith(startedAt);
     estimator.onCompletion({ placement: PLACEMENT, outcome });
-    assert.equal(estimator.expected(SPEC), 100 * SECOND);
+    assert.equal(estimator.expectedRunTime(SPEC), 100 * SECOND);
   }
 });
 
@@ -67,8 +67,8 @@
 });
 
 test('the remaining time counts from the observed start, or from the recorded one if nobody saw the start', () => {
-  assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.remaining(PLACEMENT), 70 * SECOND);
-  assert.equal(estimatorWith(null).estimator.remaining(PLACEMENT), 90 * SECOND);
-  assert.equal(estimatorWith(NOW - 300 * SECOND).estimator.remaining(PLACEMENT), 0);
+  assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.remainingRunTime(PLACEMENT), 70 * SECOND);
+  assert.equal(estimatorWith(null).estimator.remainingRunTime(PLACEMENT), 90 * SECOND);
+  assert.equal(estimatorWith(NOW - 300 * SECOND).estimator.remainingRunTime(PLACEMENT), 0);
   assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.busyFor('machine-1'), 70 * SECOND);
 });
--- a/packages/scheduling/run-time-estimator.ts
+++ b/packages/scheduling/run-time-estimator.ts
@@ -10,7 +10,7 @@
 /** Weight of a newly observed ratio in the moving average of its class. */
 const LEARNING_RATE = 0.1;
 /** A single observed ratio counts for at most this much. */
-const MAX_RATIO = 5;
+const MAX_OBSERVED_RATIO = 5;
 
 /** What a run time estimator works with. */
 export interface RunTimeEstimatorOptions {
@@ -23,7 +23,7 @@
 /** Learns from completions by how much the owners' estimates are off, by job class. */
 export class RunTimeEstimator {
   /** By job class: moving average of observed run time by estimated run time. */
-  private readonly ratios = new Map<string, number>();
+  private readonly runTimeRatios = new Map<string, number>();
 
   constructor(private readonly options: RunTimeEstimatorOptions) {}
 
@@ -36,22 +36,22 @@
     if (outcome === 'refused' && worker) {
       worker.avoidedUntil = Math.max(worker.avoidedUntil, clock.now() + REFUSAL_BACKOFF);
     } else if (outcome === 'done' && startedAt !== null) {
-      this.learn(placement, startedAt);
+      this.updateRatio(placement, startedAt);
     }
   }
 
   /** Expected run time of a task of this job from start to end. */
-  expected(spec: JobSpec): Micros {
-    return fromSeconds(spec.estimateS) * (this.ratios.get(spec.jobClass) ?? 1);
+  expectedRunTime(spec: JobSpec): Micros {
+    return fromSeconds(spec.estimateS) * (this.runTimeRatios.get(spec.jobClass) ?? 1);
   }
 
   /** Expected time until a running task ends; 0 if it should have ended already. */
-  remaining(placement: Placement): Micros {
+  remainingRunTime(placement: Placement): Micros {
     const { clock, replica } = this.options;
     const job = replica.jobs.get(placement.job);
     if (!job) return 0;
     const startedAt = this.observedStart(placement);
-    const runTime = this.expected(job.spec);
+    const runTime = this.expectedRunTime(job.spec);
     // On another owner's machine only the recorded time of the start is known.
     if (startedAt === null) return Math.max(0, placement.startedAtMs * MS + runTime - clock.wall());
     return Math.max(0, startedAt + runTime - clock.now());
@@ -61,7 +61,7 @@
   busyFor(host: string): Micros {
     let longest = 0;
     for (const placement of this.options.replica.ledger.placementsOn(host)) {
-      longest = Math.max(longest, this.remaining(placement));
+      longest = Math.max(longest, this.remainingRunTime(placement));
     }
     return longest;
   }
@@ -73,7 +73,7 @@
   }
 
   /** Corrects the ratio of the task's class by its run time. */
-  private learn(placement: Placement, startedAt: Micros): void {
+  private updateRatio(placement: Placement, startedAt: Micros): void {
     const { clock, replica, log } = this.options;
     const spec = replica.jobs.get(placement.job)?.spec;
     if (!spec || spec.estimateS <= 0) return;
@@ -81,8 +81,11 @@
     const ratio = runTime / fromSeconds(spec.estimateS);
     // A result that was kept from an earlier attempt is there at once and says nothing about the class.
     if (ratio < STORED_RESULT_RATIO) return;
-    const average = this.ratios.get(spec.jobClass) ?? 1;
-    this.ratios.set(spec.jobClass, average + LEARNING_RATE * (Math.min(MAX_RATIO, ratio) - average));
+    const average = this.runTimeRatios.get(spec.jobClass) ?? 1;
+    this.runTimeRatios.set(
+      spec.jobClass,
+      average + LEARNING_RATE * (Math.min(MAX_OBSERVED_RATIO, ratio) - average),
+    );
     const startDelayMs = Math.round((clock.wall() - runTime) / MS - placement.startedAtMs);
     const runMs = Math.round(runTime / MS);
     log.debug({ task: placement.taskName, startDelayMs, runMs }, 'task completed');
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -26,7 +26,7 @@
 import type { RoundInputBuilder } from './round-input-builder.js';
 
 /** Starts in one round at most, so that its records stay small. */
-const MAX_STARTS = 300;
+const MAX_STARTS_PER_ROUND = 300;
 /** Recorded prices are rounded to a multiple of 1 / this. */
 const PRICE_PRECISION = 1e4;
 
@@ -56,8 +56,8 @@
   readonly random: () => number;
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
-  readonly input: RoundInputBuilder;
-  readonly preemption: PreemptionPlanner;
+  readonly inputBuilder: RoundInputBuilder;
+  readonly preemptionPlanner: PreemptionPlanner;
   readonly log: Logger;
 }
 
@@ -73,7 +73,7 @@
 
   constructor(private readonly options: SchedulerOptions) {
     const { settings, tuning } = options;
-    this.pricingOptions = { ...tuning, maxStarts: MAX_STARTS };
+    this.pricingOptions = { ...tuning, maxStarts: MAX_STARTS_PER_ROUND };
     this.shardByTeam = new Map(settings.teams.map((team, i) => [team.name, i % settings.initialSize]));
   }
 
@@ -94,12 +94,12 @@
 
   /** Plans a round over all shards of this node: the tasks of their teams on the machines that it reaches. */
   plan(completions: readonly TaskCompletion[], shards: ReadonlySet<number>): RoundPlan {
-    const { input, preemption } = this.options;
+    const { inputBuilder, preemptionPlanner } = this.options;
     const completed = new Set(completions.map(({ placement }) => placement));
-    const machines = input.reachableMachines(completed);
+    const machines = inputBuilder.reachableMachines(completed);
     const { starts, prices, unmetDemand, free } = this.simulateRound(shards, machines, completed);
     const unmetCpus = unmetCpusByTeam(unmetDemand);
-    const recordedPrices = recordPrices(prices);
+    const recordedPrices = pricesToRecord(prices);
     if (starts.length > 0 || unmetDemand.length > 0) {
       this.options.log.debug(
         { starts: starts.length, unmetCpus, prices: recordedPrices, machines: machines.length },
@@ -112,7 +112,7 @@
       starts: startsByShard,
       prices: recordedPrices,
       unmetCpus,
-      preemptions: preemption.planPreemptions({ unmetDemand, machines, free, usageChanges }),
+      preemptions: preemptionPlanner.planPreemptions({ unmetDemand, machines, free, usageChanges }),
     };
   }
 
@@ -125,9 +125,9 @@
     machines: readonly CandidateMachine[],
     completed: ReadonlySet<Placement>,
   ): SimulatedRound {
-    const { settings, replica, input, random } = this.options;
+    const { settings, replica, inputBuilder, random } = this.options;
     const teams = settings.teams.filter(({ name }) => shards.has(this.shardOfTeam(name)));
-    const jobs = input.pendingJobs(new Set(teams.map(({ name }) => name)), completed);
+    const jobs = inputBuilder.pendingJobs(new Set(teams.map(({ name }) => name)), completed);
     const firstShard = Math.min(...shards);
     const result = runPricingRound({
       jobs,
@@ -140,7 +140,7 @@
     return {
       starts: result.starts,
       prices: result.prices,
-      unmet: result.unmet,
+      unmetTaskCounts: result.unmetTaskCounts,
       gatheringZones: result.gatheringZones,
       free: result.free,
       reservedHosts: result.reservedHosts,
@@ -197,14 +197,14 @@
       let groups = groupsByShard.get(shard);
       if (!groups) groupsByShard.set(shard, (groups = []));
       let group = groups.find((candidate) => candidate.job === job);
-      if (!group) groups.push((group = this.startGroup(job, spec, shard)));
+      if (!group) groups.push((group = this.createStartGroup(job, spec, shard)));
       group.tasks.push([index.value, host, worker.heartbeat.incarnation]);
     }
     return groupsByShard;
   }
 
   /** A group without tasks yet. */
-  private startGroup(job: string, spec: JobSpec, shard: number): StartGroup {
+  private createStartGroup(job: string, spec: JobSpec, shard: number): StartGroup {
     const { team, image, cpus, gpus, memGb } = spec;
     const need: StartGroup['need'] = [cpus, gpus, memGb];
     if (spec.shape !== 'gang') return { job, team, image, need, tasks: [] };
@@ -233,29 +233,29 @@
 /** What found no machine, by priority and then by acceptance; a gang that has to lie in one zone with that zone. */
 function unmetDemandOf(
   jobs: readonly PendingJob[],
-  { unmet, gatheringZones }: PricingRoundResult,
+  { unmetTaskCounts, gatheringZones }: PricingRoundResult,
 ): UnmetDemand[] {
   return jobs
-    .filter(({ id }) => (unmet.get(id) ?? 0) > 0)
+    .filter(({ id }) => (unmetTaskCounts.get(id) ?? 0) > 0)
     .sort((a, b) => b.priority - a.priority || a.acceptanceOrder - b.acceptanceOrder)
     .map((job): UnmetDemand => {
-      const count = unmet.get(job.id) ?? 0;
+      const count = unmetTaskCounts.get(job.id) ?? 0;
       const zone = gatheringZones.get(job.id);
       if (zone === undefined) return { job, count };
-      return { job: { ...job, zone }, count, zoneIsOpen: job.zone === null };
+      return { job: { ...job, zone }, count, canUseOtherZones: job.zone === null };
     });
 }
 
 function unmetCpusByTeam(unmetDemand: readonly UnmetDemand[]): Record<string, number> {
   const unmetCpus: Record<string, number> = {};
   for (const { job, count } of unmetDemand) {
-    unmetCpus[job.team] = (unmetCpus[job.team] ?? 0) + count * job.need.cpus;
+    unmetCpus[job.team] = (unmetCpus[job.team] ?? 0) + count * job.taskResources.cpus;
   }
   return unmetCpus;
 }
 
 /** The prices in the form in which they are recorded. */
-function recordPrices(prices: ReadonlyMap<string, Price>): RoundPlan['prices'] {
+function pricesToRecord(prices: ReadonlyMap<string, Price>): RoundPlan['prices'] {
   const recorded: RoundPlan['prices'] = {};
   for (const [shape, { cpu, gpu, mem }] of prices) {
     recorded[shape] = [roundPrice(cpu), roundPrice(gpu), roundPrice(mem)];
