--- a/packages/scheduling/forecaster.ts
+++ b/packages/scheduling/forecaster.ts
@@ -1,4 +1,4 @@
-/** The leader's forecast of every owner's next scheduling round, from the replicated log alone. */
+/** Forecasts the next scheduling round of every shard owner, for the leader, from the replicated log alone. */
 import type { Replica } from '#cluster';
 import type { PendingCapacity, UnmetDemand } from '#fleet';
 import { noResources, type Resources, subtractResources } from '#pricing';
@@ -8,34 +8,37 @@
 import type { RunTimeEstimator } from './run-time-estimator.js';
 import type { Scheduler } from './scheduler.js';
 
-/** The capacity of tasks that are expected to end within this time counts as pending capacity. */
+/** Capacity counts as pending if the task that uses it is expected to end within this time. */
 const PENDING_CAPACITY_HORIZON: Micros = 10 * SECOND;
 
-/** How an owner's teams stand to their guarantees. */
+/** Compares the usage of an owner's teams with their guaranteed CPUs. */
 export interface GuaranteeBalance {
-  /** CPUs that its teams lack of their guarantees, less those that are about to come free or are being transferred. */
+  /**
+   * Guaranteed CPUs for which the owner's teams have unmet demand, less the CPUs that are about to become free or are
+   * being transferred to the owner. Never negative.
+   */
   readonly guaranteeDeficit: number;
-  /** CPUs that its teams use beyond their guarantees. */
+  /** CPUs that the owner's teams use above their guarantees. */
   readonly usageAboveGuarantee: number;
 }
 
-/** The forecast of one owner's next round. */
+/** Forecast of one shard owner's next scheduling round. */
 export interface OwnerForecast extends GuaranteeBalance {
   readonly member: string;
   readonly shards: readonly number[];
-  /** Tasks that will find no machine, most urgent first. */
+  /** Pending tasks for which no machine has capacity, most urgent first. */
   readonly unmetDemand: readonly UnmetDemand[];
-  /** By host: free capacity that the round will leave on each of its machines. */
+  /** Capacity that the round leaves free on each of the owner's machines. Keyed by host. */
   readonly free: ReadonlyMap<string, Resources>;
-  /** Hosts of machines that are reserved for tasks which need more than is free there yet. */
+  /** Hosts of machines reserved for tasks that need more capacity than is free there at present. */
   readonly reservedHosts: ReadonlySet<string>;
-  /** Capacity that its running tasks are about to free. */
+  /** Capacity that the owner's running tasks are about to free. */
   readonly pendingCapacity: readonly PendingCapacity[];
-  /** Highest price of a CPU on any shape. */
+  /** Highest price of a CPU on any shape, in units of priority. */
   readonly price: number;
 }
 
-/** What a forecaster works with. */
+/** Dependencies of {@link Forecaster}. */
 export interface ForecasterOptions {
   readonly settings: Settings;
   readonly replica: Replica;
@@ -44,9 +47,9 @@
   readonly scheduler: Scheduler;
 }
 
-/** Simulates the next round of every owner. Nothing is recorded or sent. */
+/** Simulates the next scheduling round of every shard owner. A forecast records nothing and sends nothing. */
 export class Forecaster {
-  /** By job class: its objectives that name a time. */
+  /** Service-level objectives that set a time limit. Keyed by job class. */
   private readonly timedObjectives = new Map<string, Objective[]>();
 
   constructor(private readonly options: ForecasterOptions) {
@@ -57,7 +60,7 @@
     }
   }
 
-  /** One forecast for each member that owns shards, in the order of their names. */
+  /** Returns one forecast for each member that owns shards, sorted by member name. `owners` is keyed by shard. */
   forecast(owners: ReadonlyMap<number, { readonly member: string }>): OwnerForecast[] {
     const members = [...new Set([...owners.values()].map((owner) => owner.member))].sort();
     return members.map((member) => {
@@ -67,19 +70,19 @@
     });
   }
 
-  /** Time within which the tasks of a class should have started; Infinity if there is no such objective. */
+  /** Returns the time within which tasks of a job class should start; Infinity if no objective sets one. */
   startObjective(jobClass: string): Micros {
     return this.options.inputBuilder.startObjective(jobClass);
   }
 
   /**
-   * The part of a demand that is worth scaling out for: where the job's users leave time, one slot serves several
-   * short tasks in turn.
+   * Returns the part of an unmet demand that justifies scaling out. If the objectives or the deadline of the job allow
+   * its tasks to wait, one slot can run several short tasks in sequence, so fewer slots are requested than tasks.
    */
   scaleOutDemand(demand: UnmetDemand): UnmetDemand {
     const { job, count } = demand;
     const spec = this.options.replica.jobs.get(job.id)?.spec;
-    // The tasks of a gang run at the same time, so none of them can use the slot of another.
+    // All tasks of a gang run at the same time, so they cannot share a slot.
     if (!spec || job.isGang) return demand;
     const runTime = this.options.runTimeEstimator.expectedRunTime(spec);
     const timeLeft = Math.max(runTime, this.tolerableWait(spec, runTime));
@@ -109,7 +112,7 @@
     };
   }
 
-  /** Half of the waiting time that the job's objectives and its deadline allow; 0 if it has neither. */
+  /** Returns half of the waiting time that the job's objectives and its deadline allow; 0 if it has neither. */
   private tolerableWait(spec: JobSpec, runTime: Micros): Micros {
     const waits = (this.timedObjectives.get(spec.jobClass) ?? []).map(({ kind, within }) =>
       kind === 'wait' ? (within ?? 0) : (within ?? 0) - runTime,
@@ -139,7 +142,7 @@
     return { guaranteeDeficit: Math.max(0, guaranteeDeficit), usageAboveGuarantee };
   }
 
-  /** CPUs of each machine that is being transferred to these shards. */
+  /** Yields the number of CPUs of each machine that is being transferred to one of the shards. */
   private *incomingCpus(shards: ReadonlySet<number>): Generator<number> {
     const { ledger, machineTypes } = this.options.replica;
     for (const { destination, shard, machineType } of ledger.machines.values()) {
@@ -148,7 +151,7 @@
     }
   }
 
-  /** Capacity that running tasks are about to free on the machines of these shards. */
+  /** Returns the capacity that running tasks are about to free on the machines of the shards. */
   private pendingCapacity(shards: ReadonlySet<number>): PendingCapacity[] {
     const { replica, runTimeEstimator } = this.options;
     const { ledger } = replica;
--- a/packages/scheduling/index.ts
+++ b/packages/scheduling/index.ts
@@ -1,4 +1,4 @@
-/** One owner's scheduling rounds: their input, the forecast of them, preemption, and what is recorded of their result. */
+/** Scheduling rounds of a shard owner: round input, planning, preemption, run-time estimates and forecasts. */
 export * from './forecaster.js';
 export * from './preemption-planner.js';
 export * from './round-input-builder.js';
--- a/packages/scheduling/preemption-planner.ts
+++ b/packages/scheduling/preemption-planner.ts
@@ -1,4 +1,4 @@
-/** Selects running tasks to preempt for work of higher rank, or for work that its team's guarantee covers. */
+/** Selects running tasks to preempt for pending tasks of higher rank, or for tasks within their team's guarantee. */
 import type { Placement, Replica } from '#cluster';
 import { allocatePending, isFeasible, type PendingCapacity, resourcesOf, type UnmetDemand } from '#fleet';
 import {
@@ -18,25 +18,25 @@
 import type { WorkerRegistry } from '#workers';
 import type { RunTimeEstimator } from './run-time-estimator.js';
 
-/** Tasks of a job may preempt others once the job is this old. */
+/** A job must have been accepted at least this long ago before its tasks may preempt others. */
 const PREEMPTION_MIN_WAIT: Micros = 4 * SECOND;
-/** A task is preempted only after it has run for this long: its user would count an earlier stop as no start. */
+/** Minimum run time of a task before it may be preempted: its user would not count a shorter run as a start. */
 const VICTIM_MIN_RUN_TIME: Micros = 45 * SECOND;
-/** A task that is expected to end sooner than this is not preempted. */
+/** A task is not preempted if it is expected to end within this time. */
 const VICTIM_MIN_REMAINING: Micros = 12 * SECOND;
-/** Tasks that one round may preempt, at most. */
+/** Maximum number of tasks that one scheduling round preempts. */
 const MAX_PREEMPTIONS = 6;
-/** Only jobs above this rank preempt tasks beyond their team's guarantee. */
+/** Only jobs above this rank may preempt others for tasks that exceed their own team's guarantee. */
 const NORMAL_RANK = RANKS.indexOf('normal');
 
-/** A running task that is to be preempted. */
+/** A running task that a round decides to preempt. */
 export interface PreemptedTask {
   readonly placement: Placement;
-  /** Seconds that it gets to save its progress. */
+  /** Seconds that the task gets to write a checkpoint before it is stopped. */
   readonly graceS: number;
 }
 
-/** What a preemption planner works with. */
+/** Dependencies of {@link PreemptionPlanner}. */
 export interface PreemptionPlannerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -45,28 +45,28 @@
   readonly runTimeEstimator: RunTimeEstimator;
 }
 
-/** The result of the scheduling round that preemptions are planned for. */
+/** The part of a scheduling round's result that preemptions are planned from. */
 export interface PreemptionRound {
-  /** Tasks that found no machine, most urgent first. */
+  /** Pending tasks for which no machine had capacity, most urgent first. */
   readonly unmetDemand: readonly UnmetDemand[];
   readonly machines: readonly CandidateMachine[];
-  /** By host: free capacity that the round leaves. */
+  /** Capacity that the round leaves free. Keyed by host. */
   readonly free: ReadonlyMap<string, Resources>;
-  /** By team: CPUs by which the round's starts and completions change its usage. */
+  /** CPUs by which the round's starts and completions change each team's usage. Keyed by team. */
   readonly usageChanges: ReadonlyMap<string, number>;
 }
 
-/** By team: CPUs that it is guaranteed. */
+/** Number of CPUs that each team is guaranteed. Keyed by team. */
 type GuaranteedCpus = ReadonlyMap<string, number>;
 
-/** A task that may be preempted, as the planner compares it and as it would be stopped. */
+/** A task that may be preempted: what victims are selected by, and the placement and grace period to stop it. */
 type PreemptionCandidate = Victim & PreemptedTask;
 
-/** Plans the preemptions of this node's scheduling rounds. */
+/** Plans the preemptions of the local node's scheduling rounds. */
 export class PreemptionPlanner {
   constructor(private readonly options: PreemptionPlannerOptions) {}
 
-  /** Tasks to preempt for demand that has been unmet for long enough. */
+  /** Selects the tasks to preempt for demand of jobs that have waited for at least PREEMPTION_MIN_WAIT. */
   planPreemptions(round: PreemptionRound): PreemptedTask[] {
     const guarantees = new Map(this.options.settings.teams.map(({ name, cpus }) => [name, cpus]));
     const requests = this.buildRequests(round, guarantees);
@@ -86,8 +86,8 @@
     const wall = this.options.clock.wall();
     const requests: PreemptionRequest[] = [];
     const beingFreed = this.capacityBeingFreed();
-    // What this round's starts, and the team's more urgent demand once it is met, use of the guarantee. Otherwise what
-    // was preempted for them would claim that part again, and further tasks would be preempted for it.
+    // Counts the round's starts and the team's more urgent unmet demand against the guarantee. Otherwise tasks that
+    // were preempted for that demand would claim the same part of the guarantee again and cause further preemptions.
     const usageChanges = new Map(round.usageChanges);
     for (const { job, count } of round.unmetDemand) {
       const { team, taskResources } = job;
@@ -95,7 +95,8 @@
       usageChanges.set(team, usageChange + count * taskResources.cpus);
       const entry = jobs.get(job.id);
       if (!entry || wall - entry.acceptedAtMs * MS < PREEMPTION_MIN_WAIT) continue;
-      // Tasks that were preempted before are still saving: no more of them for the same demand meanwhile.
+      // Tasks preempted in earlier rounds may still be writing checkpoints. The capacity that they free counts for this
+      // demand, so that no further tasks are preempted for it.
       const remaining = count - allocatePending(beingFreed, job, count);
       const unusedGuarantee = (guarantees.get(team) ?? 0) - (ledger.teamUsage(team).cpus + usageChange);
       addRequests(requests, { job, count: remaining, spec: entry.spec, unusedGuarantee });
@@ -103,7 +104,7 @@
     return requests;
   }
 
-  /** By task name: tasks on these machines that may be preempted. */
+  /** Returns the tasks on the machines that may be preempted. Keyed by task name. */
   private findCandidates(
     machines: readonly CandidateMachine[],
     guarantees: GuaranteedCpus,
@@ -124,13 +125,13 @@
   }
 
   private isPreemptible(placement: Placement, spec: JobSpec, wall: Micros): boolean {
-    // Preempting one task of a gang would stop all of them for the capacity of one.
+    // A gang cannot run without one of its tasks, so preempting one task would stop all of them.
     if (placement.gangSize !== null || spec.checkpointS <= 0) return false;
     if (wall - placement.startedAtMs * MS < VICTIM_MIN_RUN_TIME) return false;
     return this.options.runTimeEstimator.remainingRunTime(placement) >= VICTIM_MIN_REMAINING;
   }
 
-  /** Machines of this node on which tasks are being preempted, with the free capacity that this will leave. */
+  /** Returns the local node's machines on which tasks are being preempted, with their free capacity after that. */
   private capacityBeingFreed(): PendingCapacity[] {
     const { replica, workers } = this.options;
     const { ledger, machineTypes } = replica;
@@ -150,16 +151,16 @@
   }
 }
 
-/** Unmet demand of one job that may lead to preemptions. */
+/** Unmet demand of one job that has waited long enough to preempt other tasks. */
 interface EligibleDemand {
   readonly job: PendingJob;
   readonly count: number;
   readonly spec: JobSpec;
-  /** CPUs that the team may still use within its guarantee; negative if it is above. */
+  /** CPUs that the team may still use within its guarantee; negative if its usage exceeds the guarantee. */
   readonly unusedGuarantee: number;
 }
 
-/** Adds a request for the tasks within the guarantee, and one for the others if the rank of the job allows that. */
+/** Adds a request for the tasks within the guarantee, and one for the other tasks if the job's rank is above normal. */
 function addRequests(requests: PreemptionRequest[], demand: EligibleDemand): void {
   const { job, count, spec, unusedGuarantee } = demand;
   const cpusOnly = { ...job.taskResources, gpus: 0, memGb: 0 };
--- a/packages/scheduling/round-input-builder.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -1,4 +1,4 @@
-/** Builds the input of a scheduling round: the candidate machines, and the jobs with pending tasks. */
+/** Builds the input of a scheduling round: the candidate machines and the jobs with pending tasks. */
 import {
   JOB_FAILURE_THRESHOLD,
   type JobProgress,
@@ -24,8 +24,9 @@
 import type { RunTimeEstimator } from './run-time-estimator.js';
 
 /**
- * Utility is priority less what the demand costs, so a task of twice the size needs twice the priority to rank
- * alike: from `urgent` on the steps are wide enough that one which needs a whole machine still comes first.
+ * Base priority of a job by its rank. The utility of a task is its priority minus the cost of its resources, so a task
+ * of twice the size needs twice the priority to be placed equally early. From `urgent` on, the steps are wide enough
+ * that a task which needs a whole machine is still placed before smaller tasks of lower rank.
  */
 export const RANK_PRIORITY: Readonly<Record<Rank, number>> = {
   best_effort: 1,
@@ -33,19 +34,19 @@
   urgent: 8,
   prod: 24,
 };
-/** A machine that failed a task gets none for this long, and for twice as long with each further failure in a row. */
+/** Backoff of a machine after a task failed on it. It doubles with each further consecutive failure. */
 const FAILURE_BACKOFF: Micros = 20 * SECOND;
 const MAX_BACKOFF_DOUBLINGS = 4;
-/** A failing job is retried at least this often: the cause may be over, and nothing should wait without reason. */
+/** Maximum time between two attempts of a failing job, so that it resumes soon after the cause is fixed. */
 const MAX_JOB_BACKOFF: Micros = 45 * SECOND;
-/** A machine that takes more than this many times the nominal boot time is not counted on. */
+/** A machine that is not up after this multiple of its nominal boot time is no longer expected to come up. */
 const BOOT_TIME_TOLERANCE = 2.2;
-/** Waiting times beyond this many doubling times of the priority raise it by the square. */
+/** Multiple of the priority doubling time beyond which a longer wait raises the priority quadratically. */
 const QUADRATIC_WAIT_THRESHOLD = 2;
-/** Zone of a machine that neither the log nor a heartbeat knows. */
+/** Zone of a machine that appears neither in the log nor in a heartbeat. */
 const UNKNOWN_ZONE = '?';
 
-/** What a round input builder works with. */
+/** Dependencies of {@link RoundInputBuilder}. */
 export interface RoundInputBuilderOptions {
   readonly settings: Settings;
   readonly tuning: Tuning;
@@ -55,10 +56,10 @@
   readonly runTimeEstimator: RunTimeEstimator;
 }
 
-/** Builds the input of this node's own rounds, and of the leader's forecasts of those of others. */
+/** Builds the input of the local node's scheduling rounds and of the leader's forecasts of other owners' rounds. */
 export class RoundInputBuilder {
   private readonly teamsWithoutGuarantee: ReadonlySet<string>;
-  /** By job class: time within which its tasks should have started. */
+  /** Time within which the tasks of a job should start. Keyed by job class. */
   private readonly startObjectives = new Map<string, Micros>();
 
   constructor(private readonly options: RoundInputBuilderOptions) {
@@ -71,7 +72,10 @@
     this.teamsWithoutGuarantee = new Set(withoutGuarantee.map(({ name }) => name));
   }
 
-  /** The machines of this node whose workers it hears and reaches, with completed placements counted as free. */
+  /**
+   * Returns the local node's machines whose workers send heartbeats and are reachable. The capacity of completed
+   * placements counts as free.
+   */
   reachableMachines(completed: ReadonlySet<Placement>): CandidateMachine[] {
     const { clock, replica, workers } = this.options;
     const now = clock.now();
@@ -79,16 +83,17 @@
     for (const [host, worker] of workers.trackedWorkers) {
       if (worker.liveness !== 'reporting' || worker.avoidedUntil > now) continue;
       if (worker.unreachableSince !== null) continue;
-      // What a preemption frees is for the task that it was made for: the most urgent one, once all of it is free.
+      // Capacity freed by preemption is meant for the task that required it. The machine takes no task until all of
+      // that capacity is free; then the most urgent task gets it.
       if (workers.isPreempting(host, replica.ledger)) continue;
       const machine = this.candidateMachine(host, completed);
-      // A task that the log doesn't have is being stopped; until it is gone the free capacity is unknown.
+      // A running task without a placement in the log is being stopped. The free capacity is unknown until it exits.
       if (machine && !this.hasUnrecordedTask(host, worker)) machines.push(machine);
     }
     return machines;
   }
 
-  /** The machines of these shards with the free capacity that the log shows. */
+  /** Returns the machines of the shards that are up, with their free capacity according to the log. */
   recordedMachines(shards: ReadonlySet<number>): CandidateMachine[] {
     const machines: CandidateMachine[] = [];
     for (const { host, shard, status } of this.options.replica.ledger.machines.values()) {
@@ -99,7 +104,7 @@
     return machines;
   }
 
-  /** The jobs of these teams that have tasks to be placed. Completed placements don't count as on their machine. */
+  /** Returns the jobs of the teams that have tasks to place. Completed placements do not count as placed in a zone. */
   pendingJobs(teams: ReadonlySet<string>, completed: ReadonlySet<Placement>): PendingJob[] {
     const { replica, clock } = this.options;
     const wall = clock.wall();
@@ -119,18 +124,18 @@
     return pending;
   }
 
-  /** Time within which the tasks of a class should have started; Infinity if there is no such objective. */
+  /** Returns the time within which tasks of a job class should start; Infinity if no objective sets one. */
   startObjective(jobClass: string): Micros {
     return this.startObjectives.get(jobClass) ?? Infinity;
   }
 
-  /** How long a machine of any type may take to boot. */
+  /** Returns the longest time that a machine of any type is expected to take to boot. */
   private maxBootTime(): Micros {
     const bootTimes = [...this.options.replica.machineTypes.values()].map((type) => fromSeconds(type.bootS));
     return Math.max(0, ...bootTimes) * BOOT_TIME_TOLERANCE;
   }
 
-  /** Number of the job's tasks on machines, by zone. */
+  /** Returns the number of the job's tasks that are on machines. Keyed by zone. */
   private placedByZone(
     progress: JobProgress | undefined,
     completed: ReadonlySet<Placement>,
@@ -144,21 +149,22 @@
     return placedByZone;
   }
 
-  /** Priority by rank and by the time since the job was accepted. */
+  /** Returns the job's priority, computed from its rank and from its age, the time since it was accepted. */
   private priority(spec: JobSpec, progress: JobProgress | undefined, age: Micros): number {
     const base = RANK_PRIORITY[spec.rank];
-    // Teams without a guarantee use spare capacity: once their job has begun it isn't raised above those of others.
+    // Teams without a guarantee use spare capacity only. Once a job of theirs has begun, waiting no longer raises its
+    // priority above that of other teams' jobs.
     const hasBegun = progress !== undefined && (progress.placements.size > 0 || progress.done.count > 0);
     if (hasBegun && this.teamsWithoutGuarantee.has(spec.team)) return base;
     return base * waitingBoost(age / this.priorityDoublingTime(spec));
   }
 
-  /** The waiting time that doubles a job's priority: at most the time within which its tasks should have started. */
+  /** Returns the waiting time that doubles a job's priority: at most the time within which its tasks should start. */
   private priorityDoublingTime(spec: JobSpec): Micros {
     return Math.min(this.options.tuning.priorityDoublingTime, this.startObjective(spec.jobClass));
   }
 
-  /** The machine as a candidate for new tasks; null if it may get none. */
+  /** Returns the machine as a candidate for new tasks; null if no task may be placed on it. */
   private candidateMachine(host: string, completed: ReadonlySet<Placement>): CandidateMachine | null {
     const { clock, replica, workers, runTimeEstimator } = this.options;
     const machine = replica.ledger.machines.get(host);
@@ -182,7 +188,7 @@
     };
   }
 
-  /** Its last tasks failed, and the backoff that doubles with each failure in a row is not over. */
+  /** True if the machine's last tasks failed and the backoff, which doubles with each such failure, has not ended. */
   private isInFailureBackoff({ consecutiveFailures, lastFailureAtMs }: MachineEntry): boolean {
     if (consecutiveFailures === 0) return false;
     const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures - 1);
@@ -190,12 +196,13 @@
   }
 
   /**
-   * How many tasks of a job are to be placed. A job that fails on machine after machine retries with a single task,
-   * ever more rarely: that takes little capacity, and the first success ends it.
+   * Returns the number of the job's tasks to place. A job with JOB_FAILURE_THRESHOLD consecutive failures is retried
+   * with a single task (a gang with all of its tasks) after an exponential backoff, so that it uses little capacity.
+   * The first success ends the backoff.
    */
   private pendingTaskCount(spec: JobSpec, progress: JobProgress | undefined): number {
     const placed = progress?.placements.size ?? 0;
-    // A new attempt of a gang may begin only once every task of the old one is proven off its machine.
+    // A new attempt of a gang may begin only once every task of the old attempt is proven stopped.
     if (spec.shape === 'gang' && placed > 0) return 0;
     const count = spec.taskCount - (progress?.done.count ?? 0) - placed;
     if (!progress || progress.consecutiveFailures < JOB_FAILURE_THRESHOLD) return count;
@@ -222,7 +229,7 @@
   }
 }
 
-/** What the builder derives of a job for one round. */
+/** A job and the values that {@link RoundInputBuilder} derives from it for one round. */
 interface PendingJobParts extends Required<
   Pick<PendingJob, 'id' | 'priority' | 'pendingTaskCount' | 'isOverdue' | 'placedByZone'>
 > {
@@ -256,8 +263,9 @@
 }
 
 /**
- * Factor by which waiting raises a priority: linear at first, then by the square. On a fleet that stays full, a linear
- * factor would let best-effort work begin only once all normal work has, minutes after its users gave it up.
+ * Returns the factor by which waiting raises a priority. It grows linearly at first and quadratically later. On a
+ * fleet that stays full, a linear factor would let best-effort tasks start only after all normal ones, minutes after
+ * their users had given up on them.
  * @param waitMultiple - waiting time as a multiple of the time that doubles the priority
  */
 export function waitingBoost(waitMultiple: number): number {
--- a/packages/scheduling/run-time-estimator.test.ts
+++ b/packages/scheduling/run-time-estimator.test.ts
@@ -15,7 +15,7 @@
   startedAtMs: 990_000,
 } as Placement;
 
-/** An estimator at time NOW, for one worker that has run the task since the given time. */
+/** Creates an estimator at time NOW with one worker that was first seen running PLACEMENT at `startedAt`, if at all. */
 function estimatorWith(startedAt: Micros | null) {
   const worker = {
     avoidedUntil: -Infinity,
@@ -34,20 +34,20 @@
   return { estimator, worker };
 }
 
-test('a completion moves the estimate of its class a tenth of the way to the observed run time', () => {
+test('moves the estimate of a job class a tenth of the way towards the run time of a completed task', () => {
   const { estimator, worker } = estimatorWith(NOW - 200 * SECOND);
   estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
   assert.equal(Math.round(estimator.expectedRunTime(SPEC) / SECOND), 110);
   assert.equal(worker.runningSince.size, 0);
 });
 
-test('one run time of many times the estimate counts as five times', () => {
+test('counts a run time of more than five times the estimate as five times the estimate', () => {
   const { estimator } = estimatorWith(NOW - 900 * SECOND);
   estimator.onCompletion({ placement: PLACEMENT, outcome: 'done' });
   assert.equal(Math.round(estimator.expectedRunTime(SPEC) / SECOND), 140);
 });
 
-test('a result that was stored already, a failure and a start that nobody saw leave the estimate as it is', () => {
+test('keeps the estimate after a stored result, after a failure and after a task whose start was not observed', () => {
   const cases = [
     { startedAt: NOW - 9 * SECOND, outcome: 'done' },
     { startedAt: NOW - 200 * SECOND, outcome: 'failed' },
@@ -60,13 +60,13 @@
   }
 });
 
-test('a machine that refuses a task is avoided for five seconds', () => {
+test('avoids a machine for five seconds after it refuses a task', () => {
   const { estimator, worker } = estimatorWith(null);
   estimator.onCompletion({ placement: PLACEMENT, outcome: 'refused' });
   assert.equal(worker.avoidedUntil, NOW + 5 * SECOND);
 });
 
-test('the remaining time counts from the observed start, or from the recorded one if nobody saw the start', () => {
+test('counts the remaining run time from the observed start, or from the recorded start if none was observed', () => {
   assert.equal(estimatorWith(NOW - 30 * SECOND).estimator.remainingRunTime(PLACEMENT), 70 * SECOND);
   assert.equal(estimatorWith(null).estimator.remainingRunTime(PLACEMENT), 90 * SECOND);
   assert.equal(estimatorWith(NOW - 300 * SECOND).estimator.remainingRunTime(PLACEMENT), 0);
--- a/packages/scheduling/run-time-estimator.ts
+++ b/packages/scheduling/run-time-estimator.ts
@@ -1,18 +1,18 @@
-/** Estimates how long tasks run: what the job's owner estimates, corrected by the observed run times of its class. */
+/** Estimates task run times: the estimate submitted with the job, corrected by observed run times of its job class. */
 import type { Logger, Placement, Replica } from '#cluster';
 import { type Clock, fromSeconds, type JobSpec, type Micros, MS, SECOND } from '#wire';
 import { attemptKey, type TaskCompletion, type WorkerRegistry } from '#workers';
 
-/** A machine that refused a task gets no new ones for this long. */
+/** A machine that refused a task gets no new tasks for this time. */
 const REFUSAL_BACKOFF: Micros = 5 * SECOND;
-/** A task that ended within this part of its estimate had its result kept from an earlier attempt. */
+/** A run time below this fraction of the estimate means that the result was already stored by an earlier attempt. */
 const STORED_RESULT_RATIO = 0.1;
-/** Weight of a newly observed ratio in the moving average of its class. */
+/** Weight of a newly observed ratio in the moving average of its job class. */
 const LEARNING_RATE = 0.1;
-/** A single observed ratio counts for at most this much. */
+/** Upper bound of a single observed ratio, so that one outlier has a limited effect on the average. */
 const MAX_OBSERVED_RATIO = 5;
 
-/** What a run time estimator works with. */
+/** Dependencies of {@link RunTimeEstimator}. */
 export interface RunTimeEstimatorOptions {
   readonly clock: Clock;
   readonly replica: Replica;
@@ -20,14 +20,14 @@
   readonly log: Logger;
 }
 
-/** Learns from completions by how much the owners' estimates are off, by job class. */
+/** Corrects the submitted run-time estimates by the ratio of actual to estimated run time of each job class. */
 export class RunTimeEstimator {
-  /** By job class: moving average of observed run time by estimated run time. */
+  /** Moving average of the observed run time divided by the estimated run time. Keyed by job class. */
   private readonly runTimeRatios = new Map<string, number>();
 
   constructor(private readonly options: RunTimeEstimatorOptions) {}
 
-  /** Learns from a completion. A machine that refused the task gets no new ones for a while. */
+  /** Updates the ratio of the job class from a completion. A machine that refused the task is avoided for a while. */
   onCompletion({ placement, outcome }: TaskCompletion): void {
     const { clock, workers } = this.options;
     const worker = workers.trackedWorkers.get(placement.host);
@@ -40,24 +40,24 @@
     }
   }
 
-  /** Expected run time of a task of this job from start to end. */
+  /** Returns the expected run time of one task of the job, from start to end. */
   expectedRunTime(spec: JobSpec): Micros {
     return fromSeconds(spec.estimateS) * (this.runTimeRatios.get(spec.jobClass) ?? 1);
   }
 
-  /** Expected time until a running task ends; 0 if it should have ended already. */
+  /** Returns the expected time until a running task ends; 0 if its expected run time is over or its job is unknown. */
   remainingRunTime(placement: Placement): Micros {
     const { clock, replica } = this.options;
     const job = replica.jobs.get(placement.job);
     if (!job) return 0;
     const startedAt = this.observedStart(placement);
     const runTime = this.expectedRunTime(job.spec);
-    // On another owner's machine only the recorded time of the start is known.
+    // For a task on another owner's machine only the recorded start time is available.
     if (startedAt === null) return Math.max(0, placement.startedAtMs * MS + runTime - clock.wall());
     return Math.max(0, startedAt + runTime - clock.now());
   }
 
-  /** Expected time until all tasks on the machine have ended. */
+  /** Returns the expected time until all tasks on the machine have ended. */
   busyFor(host: string): Micros {
     let longest = 0;
     for (const placement of this.options.replica.ledger.placementsOn(host)) {
@@ -66,20 +66,20 @@
     return longest;
   }
 
-  /** Steady time at which this node saw the attempt run first; null if it didn't see that. */
+  /** Returns the monotonic time at which the local node first saw the attempt running; null if it never did. */
   private observedStart({ host, taskName, attempt }: Placement): Micros | null {
     const worker = this.options.workers.trackedWorkers.get(host);
     return worker?.runningSince.get(attemptKey(taskName, attempt)) ?? null;
   }
 
-  /** Corrects the ratio of the task's class by its run time. */
+  /** Updates the ratio of the task's job class with the observed run time. */
   private updateRatio(placement: Placement, startedAt: Micros): void {
     const { clock, replica, log } = this.options;
     const spec = replica.jobs.get(placement.job)?.spec;
     if (!spec || spec.estimateS <= 0) return;
     const runTime = clock.now() - startedAt;
     const ratio = runTime / fromSeconds(spec.estimateS);
-    // A result that was kept from an earlier attempt is there at once and says nothing about the class.
+    // A result stored by an earlier attempt is available at once and is no measure of the run time of the job class.
     if (ratio < STORED_RESULT_RATIO) return;
     const average = this.runTimeRatios.get(spec.jobClass) ?? 1;
     this.runTimeRatios.set(
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-/** Plans an owner's scheduling rounds: from the replica to a round's input, and from its result to what is recorded. */
+/** Plans scheduling rounds: builds a round's input from the replica, and the plan to record from the round's result. */
 import {
   attemptNumber,
   type GangAttempt,
@@ -25,34 +25,34 @@
 import type { PreemptedTask, PreemptionPlanner } from './preemption-planner.js';
 import type { RoundInputBuilder } from './round-input-builder.js';
 
-/** Starts in one round at most, so that its records stay small. */
+/** Maximum number of tasks that one round starts, which limits the size of its log records. */
 const MAX_STARTS_PER_ROUND = 300;
-/** Recorded prices are rounded to a multiple of 1 / this. */
+/** Recorded prices are rounded to a multiple of 1 / PRICE_PRECISION. */
 const PRICE_PRECISION = 1e4;
 
-/** What a round decides, to be recorded before any of it is done. */
+/** Decisions of a scheduling round. They are recorded in the log before any of them is carried out. */
 export interface RoundPlan {
-  /** By shard of the machine. */
+  /** Keyed by the shard that the machine belongs to. */
   readonly starts: ReadonlyMap<number, StartGroup[]>;
-  /** By shape, as they are recorded: price of a CPU, of a GPU and of a GB of memory. */
+  /** Rounded prices of a CPU, a GPU and a GB of memory, in this order. Keyed by shape. */
   readonly prices: Record<string, [number, number, number]>;
-  /** By team: CPUs of its tasks that found no machine. */
+  /** CPUs required by tasks for which no machine had capacity. Keyed by team. */
   readonly unmetCpus: Record<string, number>;
-  /** Running tasks that are to be preempted. */
+  /** Running tasks to preempt. */
   readonly preemptions: readonly PreemptedTask[];
 }
 
-/** The result of a round with the demand that it leaves. */
+/** Result of a scheduling round together with the unmet demand that it leaves. */
 export interface SimulatedRound extends PricingRoundResult {
-  /** Tasks that found no machine, most urgent first. */
+  /** Pending tasks for which no machine had capacity, most urgent first. */
   readonly unmetDemand: readonly UnmetDemand[];
 }
 
-/** What a scheduler works with. */
+/** Dependencies of {@link Scheduler}. */
 export interface SchedulerOptions {
   readonly settings: Settings;
   readonly tuning: Tuning;
-  /** Uniform in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   readonly random: () => number;
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
@@ -61,14 +61,14 @@
   readonly log: Logger;
 }
 
-/** A start that a round decided on. */
+/** One task start that a round decided on: the job and the host. */
 type Start = PricingRoundResult['starts'][number];
 
-/** Plans the rounds of this node, and simulates those of other owners for the leader's forecasts. */
+/** Plans the local node's scheduling rounds, and simulates other owners' rounds for the leader's forecasts. */
 export class Scheduler {
   private readonly pricingOptions: PricingOptions;
   private readonly shardByTeam: ReadonlyMap<string, number>;
-  /** By job: the attempt of each gang that this round starts, which all parts of the start share. */
+  /** Attempt numbers of the gangs that the current round starts; all start groups of a gang share one. Keyed by job. */
   private readonly gangAttempts = new Map<string, number>();
 
   constructor(private readonly options: SchedulerOptions) {
@@ -77,12 +77,12 @@
     this.shardByTeam = new Map(settings.teams.map((team, i) => [team.name, i % settings.initialSize]));
   }
 
-  /** The shard that a team belongs to: round-robin in the order of the settings. -1 for an unknown team. */
+  /** Returns the shard of a team, assigned round-robin in the order of the settings; -1 for an unknown team. */
   shardOfTeam(team: string): number {
     return this.shardByTeam.get(team) ?? -1;
   }
 
-  /** The newest heartbeat of this worker shows a task exited that the log still has as placed. */
+  /** True if the worker's latest heartbeat reports a task as exited that the log still records as placed. */
   hasUnrecordedCompletion(host: string): boolean {
     const worker = this.options.workers.trackedWorkers.get(host);
     if (!worker) return false;
@@ -92,7 +92,7 @@
     );
   }
 
-  /** Plans a round over all shards of this node: the tasks of their teams on the machines that it reaches. */
+  /** Plans a round for all shards of the local node: places their teams' tasks on the node's reachable machines. */
   plan(completions: readonly TaskCompletion[], shards: ReadonlySet<number>): RoundPlan {
     const { inputBuilder, preemptionPlanner } = this.options;
     const completed = new Set(completions.map(({ placement }) => placement));
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Runs a round of the teams of these shards on these machines; its result has no effect. Completed placements
-   * no longer count as usage of their teams.
+   * Runs a round for the teams of the shards on the given machines, without side effects. Completed placements no
+   * longer count as usage of their teams.
    */
   simulateRound(
     shards: ReadonlySet<number>,
@@ -148,7 +148,7 @@
     };
   }
 
-  /** Quotas of the teams, and their usage without the completed placements. */
+  /** Returns the quotas of the teams, and their usage without the completed placements. */
   private teamUsage(teams: Settings['teams'], completed: ReadonlySet<Placement>): TeamUsage[] {
     const { ledger } = this.options.replica;
     const usage = teams.map(({ name, cpus, gpus, cpusMax, gpusMax }) => ({
@@ -165,7 +165,7 @@
     return usage;
   }
 
-  /** By team: CPUs by which a round's starts and completions change its usage. */
+  /** Returns the CPUs by which a round's starts and completions change each team's usage. Keyed by team. */
   private usageChanges(starts: readonly Start[], completed: ReadonlySet<Placement>): Map<string, number> {
     const changes = new Map<string, number>();
     const add = (team: string, cpus: number): void => {
@@ -179,7 +179,7 @@
     return changes;
   }
 
-  /** Assigns a task to each start and groups the starts by the shard of their machine, then by job. */
+  /** Assigns a task index to each start, and groups the starts by the shard of their machine, then by job. */
   private groupStarts(starts: readonly Start[]): Map<number, StartGroup[]> {
     const { replica, workers } = this.options;
     const groupsByShard = new Map<number, StartGroup[]>();
@@ -203,7 +203,7 @@
     return groupsByShard;
   }
 
-  /** A group without tasks yet. */
+  /** Returns a start group of the job without tasks. */
   private createStartGroup(job: string, spec: JobSpec, shard: number): StartGroup {
     const { team, image, cpus, gpus, memGb } = spec;
     const need: StartGroup['need'] = [cpus, gpus, memGb];
@@ -211,7 +211,7 @@
     return { job, team, image, need, gang: this.gangAttempt(spec, shard), tasks: [] };
   }
 
-  /** The attempt of a gang: numbered by the shard in which the first of its parts is started. */
+  /** Returns the attempt of a gang. The number comes from the shard of the first of its tasks in the round. */
   private gangAttempt(spec: JobSpec, shard: number): GangAttempt {
     let attempt = this.gangAttempts.get(spec.id);
     if (attempt === undefined) {
@@ -221,7 +221,7 @@
     return { attempt, size: spec.taskCount };
   }
 
-  /** Indices of the job's tasks that are neither done nor placed, in ascending order. */
+  /** Yields the indices of the job's tasks that are neither done nor placed, in ascending order. */
   private *openIndices(job: string, taskCount: number): Generator<number> {
     const progress = this.options.replica.ledger.jobs.get(job);
     for (let i = progress?.done.firstOpen ?? 0; i < taskCount; i++) {
@@ -230,7 +230,10 @@
   }
 }
 
-/** What found no machine, by priority and then by acceptance; a gang that has to lie in one zone with that zone. */
+/**
+ * Returns the tasks for which no machine had capacity, sorted by priority and then by order of acceptance. A gang that
+ * must run in one zone is returned with the zone that suits it best.
+ */
 function unmetDemandOf(
   jobs: readonly PendingJob[],
   { unmetTaskCounts, gatheringZones }: PricingRoundResult,
@@ -254,7 +257,7 @@
   return unmetCpus;
 }
 
-/** The prices in the form in which they are recorded. */
+/** Converts prices to the rounded form in which they are recorded. */
 function pricesToRecord(prices: ReadonlyMap<string, Price>): RoundPlan['prices'] {
   const recorded: RoundPlan['prices'] = {};
   for (const [shape, { cpu, gpu, mem }] of prices) {
