--- a/packages/pricing/bin-packing.ts
+++ b/packages/pricing/bin-packing.ts
@@ -1,30 +1,30 @@
-/** Bin packing: places tasks of one job on random machines with enough free capacity, in the order of its shapes. */
+/** Bin packing: places tasks of one job on machines with enough free capacity, one shape after the other. */
 import { fits, subtractResources } from './resources.js';
 import type { ShapePool } from './shape-pools.js';
 import type { CandidateMachine, PendingJob } from './types.js';
 import type { ZoneConstraint } from './zone-constraint.js';
 
-/** How the machine of a task is chosen. */
+/** Parameters of the choice of a machine for a task. */
 export interface BinPackingOptions {
-  /** Random candidate machines that are looked at for each task; the fullest of them gets it. */
+  /** Number of random machines compared for each task. The fullest of them gets the task. */
   readonly choices: number;
-  /** Uniform in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   readonly random: () => number;
 }
 
-/** Tasks of one job that are to be placed. */
+/** Tasks of one job to place. */
 export interface BinPackingRequest {
   readonly job: PendingJob;
-  /** The shapes that they may go to, best first. */
+  /** Feasible shapes, best first. */
   readonly pools: readonly ShapePool[];
   readonly zoneConstraint: ZoneConstraint;
-  /** Tasks to place at most. */
+  /** Maximum number of tasks to place. */
   readonly count: number;
 }
 
 /**
- * Places up to `count` tasks, the best shape first, and takes the capacity for each. Returns the machine of every task
- * that found one.
+ * Places up to `count` tasks, on the best shape first, and subtracts their resources from the free capacity. Returns
+ * one machine for each task placed; a machine occurs once for each of its tasks.
  */
 export function packTasks(request: BinPackingRequest, options: BinPackingOptions): CandidateMachine[] {
   const { job, pools, zoneConstraint, count } = request;
@@ -32,7 +32,7 @@
   for (const pool of pools) {
     if (chosen.length >= count) break;
     const candidates = pool.machines.filter((machine) => hasCapacity(machine, job, zoneConstraint));
-    // A machine that has the image starts the task at once: the random choice is among those first.
+    // A machine that has the image cached starts the task without a download, so these machines are tried first.
     const withImage = candidates.filter((machine) => machine.cachedImages.includes(job.image));
     const withoutImage = candidates.filter((machine) => !machine.cachedImages.includes(job.image));
     packGroup(withImage, request, { options, chosen });
@@ -41,7 +41,7 @@
   return chosen;
 }
 
-/** Adds machines of the group to those chosen, one for each task; those that get full leave the group. */
+/** Adds one machine of the group to `chosen` for each task. Removes machines from the group once they are full. */
 function packGroup(
   group: CandidateMachine[],
   { job, zoneConstraint, count }: BinPackingRequest,
@@ -61,14 +61,14 @@
   }
 }
 
-/** Whether the next task of the job may be placed on the machine. */
+/** True if the next task of the job may be placed on the machine. */
 function hasCapacity(machine: CandidateMachine, job: PendingJob, zoneConstraint: ZoneConstraint): boolean {
   return zoneConstraint.allows(machine.zone) && fits(job.taskResources, machine.free);
 }
 
 /**
- * The index of the fullest of some random machines of the group: whole machines stay free for large tasks, and idle
- * ones can be scaled in.
+ * Returns the index of the fullest of `choices` random machines of the group. Filling partly used machines first keeps
+ * whole machines free for large tasks, and lets idle machines be scaled in.
  */
 function chooseFullest(group: readonly CandidateMachine[], { choices, random }: BinPackingOptions): number {
   let best = Math.floor(random() * group.length);
@@ -79,7 +79,7 @@
   return best;
 }
 
-/** The part of the machine's CPUs that is in use, from 0 to 1. */
+/** Returns the fraction of the machine's CPUs that is in use, from 0 to 1. */
 function utilization(machine: CandidateMachine | undefined): number {
   return machine && machine.total.cpus > 0 ? 1 - machine.free.cpus / machine.total.cpus : 0;
 }
--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -44,7 +44,7 @@
   };
 }
 
-/** Some of its CPUs may be in use, for a long time. */
+/** Creates a machine with 4 CPUs. Those that are not free are in use for a long time. */
 function machine(host: string, zone: string, freeCpus: number): CandidateMachine {
   return {
     host,
@@ -87,7 +87,7 @@
 const startsOf = (result: PricingRoundResult, id: string): string[] =>
   result.starts.filter((start) => start.job === id).map((start) => start.host);
 
-test('a gang is placed whole or not at all, in one zone if bound to one, and unused capacity is given back', () => {
+test('places a gang as a whole or not at all, in one zone if required, and releases capacity it cannot use', () => {
   const anyGang = fc.record({ size: fc.integer({ min: 1, max: 8 }), singleZone: fc.boolean() });
   const anyMachine = fc.record({ zone: fc.constantFrom('east', 'west'), free: fc.constantFrom(0, 2, 4) });
   fc.assert(
@@ -122,7 +122,7 @@
   );
 });
 
-test('a gang goes to the zone that has capacity for all of it and its image', () => {
+test('prefers the zone with the image cached for a gang if that zone has capacity for all of its tasks', () => {
   const withoutImage = ['a', 'b', 'c'].map((name) => machine(name, 'east', 4));
   const withImage = ['d', 'e'].map((name): CandidateMachine => ({
     ...machine(name, 'west', 4),
@@ -138,8 +138,9 @@
   assert.equal(startsOf(runRound([gang('j-1', 7)], [...withoutImage, ...withImage]), 'j-1').length, 0);
 });
 
-// A gang starts with its last task: machines that get their starts one by one would wait for each other.
-test('of the machines of the best shape a gang goes to those whose heartbeats come next', () => {
+// Guards against slow starts of gangs: a start travels in a heartbeat response, and a gang starts only with its last
+// task, so machines whose heartbeats are far apart wait for each other.
+test('places a gang on the machines of the best shape whose next heartbeats are due soonest', () => {
   const machines = [900, 0, 800, 100, 700, 950].map((milliseconds, i): CandidateMachine => ({
     ...machine(`n-${i}`, 'east', 4),
     nextHeartbeatIn: milliseconds * 1000,
@@ -150,7 +151,7 @@
   }
 });
 
-test('capacity is reserved for a gang only where the rest becomes free soon, and lower ranks do not take it', () => {
+test('reserves capacity for a gang, also against jobs of lower priority, only if the rest becomes free soon', () => {
   const small = gang('j-2', 1, {
     isGang: false,
     singleZone: false,
@@ -170,7 +171,7 @@
   assert.equal(startsOf(runRound([gang('j-1', 4), small], freeLater), 'j-2').length, 2);
 });
 
-test('a gang that has to be spread and finds capacity in one zone only is not placed, and its capacity given back', () => {
+test('does not place a spread gang if only one zone has capacity, and releases the capacity', () => {
   const machines = ['a', 'b'].map((name) => machine(name, 'east', 4));
   const spread = gang('j-1', 4, { singleZone: false, spreadZones: true });
   const small = gang('j-2', 1, {
@@ -187,7 +188,7 @@
   assert.equal(startsOf(runRound([spread], both), 'j-1').length, 4);
 });
 
-test('of two gangs that could each be placed in half, one is placed whole', () => {
+test('places one of two competing gangs as a whole instead of a part of each', () => {
   const machines = [machine('a', 'east', 4), machine('b', 'east', 4)];
   const result = runRound(
     [gang('j-1', 3, { acceptanceOrder: 1 }), gang('j-2', 3, { acceptanceOrder: 2 })],
@@ -196,7 +197,7 @@
   assert.equal(result.starts.length, 3);
 });
 
-test('small tasks of its team do not keep a gang from what remains of the limit', () => {
+test('holds back smaller jobs of the team while the remaining limit is too small for a gang of higher priority', () => {
   const machines = ['a', 'b', 'c', 'd'].map((name) => machine(name, 'east', 4));
   const small = gang('j-2', 1, {
     isGang: false,
@@ -205,12 +206,12 @@
     taskCount: 8,
     priority: 1,
   });
-  // A limit of 6 CPUs is not enough for four tasks of two: until it is, nothing of lower rank starts.
+  // A limit of 6 CPUs is too small for four tasks of 2 CPUs. Until it suffices, no job of lower priority starts.
   assert.deepEqual(runRound([gang('j-1', 4), small], machines, { cpuLimit: 6 }).starts, []);
   assert.equal(startsOf(runRound([gang('j-1', 4), small], machines, { cpuLimit: 8 }), 'j-1').length, 4);
 });
 
-test('for a gang as many tasks are preempted as it needs, or none', () => {
+test('preempts as many tasks as a gang needs, or none', () => {
   const victim = (host: string, cpus: number): Victim => ({
     taskName: `v/${host}`,
     host,
--- a/packages/pricing/gang-placement.ts
+++ b/packages/pricing/gang-placement.ts
@@ -1,6 +1,6 @@
 /**
- * Gang scheduling in a round: one candidate each, placed as a whole or not at all. Free capacity that is not
- * enough yet is reserved where the rest is about to become free.
+ * Gang scheduling: all tasks of a gang are placed in the same round, or none is. If the free capacity does not suffice
+ * yet, it is reserved for the gang where the missing capacity is about to become free.
  */
 import { countFitting, subtractResources } from './resources.js';
 import { packTasks, type BinPackingOptions } from './bin-packing.js';
@@ -9,28 +9,28 @@
 import type { CandidateMachine, PendingJob } from './types.js';
 import { ZoneConstraint } from './zone-constraint.js';
 
-/** What became of a gang in a round. */
+/** Result of placing a gang in a round. */
 export type GangPlacement =
   | { readonly kind: 'placed'; readonly machines: readonly CandidateMachine[] }
   | {
       readonly kind: 'unplaced';
-      /** Tasks for which there is no free capacity in `zone`. */
+      /** Number of tasks for which `zone` has no free capacity; at least 1. */
       readonly missing: number;
-      /** The zone that serves it best; null: its tasks may lie in any zones. */
+      /** The zone that suits the gang best; null if its tasks may run in different zones or no machine is feasible. */
       readonly zone: string | null;
-      /** Hosts of the machines whose free capacity is reserved for it. */
+      /** Hosts of the machines whose free capacity is reserved for the gang. */
       readonly reservedHosts: readonly string[];
     };
 
-/** A zone that may take a gang (null: its tasks may lie in different zones), with the machines open to it there. */
+/** A zone that may take a gang (null if its tasks may run in different zones), with the feasible machines there. */
 interface CandidateSite {
   readonly zone: string | null;
   readonly machines: CandidateMachine[];
-  /** Tasks of the gang that there is free capacity for. */
+  /** Number of the gang's tasks that the machines have free capacity for. */
   taskCapacity: number;
 }
 
-/** Places all tasks of a gang, or none: capacity taken for a part of it is given back. */
+/** Places all tasks of a gang or none. Capacity allocated for a part of the gang is released. */
 export function placeGang(
   job: PendingJob,
   pools: readonly ShapePool[],
@@ -51,12 +51,13 @@
   return reserveForGang(job, sites);
 }
 
-/** The machines chosen from have capacity for so many times the tasks. */
+/** A gang's machines are chosen from candidates with capacity for this multiple of its tasks. */
 const CANDIDATE_FACTOR = 1.5;
 
 /**
- * The shapes that a gang needs, best first; of the last one only the machines that have the image and whose heartbeat
- * comes soonest. A gang starts with its last task, so that the last of its machines to get its start holds up all others.
+ * Returns as many shapes, best first, as the gang needs. The last one is narrowed to a few machines: those with the
+ * image cached come first, then those whose next heartbeat is due soonest. A gang starts only once all of its tasks
+ * have been sent to their machines, so the machine with the latest heartbeat delays all others.
  */
 function narrowToSoonestHeartbeats(
   job: PendingJob,
@@ -83,12 +84,12 @@
   return chosen;
 }
 
-/** How many of the job's tasks the machines have free capacity for. */
+/** Returns the number of the job's tasks that the machines together have free capacity for. */
 function taskCapacityOf(machines: readonly CandidateMachine[], job: PendingJob): number {
   return machines.reduce((sum, machine) => sum + countFitting(job.taskResources, machine.free), 0);
 }
 
-/** The first machines that together have free capacity for so many tasks; all of them if they have not. */
+/** Returns the first machines that together have free capacity for `count` tasks; all machines if there are too few. */
 function firstWithCapacity(
   job: PendingJob,
   machines: readonly CandidateMachine[],
@@ -104,7 +105,7 @@
   return chosen;
 }
 
-/** The sites of a gang, the one with most capacity first; of several that have enough, the one that has its image. */
+/** Returns the gang's sites. Those with capacity for all of it come first if they have its image, then by capacity. */
 function rankedSites(job: PendingJob, pools: readonly ShapePool[]): CandidateSite[] {
   const sites = new Map<string | null, CandidateSite>();
   for (const pool of pools) {
@@ -131,7 +132,7 @@
   site.taskCapacity += countFitting(job.taskResources, machine.free);
 }
 
-/** How many tasks of the gang would start without fetching their image; 0 where the site can't take the gang. */
+/** Returns how many of the gang's tasks would start without an image download; 0 if the site cannot take the gang. */
 function imageHitsOf(site: CandidateSite, job: PendingJob): number {
   if (site.taskCapacity < job.pendingTaskCount) return 0;
   const withImage = site.machines.filter((machine) => machine.cachedImages.includes(job.image));
@@ -139,20 +140,21 @@
 }
 
 /**
- * Reserves what capacity there is for a gang where the rest becomes free soon. Nothing is allotted by it: each round
- * decides anew, the gang of highest rank first, so that two gangs never wait for each other's half.
+ * Reserves the free capacity of the best site if the missing capacity becomes free soon. A reservation lasts for one
+ * round only: each round decides again, the gang of highest priority first, so that two gangs never deadlock, each with
+ * half of the capacity.
  */
 function reserveForGang(job: PendingJob, sites: readonly CandidateSite[]): GangPlacement {
   const best = sites[0];
   if (!best) return { kind: 'unplaced', missing: job.pendingTaskCount, zone: null, reservedHosts: [] };
   const missing = Math.max(1, job.pendingTaskCount - best.taskCapacity);
-  // For one that has to be spread, capacity in one zone says nothing of when the gang can start.
+  // For a gang that must be spread over zones, capacity in one zone does not tell when the gang can start.
   const reservedHosts =
     !job.spreadZones && becomesFreeInTime(job, best) ? reserveCapacity(job, best.machines) : [];
   return { kind: 'unplaced', missing, zone: best.zone, reservedHosts };
 }
 
-/** Takes free capacity for as many of the gang's tasks as it can. Returns the hosts. */
+/** Subtracts the resources of as many of the gang's tasks as fit from the free capacity. Returns the hosts. */
 function reserveCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string[] {
   const reservedHosts: string[] = [];
   let remaining = job.pendingTaskCount;
@@ -166,7 +168,7 @@
   return reservedHosts;
 }
 
-/** The running tasks of the site end soon enough for the gang to fit within the longest reservation. */
+/** True if enough running tasks on the site end within MAX_RESERVATION_TIME for the gang to fit. */
 function becomesFreeInTime(job: PendingJob, site: CandidateSite): boolean {
   let taskCapacity = site.taskCapacity;
   for (const machine of site.machines) {
@@ -178,7 +180,7 @@
   return taskCapacity >= job.pendingTaskCount;
 }
 
-/** The gang as one that is bound to the zone. */
+/** Returns a copy of the gang that is limited to the zone; the gang itself if the zone is null. */
 function boundToZone(job: PendingJob, zone: string | null): PendingJob {
   return zone === null ? job : { ...job, zone, singleZone: false };
 }
--- a/packages/pricing/index.ts
+++ b/packages/pricing/index.ts
@@ -1,4 +1,4 @@
-/** Prices and placements of a scheduling round, and preemption. Pure: no clock, no I/O. */
+/** Pricing and placement of a scheduling round, and the choice of tasks to preempt. Pure: no clock, no I/O. */
 export * from './resources.js';
 export { type ShapePool, poolByShape, shapeOf } from './shape-pools.js';
 export * from './pricing-round.js';
--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -1,4 +1,4 @@
-/** Places ranked segments on machines, and notes what found no capacity. */
+/** Ranks segments, places their tasks on machines, and records the tasks for which no machine has capacity. */
 import { RESOURCE_TOLERANCE } from './resources.js';
 import { packTasks, type BinPackingOptions } from './bin-packing.js';
 import { placeGang } from './gang-placement.js';
@@ -9,14 +9,14 @@
 import type { CandidateMachine, PricingRoundInput, PricingRoundResult, PendingJob } from './types.js';
 import { ZoneConstraint } from './zone-constraint.js';
 
-/** A segment with the shapes feasible for it, best first, and its net utility on the best. */
+/** A segment with its feasible shapes, best first, and its net utility on the best shape. */
 interface RankedSegment {
   readonly segment: Segment;
   readonly pools: readonly ShapePool[];
   readonly bestUtility: number;
 }
 
-/** Places the segments, the one of highest net utility first, and takes the capacity for each from the market's pools. */
+/** Places the segments, highest net utility first, and subtracts their resources from the pools' free capacity. */
 export function placeSegments(
   input: PricingRoundInput,
   segments: readonly Segment[],
@@ -28,8 +28,9 @@
 }
 
 /**
- * The order of placement: by net utility for each task. A gang is one candidate with the summed demand of its tasks;
- * of candidates that rank alike the larger one goes first, since it is the harder to place.
+ * Sorts the segments in the order of placement: by net utility per task, highest first. A gang is one candidate with
+ * the summed demand of its tasks. Of candidates with equal utility the larger gang comes first, since it is harder to
+ * place.
  */
 function rankSegments(segments: readonly Segment[], market: Market): RankedSegment[] {
   const gangSize = ({ job }: Segment): number => (job.isGang ? job.pendingTaskCount : 0);
@@ -56,7 +57,7 @@
   return { segment, pools, bestUtility: ranked[0]?.value ?? -Infinity };
 }
 
-/** Places segment after segment, and holds what the round has decided so far. */
+/** Places one segment after the other, and accumulates the result of the round. */
 class RoundPlacer {
   private readonly starts: PricingRoundResult['starts'] = [];
   private readonly unmetTaskCounts = new Map<string, number>();
@@ -88,7 +89,8 @@
 
   private placeGang({ segment, pools }: RankedSegment): void {
     const { job, count } = segment;
-    // One that is larger than a whole round's starts has a round to itself.
+    // A gang that exceeds the remaining starts is skipped unless the round has started nothing yet: a gang with more
+    // tasks than a round may start gets a round to itself.
     if (count > this.remainingStarts() && this.starts.length > 0) return;
     const placement = placeGang(job, pools, this.packingOptions);
     if (placement.kind === 'placed') {
@@ -128,7 +130,7 @@
     for (const host of hosts) this.reservedHosts.add(host);
   }
 
-  /** One constraint for each job: its two segments count together what is placed in each zone. */
+  /** Returns the zone constraint of the job. Both segments of a job share one, which counts its tasks in each zone. */
   private zoneConstraintOf(job: PendingJob): ZoneConstraint {
     let zoneConstraint = this.zoneConstraints.get(job.id);
     if (!zoneConstraint) {
--- a/packages/pricing/preemption.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -43,18 +43,18 @@
   return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map(({ taskName }) => taskName);
 }
 
-test('tasks of lower rank are preempted, on the machine where the fewest have to be', () => {
+test('preempts tasks of lower rank on the machine that needs the fewest victims', () => {
   const two = [victim('a/0'), victim('a/1')];
   assert.deepEqual(preempted([...two, victim('b/0', { host: 'n-2', cpus: 4 })]), ['b/0']);
   assert.deepEqual(preempted(two), ['a/0', 'a/1']);
 });
 
-test('tasks of equal or higher rank and tasks without checkpoints are not preempted', () => {
+test('does not preempt tasks of equal or higher rank, or tasks without checkpoints', () => {
   assert.deepEqual(preempted([victim('a/0', { rank: 2 }), victim('a/1', { rank: 3 })]), []);
   assert.deepEqual(preempted([victim('a/0', { canCheckpoint: false }), victim('a/1')]), []);
 });
 
-test('for a team within its guarantee, tasks beyond another guarantee are preempted at any rank', () => {
+test("preempts tasks above another team's guarantee at any rank for a team within its guarantee", () => {
   const high = [
     victim('a/0', { rank: 3, isAboveGuarantee: true }),
     victim('a/1', { rank: 3, isAboveGuarantee: true }),
--- a/packages/pricing/preemption.ts
+++ b/packages/pricing/preemption.ts
@@ -1,53 +1,54 @@
-/** Preemption: which running tasks to stop so that more urgent ones find capacity. */
+/** Preemption: selects the running tasks to stop so that more urgent tasks get capacity. */
 import { fits, subtractResources } from './resources.js';
 import type { Resources, PendingJob } from './types.js';
 
-/** A running task as one that may be preempted. */
+/** A running task that may be preempted, with the resources that its preemption frees. */
 export interface Victim extends Resources {
   taskName: string;
   host: string;
-  /** Of its job; the higher, the more urgent. */
+  /** Index of the job's rank; a higher one is more urgent. */
   rank: number;
-  /** Its team runs more than its guarantee. */
+  /** True if the usage of the task's team exceeds the team's guarantee. */
   isAboveGuarantee: boolean;
-  /** Its progress can be saved. */
+  /** True if the task can write a checkpoint. Tasks that can't are never preempted. */
   canCheckpoint: boolean;
 }
 
-/** Tasks of one job that found no capacity and may preempt others. */
+/** Tasks of one job that found no capacity and may preempt other tasks. */
 export interface PreemptionRequest {
   job: PendingJob;
-  /** Tasks, each of which takes a machine of its own. */
+  /** Number of tasks. A separate machine is freed for each of them. */
   count: number;
-  /** Compared with the rank of victims. */
+  /** Index of the job's rank. Only victims of lower rank are preempted, unless `isWithinGuarantee` applies. */
   rank: number;
-  /** It lies within its team's guarantee. */
+  /** True if the tasks lie within their team's guarantee: they may preempt tasks above another team's guarantee. */
   isWithinGuarantee: boolean;
 }
 
-/** A machine on which tasks may be stopped. */
+/** A machine on which tasks may be preempted. */
 export interface PreemptibleMachine {
   readonly host: string;
-  /** Its free capacity, once all that is being stopped already has ended. */
+  /** Free capacity of the machine once all tasks that are already being stopped have ended. */
   readonly freeResources: Resources;
-  /** Whether the job's constraints admit the machine. */
+  /** True if the job's constraints allow the machine. */
   readonly isAllowed: (job: PendingJob) => boolean;
 }
 
-/** What {@link planPreemptions} decides on. */
+/** Input of {@link planPreemptions}. */
 export interface PreemptionInput {
-  /** Tasks that found no capacity and have waited long enough to preempt others, most urgent first. */
+  /** Tasks that found no capacity and have waited long enough to preempt other tasks, most urgent first. */
   requests: readonly PreemptionRequest[];
   machines: readonly PreemptibleMachine[];
-  /** Tasks that may be stopped at all. */
+  /** Tasks that are eligible for preemption. */
   victims: readonly Victim[];
-  /** Tasks that may be stopped, at most. */
+  /** Maximum number of tasks to preempt. */
   maxPreemptions: number;
 }
 
 /**
- * Which tasks to stop: those of lower rank for one of higher rank, and what a team runs beyond its guarantee
- * for one within its own. Only work that can be saved gives way, and as little of it as will do.
+ * Selects the tasks to preempt. A task may be preempted for a task of higher rank. A task above its team's guarantee
+ * may also be preempted for a task within another team's guarantee. Only tasks that can write a checkpoint are
+ * preempted, and as few of them as possible.
  */
 export function planPreemptions({ requests, machines, victims, maxPreemptions }: PreemptionInput): Victim[] {
   const plan = new PreemptionPlan(candidatesOf(machines, victims), maxPreemptions);
@@ -55,12 +56,12 @@
   return plan.preempted;
 }
 
-/** A machine with the tasks on it that could be stopped, those of lowest rank first. */
+/** A machine with its tasks that may be preempted, lowest rank first. */
 interface Candidate extends PreemptibleMachine {
   readonly victims: readonly Victim[];
 }
 
-/** Machines that have victims. Found by host once: machines times tasks would be looked at for every request else. */
+/** Returns the machines that have victims. Groups victims by host once, so that a request need not scan all tasks. */
 function candidatesOf(machines: readonly PreemptibleMachine[], victims: readonly Victim[]): Candidate[] {
   const byHost = new Map<string, Victim[]>();
   for (const victim of victims) {
@@ -76,13 +77,13 @@
   });
 }
 
-/** A machine that is to take one task, and what has to be stopped on it. */
+/** A machine chosen for one task of a request, and the tasks to preempt on it. */
 interface MachineChoice {
   readonly host: string;
   readonly victims: readonly Victim[];
 }
 
-/** The preemptions decided on so far. A machine is freed for one task only. */
+/** Accumulates the preemptions of a round. Each machine is freed for one task only. */
 class PreemptionPlan {
   readonly preempted: Victim[] = [];
   private readonly usedHosts = new Set<string>();
@@ -92,7 +93,7 @@
     private readonly maxPreemptions: number,
   ) {}
 
-  /** Adds victims for as many of the request's tasks as possible; for a gang for all of them or none. */
+  /** Adds victims for as many of the request's tasks as possible; for a gang, for all of its tasks or none. */
   serve(request: PreemptionRequest): void {
     const choices: MachineChoice[] = [];
     while (choices.length < request.count) {
@@ -101,7 +102,7 @@
       this.add(choice);
       choices.push(choice);
     }
-    // Capacity for a part of a gang is of no use to it.
+    // A gang cannot start with capacity for only a part of its tasks.
     if (request.job.isGang && choices.length < request.count) this.revert(choices);
   }
 
@@ -110,7 +111,7 @@
     this.preempted.push(...victims);
   }
 
-  /** Reverts what was added last. */
+  /** Reverts the choices, which must be the ones added last. */
   private revert(choices: readonly MachineChoice[]): void {
     for (const { host, victims } of choices) {
       this.usedHosts.delete(host);
@@ -118,7 +119,7 @@
     }
   }
 
-  /** The first of the machines on which the fewest tasks have to be stopped for one of the request's. */
+  /** Returns the first machine that needs the fewest victims for one task of the request; null if there is none. */
   private fewestVictims(request: PreemptionRequest): MachineChoice | null {
     let best: MachineChoice | null = null;
     for (const candidate of this.candidates) {
@@ -131,7 +132,7 @@
   }
 }
 
-/** What to stop on the machine for one task of the request; null if all that may be stopped is not enough. */
+/** Returns the victims on the machine for one task of the request; null if all eligible tasks together are too few. */
 function victimsOn(
   candidate: Candidate,
   { job, rank, isWithinGuarantee }: PreemptionRequest,
--- a/packages/pricing/price-adjustment.ts
+++ b/packages/pricing/price-adjustment.ts
@@ -1,25 +1,25 @@
-/** Prices of the shapes' resources, and what a placement is worth at them. */
+/** Adjusts the prices of each shape's resources to demand, and computes the net utility of a placement at them. */
 import { noResources, subtractResources } from './resources.js';
 import { isFeasible, type ShapePool } from './shape-pools.js';
 import type { Segment } from './segments.js';
 import type { Resources, PricingOptions } from './types.js';
 
-/** What utilities and price steps of a round are computed from. */
+/** Values that the utilities and price steps of a round are computed from. */
 export interface Market {
   readonly pools: readonly ShapePool[];
-  /** The highest priority of any segment: price steps and surcharges are parts of it. */
+  /** Highest priority of any segment. Price steps and surcharges are fractions of it. */
   readonly highestPriority: number;
   readonly options: PricingOptions;
 }
 
-/** Each priced resource: its field in prices, and in amounts. */
+/** Priced resources: the field of each in {@link ShapePool.price} and in {@link Resources}. */
 const RESOURCES = [
   { price: 'cpu', amount: 'cpus' },
   { price: 'gpu', amount: 'gpus' },
   { price: 'mem', amount: 'memGb' },
 ] as const;
 
-/** Net utility of a task of the segment on the shape: its priority less its demand at the present prices. */
+/** Returns the net utility of one task of the segment on the shape: its priority minus the price of its resources. */
 export function utility(segment: Segment, pool: ShapePool, market: Market): number {
   const { taskResources } = segment.job;
   const { price } = pool;
@@ -31,18 +31,19 @@
 }
 
 /**
- * One price pass: every task picks its best shape, and each price follows the gap on its shape. A step is so large
- * that a whole machine's worth of a resource moves by the same part of the highest priority, and it stays within that
- * while the first machines of a shape come up and the demand is a hundred times the capacity. Prices far
- * above all that any task would pay come down only as capacity becomes free, which on a full fleet takes minutes; until then
- * tasks would rank by the size of their demand alone, and urgent ones that need a whole machine would come last.
+ * Runs one price pass: every task picks its best shape, and each price moves by the gap between demand and free
+ * capacity on its shape. The step is scaled so that the price of a whole machine's worth of any resource moves by the
+ * same fraction of the highest priority. A step never rises above that fraction, also while the first machines of a
+ * shape come up and demand is a hundred times the capacity. Without that bound prices rise far above what any task
+ * would pay, and fall only as capacity becomes free, which takes minutes on a full fleet. Until then tasks would be
+ * ranked by the size of their demand alone, and urgent tasks that need a whole machine would be placed last.
  */
 export function adjustPrices(segments: readonly Segment[], market: Market): void {
   const demands = demandByPool(segments, market);
   for (const pool of market.pools) adjustPoolPrices(pool, demands.get(pool) ?? noResources(), market);
 }
 
-/** The demand on each shape if every task goes where its utility is highest, if that is above zero. */
+/** Returns the demand on each shape if every task picks the shape of its highest utility, provided it is above zero. */
 function demandByPool(segments: readonly Segment[], market: Market): Map<ShapePool, Resources> {
   const demands = new Map<ShapePool, Resources>(market.pools.map((pool) => [pool, noResources()]));
   for (const segment of segments) {
--- a/packages/pricing/pricing-round.test.ts
+++ b/packages/pricing/pricing-round.test.ts
@@ -76,7 +76,7 @@
   return { jobs, machines, teams, prices: new Map(), options: OPTIONS, random: random(1), ...change };
 }
 
-/** Typed, so that a renamed field can't drop out of what is generated. */
+/** Generated fields of a job. The type makes the compiler reject a generator that misses a renamed field. */
 type JobSpec = Resources &
   Pick<
     PendingJob,
@@ -110,7 +110,7 @@
   used: fc.constantFrom(0, 1, 3),
 });
 
-test('no start violates a limit, a constraint or the capacity of a machine, whatever is pending', () => {
+test('never starts a task against a team limit, a job constraint or the capacity of a machine', () => {
   fc.assert(
     fc.property(
       fc.array(anyJob, { maxLength: 12 }),
@@ -143,25 +143,26 @@
           const started = jobs.find((candidate) => candidate.id === id)!;
           const target = machines.find((candidate) => candidate.host === host)!;
           const free = freeByHost.get(host) ?? { cpus: 0, gpus: 0, memGb: 0 };
-          assert.ok(fits(started.taskResources, free), 'capacity');
+          assert.ok(fits(started.taskResources, free), 'machine capacity');
           subtractResources(free, started.taskResources, 1);
-          assert.ok(started.machineTypes?.includes(target.machineType) ?? true, 'type');
+          assert.ok(started.machineTypes?.includes(target.machineType) ?? true, 'machine type');
           assert.ok(started.zone === null || started.zone === target.zone, 'zone');
-          assert.ok(started.allowsSpot || !target.spot, 'kind');
+          assert.ok(started.allowsSpot || !target.spot, 'spot machine');
           const usage = used.get(started.team) ?? { cpus: 0, gpus: 0, memGb: 0 };
           subtractResources(usage, started.taskResources, -1);
           used.set(started.team, usage);
           zones.set(id, [...(zones.get(id) ?? []), target.zone]);
           count.set(id, (count.get(id) ?? 0) + 1);
         }
-        for (const { cpus, gpus } of used.values()) assert.ok(cpus <= 12 + 1e-6 && gpus <= 1 + 1e-6, 'limit');
+        for (const { cpus, gpus } of used.values())
+          assert.ok(cpus <= 12 + 1e-6 && gpus <= 1 + 1e-6, 'team limit');
         for (const { id, singleZone, spreadZones, taskCount, pendingTaskCount } of jobs) {
           const taskZones = zones.get(id) ?? [];
           if (singleZone) assert.ok(new Set(taskZones).size <= 1, 'one zone');
           if (spreadZones) {
             for (const zone of ['east', 'west']) {
               const inZone = taskZones.filter((taskZone) => taskZone === zone).length;
-              assert.ok(inZone <= Math.ceil(taskCount / 2), 'spread');
+              assert.ok(inZone <= Math.ceil(taskCount / 2), 'spread over zones');
             }
           }
           assert.ok(
@@ -170,14 +171,14 @@
           );
         }
         for (const { cpu, mem, gpu } of result.prices.values())
-          assert.ok(cpu >= 0 && mem >= 0 && gpu >= 0, 'price');
+          assert.ok(cpu >= 0 && mem >= 0 && gpu >= 0, 'price is not negative');
       },
     ),
     { seed: 8, numRuns: 400 },
   );
 });
 
-test('prices start from the last round, rise where demand exceeds capacity, and fall back to zero', () => {
+test('starts prices from the last round, raises them where demand exceeds capacity, and lets them fall to zero', () => {
   const contendingJobs = [job('j-1', { pendingTaskCount: 6, taskCount: 6, priority: 5 })];
   const first = runPricingRound(input(contendingJobs, [machine('n-1')])).prices.get('small');
   assert.ok(first && first.cpu > 0);
@@ -191,29 +192,33 @@
   assert.equal(idle.get('small')?.cpu, 0);
 });
 
-test('an expensive shape is passed over for the next best, and even negative utility is placed', () => {
+test('prefers a cheaper shape over an expensive one, and places a task even if its utility is negative', () => {
   const expensive = new Map([[shapeOf('small', false), { cpu: 50, gpu: 0, mem: 0 }]]);
   const options = { ...OPTIONS, passes: 0 };
   const large = machine('n-2', { machineType: 'large' });
-  const both = runPricingRound(input([job('j-1')], [machine('n-1'), large], { prices: expensive, options }));
-  assert.deepEqual(both.starts, [{ job: 'j-1', host: 'n-2' }]);
-  const only = runPricingRound(input([job('j-1')], [machine('n-1')], { prices: expensive, options }));
-  assert.deepEqual(only.starts, [{ job: 'j-1', host: 'n-1' }]);
+  const bothShapes = runPricingRound(
+    input([job('j-1')], [machine('n-1'), large], { prices: expensive, options }),
+  );
+  assert.deepEqual(bothShapes.starts, [{ job: 'j-1', host: 'n-2' }]);
+  const expensiveOnly = runPricingRound(
+    input([job('j-1')], [machine('n-1')], { prices: expensive, options }),
+  );
+  assert.deepEqual(expensiveOnly.starts, [{ job: 'j-1', host: 'n-1' }]);
 });
 
-test('of two teams the one within its guarantee is placed first, and rank decides within a team', () => {
-  const one = [machine('n-1', { free: { cpus: 2, gpus: 0, memGb: 16 } })];
+test('places the team within its guarantee first, and orders the jobs of one team by priority', () => {
+  const halfFreeMachine = [machine('n-1', { free: { cpus: 2, gpus: 0, memGb: 16 } })];
   const teams = input([], []).teams.map((team) => ({
     ...team,
     used: { ...team.used, cpus: team.name === 'blue' ? 4 : 0 },
   }));
   const jobs = [job('j-1', { acceptanceOrder: 1 }), job('j-2', { team: 'green', acceptanceOrder: 2 })];
-  assert.equal(runPricingRound(input(jobs, one, { teams })).starts[0]?.job, 'j-2');
+  assert.equal(runPricingRound(input(jobs, halfFreeMachine, { teams })).starts[0]?.job, 'j-2');
   const ranks = [job('j-1', { acceptanceOrder: 1 }), job('j-2', { acceptanceOrder: 2, priority: 4 })];
-  assert.equal(runPricingRound(input(ranks, one)).starts[0]?.job, 'j-2');
+  assert.equal(runPricingRound(input(ranks, halfFreeMachine)).starts[0]?.job, 'j-2');
 });
 
-test('of shapes of equal utility the one of lower hourly cost is taken', () => {
+test('chooses the shape of lower hourly cost if two shapes have equal utility', () => {
   const machines = [
     machine('n-1', { hourlyCostPerCpu: 3 }),
     machine('n-2', { spot: true, hourlyCostPerCpu: 1 }),
@@ -223,7 +228,7 @@
   }
 });
 
-test('for a task that needs a whole machine the half-free one that is free soonest is reserved', () => {
+test('reserves the half-free machine that becomes free soonest for a task that needs a whole machine', () => {
   const half = { cpus: 2, gpus: 0, memGb: 8 };
   const machines = [
     machine('n-1', { free: { ...half }, busyFor: () => 20 * SECOND }),
@@ -237,7 +242,7 @@
       .starts.map((start) => `${start.job} ${start.host}`)
       .sort();
   assert.deepEqual(hosts([whole, small]), ['j-2 n-1', 'j-2 n-3']);
-  // None is reserved beyond the longest reservation, nor for what ranks lower.
+  // No machine is reserved that is busy for longer than MAX_RESERVATION_TIME, or for a job of lower priority.
   assert.deepEqual(
     hosts([
       { ...whole, pendingTaskCount: 2 },
@@ -248,8 +253,8 @@
   assert.deepEqual(hosts([{ ...whole, priority: 1 }, small]), ['j-2 n-1', 'j-2 n-2', 'j-2 n-3']);
 });
 
-/** A round of an owner whose machines have just come up one by one, while far more is pending. */
-function afterBoot(jobs: PendingJob[]) {
+/** Runs 20 rounds, in each of which another machine comes up. Returns the prices, and a function to run a next round. */
+function simulateBoot(jobs: PendingJob[]) {
   let prices: PricingRoundInput['prices'] = new Map();
   const teams = [
     {
@@ -268,8 +273,9 @@
   return { prices, runRound };
 }
 
-// Once prices stood at 171 while nobody would pay more than 12, and urgent tasks waited longest for minutes.
-test('prices stay near what tasks would pay while a fleet boots, so that rank decides and not size', () => {
+// Guards against prices that run away while a fleet boots: they once reached 171 where no task would pay more than 12,
+// and for minutes urgent tasks waited longest.
+test('keeps prices near what tasks would pay while a fleet boots, so that priority decides and not task size', () => {
   const whole = { cpus: 4, gpus: 0, memGb: 14 };
   const urgent = job('j-2', {
     taskResources: whole,
@@ -279,15 +285,16 @@
     acceptanceOrder: 2,
   });
   const normal = job('j-1', { pendingTaskCount: 400, taskCount: 400, acceptanceOrder: 1 });
-  const { prices, runRound } = afterBoot([normal, urgent]);
+  const { prices, runRound } = simulateBoot([normal, urgent]);
   const cpu = prices.get('small')?.cpu ?? 0;
-  assert.ok(cpu < 3, `${cpu} a CPU, where 2 is the most that anyone pays`);
+  assert.ok(cpu < 3, `CPU price ${cpu}, where no task pays more than 2`);
   assert.equal(runRound([machine('n-0')]).starts[0]?.job, 'j-2');
 });
 
-// A job of highest rank that only machines of a type that never came could take held its team's whole limit for
-// minutes, while small machines stood idle beside a best-effort job: docs/incidents/upgrade-132.md.
-test('a job without feasible machines holds its team back only for as long as a machine takes to boot', () => {
+// Guards against idle machines: a job of the highest rank was limited to a machine type of which no machine came up.
+// It used up its team's whole limit for minutes, and a best-effort job could not use idle small machines.
+// See docs/incidents/upgrade-132.md.
+test('lets a job without feasible machines hold back its team only for as long as a machine takes to boot', () => {
   const startedJobs = (isOverdue: boolean): string[] => {
     const waitsForLarge = job('j-1', {
       priority: 24,
@@ -310,7 +317,7 @@
       options: OPTIONS,
       random: random(1),
     });
-    assert.equal(result.unmetTaskCounts.get('j-1'), 8, 'machines for it are still requested');
+    assert.equal(result.unmetTaskCounts.get('j-1'), 8, 'machines for j-1 are still requested');
     return result.starts.map((start) => start.job);
   };
   assert.deepEqual(startedJobs(false), []);
--- a/packages/pricing/pricing-round.ts
+++ b/packages/pricing/pricing-round.ts
@@ -1,4 +1,4 @@
-/** One pricing round: prices every shape, then places pending tasks. */
+/** A pricing round: adjusts the prices of every shape, then places the pending tasks. */
 import { placeSegments } from './placement.js';
 import { poolByShape } from './shape-pools.js';
 import { adjustPrices } from './price-adjustment.js';
@@ -6,7 +6,8 @@
 import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
 /**
- * Runs one round of the design. Pure but for the given randomness; the input stays as it is.
+ * Runs one pricing round: splits the pending tasks into segments, runs the price passes and places the segments. The
+ * result depends on the input and its random numbers only. The input's machines and prices are not modified.
  */
 export function runPricingRound(input: PricingRoundInput): PricingRoundResult {
   const { options } = input;
--- a/packages/pricing/reservation.ts
+++ b/packages/pricing/reservation.ts
@@ -1,24 +1,25 @@
-/** Reserves machines for tasks that need more than becomes free at a time. */
+/** Reserves partly free machines for tasks that need more capacity than usually becomes free at once. */
 import { type Micros, SECOND } from '#wire';
 import { RESOURCE_TOLERANCE, fits, noResources } from './resources.js';
 import type { CandidateMachine, PendingJob } from './types.js';
 import type { ZoneConstraint } from './zone-constraint.js';
 
-/** Part of a machine stands idle for a larger task, or for a gang, no longer than this. */
+/** Maximum expected time for which part of a machine may stay idle for a larger task or a gang. */
 export const MAX_RESERVATION_TIME: Micros = 30 * SECOND;
 
-/** Tasks of one job that found no machine with enough free capacity. */
+/** Tasks of one job for which no machine has enough free capacity. */
 export interface ReservationRequest {
   readonly job: PendingJob;
   readonly zoneConstraint: ZoneConstraint;
-  /** Tasks; nothing is reserved for none or fewer. */
+  /** Number of tasks. Nothing is reserved if it is zero or negative. */
   readonly count: number;
 }
 
 /**
- * Machines that could hold one of the tasks, and already have part of the capacity free, take nothing of lower rank until
- * the rest is free, too. Otherwise small tasks would fill each half as it becomes free, and a task that needs a whole
- * machine would wait for ever on a full fleet. Those that are free soonest come first. Returns the hosts reserved.
+ * Reserves up to `count` machines that are large enough for one of the tasks and have part of the capacity free. A
+ * reserved machine takes no task that is placed later in the round. Without reservations small tasks would fill each
+ * part of a machine as it becomes free, and on a full fleet a task that needs a whole machine would never start.
+ * Machines that become free soonest are reserved first. Returns the reserved hosts.
  */
 export function reserveMachines(
   machines: readonly CandidateMachine[],
--- a/packages/pricing/resources.ts
+++ b/packages/pricing/resources.ts
@@ -1,10 +1,10 @@
-/** Arithmetic on the resources that tasks demand and machines have. */
+/** Arithmetic on the resources that tasks require and machines provide. */
 import type { Resources } from './types.js';
 
-/** Tolerance for sums of decimal amounts. */
+/** Tolerance for rounding errors in sums of fractional amounts. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** Whether one task of this demand fits into the capacity. */
+/** True if one task of this demand fits into the capacity. */
 export function fits(demand: Resources, capacity: Resources): boolean {
   return (
     demand.cpus <= capacity.cpus + RESOURCE_TOLERANCE &&
@@ -13,7 +13,7 @@
   );
 }
 
-/** How many tasks of this demand fit into the capacity; `Infinity` if the demand is zero. */
+/** Returns how many tasks of this demand fit into the capacity; `Infinity` if the demand is zero. */
 export function countFitting(demand: Resources, capacity: Resources): number {
   let count = Infinity;
   if (demand.cpus > 0) count = Math.min(count, (capacity.cpus + RESOURCE_TOLERANCE) / demand.cpus);
@@ -22,14 +22,14 @@
   return Math.max(0, Math.floor(count));
 }
 
-/** Subtracts the demand of so many tasks from the capacity, in place; a negative number gives it back. */
+/** Subtracts the demand of `times` tasks from the capacity, in place. A negative number adds it. */
 export function subtractResources(capacity: Resources, demand: Resources, times: number): void {
   capacity.cpus -= demand.cpus * times;
   capacity.gpus -= demand.gpus * times;
   capacity.memGb -= demand.memGb * times;
 }
 
-/** A new empty amount, to be added to. */
+/** Returns a new object with all amounts zero, which callers may modify. */
 export function noResources(): Resources {
   return { cpus: 0, gpus: 0, memGb: 0 };
 }
--- a/packages/pricing/segments.ts
+++ b/packages/pricing/segments.ts
@@ -1,28 +1,28 @@
-/** Splits pending tasks into segments that rank alike, within the limits of their teams. */
+/** Splits pending tasks into segments of equal priority, within the limits of their teams. */
 import { countFitting, subtractResources } from './resources.js';
 import { isFeasible, type ShapePool } from './shape-pools.js';
 import type { Resources, PricingRoundInput, TeamUsage, PendingJob } from './types.js';
 
-/** Tasks of one job that rank alike: those within their team's guarantee, or those beyond it. */
+/** Tasks of one job with equal priority: either those within their team's guarantee or those above it. */
 export interface Segment {
   readonly job: PendingJob;
-  /** Before prices; within a guarantee it is raised. */
+  /** Priority before prices are subtracted. It is raised for tasks within their team's guarantee. */
   readonly priority: number;
-  /** Tasks, at least one. */
+  /** Number of tasks; at least 1. */
   readonly count: number;
 }
 
-/** What the segments of all teams are built with. */
+/** Values shared by all teams when their segments are built. */
 interface Ranking {
   readonly pools: readonly ShapePool[];
   readonly weightedPriority: (job: PendingJob) => number;
-  /** Added to the rank of tasks within their team's guarantee. */
+  /** Added to the priority of tasks within their team's guarantee. */
   readonly guaranteeBonus: number;
 }
 
 /**
- * Splits pending tasks into segments and leaves out what lies beyond its team's limit. A team's jobs come in
- * the order of their priority, equal ones in the order in which they were accepted.
+ * Splits pending tasks into segments and leaves out tasks above their team's limit. The jobs of a team are ordered by
+ * priority, and by order of acceptance if their priorities are equal.
  */
 export function segmentsWithinLimits(input: PricingRoundInput, pools: readonly ShapePool[]): Segment[] {
   const { gpuTaskWeight, guaranteeWeight } = input.options;
@@ -52,7 +52,8 @@
       Math.min(count, countFitting(job.taskResources, remainingGuarantee)),
     );
     if (countsAgainstLimit(job, pools)) {
-      // A gang beyond what remains of the limit holds back what ranks lower: task by task, that would never leave it enough.
+      // A gang that exceeds the remaining limit still uses it up, which holds back tasks of lower priority. Otherwise
+      // these would take the limit task by task and never leave enough for the gang.
       subtractResources(remainingLimit, job.taskResources, job.isGang ? job.pendingTaskCount : count);
       subtractResources(remainingGuarantee, job.taskResources, count);
     }
@@ -68,14 +69,14 @@
   return { cpus: bound.cpus - used.cpus, gpus: bound.gpus - used.gpus, memGb: Infinity };
 }
 
-/** How many of so many fitting tasks are of use: of a gang all or none. */
+/** Returns how many of the fitting tasks may be placed: for a gang all of its tasks or none. */
 function placeableCount(job: PendingJob, fittingCount: number): number {
   return job.isGang && fittingCount < job.pendingTaskCount ? 0 : fittingCount;
 }
 
 /**
- * Whether the job's tasks count against its team's limit. One that no machine up at present is feasible for is
- * counted only for as long as a machine takes to boot: what it holds back for longer would stay idle
+ * True if the job's tasks count against its team's limit. A job without a feasible machine counts only for as long as a
+ * machine takes to boot. After that, holding back the team's other jobs would leave capacity idle
  * (docs/incidents/upgrade-132.md).
  */
 function countsAgainstLimit(job: PendingJob, pools: readonly ShapePool[]): boolean {
--- a/packages/pricing/shape-pools.ts
+++ b/packages/pricing/shape-pools.ts
@@ -1,31 +1,32 @@
-/** Machines of one shape, priced together. */
+/** Groups machines by shape. All machines of one shape have the same prices. */
 import { fits, noResources, subtractResources } from './resources.js';
 import type { Resources, Price, CandidateMachine, PendingJob } from './types.js';
 
-/** A shape: machines of one type and kind, priced together. Spot ones are a shape apart. */
+/** Returns the name of a machine's shape: its type, with a suffix for spot machines, which are priced separately. */
 export function shapeOf(machineType: string, spot: boolean): string {
   return spot ? `${machineType}+` : machineType;
 }
 
-/** The machines of one shape, as one round sees them. */
+/** The machines of one shape in one pricing round. */
 export interface ShapePool {
   readonly shape: string;
   readonly machineType: string;
   readonly spot: boolean;
-  /** Copies of the round's own: their free capacity shrinks as tasks are placed. */
+  /** Copies of the input machines. Their free capacity shrinks as the round places tasks. */
   readonly machines: CandidateMachine[];
-  /** Sum of the free capacity of all machines when the round began. */
+  /** Free capacity of all machines together at the start of the round. */
   readonly free: Resources;
+  /** Capacity of all machines together. */
   readonly total: Resources;
-  /** Moves with each price pass. */
+  /** Prices of the shape's resources. They change with each price pass. */
   readonly price: Price;
-  /** What one of the machines costs per hour and CPU. */
+  /** Cost of one of the machines per hour and CPU. */
   readonly hourlyCostPerCpu: number;
 }
 
 /**
- * Groups machines by shape, the cheapest shape first, with the prices that the last round ended with.
- * The machines themselves stay as they are: pools hold copies.
+ * Groups machines by shape, cheapest shape first. Prices start where the last round left them. The pools hold copies
+ * of the machines, so the input is not modified.
  */
 export function poolByShape(
   machines: readonly CandidateMachine[],
@@ -43,7 +44,7 @@
     subtractResources(pool.free, machine.free, -1);
     subtractResources(pool.total, machine.total, -1);
   }
-  // Cheapest first: of shapes of equal utility the first is chosen.
+  // If several shapes have equal utility, the first and thus cheapest one is chosen.
   return [...pools.values()].sort(
     (a, b) => a.hourlyCostPerCpu - b.hourlyCostPerCpu || (a.shape < b.shape ? -1 : 1),
   );
@@ -62,7 +63,7 @@
   };
 }
 
-/** Whether the job's constraints admit the shape, and a whole machine of it could hold one of its tasks. */
+/** True if the job's constraints allow the shape and an empty machine of that shape could hold one of its tasks. */
 export function isFeasible(job: PendingJob, pool: ShapePool): boolean {
   if (pool.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(pool.machineType)) return false;
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -1,7 +1,7 @@
-/** What a scheduling round decides on, and what it decides. */
+/** Input and result types of a pricing round. */
 import type { Micros } from '#wire';
 
-/** Resources that a task demands or a machine has. CPUs may be fractions. */
+/** Resources that a task requires or a machine provides. The number of CPUs may be fractional. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -16,109 +16,110 @@
   mem: number;
 }
 
-/** The pending tasks of a job. */
+/** A job with pending tasks. */
 export interface PendingJob {
   id: string;
   team: string;
   taskResources: Resources;
-  /** Rank and waiting time as one number; the higher, the sooner. */
+  /** Priority computed from rank and waiting time; a higher one is placed sooner. */
   priority: number;
-  /** Order of acceptance, for ties. */
+  /** Position in the order of acceptance; breaks ties between equal priorities. */
   acceptanceOrder: number;
-  /** Tasks without a machine. */
+  /** Number of tasks that have no machine. */
   pendingTaskCount: number;
-  /** Tasks of the whole job. */
+  /** Number of all tasks of the job, in whatever state. */
   taskCount: number;
-  /** All pending tasks are placed in one round, or none is. */
+  /** True if all pending tasks have to be placed in the same round. */
   isGang: boolean;
-  /** It has waited for longer than a machine takes to boot. */
+  /** True if the job has waited for longer than a machine takes to boot. */
   isOverdue?: boolean;
-  /** Types that it is limited to; null: any. */
+  /** Machine types that the job is limited to; null if any type is allowed. */
   machineTypes: readonly string[] | null;
-  /** The zone that it is limited to; null: any. */
+  /** Zone that the job is limited to; null if any zone is allowed. */
   zone: string | null;
-  /** All of its tasks have to lie in one zone. */
+  /** True if all tasks of the job have to run in the same zone. */
   singleZone: boolean;
-  /** No zone may hold more than half of its tasks. */
+  /** True if no zone may run more than half of the job's tasks. */
   spreadZones: boolean;
-  /** It may run on spot machines. */
+  /** True if the job may run on spot machines. */
   allowsSpot: boolean;
   image: string;
-  /** Tasks of the job that are on machines now, by zone. */
+  /** Number of the job's tasks that are on machines. Keyed by zone. */
   placedByZone: ReadonlyMap<string, number>;
 }
 
-/** A machine that may take tasks in this round. */
+/** A machine that may be given tasks in the round. */
 export interface CandidateMachine {
   host: string;
   machineType: string;
   zone: string;
   spot: boolean;
   total: Resources;
-  /** Free capacity by the last heartbeat, less starts sent since. */
+  /** Total capacity minus the resources of the placements on the machine that have not completed. */
   free: Resources;
-  /** Names of the images that it has. */
+  /** Names of the images in the machine's cache. */
   cachedImages: readonly string[];
-  /** Time until all that is on it should have ended. */
+  /** Returns the expected time until all tasks on the machine have ended. */
   busyFor: () => Micros;
-  /** Time until its worker's next heartbeat, whose response can carry a start. */
+  /** Time until the worker's next heartbeat. Only a heartbeat response can tell the worker to start a task. */
   nextHeartbeatIn: Micros;
-  /** What the machine costs per hour and CPU; decides only between shapes of equal utility. */
+  /** Cost of the machine per hour and CPU. It only decides between shapes of equal utility. */
   hourlyCostPerCpu: number;
 }
 
-/** A team's quota and its use. */
+/** A team's quota and its current usage. */
 export interface TeamUsage {
   name: string;
-  /** What its tasks on machines take up. */
+  /** Resources of the team's tasks on machines. */
   used: Resources;
+  /** Resources that the team is guaranteed. */
   guaranteed: { cpus: number; gpus: number };
-  /** Its limit. */
+  /** Maximum resources that the team may use. */
   limit: { cpus: number; gpus: number };
 }
 
-/** Parameters of the design that are set by the operators. */
+/** Parameters of pricing and placement. Operators set all of them in the settings except `maxStarts`. */
 export interface PricingOptions {
-  /** Price passes of a round. */
+  /** Number of price passes in a round. */
   passes: number;
-  /** Step for a whole machine's worth of a resource at full gap, as a part of the highest priority. */
+  /** Price step for a whole machine's worth of a resource at the maximum gap, as a fraction of the highest priority. */
   step: number;
-  /** Extra cost of a GPU shape to a task that needs no GPU, as a part of the highest priority. */
+  /** Extra cost of a GPU shape for a task that needs no GPU, as a fraction of the highest priority. */
   gpuShapeCost: number;
-  /** Raise of the rank of a task that needs GPUs, as a part of its priority. */
+  /** Increase in priority for a task that needs GPUs, as a fraction of its own priority. */
   gpuTaskWeight: number;
-  /** Raise for what lies within a team's guarantee, as a part of the highest priority. */
+  /** Increase in priority for tasks within their team's guarantee, as a fraction of the highest priority. */
   guaranteeWeight: number;
-  /** Tasks started in one round, at most; a gang that is larger has a round to itself. */
+  /** Maximum number of tasks started in one round. A larger gang is started alone in a round. */
   maxStarts: number;
-  /** Random candidate machines that are looked at for each task; the fullest of them gets it. */
+  /** Number of random machines compared for each task. The fullest of them gets the task. */
   choices: number;
 }
 
-/** The state that a round begins with. */
+/** Input of a pricing round. */
 export interface PricingRoundInput {
   jobs: readonly PendingJob[];
   machines: readonly CandidateMachine[];
   teams: readonly TeamUsage[];
-  /** By shape, as the last round left them; a shape that is new begins at zero. */
+  /** Prices at the end of the last round. Keyed by shape; the prices of a shape without an entry start at zero. */
   prices: ReadonlyMap<string, Price>;
   options: PricingOptions;
-  /** Uniform in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   random: () => number;
 }
 
-/** What a round decided. */
+/** Result of a pricing round. */
 export interface PricingRoundResult {
-  /** One for each task, in the order of placement. */
+  /** One entry for each task to start, in the order of placement. */
   starts: { job: string; host: string }[];
-  /** By shape. */
+  /** Prices at the end of the round. Keyed by shape. */
   prices: Map<string, Price>;
-  /** By job: tasks within their team's limit that found no machine with enough free capacity. */
+  /** Number of tasks within their team's limit for which no machine had enough free capacity. Keyed by job. */
   unmetTaskCounts: Map<string, number>;
-  /** By gang that found no capacity and has to lie in one zone: the zone that serves it best. */
+  /** The most suitable zone of each unplaced gang whose tasks must run in the same zone. Keyed by job. */
   gatheringZones: Map<string, string>;
-  /** By host: capacity left free on each machine. */
+  /** Capacity that the round leaves free on each machine. Keyed by host. */
   free: Map<string, Resources>;
-  /** Hosts of machines reserved for tasks that need more capacity than is free on them yet. */
+  /** Hosts of machines reserved for tasks that need more capacity than is free there at present. */
   reservedHosts: ReadonlySet<string>;
 }
--- a/packages/pricing/zone-constraint.ts
+++ b/packages/pricing/zone-constraint.ts
@@ -1,13 +1,14 @@
-/** Zones that a job's constraints leave open. */
+/** Decides which zones a job's zone constraints allow. */
 import { countFitting } from './resources.js';
 import type { CandidateMachine, PendingJob } from './types.js';
 
-/** Which zones a job's next task may go to, given where its other tasks are at this moment. */
+/** Decides in which zones the next task of a job may be placed, given the zones of the job's other tasks. */
 export class ZoneConstraint {
+  /** Number of the job's tasks in each zone, including those placed in the current round. Keyed by zone. */
   private readonly tasksByZone: Map<string, number>;
-  /** Tasks of a spread job that one zone may hold. */
+  /** Maximum number of tasks of a spread job in one zone. */
   private readonly maxPerZone: number;
-  /** The zone of a job that is bound to one zone and has no task yet. */
+  /** Zone chosen for a single-zone job that has no task on a machine yet; null for other jobs or if no zone fits. */
   private readonly firstZone: string | null;
 
   constructor(
@@ -20,7 +21,7 @@
       job.singleZone && this.tasksByZone.size === 0 ? zoneWithMostCapacity(job, machines) : null;
   }
 
-  /** Whether the next task may go to the zone. */
+  /** True if the next task may be placed in the zone. */
   allows(zone: string): boolean {
     const { job, tasksByZone } = this;
     if (job.zone !== null && zone !== job.zone) return false;
@@ -30,13 +31,13 @@
     return !job.spreadZones || (tasksByZone.get(zone) ?? 0) < this.maxPerZone;
   }
 
-  /** A task was placed in the zone. */
+  /** Counts a task that was placed in the zone. */
   onTaskPlaced(zone: string): void {
     this.tasksByZone.set(zone, (this.tasksByZone.get(zone) ?? 0) + 1);
   }
 }
 
-/** The zone with free capacity for most of the job's tasks; a job bound to one zone starts there. */
+/** Returns the zone with free capacity for most of the job's tasks, in which a single-zone job starts; null if none. */
 function zoneWithMostCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string | null {
   const taskCapacity = new Map<string, number>();
   for (const machine of machines) {
@@ -49,7 +50,7 @@
   return [...taskCapacity].sort((a, b) => b[1] - a[1])[0]?.[0] ?? null;
 }
 
-/** Whether the job's constraints admit the machine, whatever capacity is free on it. */
+/** True if the job's constraints allow the machine, regardless of its free capacity. */
 function admits(job: PendingJob, machine: CandidateMachine): boolean {
   if (machine.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(machine.machineType)) return false;
