--- a/packages/fleet/capacity-backoff.ts
+++ b/packages/fleet/capacity-backoff.ts
@@ -1,16 +1,17 @@
-/** Exponential backoff for offers that the cloud has no capacity of. */
+/** Exponential backoff for offers of which the cloud has no capacity. */
 import { type Clock, type Micros, SECOND } from '#wire';
 import { type Offer, offerKey } from './offers.js';
 
 const INITIAL_BACKOFF: Micros = 10 * SECOND;
 const MAX_BACKOFF: Micros = 40 * SECOND;
 
+/** The backoff of one offer: when it ends on the monotonic clock, and how long it takes in all. */
 interface Backoff {
   readonly until: Micros;
   readonly duration: Micros;
 }
 
-/** By offer, for how long it is not requested again. */
+/** Tracks the offers that must not be requested for a while. Keyed by offer. */
 export class CapacityBackoff {
   private readonly backoffs = new Map<string, Backoff>();
 
@@ -21,7 +22,7 @@
     return backoff !== undefined && backoff.until > this.clock.now();
   }
 
-  /** The cloud had not all that was requested: each time in a row doubles the backoff, up to its maximum. */
+  /** Starts a backoff after the cloud supplied too few machines. Its duration doubles each time, up to MAX_BACKOFF. */
   onInsufficientCapacity(offer: Offer): void {
     const key = offerKey(offer);
     const lastDuration = this.backoffs.get(key)?.duration ?? INITIAL_BACKOFF / 2;
@@ -29,7 +30,7 @@
     this.backoffs.set(key, { until: this.clock.now() + duration, duration });
   }
 
-  /** The cloud had all that was requested. */
+  /** Ends the backoff after the cloud supplied all requested machines. */
   onRequestFulfilled(offer: Offer): void {
     this.backoffs.delete(offerKey(offer));
   }
--- a/packages/fleet/drain-planner.test.ts
+++ b/packages/fleet/drain-planner.test.ts
@@ -3,7 +3,7 @@
 import { SECOND } from '#wire';
 import { type DrainCandidate, planDrains } from './drain-planner.js';
 
-test('the on-demand machine that wastes most is drained, and only while the others have spare capacity', () => {
+test('drains the on-demand machine with the highest unused cost, only if other machines have spare capacity', () => {
   const total = { cpus: 16, gpus: 0, memGb: 64 };
   const underused = (host: string, change: Partial<DrainCandidate> = {}): DrainCandidate => ({
     host,
--- a/packages/fleet/drain-planner.ts
+++ b/packages/fleet/drain-planner.ts
@@ -1,41 +1,45 @@
-/** Decides which underused machines are drained: they get no new tasks and are deleted once empty. Pure. */
+/**
+ * Selects underused machines to drain. A draining machine gets no new tasks and is deleted once its last task has
+ * ended. Pure: no clock, no I/O.
+ */
 import type { Resources } from '#pricing';
 import type { Micros } from '#wire';
 
-/** A machine as one that may be drained. */
+/** A machine that may be drained. */
 export interface DrainCandidate {
   host: string;
   spot: boolean;
   /** Price per hour. */
   price: number;
   total: Resources;
-  /** Capacity that its owner's next round is expected to leave free. */
+  /** Capacity that the next round of the machine's owner is expected to leave free. */
   free: Resources;
-  /** For how long it has been underused. */
+  /** Time for which the machine has been underused. */
   underusedFor: Micros;
 }
 
-/** When a machine is drained. */
+/** Conditions under which a machine is drained. */
 export interface DrainOptions {
-  /** Up to this part in use counts as underused, from 0 to 1. */
+  /** A machine counts as underused up to this utilization, from 0 to 1. */
   maxUtilization: number;
-  /** How long it must have been so. */
+  /** Minimum time for which the machine must have been underused. */
   minUnderusedTime: Micros;
-  /** Free CPUs that must stay elsewhere, as a multiple of what is to be drained. */
+  /** Free CPUs that the other machines must have, as a multiple of the CPUs in use on the drained machine. */
   spareFactor: number;
 }
 
-/** At least this part of a machine's CPUs counts as in use when spare capacity is compared with it. */
+/** Minimum fraction of a machine's CPUs that counts as in use when the required spare capacity is computed. */
 const MIN_COUNTED_UTILIZATION = 0.1;
 
-/** The part of a machine's CPUs that is in use, from 0 to 1. */
+/** Returns the fraction of a machine's CPUs that is in use, from 0 to 1. */
 export function utilization({ total, free }: Pick<DrainCandidate, 'total' | 'free'>): number {
   return total.cpus > 0 ? 1 - free.cpus / total.cpus : 0;
 }
 
 /**
- * Which underused machines get no new tasks, to be deleted once theirs have ended: those that waste most, as long as
- * the others have more free capacity than what they run. Spot machines are cheap enough to keep.
+ * Returns the hosts of the machines to drain, highest hourly cost of unused CPUs first. A machine is drained only if
+ * the other machines have `spareFactor` times as many free CPUs as it uses. Spot machines are never drained, since they
+ * are cheap enough to keep.
  */
 export function planDrains(machines: readonly DrainCandidate[], options: DrainOptions): string[] {
   const drains: string[] = [];
@@ -62,7 +66,7 @@
   );
 }
 
-/** The part of the hourly price that is paid for unused CPUs. */
+/** Returns the part of the hourly price that is paid for unused CPUs. */
 function unusedHourlyCost(machine: DrainCandidate): number {
   return machine.price * (1 - utilization(machine));
 }
--- a/packages/fleet/fleet-context.ts
+++ b/packages/fleet/fleet-context.ts
@@ -1,4 +1,4 @@
-/** What the modules of the fleet manager work with. */
+/** State and dependencies that the parts of the fleet manager share. */
 import type { Ledger, Logger } from '#cluster';
 import type { FencedCloud } from '#roles';
 import type { Clock, MachineType, Micros } from '#wire';
@@ -6,39 +6,39 @@
 import type { PendingCapacity, UnmetDemand } from './offers.js';
 import type { PendingFleetChanges } from './pending-fleet-changes.js';
 
-/** The state that the fleet is managed by, as the leader knows it at the moment. */
+/** The cluster state that fleet decisions are based on, as the leader currently sees it. */
 export interface FleetState {
   ledger: Ledger;
   machineTypes: ReadonlyMap<string, MachineType>;
-  /** How long a worker may be silent before its machine counts as lost. */
+  /** How long a worker may be unresponsive before its machine counts as lost. */
   workerLease: Micros;
-  /** How old the cloud's list of machines may nominally be. */
+  /** Nominal maximum age of the cloud's list of machines. */
   machineListLag: Micros;
-  /** The shard that a machine found in this zone should belong to. */
+  /** Returns the shard that an adopted machine in this zone should belong to. */
   shardForZone: (zone: string) => number;
-  /** Workers in this zone may be up and unreachable. */
+  /** True if workers in this zone may be up but unreachable because of a network partition. */
   isPartitioned: (zone: string) => boolean;
-  /** The machine is held ready for jobs that can't wait for one to boot. */
+  /** True if the machine is kept ready for jobs that cannot wait for a machine to boot. */
   isInWarmPool: (host: string) => boolean;
 }
 
-/** What the owner of a shard lacks, as far as the leader knows. */
+/** Unmet demand of a shard as the leader forecasts it. */
 export interface ShardDemand {
   shard: number;
   unmetDemand: readonly UnmetDemand[];
-  /** Capacity that its running tasks are about to free. */
+  /** Capacity that the running tasks of the shard's owner are about to free. */
   pendingCapacity: readonly PendingCapacity[];
-  /** The owner's node can reach workers in this zone. */
+  /** True if the node that owns the shard can reach workers in this zone. */
   canReach: (zone: string) => boolean;
 }
 
-/** What the modules of one fleet manager share. */
+/** Dependencies shared by the parts of one fleet manager. */
 export interface FleetContext {
   readonly cloud: FencedCloud;
   readonly clock: Clock;
   readonly state: () => FleetState;
   readonly log: Logger;
-  /** Asks for a scheduling round, after which the leader records what is pending. */
+  /** Requests a scheduling round soon. After it the leader records the pending changes. */
   readonly requestRound: () => void;
   readonly changes: PendingFleetChanges;
   readonly machineList: MachineList;
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -10,10 +10,10 @@
 
 const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const LIST_LAG = 3 * SECOND;
-/** By then the list shows every machine that was there when it was requested, and the manager counts on that. */
+/** After this time every running machine is certain to be in the list, so the manager relies on its absence. */
 const LIST_COMPLETE_AFTER: Micros = 2 * LIST_LAG + 12 * SECOND;
 
-/** A fleet manager under a term of its own, over a cloud whose list can be taken away. */
+/** A fleet manager that holds a term, with a cloud whose list of machines can be made unavailable. */
 class FleetHarness {
   readonly clock = new SimClock();
   readonly ledger = new Ledger();
@@ -63,7 +63,7 @@
     this.manager.beginTerm(termProof);
   }
 
-  /** Takes steps for so long, and records what is pending. */
+  /** Runs one step a second for the duration, and records the pending changes after each. */
   async run(duration: Micros): Promise<void> {
     for (const end = this.clock.time + duration; this.clock.time < end;) {
       this.manager.step([]);
@@ -85,8 +85,9 @@
   }
 }
 
-// A young machine was deleted with its tasks in an outage of the cloud: the list was from before its scale-out.
-test('a list older than a machine does not prove that the machine is gone', async () => {
+// Guards against the deletion of a young machine with its tasks during a cloud outage: the last list was from before
+// its scale-out, so the machine was missing from it.
+test('does not count a machine as gone if the list was requested before the machine was added', async () => {
   const fleet = new FleetHarness();
   await fleet.run(5 * SECOND);
   fleet.listed = null;
@@ -94,21 +95,21 @@
   await fleet.run(LIST_COMPLETE_AFTER);
   assert.equal(fleet.destination('n-1'), null);
   assert.deepEqual(fleet.deleted, []);
-  // A list that was requested long after does not show it: then it is gone.
+  // A list requested long after the machine was added does not contain it, which proves that the machine is gone.
   fleet.listed = [];
   await fleet.run(10 * SECOND);
   assert.deepEqual(fleet.deleted, ['n-1']);
 });
 
-test('a machine missing from the list is recorded as leaving first and deleted after that', async () => {
+test('records a machine that is missing from the list as leaving before it deletes the machine', async () => {
   const fleet = new FleetHarness();
   fleet.addMachine('n-1');
   await fleet.run(LIST_COMPLETE_AFTER + 10 * SECOND);
   assert.equal(fleet.ledger.machines.has('n-1'), false);
-  assert.deepEqual(fleet.deleted, ['n-1'], 'deleted once');
+  assert.deepEqual(fleet.deleted, ['n-1'], 'n-1 is deleted once');
 });
 
-test('an unrecorded machine is deleted if it stopped by itself and adopted if it runs', async () => {
+test('deletes an unrecorded machine that stopped by itself, and adopts one that runs', async () => {
   const fleet = new FleetHarness();
   const row = { address: '', machineType: 'small', zone: 'east', spot: false, ageS: 30 };
   fleet.listed = [
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -1,4 +1,4 @@
-/** The leader's view of the fleet: scale-out, scale-in and the targets of machines. */
+/** Manages the fleet for the leader: scale-out, scale-in and the transfer targets of machines. */
 import type { Destination, Logger, RecordDraft } from '#cluster';
 import type { FencedCloud, TermProof } from '#roles';
 import type { Clock } from '#wire';
@@ -10,22 +10,22 @@
 import { ScaleInSelection } from './scale-in-selection.js';
 import { ScaleOutRequests } from './scale-out-requests.js';
 
-/** What a {@link FleetManager} is made of. */
+/** Dependencies of {@link FleetManager}. */
 export interface FleetManagerOptions {
   readonly cloud: FencedCloud;
   readonly clock: Clock;
-  /** What the leader knows of the cluster at this moment. */
+  /** Returns the cluster state as the leader currently sees it. */
   readonly state: () => FleetState;
   readonly log: Logger;
-  /** Has the node's next scheduling round begin soon. */
+  /** Requests that the node's next scheduling round begins soon. */
   readonly requestRound: () => void;
 }
 
 /**
- * Scales the fleet for the leader. What is to be written into the leader's log is gathered as pending changes; what is
- * asked of the cloud is taken from the ledger, so that a request is always recorded before it is made. The cloud may
- * execute it minutes late, under a successor: so a machine is recorded as leaving first, which is final, and deleted
- * once its owner has released it or the cloud's list shows that it stopped or is gone.
+ * Scales the fleet for the leader. Changes for the leader's log are collected as pending changes. Requests to the cloud
+ * are derived from the ledger only, so every request is recorded before it is sent. The cloud may execute a request
+ * minutes late, when another node is leader. Therefore a machine is first recorded as leaving, which is final. It is
+ * deleted only after its owner has released it, or after the cloud's list shows that it stopped or no longer exists.
  */
 export class FleetManager {
   private readonly changes: PendingFleetChanges;
@@ -34,7 +34,7 @@
   private readonly scaleOut: ScaleOutRequests;
   private readonly scaleIn: ScaleInSelection;
   private readonly deletion: MachineDeletion;
-  /** The term of the leader under which everything is asked. */
+  /** Proof of the leader's current term, which every request to the cloud requires; null before the first term. */
   private termProof: TermProof | null = null;
 
   private readonly state: () => FleetState;
@@ -53,7 +53,7 @@
     this.deletion = new MachineDeletion(context, this.adoption);
   }
 
-  /** A new term starts from what the log says. */
+  /** Starts a new term. Everything collected in earlier terms is discarded; the log is the only source of state. */
   beginTerm(termProof: TermProof): void {
     this.termProof = termProof;
     this.changes.clear();
@@ -63,7 +63,7 @@
     this.scaleIn.beginTerm();
   }
 
-  /** What is to go into the next record; it stays pending until {@link onRecordCommitted} is called with it. */
+  /** Returns the changes for the next record. They stay pending until {@link onRecordCommitted} gets the draft. */
   draft(): RecordDraft {
     return this.changes.draft();
   }
@@ -72,12 +72,12 @@
     this.changes.onRecordCommitted(draft);
   }
 
-  /** Sets where a machine goes: to another shard, or back to the cloud, which is final. */
+  /** Sets the target of a machine: another shard, or scale-in, which is final. */
   setTransferTarget(host: string, target: Destination, reason: string): void {
     this.changes.setTransferTarget(host, target, reason);
   }
 
-  /** One step: scales out for the demand, scales in what idles, and carries out what is recorded. */
+  /** Runs one step: plans scale-out for unmet demand, selects machines to scale in, and sends the recorded requests. */
   step(shards: readonly ShardDemand[]): void {
     const { termProof } = this;
     if (!termProof) return;
@@ -92,8 +92,9 @@
   }
 
   /**
-   * Deletes what the record just committed allows to delete, without waiting for the next step: on a large fleet that
-   * is seconds away, and tasks on machines that are gone start elsewhere only once the deletion is answered.
+   * Deletes the machines that the last committed record allows to delete, without waiting for the next step. On a large
+   * fleet the next step is seconds away, and tasks of machines that no longer exist start elsewhere only after the
+   * cloud has answered the deletion.
    */
   deleteReleasedMachines(): void {
     if (this.termProof) void this.deletion.deleteReleased(this.termProof);
--- a/packages/fleet/index.ts
+++ b/packages/fleet/index.ts
@@ -1,4 +1,4 @@
-/** The fleet of machines: scale-out, scale-in, drains and transfers between shards. */
+/** Management of the machine fleet: scale-out, scale-in, drains, the warm pool and transfers between shards. */
 export * from './offers.js';
 export * from './scale-out-planner.js';
 export * from './scale-in-planner.js';
--- a/packages/fleet/machine-adoption.ts
+++ b/packages/fleet/machine-adoption.ts
@@ -1,24 +1,27 @@
-/** Takes machines that no record knows into the fleet: those of an answered scale-out request, and those only listed. */
+/**
+ * Adopts machines that are not in the ledger into the fleet: machines from a scale-out response, and machines that
+ * appear in the cloud's list only.
+ */
 import type { TermProof } from '#roles';
 import { type Micros, MS, SECOND } from '#wire';
 import type { FleetContext } from './fleet-context.js';
 import type { Offer } from './offers.js';
 
-/** The cloud's list may show a deleted machine for so long. */
+/** Time for which the cloud's list may still contain a deleted machine. */
 const DELETED_MACHINE_RETENTION: Micros = 120 * SECOND;
 
-/** A machine that is to be adopted. */
+/** A machine to adopt. */
 export interface AdoptedMachine extends Offer {
   readonly host: string;
-  /** The shard that it will belong to. */
+  /** The shard that the machine will belong to. */
   readonly shard: number;
-  /** Since the cloud created it, in seconds. */
+  /** Time since the cloud created the machine, in seconds. */
   readonly ageS: number;
 }
 
-/** Adopts each machine once, and none that was deleted of late. */
+/** Adopts each machine at most once, and no machine that was deleted recently. */
 export class MachineAdoption {
-  /** By host: until when a deleted machine is not adopted. */
+  /** Time until which a deleted machine is not adopted. Keyed by host. */
   private readonly recentlyDeleted = new Map<string, Micros>();
 
   constructor(private readonly context: FleetContext) {}
@@ -31,14 +34,14 @@
     this.recentlyDeleted.set(host, this.context.clock.now() + DELETED_MACHINE_RETENTION);
   }
 
-  /** Adds the machine to the pending changes unless it is known. */
+  /** Adds the machine to the pending changes unless it is in the ledger, pending already or recently deleted. */
   adopt({ host, machineType, zone, spot, shard, ageS }: AdoptedMachine): void {
     if (!this.isUnknown(host)) return;
     const acquiredAtMs = Math.floor(this.context.clock.wall() / MS - ageS * 1000);
     this.context.changes.addMachine([host, machineType, zone, spot, acquiredAtMs, shard]);
   }
 
-  /** Machines that the list shows and no record knows join a shard. */
+  /** Reads the cloud's list if a read is due, and adopts listed machines that are unknown and have not stopped. */
   async adoptListed(termProof: TermProof): Promise<void> {
     const { machineList, state, clock } = this.context;
     const listed = await machineList.refresh(termProof, state().ledger);
--- a/packages/fleet/machine-deletion.ts
+++ b/packages/fleet/machine-deletion.ts
@@ -1,10 +1,10 @@
-/** Deletes machines that are recorded as leaving the fleet, or have stopped and are in no record. */
+/** Deletes machines that are recorded as leaving the fleet, and stopped machines that are not in the ledger. */
 import { MAX_MACHINES_PER_DELETE } from '#cloud';
 import { ScaleInIntent, type TermProof } from '#roles';
 import type { FleetContext } from './fleet-context.js';
 import type { MachineAdoption } from './machine-adoption.js';
 
-/** Sends one deletion at a time. */
+/** Sends deletion requests to the cloud, one at a time. */
 export class MachineDeletion {
   private isDeleting = false;
 
@@ -13,7 +13,7 @@
     private readonly adoption: MachineAdoption,
   ) {}
 
-  /** Deletes as many of the machines that may be deleted as one request takes. */
+  /** Sends one request that deletes as many of the deletable machines as it can hold. */
   async deleteReleased(termProof: TermProof): Promise<void> {
     if (this.isDeleting) return;
     const intents = [...this.openIntents().values()].slice(0, MAX_MACHINES_PER_DELETE);
--- a/packages/fleet/machine-list.ts
+++ b/packages/fleet/machine-list.ts
@@ -1,21 +1,22 @@
-/** What the cloud's list, which lags and may go back, proves of the machines that the ledger knows. */
+/** Reads the cloud's list of machines, which lags and may go back in time, to detect stopped and missing machines. */
 import type { Ledger, MachineEntry } from '#cluster';
 import { type FencedCloud, ScaleInIntent, type TermProof } from '#roles';
 import { type Clock, type ListedMachine, type Micros, SECOND } from '#wire';
 
-/** Time between two reads of the list. */
+/** Minimum time between two reads of the list. */
 const LIST_INTERVAL: Micros = 4 * SECOND;
-/** Beyond twice its nominal lag: how long a machine may be missing from the list before it counts as gone. */
+/** A machine counts as gone if it is missing from the list for this time plus twice the list's nominal lag. */
 const MISSING_MACHINE_MARGIN: Micros = 8 * SECOND;
 
-/** Reads the list under the present term, and says of each machine whether it stopped or is gone. */
+/** Reads the cloud's list under the current term, and tells which machines stopped or no longer exist. */
 export class MachineList {
-  /** By host: listed machines that stopped by themselves and are in no record. */
+  /** Listed machines that stopped by themselves and are not in the ledger. Keyed by host. */
   readonly stoppedMachines = new Map<string, ScaleInIntent>();
-  /** Since when this holder has known each machine, by its own steady clock. */
+  /** Monotonic time at which the local node first saw each machine in the ledger in this term. Keyed by host. */
   private readonly firstSeenAt = new Map<string, Micros>();
+  /** Machines of the list that was read last, keyed by host; null if no list was read in this term. */
   private listed: ReadonlyMap<string, ListedMachine> | null = null;
-  /** When that list was requested. */
+  /** Time at which the list in `listed` was requested. */
   private listedAt: Micros = -Infinity;
   private lastRequestedAt: Micros = -Infinity;
   private isRequesting = false;
@@ -23,11 +24,11 @@
   constructor(
     private readonly cloud: FencedCloud,
     private readonly clock: Clock,
-    /** How old a list may nominally be; it may be twice that. */
+    /** Returns the nominal maximum age of the list. The actual age may be up to twice that. */
     private readonly nominalLag: () => Micros,
   ) {}
 
-  /** A new term of the leader relies on nothing that was read before it. */
+  /** Starts a new term of the leader. Everything that was read in earlier terms is discarded. */
   beginTerm(): void {
     this.stoppedMachines.clear();
     this.firstSeenAt.clear();
@@ -36,7 +37,7 @@
     this.lastRequestedAt = -Infinity;
   }
 
-  /** Notes which machines the ledger knows by now. */
+  /** Records when each machine of the ledger was first seen, and forgets machines that left the ledger. */
   trackMachines({ machines }: Ledger): void {
     const now = this.clock.now();
     for (const host of machines.keys()) if (!this.firstSeenAt.has(host)) this.firstSeenAt.set(host, now);
@@ -44,7 +45,7 @@
     for (const host of this.firstSeenAt.keys()) if (!machines.has(host)) this.firstSeenAt.delete(host);
   }
 
-  /** Reads the list if it is due; null if it isn't, or could not be read under this term. */
+  /** Reads the list if a read is due. Returns null if it isn't, or if the list could not be read in this term. */
   async refresh(termProof: TermProof, { machines }: Ledger): Promise<ListedMachine[] | null> {
     const now = this.clock.now();
     if (this.isRequesting || now - this.lastRequestedAt < LIST_INTERVAL) return null;
@@ -52,7 +53,7 @@
     this.lastRequestedAt = now;
     const rows = await this.cloud.listMachines();
     this.isRequesting = false;
-    // One that was requested under an earlier term may be older than what this term relies on.
+    // A list requested in an earlier term may be older than the state that the current term relies on.
     if (!rows || !termProof.isCurrent()) return null;
     this.listed = new Map(rows.map((row) => [row.host, row]));
     this.listedAt = now;
@@ -63,21 +64,24 @@
     return rows;
   }
 
-  /** What the list says of a machine that is not up: it stopped by itself, or is gone. */
+  /**
+   * Returns why a machine is unusable according to the list: it stopped by itself or is gone; null if neither. A
+   * machine with status `up` never counts as gone.
+   */
   missingReason({ host, status }: MachineEntry): 'failed' | 'not listed' | null {
     const row = this.listed?.get(host);
     if (row?.state === 'failed') return 'failed';
     if (status === 'up' || row || !this.listed) return null;
-    // The list lags by up to twice its nominal time; a machine that it should show by now is gone.
+    // The list lags by up to twice its nominal lag. A machine that a list of that age should contain no longer exists.
     return this.knownTimeBeforeList(host) > this.nominalLag() * 2 + MISSING_MACHINE_MARGIN
       ? 'not listed'
       : null;
   }
 
   /**
-   * How long this holder had known the machine for certain when it requested the list it has: by its own steady clock
-   * alone, so that no disagreement of clocks makes a young machine look as if the list should show it. In an outage of
-   * the cloud the list gets old, and says nothing of machines that have come since.
+   * Returns for how long the local node had known the machine when it requested the current list. Only the node's own
+   * monotonic clock is used: with clocks of different nodes, skew could make a young machine look old enough to be
+   * listed. During a cloud outage the list gets old and proves nothing about machines that were added after it.
    */
   private knownTimeBeforeList(host: string): Micros {
     return this.listedAt - (this.firstSeenAt.get(host) ?? this.clock.now());
--- a/packages/fleet/offers.ts
+++ b/packages/fleet/offers.ts
@@ -1,41 +1,41 @@
-/** What the cloud offers, what is on its way, and the demand that both are matched with. */
+/** Offers of the cloud, capacity that is not usable yet, and the unmet demand that both are matched with. */
 import { type Resources, countFitting, subtractResources, type PendingJob } from '#pricing';
 import { type MachineType } from '#wire';
 
-/** A choice the cloud offers: a machine type in a zone, on-demand or spot. */
+/** A kind of machine that the cloud offers: a machine type in a zone, on-demand or spot. */
 export interface Offer {
   machineType: string;
   zone: string;
   spot: boolean;
 }
 
-/** Capacity of a machine that is not usable yet. */
+/** Capacity of one machine that is about to become usable: it is booting, or tasks on it are about to end. */
 export interface PendingCapacity extends Offer {
-  /** Shrinks as tasks are allocated to it. */
+  /** Capacity that is not allocated yet. It shrinks as tasks are allocated to it. */
   free: Resources;
 }
 
-/** Tasks of one job that no free capacity can take. */
+/** Tasks of one job for which there is no free capacity. */
 export interface UnmetDemand {
-  /** For a gang that has to lie in one zone: with the zone in which it is being gathered. */
+  /** The job. For a gang that must run in one zone, `job.zone` is the zone in which capacity is reserved for it. */
   job: PendingJob;
-  /** Tasks. */
+  /** Number of tasks. */
   count: number;
-  /** The zone is not the job's own constraint: if nothing can be had there, another one serves as well. */
+  /** True if `job.zone` is not the job's own constraint, so that another zone may be used if that one has no offer. */
   canUseOtherZones?: boolean;
 }
 
-/** Identifies an offer in maps. */
+/** Returns a key that identifies the offer in maps. */
 export function offerKey(offer: Offer): string {
   return `${offer.machineType}/${offer.zone}/${offer.spot ? 'spot' : 'ordinary'}`;
 }
 
-/** The capacity of an empty machine of the type. */
+/** Returns the capacity of an empty machine of the type. */
 export function resourcesOf(type: MachineType): Resources {
   return { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
 }
 
-/** Whether the job's constraints admit machines of the offer, whatever their size. */
+/** True if the job's constraints allow machines of the offer, regardless of their size. */
 export function isFeasible(job: PendingJob, offer: Offer): boolean {
   return (
     (job.allowsSpot || !offer.spot) &&
@@ -44,7 +44,7 @@
   );
 }
 
-/** Takes pending capacity for up to `count` tasks of the job. Returns for how many there was enough. */
+/** Allocates pending capacity, in place, to up to `count` tasks of the job. Returns the number of tasks that got it. */
 export function allocatePending(
   pendingCapacity: readonly PendingCapacity[],
   job: PendingJob,
--- a/packages/fleet/pending-fleet-changes.ts
+++ b/packages/fleet/pending-fleet-changes.ts
@@ -1,6 +1,7 @@
-/** Changes of the fleet that are decided and not recorded in the leader's log yet. */
+/** Fleet changes that are decided but not recorded in the leader's log yet. */
 import type { Destination, Ledger, Logger, MachineRow, RecordDraft, ScaleOutRow } from '#cluster';
 
+/** The fields of a record draft that hold fleet changes. */
 type Changes = Required<
   Pick<RecordDraft, 'machines' | 'removed' | 'scaleOuts' | 'settledScaleOuts' | 'transferTargets'>
 >;
@@ -9,7 +10,7 @@
   return { machines: [], removed: [], scaleOuts: [], settledScaleOuts: [], transferTargets: [] };
 }
 
-/** Gathers the changes of a term until a record with them is committed. */
+/** Collects the fleet changes of a term until a record that contains them is committed. */
 export class PendingFleetChanges {
   private changes = noChanges();
 
@@ -22,12 +23,12 @@
     return Object.values(this.changes).every((rows) => rows.length === 0);
   }
 
-  /** Drops all changes: a new term starts from what the log says. */
+  /** Drops all changes. A new term starts from the state in the log. */
   clear(): void {
     this.changes = noChanges();
   }
 
-  /** What is to go into the next record; it stays pending until {@link onRecordCommitted} is called with it. */
+  /** Returns the changes for the next record. They stay pending until {@link onRecordCommitted} gets the draft. */
   draft(): RecordDraft {
     this.dropRecorded();
     const { machines, removed, scaleOuts, settledScaleOuts, transferTargets } = this.changes;
@@ -40,7 +41,7 @@
     };
   }
 
-  /** Drops what the committed record holds. */
+  /** Drops the changes that the committed record contains. */
   onRecordCommitted(draft: RecordDraft): void {
     const { changes } = this;
     changes.machines = changes.machines.filter((row) => !draft.machines?.includes(row));
@@ -50,7 +51,7 @@
     changes.transferTargets = changes.transferTargets.filter((row) => !draft.transferTargets?.includes(row));
   }
 
-  /** A machine joins the fleet. */
+  /** Adds a machine that joins the fleet. */
   addMachine(row: MachineRow): void {
     this.changes.machines.push(row);
   }
@@ -59,7 +60,7 @@
     return this.changes.machines.some(([other]) => other === host);
   }
 
-  /** A machine is gone for good. */
+  /** Removes a machine that no longer exists from the fleet. */
   removeMachine(host: string): void {
     this.changes.removed.push(host);
   }
@@ -68,7 +69,7 @@
     return this.changes.removed.includes(host);
   }
 
-  /** Scale-out requests that are to be recorded, and sent only then. */
+  /** Scale-out requests that are not recorded yet. They are sent only after they are recorded. */
   get scaleOuts(): readonly ScaleOutRow[] {
     return this.changes.scaleOuts;
   }
@@ -77,7 +78,7 @@
     this.changes.scaleOuts.push(row);
   }
 
-  /** The scale-out request is answered and not sent again. */
+  /** Marks a scale-out request as settled. It is not sent again. */
   settleScaleOut(requestId: string): void {
     this.changes.settledScaleOuts.push(requestId);
   }
@@ -86,7 +87,7 @@
     return this.changes.settledScaleOuts.includes(requestId);
   }
 
-  /** Sets where a machine goes. A machine that is to be deleted stays so: that is final. */
+  /** Sets the target of a machine. Has no effect on a machine whose target is scale-in, which is final. */
   setTransferTarget(host: string, target: Destination, reason: string): void {
     const machine = this.ledger().machines.get(host);
     if (!machine || machine.destination === target || machine.destination === 'scale_in') return;
@@ -96,8 +97,9 @@
   }
 
   /**
-   * A record whose answer was lost may have been committed all the same, while its rows are still pending here. Written
-   * again, the ID of a scale-out request that is settled in between would be used twice.
+   * Drops changes that the ledger already contains. A record whose commit response was lost may have been committed
+   * although its rows are still pending here. If they were written again, the ID of a scale-out request that was
+   * settled in the meantime would be used twice.
    */
   private dropRecorded(): void {
     const ledger = this.ledger();
--- a/packages/fleet/scale-in-planner.test.ts
+++ b/packages/fleet/scale-in-planner.test.ts
@@ -3,7 +3,7 @@
 import { SECOND } from '#wire';
 import { planScaleIn } from './scale-in-planner.js';
 
-test('scale-in takes only machines that have idled long enough and are older than the minimum billed time', () => {
+test('scales in only machines that were idle for long enough and are older than the minimum billed time', () => {
   const idle = { idleFor: 50 * SECOND, age: 90 * SECOND, spot: true };
   const options = { onDemandIdleTime: 15 * SECOND, spotIdleTime: 40 * SECOND, minBilledTime: 55 * SECOND };
   const machines = [
--- a/packages/fleet/scale-in-planner.ts
+++ b/packages/fleet/scale-in-planner.ts
@@ -1,16 +1,17 @@
-/** Decides which idle machines are deleted. Pure: no clock, no I/O. */
+/** Selects idle machines to scale in. Pure: no clock, no I/O. */
 import type { Micros } from '#wire';
 
 /** A machine without tasks. */
 export interface IdleMachine {
   host: string;
+  /** Time for which the machine has been up without tasks. */
   idleFor: Micros;
-  /** Since it was acquired. */
+  /** Time since the machine was acquired. */
   age: Micros;
   spot: boolean;
 }
 
-/** When an idle machine is deleted. */
+/** Conditions under which an idle machine is scaled in. */
 export interface ScaleInOptions {
   /** How long an idle on-demand machine is kept. */
   onDemandIdleTime: Micros;
@@ -20,7 +21,7 @@
   minBilledTime: Micros;
 }
 
-/** Hosts of the idle machines to delete, in the given order. */
+/** Returns the hosts of the idle machines to scale in, in the given order. */
 export function planScaleIn(idle: readonly IdleMachine[], options: ScaleInOptions): string[] {
   return idle
     .filter(
--- a/packages/fleet/scale-in-selection.ts
+++ b/packages/fleet/scale-in-selection.ts
@@ -1,4 +1,4 @@
-/** Selects the machines that leave the fleet: idle ones, and those that are of no more use. */
+/** Selects the machines that leave the fleet: idle machines and unusable ones. */
 import type { MachineEntry } from '#cluster';
 import { type Micros, SECOND } from '#wire';
 import type { FleetContext } from './fleet-context.js';
@@ -11,9 +11,9 @@
   minBilledTime: 55 * SECOND,
 };
 
-/** Sets the target of the machines it selects; each is deleted once its owner has released it. */
+/** Sets the target of the selected machines to scale-in. Each is deleted after its owner has released it. */
 export class ScaleInSelection {
-  /** By host: since when it has been up and without tasks. */
+  /** Time since which a machine has been up without tasks. Keyed by host. */
   private readonly idleSince = new Map<string, Micros>();
   private termStartedAt: Micros = 0;
 
@@ -24,7 +24,7 @@
     this.termStartedAt = this.context.clock.now();
   }
 
-  /** Empty machines that were reclaimed or quarantined, and idle ones unless some shard has unmet demand. */
+  /** Selects empty machines that were reclaimed or quarantined, and idle machines unless a shard has unmet demand. */
   selectIdle(hasUnmetDemand: boolean): void {
     const { state, changes, clock } = this.context;
     const { ledger, isInWarmPool } = state();
@@ -46,7 +46,7 @@
       changes.setTransferTarget(host, 'scale_in', 'idle');
   }
 
-  /** Machines that are of no more use: once selected, nobody can use them again. */
+  /** Selects machines that are lost, stopped, gone or late to boot. The selection is final. */
   selectUnusable(): void {
     const { state, changes } = this.context;
     for (const machine of state().ledger.machines.values()) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** For how long the machine has been idle; the time starts with the first call. */
+  /** Returns how long the machine has been idle. The time starts with the first call for the machine. */
   private idleTime(host: string, now: Micros): Micros {
     const since = this.idleSince.get(host) ?? now;
     this.idleSince.set(host, since);
@@ -67,7 +67,7 @@
     const missingReason = this.context.machineList.missingReason(machine);
     if (missingReason !== null) return missingReason;
     const { workerLease, isPartitioned } = this.context.state();
-    // A worker may have come up while its owner could not be reached: a new leader gives it time.
+    // A worker may have come up while its owner was unreachable, so a new leader gives it time to send a heartbeat.
     const isNewTerm = this.context.clock.now() - this.termStartedAt < workerLease;
     const mayBeUp = isNewTerm || isPartitioned(machine.zone);
     return machine.status === 'new' && !isBooting(machine, this.context) && !mayBeUp ? 'late' : null;
--- a/packages/fleet/scale-out-planner.test.ts
+++ b/packages/fleet/scale-out-planner.test.ts
@@ -35,26 +35,26 @@
   isBackedOff: () => false,
 };
 
-test('scale-out takes the cheapest offer per task, spread over zones, and none for pending capacity', () => {
+test('requests the cheapest offer per task, spread over zones, only for tasks without pending capacity', () => {
   const plans = planScaleOut({ ...base, unmetDemand: [{ job: job(), count: 4 }] });
-  assert.deepEqual(plans.map((p) => `${p.machineType}/${p.zone}/${p.spot}/${p.count}`).sort(), [
-    'small/east/true/2',
-    'small/west/true/2',
-  ]);
+  assert.deepEqual(
+    plans.map((plan) => `${plan.machineType}/${plan.zone}/${plan.spot}/${plan.count}`).sort(),
+    ['small/east/true/2', 'small/west/true/2'],
+  );
   const pendingCapacity = [
     { machineType: 'small', zone: 'west', spot: true, free: { cpus: 8, gpus: 0, memGb: 16 } },
   ];
-  const fewer = planScaleOut({ ...base, pendingCapacity, unmetDemand: [{ job: job(), count: 3 }] });
+  const fewerPlans = planScaleOut({ ...base, pendingCapacity, unmetDemand: [{ job: job(), count: 3 }] });
   assert.equal(
-    fewer.reduce((n, p) => n + p.count, 0),
+    fewerPlans.reduce((sum, plan) => sum + plan.count, 0),
     1,
   );
 });
 
-test('scale-out takes as many machines of the cheapest offer as are needed, beyond the limit of one request', () => {
+test('plans as many machines of the cheapest offer as needed, beyond the limit of one request', () => {
   const plans = planScaleOut({ ...base, unmetDemand: [{ job: job(), count: 400 }] });
   assert.deepEqual(
-    plans.map((p) => [p.machineType, p.spot, p.count]),
+    plans.map((plan) => [plan.machineType, plan.spot, plan.count]),
     [
       ['small', true, 200],
       ['small', true, 200],
@@ -62,14 +62,14 @@
   );
 });
 
-test('scale-out avoids offers without capacity and those that the job does not allow', () => {
-  const backedOff = (o: { machineType: string; spot: boolean }): boolean =>
-    o.machineType === 'small' && o.spot;
+test('avoids offers that are backed off and offers that the job does not allow', () => {
+  const backedOff = (offer: { machineType: string; spot: boolean }): boolean =>
+    offer.machineType === 'small' && offer.spot;
   const [plan] = planScaleOut({ ...base, isBackedOff: backedOff, unmetDemand: [{ job: job(), count: 4 }] });
   assert.deepEqual([plan?.machineType, plan?.spot, plan?.count], ['large', true, 1]);
-  const ordinary = planScaleOut({
+  const onDemandPlans = planScaleOut({
     ...base,
     unmetDemand: [{ job: job({ allowsSpot: false, zone: 'west' }), count: 1 }],
   });
-  assert.deepEqual(ordinary, [{ machineType: 'small', zone: 'west', spot: false, count: 1 }]);
+  assert.deepEqual(onDemandPlans, [{ machineType: 'small', zone: 'west', spot: false, count: 1 }]);
 });
--- a/packages/fleet/scale-out-planner.ts
+++ b/packages/fleet/scale-out-planner.ts
@@ -1,4 +1,4 @@
-/** Decides how many machines of which offers to request for unmet demand. Pure: no clock, no I/O. */
+/** Plans which offers to request for unmet demand, and how many machines of each. Pure: no clock, no I/O. */
 import { type Resources, fits, countFitting, subtractResources, type PendingJob } from '#pricing';
 import { type MachineType } from '#wire';
 import {
@@ -11,27 +11,27 @@
   resourcesOf,
 } from './offers.js';
 
-/** What {@link planScaleOut} decides on. */
+/** Input of {@link planScaleOut}. */
 export interface ScaleOutInput {
   types: readonly MachineType[];
-  /** Tasks without free capacity, most urgent first. */
+  /** Tasks for which there is no free capacity, most urgent first. */
   unmetDemand: readonly UnmetDemand[];
-  /** Machines that were requested and are not up yet, and capacity that is about to be free. */
+  /** Machines that were requested but are not up yet, and capacity that is about to become free. */
   pendingCapacity: PendingCapacity[];
-  /** Machines per zone at present, so that new ones go where fewer are. */
+  /** Current number of machines in each zone, so that new machines go to zones with fewer. Keyed by zone. */
   machinesPerZone: ReadonlyMap<string, number>;
-  /** The offer had no capacity of late, or can't be used. */
+  /** True if the cloud recently had no capacity of the offer, or the owner cannot reach its zone. */
   isBackedOff: (offer: Offer) => boolean;
 }
 
-/** Machines of one offer to request. */
+/** Number of machines to request of one offer. */
 export interface ScaleOutPlan extends Offer {
   count: number;
 }
 
 /**
- * What to request for the tasks that neither free nor pending capacity will take: per task the cheapest offer
- * feasible for it, spread over the zones.
+ * Plans the requests for tasks that pending capacity will not take either. Each task gets the feasible offer that is
+ * cheapest per task; offers of equal price are spread over the zones.
  */
 export function planScaleOut(input: ScaleOutInput): ScaleOutPlan[] {
   const planner = new ScaleOutPlanner(input);
@@ -39,13 +39,13 @@
   return planner.result();
 }
 
-/** The order in which both kinds of machine are compared. */
+/** Order in which spot and on-demand machines are compared: spot wins if prices are equal. */
 const SPOT_FIRST = [true, false] as const;
 
-/** Prices that differ by less are equal. */
+/** Prices that differ by less than this count as equal. */
 const PRICE_TOLERANCE = 1e-9;
 
-/** Cost of an offer; of offers of equal price per task the one in the zone with fewer machines is better. */
+/** Ranks an offer. A lower price per task is better; if prices are equal, the zone with fewer machines is better. */
 interface OfferScore {
   readonly pricePerTask: number;
   readonly machinesInZone: number;
@@ -60,7 +60,7 @@
   );
 }
 
-/** Serves one demand after the other, and holds what has been planned so far. */
+/** Plans requests for one demand after the other, and accumulates the plans. */
 class ScaleOutPlanner {
   private readonly plans = new Map<string, ScaleOutPlan>();
   private readonly machinesPerZone: Map<string, number>;
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Adds a machine to the plan. Returns its capacity, which later demand may use, too. */
+  /** Adds a machine to the plan. Returns its free capacity, which later demand may use as well. */
   private addMachine(offer: Offer): Resources {
     const key = offerKey(offer);
     const plan = this.plans.get(key) ?? { ...offer, count: 0 };
@@ -104,8 +104,8 @@
   }
 
   /**
-   * All that is requested for a gang that has to lie in one zone goes to one zone: where it is being gathered, or,
-   * if no machine for it can be had there, where most capacity for the whole gang is on its way.
+   * Chooses one zone for all machines that are requested for a gang which must run in one zone. It is the zone in which
+   * capacity is reserved for the gang or, if no offer is available there, the zone with the most pending capacity.
    */
   private chooseZone(demand: UnmetDemand): UnmetDemand {
     const { job, count, canUseOtherZones } = demand;
@@ -130,7 +130,7 @@
     return sum;
   }
 
-  /** By price per task that would really be placed; zones with fewer machines win among equals. */
+  /** Returns the feasible offer with the lowest price per task, counting only tasks that it would run; null if none. */
   private cheapestOffer(job: PendingJob, count: number): Offer | null {
     let best: Offer | null = null;
     let bestScore = WORST_SCORE;
--- a/packages/fleet/scale-out-requests.ts
+++ b/packages/fleet/scale-out-requests.ts
@@ -1,4 +1,4 @@
-/** Scale-out requests of the leader: named in a record first, then sent until the cloud has answered. */
+/** Scale-out requests of the leader. Each is recorded in the log first, and then sent until it is settled. */
 import { MAX_MACHINES_PER_REQUEST } from '#cloud';
 import type { PendingScaleOut } from '#cluster';
 import { type FencedScaleOutResult, ScaleOutIntent, type TermProof } from '#roles';
@@ -10,26 +10,27 @@
 import { type PendingCapacity, resourcesOf } from './offers.js';
 import { planScaleOut, type ScaleOutPlan } from './scale-out-planner.js';
 
-/** Time between the attempts of one request. */
+/** Time between two attempts of the same request. */
 const SCALE_OUT_RETRY_INTERVAL: Micros = 2 * SECOND;
-/** Beyond that: an attempt without an answer holds up the next one no longer than this. */
+/** Time beyond the retry interval after which the next attempt is made although the last one has no response yet. */
 const ANSWER_TIMEOUT: Micros = 5 * SECOND;
-/** A request without an answer that counts is given up after this time. */
+/** A request without a conclusive response is abandoned after this time. */
 const SCALE_OUT_TIMEOUT: Micros = 20 * SECOND;
 
-/** The machines of the fleet, as scale-out for one shard sees them. */
+/** Summary of the fleet's machines for the scale-out of one shard. */
 interface FleetSurvey {
+  /** Number of machines of all shards. Keyed by zone. */
   readonly machinesPerZone: ReadonlyMap<string, number>;
-  /** Machines of the shard that have not come up yet. */
+  /** Capacity of the shard's machines that are still booting. */
   readonly booting: readonly PendingCapacity[];
 }
 
-/** Plans scale-out requests and carries them out. */
+/** Plans, records and sends scale-out requests. */
 export class ScaleOutRequests {
   private readonly backoff: CapacityBackoff;
-  /** By request: when it may be sent again. */
+  /** Time from which a request may be sent again. Keyed by request ID. */
   private readonly nextAttemptAt = new Map<string, Micros>();
-  /** Requests of this process, in all of its terms. */
+  /** Number of requests that this process has planned in all of its terms. */
   private requestCount = 0;
 
   constructor(
@@ -44,7 +45,7 @@
     this.backoff.clear();
   }
 
-  /** Names the requests for what the shard lacks. They are sent once they are recorded. */
+  /** Plans requests for the shard's unmet demand. They are sent after they are recorded. */
   plan(demand: ShardDemand, termProof: TermProof): void {
     const { shard, unmetDemand, canReach } = demand;
     if (unmetDemand.length === 0) return;
@@ -79,7 +80,7 @@
     return { machinesPerZone, booting };
   }
 
-  /** Machines for the shard that were requested, or are about to be, and are not answered yet. */
+  /** Returns the machines of the shard's planned and recorded requests that are not settled yet. */
   private requestedCapacity(shard: number): PendingCapacity[] {
     const { ledger, machineTypes } = this.context.state();
     const requested: PendingCapacity[] = [];
@@ -101,7 +102,8 @@
     proof: TermProof,
   ): void {
     const { changes, log } = this.context;
-    // A request takes only so many; going on with a dearer offer instead would cost money every hour.
+    // The size of a request is limited, so larger plans are split. Using a more expensive offer for the rest instead
+    // would cost more every hour.
     for (let remaining = count; remaining > 0; remaining -= MAX_MACHINES_PER_REQUEST) {
       const requested = Math.min(remaining, MAX_MACHINES_PER_REQUEST);
       const requestId = this.nextRequestId(proof.term);
@@ -110,7 +112,7 @@
     }
   }
 
-  /** Unique by the term, which no other holder has, and the count of this process; the time is for readers. */
+  /** Returns an ID that is unique by the term, which no other leader has, and by the request count of this process. */
   private nextRequestId(term: number): string {
     return `hire-${Math.floor(this.context.clock.wall() / SECOND)}-${term}-${++this.requestCount}`;
   }
@@ -124,7 +126,7 @@
     if (result.kind === 'superseded' || !state().ledger.pendingScaleOuts.has(id)) return;
     this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL);
     if (!this.applyResult(scaleOut, result)) return;
-    // An answer that never came may still have started machines: the list shows them, and they are adopted.
+    // A request whose response was lost may still have started machines. They appear in the list and are adopted then.
     this.context.changes.settleScaleOut(id);
     this.nextAttemptAt.delete(id);
     this.context.log.info({ requestId: id, result }, 'scale-out answered');
@@ -136,7 +138,7 @@
     return !isWaiting && !this.context.changes.isScaleOutSettled(id);
   }
 
-  /** Adopts what came, and backs off if that is not all. Returns whether the request is settled. */
+  /** Adopts the new machines, and backs off if there are too few. Returns true if the request is settled. */
   private applyResult(scaleOut: PendingScaleOut, result: FencedScaleOutResult): boolean {
     const { machineType, zone, spot, shard, count } = scaleOut;
     if (result.kind === 'rented') {
--- a/packages/fleet/transfer-planner.test.ts
+++ b/packages/fleet/transfer-planner.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-test('transfers: unused capacity first, none in cooldown or across a partition, then from the lowest price to the highest', () => {
+test('transfers unused capacity first, then by price and for guarantees; never in cooldown or across a partition', () => {
   const total = { cpus: 4, gpus: 0, memGb: 16 };
   const machine = (host: string, change: Partial<TransferCandidate> = {}): TransferCandidate => ({
     host,
@@ -64,7 +64,8 @@
   ]);
   assert.deepEqual(transferred([machine('n-1')], true), []);
   assert.deepEqual(transferred([machine('n-1', { owner: 'a', free: full })]), []);
-  // What one is guaranteed and the other uses is transferred at once, soonest free first, not one a round.
+  // An owner below its guarantee gets several machines in one round from an owner above its guarantee. The machines
+  // that become free soonest come first.
   const inDeficit = [
     {
       owner: 'a',
@@ -75,10 +76,12 @@
     },
     { owner: 'b', price: 0, unmetDemand: [], guaranteeDeficit: 0, usageAboveGuarantee: 100 },
   ];
-  const busy = [30, 10, 20].map((s) => machine(`n-${s}`, { free: full, busyFor: () => s * SECOND }));
+  const busy = [30, 10, 20].map((seconds) =>
+    machine(`n-${seconds}`, { free: full, busyFor: () => seconds * SECOND }),
+  );
   const input = { machines: busy, canReach: () => true, minPriceGap: 0.5, maxDeficitTransfers: 2 };
-  const hosts = (plan: typeof inDeficit): string[] =>
-    planTransfers({ ...input, owners: plan }).transfers.map(({ host }) => host);
+  const hosts = (ownerDemands: typeof inDeficit): string[] =>
+    planTransfers({ ...input, owners: ownerDemands }).transfers.map(({ host }) => host);
   assert.deepEqual(hosts(inDeficit), ['n-10', 'n-20']);
-  assert.deepEqual(hosts(inDeficit.map((o) => ({ ...o, usageAboveGuarantee: 0 }))), []);
+  assert.deepEqual(hosts(inDeficit.map((owner) => ({ ...owner, usageAboveGuarantee: 0 }))), []);
 });
--- a/packages/fleet/transfer-planner.ts
+++ b/packages/fleet/transfer-planner.ts
@@ -1,61 +1,65 @@
 /**
- * Decides which machines the leader transfers between the owners of shards, in three passes: unused capacity first, then
- * by the gap of prices, then for guarantees that are not met. Pure: no clock, no I/O.
+ * Plans which machines the leader transfers between shard owners, in three passes: first machines with unused capacity,
+ * then machines of the owner with the lowest price, then machines for unmet guarantees. Pure: no clock, no I/O.
  */
 import { type PendingJob, type Resources, fits, countFitting, subtractResources } from '#pricing';
 import type { Micros } from '#wire';
 import { type UnmetDemand, type Offer, isFeasible } from './offers.js';
 
-/** A machine as the leader sees it: whose it is, and the capacity that its owner's next round will leave free on it. */
+/** A machine that may be transferred, with its owner and the capacity that the owner's next round will leave free. */
 export interface TransferCandidate extends Offer {
   host: string;
   owner: string;
   free: Resources;
   total: Resources;
-  /** It was transferred a moment ago: a second transfer at once would only keep it from working. */
+  /** True if the machine was transferred recently. Another transfer at once would only keep it from running tasks. */
   isInCooldown: boolean;
-  /** Time until all that is on it should have ended. */
+  /** Returns the expected time until all tasks on the machine have ended. */
   busyFor: () => Micros;
 }
 
-/** What the owner of a shard lacks and uses. */
+/** Unmet demand and usage of a shard owner. */
 export interface OwnerDemand {
   owner: string;
   unmetDemand: readonly UnmetDemand[];
-  /** Price of CPU in its last round. */
+  /** Highest price of a CPU in the owner's forecast round, in units of priority. */
   price: number;
-  /** CPUs that its teams lack of their guarantees, less pending capacity. */
+  /** Guaranteed CPUs for which the owner's teams have unmet demand, less pending capacity. */
   guaranteeDeficit: number;
-  /** CPUs that its teams use beyond their guarantees. */
+  /** CPUs that the owner's teams use above their guarantees. */
   usageAboveGuarantee: number;
 }
 
-/** What {@link planTransfers} decides on. */
+/** Input of {@link planTransfers}. */
 export interface TransferInput {
   owners: readonly OwnerDemand[];
   machines: readonly TransferCandidate[];
-  /** The owner's node can reach workers in this zone. */
+  /** True if the owner's node can reach workers in the zone. */
   canReach: (owner: string, zone: string) => boolean;
-  /** By how much the receiver's price must exceed the donor's for a machine without unused capacity. */
+  /** Minimum difference between receiver's and donor's price for the transfer of a machine without unused capacity. */
   minPriceGap: number;
-  /** Machines at the most that leave one owner in a round for the guarantee deficit of another. */
+  /** Maximum number of machines that one owner transfers to another in a round to reduce its guarantee deficit. */
   maxDeficitTransfers: number;
 }
 
-/** A machine and the owner that it is to be transferred to. */
+/** A machine and the owner that receives it. */
 export interface MachineTransfer {
   host: string;
   owner: string;
 }
 
-/** The transfers of a round, in the order in which they were decided. */
+/** The transfers of a round. */
 export interface TransferPlan {
+  /** Transfers in the order in which they were planned. */
   transfers: MachineTransfer[];
-  /** What unused capacity does not serve, by owner: the later passes free nothing at once. */
+  /**
+   * Demand that unused capacity does not cover, keyed by owner. Transfers of the later passes do not reduce it, since
+   * they provide no free capacity at once.
+   */
   unmetDemand: Map<string, UnmetDemand[]>;
 }
 
-/** Plans the transfers of a round. A machine is transferred once at most. */
+/** Plans the transfers of a round. Each machine is transferred at most once. */
 export function planTransfers(input: TransferInput): TransferPlan {
   const planner = new TransferPlanner(input);
   for (const owner of input.owners) planner.transferUnusedCapacity(owner);
@@ -65,17 +69,17 @@
   return planner.result();
 }
 
-/** Keeps the unused part of a machine without CPUs finite. */
+/** Lower bound of a divisor, so that the unused fraction of a machine without CPUs is finite. */
 const MIN_CPUS = 1e-6;
 
-/** Plans pass after pass, and holds what has been planned so far. */
+/** Runs the passes, and accumulates the planned transfers. */
 class TransferPlanner {
   private readonly transfers: MachineTransfer[] = [];
   private readonly transferredHosts = new Set<string>();
   private readonly unmetDemand = new Map<string, UnmetDemand[]>();
-  /** By host: shrinks as demand is served. */
+  /** Unallocated capacity of each machine, which shrinks as demand is covered. Keyed by host. */
   private readonly free: ReadonlyMap<string, Resources>;
-  /** On a full fleet nearly no machine has unused capacity, and every demand would look at each. */
+  /** Machines with unused capacity: few on a full fleet, so that a demand need not scan all machines. */
   private readonly machinesWithCapacity: readonly TransferCandidate[];
 
   constructor(private readonly input: TransferInput) {
@@ -87,10 +91,10 @@
     return { transfers: this.transfers, unmetDemand: this.unmetDemand };
   }
 
-  /** First pass: machines with enough unused capacity for tasks of the owner. */
+  /** Runs the first pass for an owner: transfers machines with enough unused capacity for its tasks. */
   transferUnusedCapacity({ owner, unmetDemand }: OwnerDemand): void {
     const unserved: UnmetDemand[] = [];
-    // Capacity of a machine that comes for one demand serves the next ones, too.
+    // Capacity that is left on a machine transferred for one demand is used for the next demands.
     const incoming: TransferCandidate[] = [];
     for (const demand of unmetDemand) {
       const count = this.serveFromUnused(owner, demand, incoming);
@@ -99,7 +103,7 @@
     this.unmetDemand.set(owner, unserved);
   }
 
-  /** Second pass: one machine without unused capacity from the owner of lowest price, if the gap is large enough. */
+  /** Runs the second pass for an owner: transfers a machine from the owner of the lowest price if the gap suffices. */
   transferByPrice({ owner, price }: OwnerDemand, byPrice: readonly OwnerDemand[]): void {
     const demand = this.unmetDemand.get(owner)?.[0];
     const donor = [...byPrice].reverse().find((other) => other.owner !== owner);
@@ -109,8 +113,9 @@
   }
 
   /**
-   * Third pass: what a team is guaranteed can't wait for one machine a round while others run beyond their guarantees.
-   * The machines that are free soonest come from the owner whose teams use most beyond theirs.
+   * Runs the third pass for an owner. A team below its guarantee should not wait for one machine a round while other
+   * teams run above theirs. Transfers the machines that become free soonest, from the owner whose teams exceed their
+   * guarantees most.
    */
   transferForGuarantee({ owner, guaranteeDeficit }: OwnerDemand): void {
     const demand = this.unmetDemand.get(owner)?.[0];
@@ -128,7 +133,7 @@
     }
   }
 
-  /** Returns for how many tasks of the demand there is no unused capacity. */
+  /** Transfers machines with unused capacity for the demand. Returns the number of tasks that are still not covered. */
   private serveFromUnused(owner: string, { job, count }: UnmetDemand, incoming: TransferCandidate[]): number {
     let remaining = count;
     for (const machine of incoming) remaining -= this.allocate(machine, job, remaining);
@@ -145,7 +150,7 @@
     return remaining;
   }
 
-  /** Takes capacity of the machine for up to `count` tasks. Returns for how many there was enough. */
+  /** Allocates capacity of the machine to up to `count` tasks. Returns the number of tasks that got capacity. */
   private allocate(machine: TransferCandidate, job: PendingJob, count: number): number {
     const free = this.free.get(machine.host);
     if (!free || count === 0 || !isFeasible(job, machine)) return 0;
@@ -172,7 +177,7 @@
     return isFeasible(job, machine) && fits(job.taskResources, this.free.get(machine.host) ?? machine.free);
   }
 
-  /** The donor's machines that could hold a task of the demand, were they empty. */
+  /** Returns the donor's transferable machines that could hold a task of the demand if they were empty. */
   private feasibleMachinesOf(donor: OwnerDemand, owner: string, { job }: UnmetDemand): TransferCandidate[] {
     return this.input.machines.filter(
       (machine) =>
@@ -183,7 +188,7 @@
     );
   }
 
-  /** Orders machines by the part of them that is unused, the largest first. */
+  /** Compares machines by the unused fraction of their CPUs, largest first. */
   private compareUnused(a: TransferCandidate, b: TransferCandidate): number {
     return this.unusedFraction(b) - this.unusedFraction(a);
   }
--- a/packages/fleet/warm-pool.ts
+++ b/packages/fleet/warm-pool.ts
@@ -1,18 +1,18 @@
 /**
- * Machines that are held ready for jobs whose users expect them to start sooner than a machine boots: those that ran
- * such jobs of late. They have cached their images, too.
+ * The warm pool: machines kept ready for jobs that must start sooner than a machine can boot. It consists of the
+ * machines that recently ran such jobs, which also have the images of these jobs cached.
  */
 import { type Micros, SECOND } from '#wire';
 
-/** How long a machine is held ready after it last had such a task. */
+/** How long a machine stays in the pool after it last ran a task of such a job. */
 const RETENTION: Micros = 90 * SECOND;
 
-/** The hosts of the machines in the pool. */
+/** Tracks which machines are in the warm pool. */
 export class WarmPool {
-  /** By host: when it last had such a task. */
+  /** Time at which the machine last ran a task of such a job. Keyed by host. */
   private readonly lastUsedAt = new Map<string, Micros>();
 
-  /** Updates the pool with the hosts that run such a task now. */
+  /** Adds the hosts that currently run tasks of such jobs, and drops machines that ran none for too long. */
   observe(hosts: Iterable<string>, now: Micros): void {
     for (const host of hosts) this.lastUsedAt.set(host, now);
     for (const [host, usedAt] of this.lastUsedAt) if (now - usedAt > RETENTION) this.lastUsedAt.delete(host);
--- a/packages/pricing/pricing-round.test.ts
+++ b/packages/pricing/pricing-round.test.ts
@@ -167,7 +167,7 @@
           }
           assert.ok(
             (count.get(id) ?? 0) + (result.unmetTaskCounts.get(id) ?? 0) <= pendingTaskCount,
-            'count',
+            'task count',
           );
         }
         for (const { cpu, mem, gpu } of result.prices.values())
@@ -253,7 +253,7 @@
   assert.deepEqual(hosts([{ ...whole, priority: 1 }, small]), ['j-2 n-1', 'j-2 n-2', 'j-2 n-3']);
 });
 
-/** Runs 20 rounds, in each of which another machine comes up. Returns the prices, and a function to run a next round. */
+/** Runs 20 rounds while one machine after the other comes up. Returns the prices, and a function to run a round. */
 function simulateBoot(jobs: PendingJob[]) {
   let prices: PricingRoundInput['prices'] = new Map();
   const teams = [
