--- a/packages/fleet/offers.ts
+++ b/packages/fleet/offers.ts
@@ -17,7 +17,7 @@
 
 /** Tasks of one job for which there is no free capacity. */
 export interface UnmetDemand {
-  /** The job. For a gang that must run in one zone, `job.zone` is the zone in which capacity is reserved for it. */
+  /** The job. For a gang that must run in one zone, `job.zone` is the zone that the last round preferred for it. */
   job: PendingJob;
   /** Number of tasks. */
   count: number;
--- a/packages/fleet/scale-out-planner.ts
+++ b/packages/fleet/scale-out-planner.ts
@@ -35,7 +35,7 @@
  */
 export function planScaleOut(input: ScaleOutInput): ScaleOutPlan[] {
   const planner = new ScaleOutPlanner(input);
-  for (const demand of input.unmetDemand) planner.serve(demand);
+  for (const demand of input.unmetDemand) planner.planDemand(demand);
   return planner.result();
 }
 
@@ -78,7 +78,7 @@
     return [...this.plans.values()];
   }
 
-  serve(demand: UnmetDemand): void {
+  planDemand(demand: UnmetDemand): void {
     const { job, count } = this.chooseZone(demand);
     let remaining = count - allocatePending(this.pendingCapacity, job, count);
     while (remaining > 0) {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Chooses one zone for all machines that are requested for a gang which must run in one zone. It is the zone in which
-   * capacity is reserved for the gang or, if no offer is available there, the zone with the most pending capacity.
+   * Chooses one zone for all machines that are requested for a gang which must run in one zone. It is the zone that the
+   * last round preferred for the gang or, if no offer is available there, the zone with the most pending capacity.
    */
   private chooseZone(demand: UnmetDemand): UnmetDemand {
     const { job, count, canUseOtherZones } = demand;
--- a/packages/fleet/scale-out-requests.ts
+++ b/packages/fleet/scale-out-requests.ts
@@ -13,12 +13,12 @@
 /** Time between two attempts of the same request. */
 const SCALE_OUT_RETRY_INTERVAL: Micros = 2 * SECOND;
 /** Time beyond the retry interval after which the next attempt is made although the last one has no response yet. */
-const ANSWER_TIMEOUT: Micros = 5 * SECOND;
+const RESPONSE_TIMEOUT: Micros = 5 * SECOND;
 /** A request without a conclusive response is abandoned after this time. */
 const SCALE_OUT_TIMEOUT: Micros = 20 * SECOND;
 
 /** Summary of the fleet's machines for the scale-out of one shard. */
-interface FleetSurvey {
+interface FleetSummary {
   /** Number of machines of all shards. Keyed by zone. */
   readonly machinesPerZone: ReadonlyMap<string, number>;
   /** Capacity of the shard's machines that are still booting. */
@@ -49,7 +49,7 @@
   plan(demand: ShardDemand, termProof: TermProof): void {
     const { shard, unmetDemand, canReach } = demand;
     if (unmetDemand.length === 0) return;
-    const { machinesPerZone, booting } = this.surveyMachines(shard);
+    const { machinesPerZone, booting } = this.summarizeMachines(shard);
     const plans = planScaleOut({
       types: [...this.context.state().machineTypes.values()],
       unmetDemand,
@@ -65,7 +65,7 @@
     for (const id of this.context.state().ledger.pendingScaleOuts.keys()) void this.send(id, termProof);
   }
 
-  private surveyMachines(shard: number): FleetSurvey {
+  private summarizeMachines(shard: number): FleetSummary {
     const { ledger, machineTypes } = this.context.state();
     const machinesPerZone = new Map<string, number>();
     const booting: PendingCapacity[] = [];
@@ -112,7 +112,10 @@
     }
   }
 
-  /** Returns an ID that is unique by the term, which no other leader has, and by the request count of this process. */
+  /**
+   * Returns an ID that is unique by the term, which no other leader has, and by the request count of this process. The
+   * time in the ID is for readers only.
+   */
   private nextRequestId(term: number): string {
     return `hire-${Math.floor(this.context.clock.wall() / SECOND)}-${term}-${++this.requestCount}`;
   }
@@ -121,7 +124,7 @@
     const { cloud, clock, state } = this.context;
     const scaleOut = state().ledger.pendingScaleOuts.get(id);
     if (!scaleOut || !this.isDue(id)) return;
-    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL + ANSWER_TIMEOUT);
+    this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL + RESPONSE_TIMEOUT);
     const result = await cloud.requestMachines(termProof, ScaleOutIntent.fromRecord(scaleOut));
     if (result.kind === 'superseded' || !state().ledger.pendingScaleOuts.has(id)) return;
     this.nextAttemptAt.set(id, clock.now() + SCALE_OUT_RETRY_INTERVAL);
--- a/packages/fleet/transfer-planner.test.ts
+++ b/packages/fleet/transfer-planner.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-test('transfers unused capacity first, then by price and for guarantees; never in cooldown or across a partition', () => {
+test('transfers unused capacity first, then by price and for guarantees; not in cooldown or across partitions', () => {
   const total = { cpus: 4, gpus: 0, memGb: 16 };
   const machine = (host: string, change: Partial<TransferCandidate> = {}): TransferCandidate => ({
     host,
--- a/packages/pricing/gang-placement.test.ts
+++ b/packages/pricing/gang-placement.test.ts
@@ -166,7 +166,7 @@
   const reserving = runRound([gang('j-1', 4), small], freeSoon);
   assert.deepEqual(reserving.starts, []);
   assert.equal(reserving.unmetTaskCounts.get('j-1'), 2);
-  assert.equal(reserving.gatheringZones.get('j-1'), 'east');
+  assert.equal(reserving.preferredZones.get('j-1'), 'east');
   const freeLater = [machine('a', 'east', 2), machine('b', 'east', 2)];
   assert.equal(startsOf(runRound([gang('j-1', 4), small], freeLater), 'j-2').length, 2);
 });
--- a/packages/pricing/gang-placement.ts
+++ b/packages/pricing/gang-placement.ts
@@ -15,7 +15,7 @@
   | {
       readonly kind: 'unplaced';
       /** Number of tasks for which `zone` has no free capacity; at least 1. */
-      readonly missing: number;
+      readonly missingTaskCount: number;
       /** The zone that suits the gang best; null if its tasks may run in different zones or no machine is feasible. */
       readonly zone: string | null;
       /** Hosts of the machines whose free capacity is reserved for the gang. */
@@ -146,12 +146,13 @@
  */
 function reserveForGang(job: PendingJob, sites: readonly CandidateSite[]): GangPlacement {
   const best = sites[0];
-  if (!best) return { kind: 'unplaced', missing: job.pendingTaskCount, zone: null, reservedHosts: [] };
-  const missing = Math.max(1, job.pendingTaskCount - best.taskCapacity);
+  if (!best)
+    return { kind: 'unplaced', missingTaskCount: job.pendingTaskCount, zone: null, reservedHosts: [] };
+  const missingTaskCount = Math.max(1, job.pendingTaskCount - best.taskCapacity);
   // For a gang that must be spread over zones, capacity in one zone does not tell when the gang can start.
   const reservedHosts =
     !job.spreadZones && becomesFreeInTime(job, best) ? reserveCapacity(job, best.machines) : [];
-  return { kind: 'unplaced', missing, zone: best.zone, reservedHosts };
+  return { kind: 'unplaced', missingTaskCount, zone: best.zone, reservedHosts };
 }
 
 /** Subtracts the resources of as many of the gang's tasks as fit from the free capacity. Returns the hosts. */
--- a/packages/pricing/placement.ts
+++ b/packages/pricing/placement.ts
@@ -62,7 +62,7 @@
   private readonly starts: PricingRoundResult['starts'] = [];
   private readonly unmetTaskCounts = new Map<string, number>();
   private readonly reservedHosts = new Set<string>();
-  private readonly gatheringZones = new Map<string, string>();
+  private readonly preferredZones = new Map<string, string>();
   private readonly zoneConstraints = new Map<string, ZoneConstraint>();
   private readonly packingOptions: BinPackingOptions;
 
@@ -81,7 +81,7 @@
       starts: this.starts,
       prices: new Map(pools.map((pool) => [pool.shape, pool.price])),
       unmetTaskCounts: this.unmetTaskCounts,
-      gatheringZones: this.gatheringZones,
+      preferredZones: this.preferredZones,
       free: new Map(machines.map((machine) => [machine.host, machine.free])),
       reservedHosts: this.reservedHosts,
     };
@@ -94,12 +94,12 @@
     if (count > this.remainingStarts() && this.starts.length > 0) return;
     const placement = placeGang(job, pools, this.packingOptions);
     if (placement.kind === 'placed') {
-      this.start(job, placement.machines);
+      this.addStarts(job, placement.machines);
       return;
     }
-    this.unmetTaskCounts.set(job.id, placement.missing);
-    if (placement.zone !== null) this.gatheringZones.set(job.id, placement.zone);
-    this.reserve(placement.reservedHosts);
+    this.unmetTaskCounts.set(job.id, placement.missingTaskCount);
+    if (placement.zone !== null) this.preferredZones.set(job.id, placement.zone);
+    this.addReservedHosts(placement.reservedHosts);
   }
 
   private placeTasks({ segment, pools }: RankedSegment): void {
@@ -107,14 +107,14 @@
     const zoneConstraint = this.zoneConstraintOf(job);
     const count = Math.min(segment.count, Math.max(0, this.remainingStarts()));
     const machines = packTasks({ job, pools, zoneConstraint, count }, this.packingOptions);
-    this.start(job, machines);
+    this.addStarts(job, machines);
     let remaining = segment.count - machines.length;
     if (remaining === 0) return;
     this.unmetTaskCounts.set(job.id, (this.unmetTaskCounts.get(job.id) ?? 0) + remaining);
     for (const pool of pools) {
       const hosts = reserveMachines(pool.machines, { job, zoneConstraint, count: remaining });
       remaining -= hosts.length;
-      this.reserve(hosts);
+      this.addReservedHosts(hosts);
     }
   }
 
@@ -122,11 +122,11 @@
     return this.input.options.maxStarts - this.starts.length;
   }
 
-  private start(job: PendingJob, machines: readonly CandidateMachine[]): void {
+  private addStarts(job: PendingJob, machines: readonly CandidateMachine[]): void {
     for (const { host } of machines) this.starts.push({ job: job.id, host });
   }
 
-  private reserve(hosts: readonly string[]): void {
+  private addReservedHosts(hosts: readonly string[]): void {
     for (const host of hosts) this.reservedHosts.add(host);
   }
 
--- a/packages/pricing/preemption.ts
+++ b/packages/pricing/preemption.ts
@@ -52,7 +52,7 @@
  */
 export function planPreemptions({ requests, machines, victims, maxPreemptions }: PreemptionInput): Victim[] {
   const plan = new PreemptionPlan(candidatesOf(machines, victims), maxPreemptions);
-  for (const request of requests) plan.serve(request);
+  for (const request of requests) plan.planRequest(request);
   return plan.preempted;
 }
 
@@ -94,19 +94,19 @@
   ) {}
 
   /** Adds victims for as many of the request's tasks as possible; for a gang, for all of its tasks or none. */
-  serve(request: PreemptionRequest): void {
+  planRequest(request: PreemptionRequest): void {
     const choices: MachineChoice[] = [];
     while (choices.length < request.count) {
       const choice = this.fewestVictims(request);
       if (!choice || this.preempted.length + choice.victims.length > this.maxPreemptions) break;
-      this.add(choice);
+      this.addChoice(choice);
       choices.push(choice);
     }
     // A gang cannot start with capacity for only a part of its tasks.
     if (request.job.isGang && choices.length < request.count) this.revert(choices);
   }
 
-  private add({ host, victims }: MachineChoice): void {
+  private addChoice({ host, victims }: MachineChoice): void {
     this.usedHosts.add(host);
     this.preempted.push(...victims);
   }
--- a/packages/pricing/price-adjustment.ts
+++ b/packages/pricing/price-adjustment.ts
@@ -33,10 +33,11 @@
 /**
  * Runs one price pass: every task picks its best shape, and each price moves by the gap between demand and free
  * capacity on its shape. The step is scaled so that the price of a whole machine's worth of any resource moves by the
- * same fraction of the highest priority. A step never rises above that fraction, also while the first machines of a
- * shape come up and demand is a hundred times the capacity. Without that bound prices rise far above what any task
- * would pay, and fall only as capacity becomes free, which takes minutes on a full fleet. Until then tasks would be
- * ranked by the size of their demand alone, and urgent tasks that need a whole machine would be placed last.
+ * same fraction of the highest priority. A price never rises by more than that in one pass, even while the first
+ * machines of a shape come up and demand is a hundred times the capacity. Without this bound prices would rise far
+ * above what any task would pay, and fall only as capacity becomes free, which takes minutes on a full fleet. Until
+ * then tasks would be ranked by the size of their demand alone, and urgent tasks that need a whole machine would be
+ * placed last.
  */
 export function adjustPrices(segments: readonly Segment[], market: Market): void {
   const demands = demandByPool(segments, market);
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -117,7 +117,7 @@
   /** Number of tasks within their team's limit for which no machine had enough free capacity. Keyed by job. */
   unmetTaskCounts: Map<string, number>;
   /** The most suitable zone of each unplaced gang whose tasks must run in the same zone. Keyed by job. */
-  gatheringZones: Map<string, string>;
+  preferredZones: Map<string, string>;
   /** Capacity that the round leaves free on each machine. Keyed by host. */
   free: Map<string, Resources>;
   /** Hosts of machines reserved for tasks that need more capacity than is free there at present. */
--- a/packages/scheduling/forecaster.ts
+++ b/packages/scheduling/forecaster.ts
@@ -11,7 +11,7 @@
 /** Capacity counts as pending if the task that uses it is expected to end within this time. */
 const PENDING_CAPACITY_HORIZON: Micros = 10 * SECOND;
 
-/** Compares the usage of an owner's teams with their guaranteed CPUs. */
+/** Guaranteed CPUs that the teams of a shard owner lack, and CPUs that they use above their guarantees. */
 export interface GuaranteeBalance {
   /**
    * Guaranteed CPUs for which the owner's teams have unmet demand, less the CPUs that are about to become free or are
--- a/packages/scheduling/preemption-planner.ts
+++ b/packages/scheduling/preemption-planner.ts
@@ -83,9 +83,9 @@
 
   private buildRequests(round: PreemptionRound, guarantees: GuaranteedCpus): PreemptionRequest[] {
     const { ledger, jobs } = this.options.replica;
-    const wall = this.options.clock.wall();
+    const wallTime = this.options.clock.wall();
     const requests: PreemptionRequest[] = [];
-    const beingFreed = this.capacityBeingFreed();
+    const capacityBeingFreed = this.capacityBeingFreed();
     // Counts the round's starts and the team's more urgent unmet demand against the guarantee. Otherwise tasks that
     // were preempted for that demand would claim the same part of the guarantee again and cause further preemptions.
     const usageChanges = new Map(round.usageChanges);
@@ -94,10 +94,10 @@
       const usageChange = usageChanges.get(team) ?? 0;
       usageChanges.set(team, usageChange + count * taskResources.cpus);
       const entry = jobs.get(job.id);
-      if (!entry || wall - entry.acceptedAtMs * MS < PREEMPTION_MIN_WAIT) continue;
+      if (!entry || wallTime - entry.acceptedAtMs * MS < PREEMPTION_MIN_WAIT) continue;
       // Tasks preempted in earlier rounds may still be writing checkpoints. The capacity that they free counts for this
       // demand, so that no further tasks are preempted for it.
-      const remaining = count - allocatePending(beingFreed, job, count);
+      const remaining = count - allocatePending(capacityBeingFreed, job, count);
       const unusedGuarantee = (guarantees.get(team) ?? 0) - (ledger.teamUsage(team).cpus + usageChange);
       addRequests(requests, { job, count: remaining, spec: entry.spec, unusedGuarantee });
     }
@@ -110,12 +110,12 @@
     guarantees: GuaranteedCpus,
   ): Map<string, PreemptionCandidate> {
     const { ledger, jobs } = this.options.replica;
-    const wall = this.options.clock.wall();
+    const wallTime = this.options.clock.wall();
     const candidates = new Map<string, PreemptionCandidate>();
     for (const { host } of machines) {
       for (const placement of ledger.placementsOn(host)) {
         const spec = jobs.get(placement.job)?.spec;
-        if (!spec || !this.isPreemptible(placement, spec, wall)) continue;
+        if (!spec || !this.isPreemptible(placement, spec, wallTime)) continue;
         const { team, taskName } = placement;
         const isAboveGuarantee = ledger.teamUsage(team).cpus > (guarantees.get(team) ?? 0);
         candidates.set(taskName, preemptionCandidate(placement, spec, isAboveGuarantee));
@@ -124,10 +124,10 @@
     return candidates;
   }
 
-  private isPreemptible(placement: Placement, spec: JobSpec, wall: Micros): boolean {
+  private isPreemptible(placement: Placement, spec: JobSpec, wallTime: Micros): boolean {
     // A gang cannot run without one of its tasks, so preempting one task would stop all of them.
     if (placement.gangSize !== null || spec.checkpointS <= 0) return false;
-    if (wall - placement.startedAtMs * MS < VICTIM_MIN_RUN_TIME) return false;
+    if (wallTime - placement.startedAtMs * MS < VICTIM_MIN_RUN_TIME) return false;
     return this.options.runTimeEstimator.remainingRunTime(placement) >= VICTIM_MIN_REMAINING;
   }
 
@@ -164,12 +164,12 @@
 function addRequests(requests: PreemptionRequest[], demand: EligibleDemand): void {
   const { job, count, spec, unusedGuarantee } = demand;
   const cpusOnly = { ...job.taskResources, gpus: 0, memGb: 0 };
-  const fitting = countFitting(cpusOnly, { cpus: unusedGuarantee, gpus: 0, memGb: 0 });
-  const guaranteed = Math.min(count, fitting);
+  const fittingCount = countFitting(cpusOnly, { cpus: unusedGuarantee, gpus: 0, memGb: 0 });
+  const guaranteedCount = Math.min(count, fittingCount);
   const rank = RANKS.indexOf(spec.rank);
-  if (guaranteed > 0) requests.push({ job, count: guaranteed, rank, isWithinGuarantee: true });
-  if (count > guaranteed && rank > NORMAL_RANK) {
-    requests.push({ job, count: count - guaranteed, rank, isWithinGuarantee: false });
+  if (guaranteedCount > 0) requests.push({ job, count: guaranteedCount, rank, isWithinGuarantee: true });
+  if (count > guaranteedCount && rank > NORMAL_RANK) {
+    requests.push({ job, count: count - guaranteedCount, rank, isWithinGuarantee: false });
   }
 }
 
--- a/packages/scheduling/round-input-builder.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -107,7 +107,7 @@
   /** Returns the jobs of the teams that have tasks to place. Completed placements do not count as placed in a zone. */
   pendingJobs(teams: ReadonlySet<string>, completed: ReadonlySet<Placement>): PendingJob[] {
     const { replica, clock } = this.options;
-    const wall = clock.wall();
+    const wallTime = clock.wall();
     const maxBootTime = this.maxBootTime();
     const pending: PendingJob[] = [];
     for (const [id, job] of replica.jobs) {
@@ -116,7 +116,7 @@
       const pendingTaskCount = this.pendingTaskCount(job.spec, progress);
       if (pendingTaskCount <= 0) continue;
       const placedByZone = this.placedByZone(progress, completed);
-      const age = Math.max(0, wall - job.acceptedAtMs * MS);
+      const age = Math.max(0, wallTime - job.acceptedAtMs * MS);
       const priority = this.priority(job.spec, progress, age);
       const isOverdue = age > maxBootTime;
       pending.push(pendingJob({ id, job, priority, pendingTaskCount, isOverdue, placedByZone }));
@@ -151,12 +151,12 @@
 
   /** Returns the job's priority, computed from its rank and from its age, the time since it was accepted. */
   private priority(spec: JobSpec, progress: JobProgress | undefined, age: Micros): number {
-    const base = RANK_PRIORITY[spec.rank];
+    const basePriority = RANK_PRIORITY[spec.rank];
     // Teams without a guarantee use spare capacity only. Once a job of theirs has begun, waiting no longer raises its
     // priority above that of other teams' jobs.
     const hasBegun = progress !== undefined && (progress.placements.size > 0 || progress.done.count > 0);
-    if (hasBegun && this.teamsWithoutGuarantee.has(spec.team)) return base;
-    return base * waitingBoost(age / this.priorityDoublingTime(spec));
+    if (hasBegun && this.teamsWithoutGuarantee.has(spec.team)) return basePriority;
+    return basePriority * waitingBoost(age / this.priorityDoublingTime(spec));
   }
 
   /** Returns the waiting time that doubles a job's priority: at most the time within which its tasks should start. */
@@ -201,14 +201,14 @@
    * The first success ends the backoff.
    */
   private pendingTaskCount(spec: JobSpec, progress: JobProgress | undefined): number {
-    const placed = progress?.placements.size ?? 0;
+    const placedCount = progress?.placements.size ?? 0;
     // A new attempt of a gang may begin only once every task of the old attempt is proven stopped.
-    if (spec.shape === 'gang' && placed > 0) return 0;
-    const count = spec.taskCount - (progress?.done.count ?? 0) - placed;
+    if (spec.shape === 'gang' && placedCount > 0) return 0;
+    const count = spec.taskCount - (progress?.done.count ?? 0) - placedCount;
     if (!progress || progress.consecutiveFailures < JOB_FAILURE_THRESHOLD) return count;
     const backoff = Math.min(MAX_JOB_BACKOFF, 2 ** progress.consecutiveFailures * SECOND);
     const isInBackoff = this.options.clock.wall() < progress.lastFailureAtMs * MS + backoff;
-    if (isInBackoff || placed > 0) return 0;
+    if (isInBackoff || placedCount > 0) return 0;
     return spec.shape === 'gang' ? count : Math.min(count, 1);
   }
 
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -141,7 +141,7 @@
       starts: result.starts,
       prices: result.prices,
       unmetTaskCounts: result.unmetTaskCounts,
-      gatheringZones: result.gatheringZones,
+      preferredZones: result.preferredZones,
       free: result.free,
       reservedHosts: result.reservedHosts,
       unmetDemand: unmetDemandOf(jobs, result),
@@ -236,14 +236,14 @@
  */
 function unmetDemandOf(
   jobs: readonly PendingJob[],
-  { unmetTaskCounts, gatheringZones }: PricingRoundResult,
+  { unmetTaskCounts, preferredZones }: PricingRoundResult,
 ): UnmetDemand[] {
   return jobs
     .filter(({ id }) => (unmetTaskCounts.get(id) ?? 0) > 0)
     .sort((a, b) => b.priority - a.priority || a.acceptanceOrder - b.acceptanceOrder)
     .map((job): UnmetDemand => {
       const count = unmetTaskCounts.get(job.id) ?? 0;
-      const zone = gatheringZones.get(job.id);
+      const zone = preferredZones.get(job.id);
       if (zone === undefined) return { job, count };
       return { job: { ...job, zone }, count, canUseOtherZones: job.zone === null };
     });
