--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the cluster without its sockets. {@link Controller} builds the parts of the node, connects them, and
- * starts and stops them; what they do is in modules of their own.
+ * One node of the cluster without its sockets. {@link Controller} builds the components of the node, connects them,
+ * and starts and stops them. Each component is implemented in a module of its own.
  */
 import type { ServiceResponse } from '#api';
 import { CloudClient } from '#cloud';
@@ -22,12 +22,12 @@
 import {
   buildDataLossDetector,
   buildSchedulingComponents,
-  buildStateComponents,
+  buildAuthorityComponents,
   buildWriteComponents,
   type ControllerOptions,
-  type CoreComponents,
+  type ClusterComponents,
   type SchedulingComponents,
-  type StateComponents,
+  type AuthorityComponents,
   type WriteComponents,
 } from './node-components.js';
 import { NodeStatus } from './node-status.js';
@@ -40,20 +40,20 @@
 
 export type { ControllerOptions } from './node-components.js';
 
-/** One node of the cluster, complete but for its sockets. */
+/** Composes the components of one node. Sockets are opened by the caller, which passes requests to the methods. */
 export class Controller {
-  /** Serves the requests of users. */
+  /** Serves the job requests of users. */
   readonly jobService: JobService;
-  private readonly core: CoreComponents;
-  private readonly state: StateComponents;
+  private readonly cluster: ClusterComponents;
+  private readonly authority: AuthorityComponents;
   private readonly writes: WriteComponents;
   private readonly scheduling: SchedulingComponents;
   private readonly pendingReleases: PendingReleases;
-  private readonly rounds: RoundLoop;
-  private readonly heartbeats: HeartbeatHandler;
-  private readonly status: NodeStatus;
+  private readonly roundLoop: RoundLoop;
+  private readonly heartbeatHandler: HeartbeatHandler;
+  private readonly nodeStatus: NodeStatus;
   private readonly roleHandover: RoleHandover;
-  private readonly peers: PeerMonitor;
+  private readonly peerMonitor: PeerMonitor;
   private readonly stateRefresher: StateRefresher;
   private readonly reachabilityMonitor: ReachabilityMonitor;
 
@@ -61,105 +61,105 @@
     const { settings, clock } = options;
     const dataLossDetector = buildDataLossDetector(options);
     const store = new StoreClient(settings.state, options.httpClient, dataLossDetector ?? NO_REVISION_CHECK);
-    this.core = buildCore(options, store, dataLossDetector);
-    const { replica, membership } = this.core;
-    this.state = buildStateComponents(options, this.core);
-    const { ownership, workerReachability } = this.state;
-    this.writes = buildWriteComponents(options, this.core, this.state.freshness);
+    this.cluster = buildClusterComponents(options, store, dataLossDetector);
+    const { replica, membership } = this.cluster;
+    this.authority = buildAuthorityComponents(options, this.cluster);
+    const { ownership, workerReachability } = this.authority;
+    this.writes = buildWriteComponents(options, this.cluster, this.authority.freshness);
     this.jobService = new JobService({ settings, store, replica, clock });
-    this.scheduling = buildSchedulingComponents(options, replica, this.state.workers);
+    this.scheduling = buildSchedulingComponents(options, replica, this.authority.workers);
     this.pendingReleases = new PendingReleases(replica);
-    this.rounds = this.buildRoundLoop();
-    this.heartbeats = this.buildHeartbeatHandler();
+    this.roundLoop = this.buildRoundLoop();
+    this.heartbeatHandler = this.buildHeartbeatHandler();
     const allNodes = [settings.member, ...settings.peers.map((peer) => peer.member)];
-    this.status = this.buildNodeStatus(allNodes);
+    this.nodeStatus = this.buildNodeStatus(allNodes);
     this.roleHandover = this.buildRoleHandover(allNodes);
-    this.peers = this.buildPeerMonitor();
+    this.peerMonitor = this.buildPeerMonitor();
     this.stateRefresher = new StateRefresher({ clock, replica, ownership });
     this.reachabilityMonitor = new ReachabilityMonitor({ clock, ownership, workerReachability, membership });
     replica.onChange(() => {
-      this.rounds.request();
+      this.roundLoop.request();
     });
   }
 
   /**
-   * Starts the loops of the node, which run until {@link stop}. A loop that fails is an unhandled rejection: the
-   * process logs it.
+   * Starts the background loops of the node, which run until {@link stop}. The error of a loop that fails becomes an
+   * unhandled rejection, which the process logs.
    */
   start(): void {
-    void this.core.replica.run();
-    void this.core.membership.run();
-    void this.rounds.run();
+    void this.cluster.replica.run();
+    void this.cluster.membership.run();
+    void this.roundLoop.run();
     void this.stateRefresher.run();
     void this.reachabilityMonitor.run();
-    this.peers.start();
+    this.peerMonitor.start();
   }
 
-  /** Makes the loops of the node end. */
+  /** Stops the background loops of the node. Does not wait for them to end. */
   stop(): void {
     this.reachabilityMonitor.stop();
     this.stateRefresher.stop();
-    this.core.replica.stop();
-    this.core.membership.stop();
-    this.peers.stop();
-    this.rounds.stop();
+    this.cluster.replica.stop();
+    this.cluster.membership.stop();
+    this.peerMonitor.stop();
+    this.roundLoop.stop();
   }
 
-  /** The response to a worker's heartbeat. */
+  /** Returns the response to a worker's heartbeat. */
   handleHeartbeat(body: unknown): Promise<ServiceResponse> {
-    return this.heartbeats.handle(body);
+    return this.heartbeatHandler.handle(body);
   }
 
-  /** Hands a role over on purpose. */
+  /** Hands a role off to another member at an operator's request. */
   resignRole(role: RoleName): Promise<HandoverResult> {
     return this.roleHandover.resign(role);
   }
 
-  /** Gives up all roles before a planned stop, so that they are vacant for no longer than an election takes. */
+  /** Resigns all roles before a planned stop, so that they are vacant for no longer than an election takes. */
   async retire(): Promise<void> {
     await this.roleHandover.retire();
     this.stop();
   }
 
-  /** This node's copy of the state, for tests and tools. */
+  /** Returns this node's replica of the state, for tests and tools. */
   replicaSnapshot(): ReplicaSnapshot {
-    return this.status.replicaSnapshot();
+    return this.nodeStatus.replicaSnapshot();
   }
 
-  /** What this node knows of the cluster's roles, and how old that knowledge is. */
+  /** Returns what this node knows of the cluster's roles, and the age of that knowledge. */
   roleStatus(): NodeRoleStatus {
-    return this.status.roleStatus();
+    return this.nodeStatus.roleStatus();
   }
 
-  /** What this node knows of data loss in the state service. */
+  /** Returns what this node knows of data loss in the state service. */
   dataLossStatus(): NodeDataLossStatus {
-    return this.status.dataLossStatus();
+    return this.nodeStatus.dataLossStatus();
   }
 
-  /** The lines of a snapshot of this node's copy of the state; null while there is no copy. */
+  /** Returns the lines of a snapshot of this node's replica; null while the replica has not been loaded. */
   snapshot(): AsyncIterable<string> | null {
-    return this.status.snapshot();
+    return this.nodeStatus.snapshot();
   }
 
-  /** The term in which this node believes to lead; null if it doesn't. */
+  /** Returns the term of this node's leadership; null if this node can't prove that it holds the leader role. */
   leaderTerm(): number | null {
-    return this.status.leaderTerm();
+    return this.nodeStatus.leaderTerm();
   }
 
-  /** The status that this node sends its peers. */
+  /** Returns the status that this node sends to its peers. */
   peerStatus(): PeerStatus {
-    return this.status.peerStatus();
+    return this.nodeStatus.peerStatus();
   }
 
-  /** The response to a health check. */
+  /** Returns the response to a health check. */
   health(): ServiceResponse {
-    return this.status.health();
+    return this.nodeStatus.health();
   }
 
   private buildRoundLoop(): RoundLoop {
     const { clock, tuning, log } = this.options;
-    const { replica } = this.core;
-    const { workers, ownership, freshness } = this.state;
+    const { replica } = this.cluster;
+    const { workers, ownership, freshness } = this.authority;
     const { scheduler, runTimeEstimator } = this.scheduling;
     const { logWriter } = this.writes;
     const shardRound = new ShardRound({
@@ -185,17 +185,17 @@
     return new Leader({
       settings,
       clock,
-      store: this.core.fencedStore,
-      cloud: this.core.cloud,
-      replica: this.core.replica,
-      membership: this.core.membership,
+      store: this.cluster.fencedStore,
+      cloud: this.cluster.cloud,
+      replica: this.cluster.replica,
+      membership: this.cluster.membership,
       logWriter: this.writes.logWriter,
       writeLimits: this.writes.writeLimits,
       forecaster: this.scheduling.forecaster,
       runTimeEstimator: this.scheduling.runTimeEstimator,
       log,
       requestRound: () => {
-        this.rounds.request();
+        this.roundLoop.request();
       },
     });
   }
@@ -204,15 +204,15 @@
     return new HeartbeatHandler({
       settings: this.options.settings,
       clock: this.options.clock,
-      replica: this.core.replica,
-      workers: this.state.workers,
-      ownership: this.state.ownership,
+      replica: this.cluster.replica,
+      workers: this.authority.workers,
+      ownership: this.authority.ownership,
       scheduler: this.scheduling.scheduler,
-      freshness: this.state.freshness,
-      workerReachability: this.state.workerReachability,
-      dataLossDetector: this.core.dataLossDetector,
+      freshness: this.authority.freshness,
+      workerReachability: this.authority.workerReachability,
+      dataLossDetector: this.cluster.dataLossDetector,
       pendingReleases: this.pendingReleases,
-      rounds: this.rounds,
+      roundLoop: this.roundLoop,
     });
   }
 
@@ -221,30 +221,30 @@
       member: this.options.settings.member,
       allNodes,
       clock: this.options.clock,
-      replica: this.core.replica,
-      membership: this.core.membership,
-      freshness: this.state.freshness,
-      workerReachability: this.state.workerReachability,
-      dataLossDetector: this.core.dataLossDetector,
+      replica: this.cluster.replica,
+      membership: this.cluster.membership,
+      freshness: this.authority.freshness,
+      workerReachability: this.authority.workerReachability,
+      dataLossDetector: this.cluster.dataLossDetector,
     });
   }
 
   private buildRoleHandover(allNodes: readonly string[]): RoleHandover {
     return new RoleHandover({
       clock: this.options.clock,
-      replica: this.core.replica,
-      membership: this.core.membership,
-      store: this.core.fencedStore,
-      freshness: this.state.freshness,
+      replica: this.cluster.replica,
+      membership: this.cluster.membership,
+      store: this.cluster.fencedStore,
+      freshness: this.authority.freshness,
       allNodes,
     });
   }
 
   private buildPeerMonitor(): PeerMonitor {
     const { settings, ping, clock, log } = this.options;
-    const { membership, replica } = this.core;
+    const { membership, replica } = this.cluster;
     const onUnreachable = (unreachable: readonly string[]): void => {
-      // A peer without a member row is down, not unreachable.
+      // A peer without a member row is down. Only a live peer that does not answer is unreachable.
       const alive = unreachable.filter((name) => replica.members.has(name));
       void membership.publishStatus({ unreachable: alive });
     };
@@ -262,19 +262,19 @@
   }
 
   private onPeerStatus(status: PeerStatus, peer: string): void {
-    const { workerReachability, freshness } = this.state;
-    this.core.dataLossDetector?.observePeer(peer, status);
+    const { workerReachability, freshness } = this.authority;
+    this.cluster.dataLossDetector?.observePeer(peer, status);
     workerReachability.onPeerRedirects(status.redirectedWorkers[this.options.settings.member] ?? 0);
     freshness.onPeerStatus(status);
   }
 }
 
-/** Builds the copy of the state, the membership, and the clients that check the fencing token of a role. */
-function buildCore(
+/** Builds the replica, the membership, and the clients that check the fencing token of a role. */
+function buildClusterComponents(
   options: ControllerOptions,
   store: StoreClient,
   dataLossDetector: DataLossDetector | null,
-): CoreComponents {
+): ClusterComponents {
   const { settings, clock, log, httpClient, incarnation, random } = options;
   const integrityCheck = dataLossDetector ?? NO_STATE_INTEGRITY_CHECK;
   const replica = new Replica({ store, clock, log, stateRps: settings.stateRps, check: integrityCheck });
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -1,4 +1,4 @@
-/** The leader's step: shard assignment, machine types, machine transfers, drains and the size of the fleet. */
+/** The periodic duties of the leader: shard assignment, machine types, machine transfers, drains and fleet size. */
 import type { LogId, Logger, LogWriter, Membership, RecordDraft, Replica } from '#cluster';
 import { FleetManager, type FleetState } from '#fleet';
 import type { FencedCloud, FencedStore, TermProof } from '#roles';
@@ -14,12 +14,12 @@
 import { ZoneReachability } from './zone-reachability.js';
 
 /**
- * A forecast costs as much processor time as the rounds of all owners together. After each fleet step the next one
- * waits for this many times what it took.
+ * Pause after a fleet step, as a multiple of the step's duration. A forecast costs as much processor time as the rounds
+ * of all shard owners together.
  */
-const FORECAST_REST_FACTOR = 6;
+const FORECAST_PAUSE_FACTOR = 6;
 
-/** What a leader works with. */
+/** Dependencies of {@link Leader}. */
 export interface LeaderOptions {
   settings: Settings;
   clock: Clock;
@@ -32,13 +32,13 @@
   forecaster: Forecaster;
   runTimeEstimator: RunTimeEstimator;
   log: Logger;
-  /** Asks for a scheduling round of this node as soon as possible. */
+  /** Requests a scheduling round of this node as soon as possible. */
   requestRound: () => void;
 }
 
-/** What the node that holds the leader role does besides owning shards. Does nothing on other nodes. */
+/** Performs the duties of the leader role. Does nothing on a node that does not hold this role. */
 export class Leader {
-  private readonly fleet: FleetManager;
+  private readonly fleetManager: FleetManager;
   private readonly shardAssigner: ShardAssigner;
   private readonly machineTypes: MachineTypeRefresher;
   private readonly rebalancer: MachineRebalancer;
@@ -50,7 +50,7 @@
 
   constructor(private readonly options: LeaderOptions) {
     const { cloud, clock, log, requestRound } = options;
-    this.fleet = new FleetManager({
+    this.fleetManager = new FleetManager({
       cloud,
       clock,
       state: () => this.fleetState(),
@@ -67,31 +67,33 @@
       replica: options.replica,
       forecaster: options.forecaster,
       runTimeEstimator: options.runTimeEstimator,
-      fleet: this.fleet,
+      fleetManager: this.fleetManager,
       log,
     });
   }
 
   /**
-   * One step, taken after each of the node's rounds.
-   * @param fresh - the replica is recent enough to decide on machines; without it only shards are assigned
+   * Performs one step of the leader's duties. Called after each scheduling round of the node.
+   *
+   * @param isFresh - true if the replica is recent enough to decide on machines; if false, only shards are assigned and
+   * machine types refreshed
    */
-  step(fresh: boolean): void {
+  step(isFresh: boolean): void {
     const { membership, clock } = this.options;
     const termProof = membership.roles.proveHeld('lead');
     if (!termProof) return;
     if (termProof.term !== this.term) this.beginTerm(termProof);
     void this.machineTypes.refreshIfDue(termProof);
     void this.shardAssigner.assign(termProof);
-    if (!fresh || this.isRecording || clock.now() < this.nextFleetStepAt) return;
+    if (!isFresh || this.isRecording || clock.now() < this.nextFleetStepAt) return;
     const startedAt = clock.now();
     this.stepFleet();
-    this.nextFleetStepAt = clock.now() + (clock.now() - startedAt) * FORECAST_REST_FACTOR;
+    this.nextFleetStepAt = clock.now() + (clock.now() - startedAt) * FORECAST_PAUSE_FACTOR;
     void this.recordFleetChanges();
     void this.options.logWriter.maintain();
   }
 
-  /** Plans transfers, drains, scale-out and scale-in by a forecast of every owner's next round. */
+  /** Plans transfers, drains, scale-out and scale-in from a forecast of every owner's next scheduling round. */
   private stepFleet(): void {
     const { forecaster, replica } = this.options;
     this.rebalancer.evacuatePartitionedZones();
@@ -100,23 +102,23 @@
     const demands = this.rebalancer.transferToDemand(forecasts);
     if (demands.every(({ unmetDemand }) => unmetDemand.length === 0)) {
       for (const host of this.drainer.selectDrains(forecasts)) {
-        this.fleet.setTransferTarget(host, 'scale_in', 'underused');
+        this.fleetManager.setTransferTarget(host, 'scale_in', 'underused');
       }
     }
-    this.fleet.step(demands);
+    this.fleetManager.step(demands);
     this.statusLogger.logIfDue();
   }
 
-  /** Writes what the fleet manager wants recorded. The node's own rounds go on meanwhile: they write other logs. */
+  /** Appends the fleet manager's changes to the leader's log. Rounds go on meanwhile because they write other logs. */
   private async recordFleetChanges(): Promise<void> {
-    const draft = this.fleet.draft();
+    const draft = this.fleetManager.draft();
     if (isEmptyDraft(draft)) return;
     this.isRecording = true;
     try {
       const committed = await this.options.logWriter.append(new Map<LogId, RecordDraft>([['lead', draft]]));
       if (!committed) return;
-      this.fleet.onRecordCommitted(draft);
-      this.fleet.deleteNamed();
+      this.fleetManager.onRecordCommitted(draft);
+      this.fleetManager.deleteNamed();
     } finally {
       this.isRecording = false;
     }
@@ -129,7 +131,7 @@
     this.shardAssigner.beginTerm();
     this.rebalancer.beginTerm();
     this.drainer.beginTerm();
-    this.fleet.beginTerm(termProof);
+    this.fleetManager.beginTerm(termProof);
   }
 
   private fleetState(): FleetState {
--- a/packages/daemon/machine-drainer.ts
+++ b/packages/daemon/machine-drainer.ts
@@ -1,4 +1,4 @@
-/** Selects underused machines to be drained, and keeps those that latency-sensitive jobs use ready as a warm pool. */
+/** Selects underused machines to drain, and keeps those that latency-sensitive jobs use as a warm pool. */
 import type { Replica } from '#cluster';
 import {
   type DrainCandidate,
@@ -12,40 +12,41 @@
 import type { Forecaster, OwnerForecast } from '#scheduling';
 import { type Clock, fromSeconds, type Micros, SECOND } from '#wire';
 
-const DRAIN: DrainOptions = { maxUtilization: 0.6, minUnderusedTime: 6 * SECOND, spareFactor: 2 };
+/** Thresholds of the selection. */
+const DRAIN_OPTIONS: DrainOptions = { maxUtilization: 0.6, minUnderusedTime: 6 * SECOND, spareFactor: 2 };
 
-/** What a machine drainer works with. */
+/** Dependencies of {@link MachineDrainer}. */
 export interface MachineDrainerOptions {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly forecaster: Forecaster;
 }
 
-/** Decides for the leader which machines get no new tasks, so that they can be scaled in once empty. */
+/** Decides which machines get no new tasks, so that they can be scaled in once empty. Runs on the leader. */
 export class MachineDrainer {
   private readonly warmPool = new WarmPool();
-  /** By host: since when the machine has been underused. */
+  /** Time since which a machine has been underused. Keyed by host. */
   private readonly underusedSince = new Map<string, Micros>();
 
   constructor(private readonly options: MachineDrainerOptions) {}
 
-  /** Forgets what was observed in an earlier term. */
+  /** Clears the observations of an earlier term. */
   beginTerm(): void {
     this.underusedSince.clear();
     this.warmPool.clear();
   }
 
-  /** The machine is held ready for jobs that can't wait for one to boot. */
+  /** True if the machine is held ready for jobs that can't wait for a machine to boot. */
   isInWarmPool(host: string): boolean {
     return this.warmPool.contains(host);
   }
 
-  /** Notes which machines run latency-sensitive jobs now. */
+  /** Records which machines run latency-sensitive jobs now. */
   observeWarmPool(): void {
     this.warmPool.observe(this.hostsOfLatencySensitiveJobs(), this.options.clock.now());
   }
 
-  /** Hosts of the machines to drain. Machines of the warm pool are never among them. */
+  /** Returns the hosts of the machines to drain. Machines of the warm pool are never among them. */
   selectDrains(forecasts: readonly OwnerForecast[]): readonly string[] {
     const candidates: DrainCandidate[] = [];
     for (const [host, free] of forecasts.flatMap((forecast) => [...forecast.free])) {
@@ -53,9 +54,10 @@
       if (candidate) candidates.push(candidate);
     }
     this.forgetRemovedMachines();
-    return planDrains(candidates, DRAIN);
+    return planDrains(candidates, DRAIN_OPTIONS);
   }
 
+  /** Returns the machine as a candidate for a drain; null if it is unknown or in the warm pool. */
   private candidate(host: string, free: Resources): DrainCandidate | null {
     const { replica } = this.options;
     const machine = replica.ledger.machines.get(host);
@@ -72,10 +74,10 @@
     };
   }
 
-  /** Notes how much of the machine is used and returns for how long it has been underused. */
+  /** Records the utilization of the machine and returns how long the machine has been underused. */
   private observeUtilization(host: string, used: number): Micros {
     const now = this.options.clock.now();
-    if (used > DRAIN.maxUtilization) this.underusedSince.delete(host);
+    if (used > DRAIN_OPTIONS.maxUtilization) this.underusedSince.delete(host);
     else if (!this.underusedSince.has(host)) this.underusedSince.set(host, now);
     return now - (this.underusedSince.get(host) ?? now);
   }
@@ -87,7 +89,7 @@
     }
   }
 
-  /** Machines with tasks of jobs that should start sooner than a machine boots. */
+  /** Yields the hosts of tasks whose jobs have a start objective shorter than the shortest boot time. */
   private *hostsOfLatencySensitiveJobs(): Generator<string> {
     const { replica, forecaster } = this.options;
     const bootTimes = [...replica.machineTypes.values()].map((type) => fromSeconds(type.bootS));
--- a/packages/daemon/machine-rebalancer.ts
+++ b/packages/daemon/machine-rebalancer.ts
@@ -1,4 +1,4 @@
-/** Transfers machines between the shards: to owners with unmet demand, and away from owners that can't reach them. */
+/** Plans transfers of machines between shards: to owners with unmet demand, and from owners that can't reach them. */
 import type { Logger, MachineEntry, Replica } from '#cluster';
 import {
   type FleetManager,
@@ -15,39 +15,39 @@
 import { type Clock, type Micros, SECOND } from '#wire';
 import { ZoneReachability } from './zone-reachability.js';
 
-/** A transferred machine stays with its new owner for this long. */
+/** Minimum time for which a transferred machine stays with its new owner. */
 const TRANSFER_COOLDOWN: Micros = 6 * SECOND;
-/** Least difference of prices for a transfer of a machine without free capacity, in units of priority. */
+/** Minimum difference of prices for the transfer of a machine without free capacity, in units of priority. */
 const MIN_PRICE_GAP = 0.5;
-/** Machines that one owner gives in a round for the guarantee deficit of another, at most. */
+/** Maximum number of machines that one owner gives per round to reduce another owner's deficit in guaranteed quota. */
 const MAX_DEFICIT_TRANSFERS = 10;
 
-/** What a machine rebalancer works with. */
+/** Dependencies of {@link MachineRebalancer}. */
 export interface MachineRebalancerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly replica: Replica;
   readonly forecaster: Forecaster;
   readonly runTimeEstimator: RunTimeEstimator;
-  readonly fleet: FleetManager;
+  readonly fleetManager: FleetManager;
   readonly log: Logger;
 }
 
-/** Decides for the leader which shard each machine should belong to. */
+/** Decides which shard each machine should belong to. Runs on the leader. */
 export class MachineRebalancer {
-  /** By host: when the machine was last transferred to meet demand. */
+  /** When a machine was last transferred to meet demand. Keyed by host. */
   private readonly transferredAt = new Map<string, Micros>();
 
   constructor(private readonly options: MachineRebalancerOptions) {}
 
-  /** Forgets the transfers of an earlier term. */
+  /** Clears the transfers of an earlier term. */
   beginTerm(): void {
     this.transferredAt.clear();
   }
 
-  /** Transfers machines whose owner can't reach their zone to a shard whose owner can. */
+  /** Transfers each machine whose owner can't reach its zone to a shard whose owner can. */
   evacuatePartitionedZones(): void {
-    const { replica, settings, fleet } = this.options;
+    const { replica, settings, fleetManager } = this.options;
     const reachability = new ZoneReachability(replica);
     if (!reachability.hasPartition) return;
     for (const machine of replica.ledger.machines.values()) {
@@ -55,11 +55,11 @@
       if (!owner || machine.destination === 'scale_in') continue;
       if (reachability.canReach(owner.member, machine.zone)) continue;
       const shard = shardForZone(replica, settings.initialSize, machine.zone);
-      if (shard !== machine.shard) fleet.setTransferTarget(machine.host, shard, 'zone partitioned');
+      if (shard !== machine.shard) fleetManager.setTransferTarget(machine.host, shard, 'zone partitioned');
     }
   }
 
-  /** Sets the targets of this round's transfers and returns the demand of each shard that they leave unmet. */
+  /** Sets the targets of this step's transfers. Returns each owner's remaining unmet demand, under its first shard. */
   transferToDemand(forecasts: readonly OwnerForecast[]): ShardDemand[] {
     const reachability = new ZoneReachability(this.options.replica);
     const { transfers, unmetDemand } = this.plan(forecasts, reachability);
@@ -73,6 +73,7 @@
     }));
   }
 
+  /** Plans the transfers that reduce unmet demand, and the demand that they leave unmet. */
   private plan(forecasts: readonly OwnerForecast[], reachability: ZoneReachability): TransferPlan {
     return planTransfers({
       owners: forecasts.map((forecast) => ({ ...forecast, owner: forecast.member })),
@@ -84,16 +85,17 @@
   }
 
   private setTargets(transfers: readonly MachineTransfer[], forecasts: readonly OwnerForecast[]): void {
-    const { clock, fleet, log } = this.options;
+    const { clock, fleetManager, log } = this.options;
     for (const { host, owner } of transfers) {
       const shard = forecasts.find((forecast) => forecast.member === owner)?.shards[0];
       if (shard === undefined) continue;
       this.transferredAt.set(host, clock.now());
-      fleet.setTransferTarget(host, shard, 'unmet demand');
+      fleetManager.setTransferTarget(host, shard, 'unmet demand');
     }
     if (transfers.length > 0) log.debug({ transfers }, 'machine transfers planned');
   }
 
+  /** Returns the forecast machines as candidates for a transfer. */
   private candidates(forecasts: readonly OwnerForecast[]): TransferCandidate[] {
     const candidates: TransferCandidate[] = [];
     for (const forecast of forecasts) {
@@ -105,7 +107,7 @@
     return candidates;
   }
 
-  /** The machine as a candidate for a transfer; null if the machine or its type is not known. */
+  /** Returns the machine as a candidate for a transfer; null if the machine or its type is unknown. */
   private candidate(forecast: OwnerForecast, host: string, free: Resources): TransferCandidate | null {
     const { replica, runTimeEstimator } = this.options;
     const machine = replica.ledger.machines.get(host);
@@ -119,7 +121,7 @@
       owner: forecast.member,
       free,
       total: resourcesOf(type),
-      // A reserved machine is as good as used by the task that it is reserved for.
+      // A reserved machine counts as used by the task for which it is reserved.
       isInCooldown:
         forecast.reservedHosts.has(host) || this.isRecentlyTransferred(host) || this.hasGangTask(host),
       busyFor: () => runTimeEstimator.busyFor(host),
@@ -131,7 +133,7 @@
     return this.options.clock.now() - transferredAt < TRANSFER_COOLDOWN;
   }
 
-  /** A gang is best controlled by one owner of all its machines, so a machine with a part of one stays. */
+  /** True if a gang task runs on the machine. Such a machine stays: one owner should control the whole gang. */
   private hasGangTask(host: string): boolean {
     for (const { gangSize } of this.options.replica.ledger.placementsOn(host)) {
       if (gangSize !== null) return true;
@@ -140,7 +142,7 @@
   }
 }
 
-/** The shard with the fewest machines among those whose owners can reach the zone; 0 if there is none. */
+/** Returns the shard with the fewest machines among those whose owners can reach the zone; 0 if there is none. */
 export function shardForZone(replica: Replica, shardCount: number, zone: string): number {
   const reachability = new ZoneReachability(replica);
   const machineCounts = new Map<number, number>();
@@ -157,7 +159,7 @@
   return fewest?.[0] ?? 0;
 }
 
-/** The shard that the machine is being transferred to, or else the one that it belongs to. */
+/** Returns the shard that the machine is transferred to or, without a transfer, the one that it belongs to. */
 function intendedShard({ destination, shard }: MachineEntry): number | null {
   return typeof destination === 'number' ? destination : shard;
 }
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -1,4 +1,4 @@
-/** Builds the parts of a node that work on its copy of the state, in the order of what they depend on. */
+/** Builds the components of a node, grouped by purpose and ordered by their dependencies. */
 import {
   type Logger,
   LogWriter,
@@ -18,34 +18,37 @@
 import { StateFreshness } from './state-freshness.js';
 import { WriteBudget } from './write-budget.js';
 
-/** How long a silent worker or peer is taken to have observed more than the state service shows. */
+/** How long the last observation of an unresponsive worker or peer counts in the detection of data loss. */
 const OBSERVATION_LIFETIME: Micros = 60 * SECOND;
 
-/** What a node is made of: its settings and its ways to the world outside. */
+/** Dependencies of {@link Controller}: the settings, and the clocks, randomness, clients and logger of the process. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly tuning: Tuning;
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   readonly random: () => number;
-  /** Unique for this start of the process. */
+  /** Identifies this start of the process. Unique among all starts of all nodes. */
   readonly incarnation: string;
   readonly httpClient: HttpClient;
   readonly ping: Ping;
   readonly log: Logger;
 }
 
-/** What follows and changes the state service and the cloud. The clients behind it are held by the controller only. */
-export interface CoreComponents {
+/**
+ * The replica of the state, the membership, and the fenced clients of the state service and the cloud. Only the
+ * controller holds the unfenced clients that these wrap.
+ */
+export interface ClusterComponents {
   readonly replica: Replica;
   readonly membership: Membership;
   readonly fencedStore: FencedStore;
   readonly cloud: FencedCloud;
-  /** Null unless the operators' settings switch it on. */
+  /** Null unless the operators' settings enable the detection of data loss. */
   readonly dataLossDetector: DataLossDetector | null;
 }
 
-/** Builds the detector of data loss; null unless the operators' settings switch it on. */
+/** Builds the data loss detector; null unless the operators' settings enable it. */
 export function buildDataLossDetector({
   settings,
   tuning,
@@ -62,18 +65,24 @@
   });
 }
 
-/** What judges this node's copy of the state, and the workers that follow from it. */
-export interface StateComponents {
+/**
+ * Decides whether this node may command a worker: by shard ownership, by the freshness of the replica and by whether
+ * workers reach this node.
+ */
+export interface AuthorityComponents {
   readonly workers: WorkerRegistry;
   readonly workerReachability: WorkerReachability;
   readonly ownership: ShardOwnership;
   readonly freshness: StateFreshness;
 }
 
-/** Builds what judges the copy of the state, and the registry of workers. */
-export function buildStateComponents(options: ControllerOptions, core: CoreComponents): StateComponents {
+/** Builds the components that decide whether this node may command a worker. */
+export function buildAuthorityComponents(
+  options: ControllerOptions,
+  cluster: ClusterComponents,
+): AuthorityComponents {
   const { settings, clock } = options;
-  const { replica, membership, dataLossDetector } = core;
+  const { replica, membership, dataLossDetector } = cluster;
   const workers = new WorkerRegistry(settings);
   const workerReachability = new WorkerReachability(settings);
   const freshness = new StateFreshness({
@@ -86,24 +95,24 @@
   return { workers, workerReachability, ownership, freshness };
 }
 
-/** What writes placement records and checkpoints, and the limits it keeps. */
+/** The writer of placement records and checkpoints, and the size limits of its transactions. */
 export interface WriteComponents {
   readonly writeLimits: WriteLimits;
   readonly logWriter: LogWriter;
 }
 
-/** Builds what writes placement records and checkpoints. */
+/** Builds the writer of placement records and checkpoints, with its rate limiters. */
 export function buildWriteComponents(
   options: ControllerOptions,
-  core: CoreComponents,
+  cluster: ClusterComponents,
   freshness: StateFreshness,
 ): WriteComponents {
   const { settings, clock, log } = options;
-  const { replica, fencedStore } = core;
-  const { roles } = core.membership;
+  const { replica, fencedStore } = cluster;
+  const { roles } = cluster.membership;
   const budget = new WriteBudget({ settings, replica, freshness });
-  const logs = new RateLimiter(clock, (ownRate) => budget.logWriteRate(ownRate));
-  const checkpoints = new RateLimiter(clock, () => budget.checkpointWriteRate());
+  const logRateLimiter = new RateLimiter(clock, (currentRate) => budget.logWriteRate(currentRate));
+  const checkpointRateLimiter = new RateLimiter(clock, () => budget.checkpointWriteRate());
   const writeLimits = new WriteLimits(settings.valueBytes, settings.txnOps);
   const logWriter = new LogWriter({
     store: fencedStore,
@@ -111,21 +120,21 @@
     roles,
     clock,
     limits: writeLimits,
-    recordLimiter: logs,
-    checkpointLimiter: checkpoints,
+    recordLimiter: logRateLimiter,
+    checkpointLimiter: checkpointRateLimiter,
     log,
   });
   return { writeLimits, logWriter };
 }
 
-/** What decides which task runs where. */
+/** Decides which task runs on which machine, and estimates run times and future demand. */
 export interface SchedulingComponents {
   readonly runTimeEstimator: RunTimeEstimator;
   readonly scheduler: Scheduler;
   readonly forecaster: Forecaster;
 }
 
-/** Builds what decides which task runs where. */
+/** Builds the components that decide which task runs on which machine. */
 export function buildSchedulingComponents(
   options: ControllerOptions,
   replica: Replica,
--- a/packages/daemon/round-loop.ts
+++ b/packages/daemon/round-loop.ts
@@ -1,17 +1,17 @@
-/** Runs scheduling rounds one after another, when there is something to do and no more often than planning allows. */
+/** Runs scheduling rounds one after another, on request and with a minimum spacing that depends on planning time. */
 import type { Logger, LogWriter } from '#cluster';
 import type { Tuning } from '#settings';
 import { type Clock, type Micros, sleep } from '#wire';
 import type { RoundPhase, ShardRound } from './shard-round.js';
 import type { StateFreshness } from './state-freshness.js';
 
-/** A round starts no sooner after the start of the one before than its planning time by this factor. */
-const PLANNING_REST_FACTOR = 4;
+/** Minimum time between the starts of two rounds, as a multiple of the planning time of the first. */
+const PLANNING_SPACING_FACTOR = 4;
 
-/** What the loop is doing. */
+/** The current phase of the loop. `resting`: waiting for the next round. `leading`: running the step of the leader. */
 type RoundLoopState = 'resting' | RoundPhase | 'leading' | 'stopped';
 
-/** What a {@link RoundLoop} depends on. */
+/** Dependencies of {@link RoundLoop}. */
 export interface RoundLoopOptions {
   readonly clock: Clock;
   readonly tuning: Tuning;
@@ -19,25 +19,26 @@
   readonly logWriter: LogWriter;
   readonly freshness: StateFreshness;
   readonly shardRound: ShardRound;
-  /** One step of the leader, after each round. Does nothing unless this node leads. */
+  /** Performs one step of the leader after each round. Does nothing unless this node is the leader. */
   readonly stepLeader: (isFresh: boolean) => void;
 }
 
-/** The loop of scheduling rounds. A round that fails is logged, and the next one starts as usual. */
+/** The loop of scheduling rounds. Logs the error of a round that fails; the next round starts as usual. */
 export class RoundLoop {
   private state: RoundLoopState = 'resting';
   private isRequested = false;
-  private wake: (() => void) | null = null;
-  /** Resolved once the next round has ended. */
+  /** Ends the wait for a request before its timeout; null before the first wait. */
+  private endIdleWait: (() => void) | null = null;
+  /** Callbacks to call once the next round has ended. */
   private waiters: (() => void)[] = [];
   private lastRoundAt: Micros = -Infinity;
 
   constructor(private readonly options: RoundLoopOptions) {}
 
-  /** Runs rounds until stopped. */
+  /** Runs rounds until {@link stop} is called. */
   async run(): Promise<void> {
     while (!this.isStopped()) {
-      const delay = this.delay();
+      const delay = this.delayUntilNextRound();
       if (delay > 0) await sleep(this.options.clock, delay);
       if (!this.isRequested) await this.waitForRequest();
       this.isRequested = false;
@@ -60,19 +61,19 @@
     }
   }
 
-  /** Ends {@link run} after the round that is under way or due next. */
+  /** Ends {@link run} after the current round, or after the next one if none is running. */
   stop(): void {
     this.state = 'stopped';
     this.request();
   }
 
-  /** Makes the next round start as soon as it may. */
+  /** Makes the next round start as soon as the minimum spacing allows. */
   request(): void {
     this.isRequested = true;
-    this.wake?.();
+    this.endIdleWait?.();
   }
 
-  /** Resolves once a round that starts after this call has ended, or after the timeout. */
+  /** Resolves once a round that starts after this call has ended, or after the timeout, whichever comes first. */
   waitForNextRound(timeout: Micros): Promise<void> {
     this.request();
     return new Promise((resolve) => {
@@ -85,20 +86,20 @@
   }
 
   /**
-   * Time until the next round may start. Rounds are spaced out before anything is late: a multiple of the planning
-   * time is left to workers and users.
+   * Returns the time until the next round may start; it may be negative. Planning blocks the process, so the spacing
+   * leaves a multiple of the planning time for requests of workers and users before they are delayed.
    */
-  private delay(): Micros {
+  private delayUntilNextRound(): Micros {
     const { tuning, shardRound, clock, logWriter } = this.options;
-    const spacing = Math.max(tuning.roundGap, shardRound.planningTime * PLANNING_REST_FACTOR);
+    const spacing = Math.max(tuning.roundGap, shardRound.planningTime * PLANNING_SPACING_FACTOR);
     return Math.max(this.lastRoundAt + spacing - clock.now(), logWriter.appendDelay());
   }
 
-  /** Resolves once a round is requested, or after the time that a node stays idle at most. */
+  /** Resolves once a round is requested, or after the maximum idle time. */
   private waitForRequest(): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.options.clock.after(this.options.tuning.roundIdle, finish);
-      this.wake = finish;
+      this.endIdleWait = finish;
       function finish(): void {
         timer.cancel();
         resolve();
--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -1,4 +1,4 @@
-/** Assigns shards to the members of the cluster: the part of the leader that writes the owner records. */
+/** Assigns shards to the members of the cluster. Only the leader does so, by writing the owner records. */
 import {
   eligibleOwners,
   encodeOwner,
@@ -18,10 +18,10 @@
 import { type Clock, type Micros, SECOND } from '#wire';
 import { ZoneReachability } from './zone-reachability.js';
 
-/** Least time between two assignments while every shard has a living owner. */
+/** Minimum time between two assignments while every shard has a live owner. */
 const REBALANCE_INTERVAL: Micros = 3 * SECOND;
 
-/** What a shard assigner works with. */
+/** Dependencies of {@link ShardAssigner}. */
 export interface ShardAssignerOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -32,8 +32,8 @@
 }
 
 /**
- * Gives shards without a living owner a new one, and evens out how many shards the members own. Every assignment
- * raises the fencing token in the same transaction, so that an earlier owner of the shard is fenced off.
+ * Assigns new owners to shards without a live owner, and balances the number of shards among the members. Every
+ * assignment raises the fencing token in the same transaction, so that an earlier owner of the shard is fenced.
  */
 export class ShardAssigner {
   private assignedAt: Micros = -Infinity;
@@ -41,7 +41,7 @@
 
   constructor(private readonly options: ShardAssignerOptions) {}
 
-  /** Forgets the time of the last assignment, which another leader may have followed up since. */
+  /** Clears the time of the last assignment: another leader may have assigned shards since. */
   beginTerm(): void {
     this.assignedAt = -Infinity;
   }
@@ -57,7 +57,7 @@
     const fencingToken = replica.fencingToken.value + 1;
     const guards = this.guards(assignments);
     const writes = this.writes(assignments, fencingToken);
-    // Operators see the name of the action in the reason of a refusal.
+    // The name of the action is part of the refusals that operators are shown, so it stays as it is.
     const result = await store.compareAndSwap({
       proofs: [termProof],
       action: 'deal shares',
@@ -73,7 +73,7 @@
     this.isAssigning = false;
   }
 
-  /** What to assign now, as much as one transaction holds; null if nothing has to change yet. */
+  /** Returns the assignments to write now, as many as fit one transaction; null if none are due. */
   private dueAssignments(): readonly ShardAssignment[] | null {
     const { replica, settings, writeLimits, clock } = this.options;
     const members = eligibleOwners([...replica.members.values()]);
@@ -84,19 +84,22 @@
       weights: this.weights(),
     });
     const isUrgent = plan.some(({ shard }) => this.isOrphaned(shard, members));
-    const isResting = clock.now() - this.assignedAt < REBALANCE_INTERVAL;
-    if (plan.length === 0 || (!isUrgent && isResting)) return null;
+    const isInCooldown = clock.now() - this.assignedAt < REBALANCE_INTERVAL;
+    if (plan.length === 0 || (!isUrgent && isInCooldown)) return null;
     // The fencing token takes one operation of the transaction.
     return plan.slice(0, writeLimits.txnOps - 1);
   }
 
-  /** Nobody serves the shard: its owner is gone, was restarted, or has resigned from it. */
+  /** True if no member serves the shard: its owner is gone, was restarted, or has resigned the shard. */
   private isOrphaned(shard: number, members: readonly Member[]): boolean {
     const owner = this.options.replica.shardOwners.get(shard);
-    const holder = members.find((m) => m.member === owner?.member && m.nonce === owner.nonce);
+    const holder = members.find(
+      (candidate) => candidate.member === owner?.member && candidate.nonce === owner.nonce,
+    );
     return !holder || holder.resignedShards.includes(shard);
   }
 
+  /** Returns the conditions of the transaction: the fencing token and the owner records are unchanged. */
   private guards(assignments: readonly ShardAssignment[]): Guard[] {
     const { fencingToken, shardOwners } = this.options.replica;
     return [
@@ -108,6 +111,7 @@
     ];
   }
 
+  /** Returns the writes of the new fencing token and of the owner records, each under its member's lease. */
   private writes(assignments: readonly ShardAssignment[], fencingToken: number): Write[] {
     const writes: Write[] = [{ set: FENCING_TOKEN_KEY, value: encodeToken(fencingToken) }];
     for (const { shard, member } of assignments) {
@@ -120,8 +124,8 @@
   }
 
   /**
-   * Weight of each member during a network partition: the CPUs of the machines that it can reach, each divided
-   * among all members that reach it. Empty, for equal weights, while there is no partition.
+   * Returns the weight of each member during a network partition: the CPUs of the machines that it can reach, with
+   * each machine divided among all members that reach it. Empty, which means equal weights, without a partition.
    */
   private weights(): Map<string, number> {
     const { replica } = this.options;
@@ -131,9 +135,9 @@
     const members = [...replica.members.keys()];
     for (const { machineType, zone } of replica.ledger.machines.values()) {
       const cpus = replica.machineTypes.get(machineType)?.cpus ?? 1;
-      const reaching = members.filter((member) => reachability.canReach(member, zone));
-      for (const member of reaching) {
-        weights.set(member, (weights.get(member) ?? 0) + cpus / reaching.length);
+      const reachingMembers = members.filter((member) => reachability.canReach(member, zone));
+      for (const member of reachingMembers) {
+        weights.set(member, (weights.get(member) ?? 0) + cpus / reachingMembers.length);
       }
     }
     return weights;
--- a/packages/daemon/shard-ownership.ts
+++ b/packages/daemon/shard-ownership.ts
@@ -1,9 +1,9 @@
-/** The shards that this node owns, and the workers that follow from them. */
+/** The shards that this node owns, and the workers of their machines. */
 import type { Membership, Replica, ShardOwner } from '#cluster';
 import type { Clock } from '#wire';
 import type { WorkerRegistry } from '#workers';
 
-/** What a {@link ShardOwnership} depends on. */
+/** Dependencies of {@link ShardOwnership}. */
 export interface ShardOwnershipOptions {
   readonly clock: Clock;
   readonly membership: Membership;
@@ -11,16 +11,16 @@
   readonly workers: WorkerRegistry;
 }
 
-/** Keeps the registry of workers in step with the shards that this node owns. */
+/** Synchronizes the registry of workers with the shards that this node owns. */
 export class ShardOwnership {
   constructor(private readonly options: ShardOwnershipOptions) {}
 
-  /** The shards that this node may act for now, with their owner records. */
+  /** Returns the shards that this node may act for now, with their owner records. */
   ownedShards(): Map<number, ShardOwner> {
     return this.options.membership.ownedShards();
   }
 
-  /** Makes the registry track the workers of exactly the machines of owned shards. */
+  /** Makes the registry track exactly the workers whose machines belong to owned shards. */
   syncWorkers(): void {
     const { workers, replica, clock } = this.options;
     workers.syncOwnership({
--- a/packages/daemon/shard-round.ts
+++ b/packages/daemon/shard-round.ts
@@ -1,4 +1,4 @@
-/** One scheduling round over the shards that this node owns: plan, commit, and what follows from the commit. */
+/** One scheduling round over the shards that this node owns: plan, commit the plan, and complete finished jobs. */
 import type { Logger, LogId, LogWriter, MachineEntry, RecordDraft, Replica } from '#cluster';
 import type { RoundPlan, RunTimeEstimator, Scheduler } from '#scheduling';
 import type { Clock, Micros } from '#wire';
@@ -7,10 +7,10 @@
 import { ShardDrafts } from './shard-drafts.js';
 import type { ShardOwnership } from './shard-ownership.js';
 
-/** The phases of a round, in their order. */
+/** The phases of a round, in the order in which they occur. */
 export type RoundPhase = 'planning' | 'committing' | 'finishing';
 
-/** What a {@link ShardRound} depends on. */
+/** Dependencies of {@link ShardRound}. */
 export interface ShardRoundOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -23,7 +23,7 @@
   readonly pendingReleases: PendingReleases;
 }
 
-/** What a round is to commit. */
+/** The result of the planning phase, to be committed. */
 interface PlannedRound {
   readonly completions: readonly TaskCompletion[];
   readonly drafts: ReadonlyMap<LogId, RecordDraft>;
@@ -31,7 +31,7 @@
 
 /** Runs scheduling rounds: each writes one placement record for every owned shard that has changes. */
 export class ShardRound {
-  /** How long planning the last round kept the process from everything else. */
+  /** Duration of the last planning phase, which blocks the process. */
   planningTime: Micros = 0;
 
   constructor(private readonly options: ShardRoundOptions) {}
@@ -39,7 +39,7 @@
   /**
    * Runs one round.
    *
-   * @param isFresh - the state is recent enough for new starts; nothing is done otherwise
+   * @param isFresh - true if the replica is recent enough for new starts; if false, nothing is planned
    * @param onPhase - called at the beginning of each phase
    */
   async run(isFresh: boolean, onPhase: (phase: RoundPhase) => void): Promise<void> {
@@ -51,15 +51,16 @@
     const { completions, drafts } = this.plan(shards);
     if (drafts.size > 0) {
       onPhase('committing');
-      // A team's limit holds because all its starts are made by one owner: the plan relies on every planned shard.
+      // One owner makes all starts of a team, which enforces the team's limit. The commit therefore depends on the
+      // ownership of every planned shard.
       const isApplied = await logWriter.append(drafts, [...shards]);
       pendingReleases.settle(drafts, isApplied);
       if (!isApplied) return;
       for (const completion of completions) this.onCompletionCommitted(completion);
     }
     onPhase('finishing');
-    const complete = this.completeJobs(shards);
-    if (complete.length > 0) await logWriter.completeJobs(complete, [...shards]);
+    const completedJobs = this.findCompletedJobs(shards);
+    if (completedJobs.length > 0) await logWriter.completeJobs(completedJobs, [...shards]);
   }
 
   private plan(shards: ReadonlySet<number>): PlannedRound {
@@ -75,7 +76,7 @@
     return { completions, drafts: drafts.byLog };
   }
 
-  /** Drafts of completions, changes of machine status, and acquired and released machines. */
+  /** Drafts the completions, the changes of machine status, and the acquisitions and releases of machines. */
   private draftMachineChanges(
     shards: ReadonlySet<number>,
     completions: readonly TaskCompletion[],
@@ -102,7 +103,7 @@
     return drafts;
   }
 
-  /** A machine that goes back to the cloud is released only once nothing can run on it any more. */
+  /** True if the machine may leave its shard now. For scale-in it must have no placements left. */
   private isReleasable({ host, destination }: MachineEntry): boolean {
     if (destination === null) return false;
     return destination !== 'scale_in' || !this.options.replica.ledger.placementsByHost.has(host);
@@ -129,8 +130,8 @@
     this.options.log.info({ task, host, attempt, outcome }, 'task attempt ended');
   }
 
-  /** Jobs of owned shards all of whose tasks are done. */
-  private completeJobs(shards: ReadonlySet<number>): Parameters<LogWriter['completeJobs']>[0] {
+  /** Returns the jobs of owned shards whose tasks are all done. */
+  private findCompletedJobs(shards: ReadonlySet<number>): Parameters<LogWriter['completeJobs']>[0] {
     const { replica, scheduler } = this.options;
     return [...replica.jobs].filter(([id, job]) => {
       const done = replica.ledger.jobs.get(id)?.done.count ?? 0;
--- a/packages/daemon/state-freshness.ts
+++ b/packages/daemon/state-freshness.ts
@@ -1,38 +1,38 @@
-/** How recent a node's copy of the state is, and what the statuses of peers say about it. */
+/** Measures how recent a node's replica is, from its own reads and from the statuses of peers. */
 import type { PeerStatus, Replica } from '#cluster';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 import type { ShardOwnership } from './shard-ownership.js';
 
-/** The state is fresh, so that tasks may be started, while it is known to be younger than this. */
+/** Maximum age of the replica at which it counts as fresh, so that tasks may be started. */
 const MAX_FRESH_AGE: Micros = 3 * SECOND;
-/** How long the watch may take to bring a fencing token that a peer has announced. */
+/** How long the watch may take to deliver a fencing token that a peer has announced. */
 const PEER_TOKEN_GRACE: Micros = SECOND;
-/** For how long a peer's status is taken to hold. */
+/** How long a peer's status counts as current. */
 const PEER_STATUS_LIFETIME: Micros = 2 * SECOND;
-/** Time between two read barriers of a node that owns shards. */
+/** Time between two read barriers on a node that owns shards. */
 const OWNER_REFRESH_INTERVAL: Micros = 800 * MS;
-/** The same of a node that owns none. */
+/** Time between two read barriers on a node that owns no shards. */
 const IDLE_REFRESH_INTERVAL: Micros = 2 * SECOND;
 
-/** The highest fencing token that a peer has announced. */
-interface PeerToken {
+/** The highest fencing token that any peer has announced. */
+interface PeerFencingToken {
   readonly token: number;
-  /** When a peer first announced it. */
+  /** When the token was first announced. */
   readonly since: Micros;
 }
 
-/** What a {@link StateFreshness} depends on. */
+/** Dependencies of {@link StateFreshness}. */
 export interface StateFreshnessOptions {
   readonly replica: Replica;
   readonly clock: Clock;
   readonly hasPeers: boolean;
-  /** Whether the state service has lost no data, as far as this node knows. */
+  /** Returns true if this node knows of no data loss in the state service. */
   readonly isStateIntact: () => boolean;
 }
 
-/** Judges how recent this node's copy of the state is. */
+/** Judges how recent this node's replica is. */
 export class StateFreshness {
-  private highestPeerToken: PeerToken = { token: 0, since: -Infinity };
+  private highestPeerFencingToken: PeerFencingToken = { token: 0, since: -Infinity };
   /** When a peer that reaches the state service last sent its status. */
   private peerReachedStoreAt: Micros = -Infinity;
   /** When any peer last sent its status. */
@@ -40,66 +40,66 @@
 
   constructor(private readonly options: StateFreshnessOptions) {}
 
-  /** A peer has sent its status. */
+  /** Records the status that a peer has sent. */
   onPeerStatus({ fencingToken, isStoreReachable }: PeerStatus): void {
     const now = this.options.clock.now();
     this.peerStatusAt = now;
     if (isStoreReachable) this.peerReachedStoreAt = now;
-    if (fencingToken > this.highestPeerToken.token)
-      this.highestPeerToken = { token: fencingToken, since: now };
+    if (fencingToken > this.highestPeerFencingToken.token)
+      this.highestPeerFencingToken = { token: fencingToken, since: now };
   }
 
   /**
-   * A peer announced a higher fencing token that the watch has not brought: the state service serves the others while
-   * this node is cut off from it, and they own by now what this node owned. A node that stops answering workers at
-   * once sends them there long before its own lease ends.
+   * True if a peer announced a higher fencing token that the watch has not delivered in time. The state service then
+   * serves the peers while this node is partitioned from it, and they may own the shards that this node owned. If the
+   * node refuses its workers at once, they find the new owners long before this node's lease expires.
    */
   isOutdated(): boolean {
-    const { token, since } = this.highestPeerToken;
+    const { token, since } = this.highestPeerFencingToken;
     const { replica, clock } = this.options;
     return token > replica.fencingToken.value && clock.now() - since > PEER_TOKEN_GRACE;
   }
 
-  /** The state is known to be recent enough for new starts. */
+  /** True if the replica is known to be recent enough for new starts. */
   isFresh(): boolean {
     const { replica, isStateIntact } = this.options;
     return replica.state === 'following' && isStateIntact() && this.age() < MAX_FRESH_AGE;
   }
 
-  /** Time since the state was last known to be complete; infinite if it never was. */
+  /** Returns the time since the replica was last known to be complete; infinite if it never was. */
   age(): Micros {
     return this.options.clock.now() - this.options.replica.verifiedAt;
   }
 
   /**
-   * A peer reached the state service well after this node did: in an outage for all, they lose it at about the same
-   * time. A node that has lost its peers as well as the state service is taken to be isolated, too: each of its
-   * refusals would free the connection that makes the load balancer choose it next.
+   * True if a peer reached the state service well after this node did. In an outage of the service itself, all nodes
+   * lose it at about the same time. A node that has lost both its peers and the state service counts as isolated, too:
+   * each of its refusals would free the connection, which makes the load balancer choose this node again.
    */
   isIsolated(): boolean {
     const now = this.options.clock.now();
-    const limit = MAX_FRESH_AGE + PEER_STATUS_LIFETIME;
+    const maxAge = MAX_FRESH_AGE + PEER_STATUS_LIFETIME;
     if (this.isFresh()) return false;
-    if (this.options.hasPeers && now - this.peerStatusAt > limit) return this.age() > limit;
-    const hasReachingPeer = now - this.peerReachedStoreAt <= PEER_STATUS_LIFETIME;
-    return hasReachingPeer && this.peerReachedStoreAt - this.options.replica.verifiedAt > limit;
+    if (this.options.hasPeers && now - this.peerStatusAt > maxAge) return this.age() > maxAge;
+    const isStoreReachableFromPeer = now - this.peerReachedStoreAt <= PEER_STATUS_LIFETIME;
+    return isStoreReachableFromPeer && this.peerReachedStoreAt - this.options.replica.verifiedAt > maxAge;
   }
 }
 
-/** What a {@link StateRefresher} depends on. */
+/** Dependencies of {@link StateRefresher}. */
 export interface StateRefresherOptions {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly ownership: ShardOwnership;
 }
 
-/** Keeps the age of the state small by read barriers: leases may be renewed only while it is small enough. */
+/** Keeps the replica's age small by periodic read barriers: leases may be renewed only while it is small enough. */
 export class StateRefresher {
   private isStopped = false;
 
   constructor(private readonly options: StateRefresherOptions) {}
 
-  /** Refreshes periodically until stopped. */
+  /** Refreshes the replica periodically until {@link stop} is called. */
   async run(): Promise<void> {
     const { clock, replica, ownership } = this.options;
     while (!this.isStopped) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Ends {@link run} after the refresh that is under way or due next. */
+  /** Ends {@link run} after the current refresh and the pause that follows. */
   stop(): void {
     this.isStopped = true;
   }
