--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -33,7 +33,7 @@
 import { NodeStatus } from './node-status.js';
 import { PendingReleases } from './pending-releases.js';
 import { ReachabilityMonitor } from './reachability-monitor.js';
-import { type HandoverResult, RoleHandover } from './role-handover.js';
+import { type HandoffResult, RoleHandoff } from './role-handoff.js';
 import { RoundLoop } from './round-loop.js';
 import { ShardRound } from './shard-round.js';
 import { StateRefresher } from './state-freshness.js';
@@ -52,7 +52,7 @@
   private readonly roundLoop: RoundLoop;
   private readonly heartbeatHandler: HeartbeatHandler;
   private readonly nodeStatus: NodeStatus;
-  private readonly roleHandover: RoleHandover;
+  private readonly roleHandoff: RoleHandoff;
   private readonly peerMonitor: PeerMonitor;
   private readonly stateRefresher: StateRefresher;
   private readonly reachabilityMonitor: ReachabilityMonitor;
@@ -73,7 +73,7 @@
     this.heartbeatHandler = this.buildHeartbeatHandler();
     const allNodes = [settings.member, ...settings.peers.map((peer) => peer.member)];
     this.nodeStatus = this.buildNodeStatus(allNodes);
-    this.roleHandover = this.buildRoleHandover(allNodes);
+    this.roleHandoff = this.buildRoleHandoff(allNodes);
     this.peerMonitor = this.buildPeerMonitor();
     this.stateRefresher = new StateRefresher({ clock, replica, ownership });
     this.reachabilityMonitor = new ReachabilityMonitor({ clock, ownership, workerReachability, membership });
@@ -111,13 +111,13 @@
   }
 
   /** Hands a role off to another member at an operator's request. */
-  resignRole(role: RoleName): Promise<HandoverResult> {
-    return this.roleHandover.resign(role);
+  resignRole(role: RoleName): Promise<HandoffResult> {
+    return this.roleHandoff.resign(role);
   }
 
   /** Resigns all roles before a planned stop, so that they are vacant for no longer than an election takes. */
   async retire(): Promise<void> {
-    await this.roleHandover.retire();
+    await this.roleHandoff.retire();
     this.stop();
   }
 
@@ -229,8 +229,8 @@
     });
   }
 
-  private buildRoleHandover(allNodes: readonly string[]): RoleHandover {
-    return new RoleHandover({
+  private buildRoleHandoff(allNodes: readonly string[]): RoleHandoff {
+    return new RoleHandoff({
       clock: this.options.clock,
       replica: this.cluster.replica,
       membership: this.cluster.membership,
--- a/packages/daemon/fleet-status-logger.ts
+++ b/packages/daemon/fleet-status-logger.ts
@@ -1,35 +1,36 @@
-/** Logs the state of the whole fleet at intervals. */
+/** Logs the number of jobs and the usage of the fleet at intervals. */
 import type { Logger, MachineEntry, Replica } from '#cluster';
 import { shapeOf } from '#pricing';
 import { type Clock, type Micros, SECOND } from '#wire';
 
 const LOG_INTERVAL: Micros = 10 * SECOND;
 
-/** What a fleet status logger works with. */
+/** Dependencies of {@link FleetStatusLogger}. */
 export interface FleetStatusLoggerOptions {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly log: Logger;
 }
 
-/** The machines of one shape. */
+/** Usage of the machines of one shape. The fields are logged under these names. */
 interface ShapeStatus {
-  /** Machines that are past booting. */
+  /** Number of machines that have booted. */
   machines: number;
+  /** Number of machines that are still booting. */
   booting: number;
-  /** CPUs of the machines that are past booting. */
+  /** Total CPUs of the machines that have booted. */
   cpus: number;
-  /** CPUs that placed tasks take. */
+  /** Total CPUs of the tasks placed on these machines. */
   placed: number;
 }
 
-/** Logs machines, CPUs and placed CPUs by shape. */
+/** Logs machines, CPUs and CPUs of placed tasks, grouped by machine shape. */
 export class FleetStatusLogger {
   private lastLoggedAt: Micros = -Infinity;
 
   constructor(private readonly options: FleetStatusLoggerOptions) {}
 
-  /** Logs the state of the fleet unless that was done within the last interval. */
+  /** Logs the status of the fleet, at most once per interval. */
   logIfDue(): void {
     const { replica, clock, log } = this.options;
     if (clock.now() - this.lastLoggedAt < LOG_INTERVAL) return;
@@ -38,12 +39,13 @@
     for (const machine of replica.ledger.machines.values()) {
       const shape = shapeOf(machine.machineType, machine.spot);
       const status = (shapes[shape] ??= { machines: 0, booting: 0, cpus: 0, placed: 0 });
-      this.count(machine, status);
+      this.addMachine(machine, status);
     }
     log.info({ jobs: replica.jobs.size, shapes }, 'fleet status');
   }
 
-  private count(machine: MachineEntry, status: ShapeStatus): void {
+  /** Adds the machine to the totals of its shape. */
+  private addMachine(machine: MachineEntry, status: ShapeStatus): void {
     const { ledger, machineTypes } = this.options.replica;
     if (machine.status === 'new') {
       status.booting++;
--- a/packages/daemon/job-feasibility.ts
+++ b/packages/daemon/job-feasibility.ts
@@ -1,17 +1,17 @@
-/** Whether the tasks of a submitted job could ever run, on any machine that the cloud offers. */
+/** Checks at submission that the tasks of a job can run on the machine types of the cloud, within the team's limit. */
 import { fits } from '#pricing';
 import type { Settings } from '#settings';
 import type { JobSpec, MachineType } from '#wire';
 
 type Team = Settings['teams'][number];
 
-/** What a job's feasibility is judged by. */
+/** The teams with their limits, and the machine types, by which feasibility is checked. */
 export interface FeasibilityLimits {
   readonly teams: readonly Team[];
   readonly machineTypes: Iterable<MachineType>;
 }
 
-/** Why the job can never run, as the response to the user says; null if it can. */
+/** Returns why the job can never run, as the error text of the response to the user; null if it can run. */
 export function infeasibleReason(job: JobSpec, { teams, machineTypes }: FeasibilityLimits): string | null {
   const team = teams.find(({ name }) => name === job.team);
   if (!team) return `unknown team ${job.team}`;
@@ -20,7 +20,7 @@
   return job.shape === 'gang' ? infeasibleGangReason(job, team) : null;
 }
 
-/** Why the tasks of a gang can never run at the same time; null if they can. */
+/** Returns why the tasks of a gang can never run at the same time; null if they can. */
 function infeasibleGangReason(job: JobSpec, team: Team): string | null {
   if (!isWithinTeamLimit(team, job, job.taskCount))
     return `all tasks together need more than the limit of team ${job.team}`;
@@ -30,6 +30,7 @@
   return null;
 }
 
+/** True if the job allows the machine type, and one task fits an empty machine of that type in an allowed zone. */
 function canRunTask(type: MachineType, job: JobSpec): boolean {
   return (
     (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
@@ -41,7 +42,7 @@
   );
 }
 
-/** Whether so many tasks of the job fit the team's limit, which counts CPUs and GPUs only. */
+/** True if `taskCount` tasks of the job fit the team's limit, which covers CPUs and GPUs but not memory. */
 function isWithinTeamLimit(team: Team, job: JobSpec, taskCount: number): boolean {
   const demand = { cpus: job.cpus * taskCount, gpus: job.gpus * taskCount, memGb: 0 };
   return fits(demand, { cpus: team.cpusMax, gpus: team.gpusMax, memGb: Infinity });
--- a/packages/daemon/machine-type-refresher.ts
+++ b/packages/daemon/machine-type-refresher.ts
@@ -1,16 +1,16 @@
-/** Keeps the stored machine types up to date with those that the cloud offers. */
+/** Keeps the stored machine types in sync with those that the cloud offers. */
 import { encodeMachineTypeRow, MACHINE_TYPE_PREFIX, type Replica } from '#cluster';
 import type { FencedCloud, FencedStore, TermProof } from '#roles';
 import { isTooLarge, type Write, type WriteLimits } from '#store';
 import { type Clock, type MachineType, type Micros, SECOND } from '#wire';
 
 const REFRESH_INTERVAL: Micros = 20 * SECOND;
-/** Time until the next request after the cloud gave no answer. */
+/** Delay before the next request after the cloud did not respond. */
 const RETRY_DELAY: Micros = SECOND;
-/** A spot price is written again once it differs by more than this part of the stored one. */
+/** A spot price is written again once it differs from the stored price by more than this fraction of that price. */
 const SPOT_PRICE_TOLERANCE = 0.05;
 
-/** What a machine type refresher works with. */
+/** Dependencies of {@link MachineTypeRefresher}. */
 export interface MachineTypeRefresherOptions {
   readonly clock: Clock;
   readonly store: FencedStore;
@@ -19,18 +19,18 @@
   readonly writeLimits: WriteLimits;
 }
 
-/** Lists the cloud's machine types at intervals and writes those that have changed. */
+/** Reads the cloud's machine types at intervals and stores those that have changed. */
 export class MachineTypeRefresher {
   private lastReadAt: Micros = -Infinity;
 
   constructor(private readonly options: MachineTypeRefresherOptions) {}
 
-  /** A new leader reads the machine types at once. */
+  /** Makes the next refresh due at once, for a new leader. */
   beginTerm(): void {
     this.lastReadAt = -Infinity;
   }
 
-  /** Reads and writes the machine types if none are known or the last read is too long ago. */
+  /** Refreshes the machine types if none are known or the refresh interval has passed. */
   async refreshIfDue(termProof: TermProof): Promise<void> {
     const { clock, cloud, replica } = this.options;
     const isDue = replica.machineTypes.size === 0 || clock.now() - this.lastReadAt > REFRESH_INTERVAL;
@@ -38,18 +38,18 @@
     this.lastReadAt = clock.now();
     const types = await cloud.listMachineTypes();
     if (!types) this.lastReadAt = clock.now() - REFRESH_INTERVAL + RETRY_DELAY;
-    // What was read under an earlier term may be older than what a successor has written.
+    // If the term ended meanwhile, a later leader may have stored newer machine types than these.
     if (!types || !termProof.isCurrent()) return;
     const changed = types.filter((type) => isChanged(type, replica.machineTypes.get(type.name)));
     await this.write(changed, termProof);
   }
 
-  /** Writes the machine types, in as many transactions as the write limits ask for. */
+  /** Writes the machine types, in as many transactions as the write limits require. */
   private async write(types: readonly MachineType[], termProof: TermProof): Promise<void> {
     const { store, writeLimits } = this.options;
-    const perTransaction = writeLimits.txnOps;
-    for (let start = 0; start < types.length; start += perTransaction) {
-      const writes: Write[] = types.slice(start, start + perTransaction).map((type) => ({
+    const typesPerTransaction = writeLimits.txnOps;
+    for (let start = 0; start < types.length; start += typesPerTransaction) {
+      const writes: Write[] = types.slice(start, start + typesPerTransaction).map((type) => ({
         set: MACHINE_TYPE_PREFIX + type.name,
         value: encodeMachineTypeRow(type),
       }));
@@ -64,13 +64,13 @@
   }
 }
 
-/** The type differs from the stored one by enough to be written. Spot prices change all the time. */
+/** True if the type has to be written. Spot prices change constantly, so small differences of these are ignored. */
 function isChanged(current: MachineType, stored: MachineType | undefined): boolean {
   if (!stored) return true;
-  const { spotPrice, ...fixed } = current;
-  const { spotPrice: storedSpotPrice, ...storedFixed } = stored;
+  const { spotPrice, ...fixedFields } = current;
+  const { spotPrice: storedSpotPrice, ...storedFixedFields } = stored;
   return (
     Math.abs(spotPrice - storedSpotPrice) > SPOT_PRICE_TOLERANCE * storedSpotPrice ||
-    JSON.stringify(fixed) !== JSON.stringify(storedFixed)
+    JSON.stringify(fixedFields) !== JSON.stringify(storedFixedFields)
   );
 }
--- a/packages/daemon/main.ts
+++ b/packages/daemon/main.ts
@@ -1,8 +1,8 @@
-/** The daemon as `deploy/service.toml` starts it. */
+/** Entry point of the daemon, as `deploy/service.toml` starts it. */
 import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
 import { runNode } from './run-node.js';
 
-/** Exit status if the command line or a settings file is not understood. */
+/** Exit status if the command line or a settings file is invalid. */
 const USAGE_EXIT_STATUS = 2;
 /** Exit status of any other failure. */
 const FAILURE_EXIT_STATUS = 1;
@@ -10,13 +10,14 @@
 
 const FLAGS = ['--config', '--operator'];
 
+/** Paths of the settings files. */
 interface SettingsFiles {
   readonly config: string;
-  /** The operators' file; null if none is given. */
+  /** The operators' settings file; null if none is given. */
   readonly operator: string | null;
 }
 
-/** Reads the command line. Throws a {@link SettingsError} with the usage if it is not understood. */
+/** Parses the command line. Throws a {@link SettingsError} with the usage text if it is invalid. */
 function parseArguments(args: readonly string[]): SettingsFiles {
   const files = new Map<string, string>();
   for (let i = 0; i < args.length; i += 2) {
--- a/packages/daemon/node-status.ts
+++ b/packages/daemon/node-status.ts
@@ -1,4 +1,4 @@
-/** What a node says of itself to its peers, to health checks and to operators. */
+/** The status of a node, as reported to its peers, to health checks and to operators. */
 import type { ServiceResponse } from '#api';
 import type {
   Membership,
@@ -15,17 +15,17 @@
 import { unavailable } from './service-responses.js';
 import type { StateFreshness } from './state-freshness.js';
 
-/** Time between two pages of terminal statuses that a snapshot reads: rounds and users come first. */
+/** Pause between two pages of terminal statuses that a snapshot reads, so that rounds and users take precedence. */
 const SNAPSHOT_PAGE_GAP: Micros = 250 * MS;
-/** Unit in which the age of a node's knowledge is shown. */
+/** Resolution at which operators are shown the age of a node's knowledge. */
 const AGE_UNIT: Micros = 100 * MS;
 const AGE_UNITS_PER_SECOND = 10;
 
-/** What a {@link NodeStatus} depends on. */
+/** Dependencies of {@link NodeStatus}. */
 export interface NodeStatusOptions {
   /** The name of this node's member. */
   readonly member: string;
-  /** Every node of the cluster, whether it is up or not. */
+  /** Names of all configured nodes of the cluster, whether they are up or not. */
   readonly allNodes: readonly string[];
   readonly clock: Clock;
   readonly replica: Replica;
@@ -36,17 +36,17 @@
   readonly dataLossDetector: DataLossDetector | null;
 }
 
-/** Status answers of one node. Nothing here changes its state. */
+/** Reports the status of one node. No method changes the node's state. */
 export class NodeStatus {
   constructor(private readonly options: NodeStatusOptions) {}
 
-  /** This node's copy of the state, for tests and tools. */
+  /** Returns this node's replica of the state, for tests and tools. */
   replicaSnapshot(): ReplicaSnapshot {
     const { state, appliedRevision, ledger } = this.options.replica;
     return { member: this.options.member, state, appliedRevision, ledger };
   }
 
-  /** What this node knows of the cluster's roles, and how old that knowledge is. */
+  /** Returns what this node knows of the cluster's roles, and the age of that knowledge. */
   roleStatus(): NodeRoleStatus {
     const { replica, membership, freshness, member, clock } = this.options;
     const age = freshness.age();
@@ -58,13 +58,13 @@
     };
   }
 
-  /** What this node knows of data loss in the state service. */
+  /** Returns what this node knows of data loss in the state service. */
   dataLossStatus(): NodeDataLossStatus {
     const { member, dataLossDetector } = this.options;
     return { member, dataLoss: dataLossDetector?.report() ?? null };
   }
 
-  /** The lines of a snapshot of this node's copy of the state; null while there is no copy. */
+  /** Returns the lines of a snapshot of this node's replica; null while the replica has not been loaded. */
   snapshot(): AsyncIterable<string> | null {
     const { replica, allNodes, clock, member, dataLossDetector } = this.options;
     if (replica.appliedRevision === 0) return null;
@@ -77,12 +77,12 @@
     return writeSnapshot(replica, { member, nodes: [...allNodes], takenAt, loss }, readPage);
   }
 
-  /** The term in which this node believes to lead; null if it doesn't. */
+  /** Returns the term of this node's leadership; null if this node can't prove that it holds the leader role. */
   leaderTerm(): number | null {
     return this.options.membership.roles.proveHeld('lead')?.term ?? null;
   }
 
-  /** The status that this node sends its peers. */
+  /** Returns the status that this node sends to its peers. */
   peerStatus(): PeerStatus {
     const { workerReachability, clock, freshness, replica, dataLossDetector } = this.options;
     const redirectedWorkers = workerReachability.redirectCounts(clock.now());
@@ -93,8 +93,9 @@
   }
 
   /**
-   * 200 once this node can serve requests. An outage of the state service hits all nodes alike and changes nothing;
-   * if a peer reaches the state service and this node alone doesn't, users are better served elsewhere.
+   * Returns 200 once this node can serve requests. An outage of the state service affects all nodes alike and does not
+   * change the response. If a peer reaches the state service and this node does not, the response is 503, so that users
+   * are served by another node.
    */
   health(): ServiceResponse {
     const { freshness, replica } = this.options;
@@ -103,7 +104,7 @@
     return isReady ? { status: 200, body: { Status: 'ok' } } : unavailable('not ready yet');
   }
 
-  /** The high-water mark for peers; null while a node of a version that can't read it may get it. */
+  /** Returns the high-water mark for peers; null while a node of a version that can't decode it may receive it. */
   private highWaterMark(): PeerHighWaterMark | null {
     const { dataLossDetector, replica, allNodes } = this.options;
     if (!dataLossDetector || !replica.allSupport(allNodes, 'memory')) return null;
--- a/packages/daemon/peer-codec.ts
+++ b/packages/daemon/peer-codec.ts
@@ -1,22 +1,23 @@
 /**
- * Codec of the messages that nodes send each other: Avro records, each after four bytes with its length. Records and
- * fields have names of their own, so that no change of the types in the code changes what nodes of other versions read.
+ * Codec of the messages between nodes: Avro records, each preceded by its length in four bytes. The names of records
+ * and fields are separate from those of the types in the code, so that renaming a type does not change what nodes of
+ * other versions read.
  */
 import { Transform, type TransformCallback } from 'node:stream';
 import avsc from 'avsc';
 import type { PeerHighWaterMark, PeerStatus } from '#cluster';
 
-/** A message of a node to a peer, and the peer's answer to it. */
+/** A ping or the reply to it. */
 export interface PeerMessage {
-  /** The node that asked; an answer repeats it. */
+  /** The member that sent the ping; a reply repeats it. */
   readonly sender: string;
-  /** Raised with every message on a connection; an answer repeats it. */
+  /** Sequence number of the ping on its connection; a reply repeats it. */
   readonly sequence: number;
-  /** The status of the sender of these bytes. */
+  /** The status of the node that sent this message, which for a reply is the node that was pinged. */
   readonly status: PeerStatus;
 }
 
-/** Bytes that are not a message of a peer. */
+/** Thrown if bytes received from a peer are not a valid message. */
 export class MalformedPeerMessageError extends Error {
   constructor(reason: string, options?: ErrorOptions) {
     super(`malformed peer message: ${reason}`, options);
@@ -24,7 +25,7 @@
   }
 }
 
-const PING = avsc.Type.forSchema({
+const PING_TYPE = avsc.Type.forSchema({
   type: 'record',
   name: 'Ping',
   fields: [
@@ -36,6 +37,7 @@
   ],
 });
 
+/** The fields of the Avro record `Ping`. */
 interface PingRecord {
   readonly member: string;
   readonly number: number;
@@ -45,10 +47,10 @@
 }
 
 /**
- * What may follow a ping, once every node has announced `memory`: versions before that treat anything after a ping as
- * a malformed message.
+ * Optional extension after the ping record. It is sent only once every node has announced the capability `memory`,
+ * because older versions treat bytes after a ping as a malformed message.
  */
-const PING_EXTENSION = avsc.Type.forSchema({
+const PING_EXTENSION_TYPE = avsc.Type.forSchema({
   type: 'record',
   name: 'PingExtension',
   fields: [
@@ -57,16 +59,18 @@
   ],
 });
 
+/** The fields of the Avro record `PingExtension`. */
 interface PingExtensionRecord {
   readonly epoch: number;
   readonly isContradicted: boolean;
 }
 
-/** The longest message in bytes, without its length. */
+/** Maximum size of a message in bytes, without the length prefix. */
 const MAX_MESSAGE_BYTES = 4096;
+/** Size of the length prefix in bytes. */
 const LENGTH_BYTES = 4;
 
-/** The bytes of a message, with its length before them. */
+/** Encodes a message with its length prefix. */
 export function encodePeerMessage({ sender, sequence, status }: PeerMessage): Buffer {
   const ping: PingRecord = {
     member: sender,
@@ -75,7 +79,7 @@
     served: status.isStoreReachable,
     referred: status.redirectedWorkers,
   };
-  const parts = [PING.toBuffer(ping)];
+  const parts = [PING_TYPE.toBuffer(ping)];
   if (status.highWaterMark !== null) parts.push(encodeHighWaterMark(status.highWaterMark));
   const body = Buffer.concat(parts);
   const length = Buffer.alloc(LENGTH_BYTES);
@@ -88,18 +92,18 @@
     epoch: revision,
     isContradicted: isInconsistent,
   };
-  return PING_EXTENSION.toBuffer(extension);
+  return PING_EXTENSION_TYPE.toBuffer(extension);
 }
 
 /**
- * Reads a message from its bytes without the length. Throws {@link MalformedPeerMessageError}, or an error of the Avro
- * decoder where a field or what follows the ping can't be read.
+ * Decodes a message without its length prefix. Throws {@link MalformedPeerMessageError} if the message is truncated,
+ * and an error of the Avro decoder if a field or the extension is invalid.
  */
 export function decodePeerMessage(bytes: Buffer): PeerMessage {
-  const decoded = PING.decode(bytes, 0);
+  const decoded = PING_TYPE.decode(bytes, 0);
   const ping = decoded.value as PingRecord;
   const { offset } = decoded;
-  if (offset < 0) throw new MalformedPeerMessageError(`cut off after ${bytes.length} bytes`);
+  if (offset < 0) throw new MalformedPeerMessageError(`truncated after ${bytes.length} bytes`);
   const status: PeerStatus = {
     fencingToken: ping.token,
     isStoreReachable: ping.served,
@@ -110,31 +114,39 @@
 }
 
 function decodeHighWaterMark(bytes: Buffer): PeerHighWaterMark {
-  const extension = PING_EXTENSION.fromBuffer(bytes) as PingExtensionRecord;
+  const extension = PING_EXTENSION_TYPE.fromBuffer(bytes) as PingExtensionRecord;
   return { revision: extension.epoch, isInconsistent: extension.isContradicted };
 }
 
-/** Splits a stream of bytes into messages without their lengths. Fails on a message that is too long. */
+/**
+ * Splits a stream of bytes into messages and strips their length prefixes. Fails with a
+ * {@link MalformedPeerMessageError} on a message that is too long.
+ */
 export class PeerMessageSplitter extends Transform {
-  private rest = Buffer.alloc(0);
+  /** Received bytes that do not yet form a complete message. */
+  private buffered = Buffer.alloc(0);
 
   constructor() {
     super({ readableObjectMode: true });
   }
 
-  override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
-    this.rest = Buffer.concat([this.rest, chunk]);
-    while (this.rest.length >= LENGTH_BYTES) {
-      const length = this.rest.readUInt32BE(0);
+  override _transform(chunk: Buffer, _encoding: string, callback: TransformCallback): void {
+    this.buffered = Buffer.concat([this.buffered, chunk]);
+    while (this.buffered.length >= LENGTH_BYTES) {
+      const length = this.buffered.readUInt32BE(0);
       if (length > MAX_MESSAGE_BYTES) {
-        done(new MalformedPeerMessageError(`${length} bytes, ${MAX_MESSAGE_BYTES} at most`));
+        callback(
+          new MalformedPeerMessageError(
+            `length of ${length} bytes exceeds the maximum of ${MAX_MESSAGE_BYTES} bytes`,
+          ),
+        );
         return;
       }
       const end = LENGTH_BYTES + length;
-      if (this.rest.length < end) break;
-      this.push(this.rest.subarray(LENGTH_BYTES, end));
-      this.rest = this.rest.subarray(end);
+      if (this.buffered.length < end) break;
+      this.push(this.buffered.subarray(LENGTH_BYTES, end));
+      this.buffered = this.buffered.subarray(end);
     }
-    done();
+    callback();
   }
 }
--- a/packages/daemon/peer-links.ts
+++ b/packages/daemon/peer-links.ts
@@ -1,31 +1,31 @@
 /**
- * Connections between nodes. Each node pings its peers and answers their pings; each ping and
- * each answer carries the sender's status. This only lets nodes react sooner: no decision depends on it.
+ * Connections between nodes. Each node pings its peers and replies to their pings. Each ping and each reply carries the
+ * sender's status, which only lets nodes react sooner: no decision depends on it for safety.
  */
 import { createServer, type Server, Socket } from 'node:net';
 import type { PeerStatus, Ping, PingReply, PingResult } from '#cluster';
 import { type Micros, MS, parseEndpoint } from '#wire';
 import { decodePeerMessage, encodePeerMessage, type PeerMessage, PeerMessageSplitter } from './peer-codec.js';
 
-/** Passes every message that arrives to `onMessage`; bytes that are not a message close the connection. */
+/** Passes every message that arrives to `onMessage`. Closes the connection on bytes that are not a message. */
 function readMessages(socket: Socket, onMessage: (message: PeerMessage) => void): void {
-  const messages = socket.pipe(new PeerMessageSplitter());
-  const fail = (): void => {
+  const splitter = socket.pipe(new PeerMessageSplitter());
+  const closeConnection = (): void => {
     socket.destroy();
   };
-  messages.on('error', fail);
-  messages.on('data', (bytes: Buffer) => {
+  splitter.on('error', closeConnection);
+  splitter.on('data', (bytes: Buffer) => {
     try {
       onMessage(decodePeerMessage(bytes));
     } catch {
-      fail();
+      closeConnection();
     }
   });
 }
 
 /**
- * Answers the pings of other nodes with this node's status. Resolves once it listens on the address (`host:port`);
- * rejects if it can't.
+ * Replies to the pings of other nodes with this node's status. Resolves once the server listens on the address
+ * (`host:port`); rejects if it can't.
  */
 export function servePeers(address: string, status: () => PeerStatus): Promise<Server> {
   const server = createServer((socket) => {
@@ -43,13 +43,14 @@
   });
 }
 
-/** A ping that was sent and not answered. */
+/** A ping that was sent and has no reply yet. */
 interface PendingPing {
   readonly sequence: number;
-  readonly finish: (answer: PingReply) => void;
+  /** Resolves the ping with this reply, unless a newer ping has replaced it. */
+  readonly finish: (reply: PingReply) => void;
 }
 
-/** A persistent connection to a peer, reopened after a failure. A new ping replaces one that has no answer yet. */
+/** A persistent connection to a peer, reopened after a failure. A new ping replaces one that has no reply yet. */
 class PeerLink {
   private socket: Socket | null = null;
   private lastSequence = 0;
@@ -61,25 +62,30 @@
     private readonly status: () => PeerStatus,
   ) {}
 
+  /**
+   * Sends a ping. Resolves with the reply, or with a failure once the connection is lost or the timeout has passed. The
+   * promise of a ping that a newer ping has replaced never resolves.
+   */
   ping(timeout: Micros): Promise<PingReply> {
     return new Promise((resolve) => {
       const sequence = ++this.lastSequence;
-      const finish = (answer: PingReply): void => {
+      const finish = (reply: PingReply): void => {
         if (this.pending?.sequence !== sequence) return;
         this.pending = null;
         clearTimeout(timer);
-        if (answer.result !== 'ok') this.drop();
-        resolve(answer);
+        if (reply.result !== 'ok') this.disconnect();
+        resolve(reply);
       };
       const timer = setTimeout(() => {
-        finish(failed('silent'));
+        finish(failedReply('silent'));
       }, timeout / MS);
       this.pending = { sequence, finish };
-      this.connection().write(encodePeerMessage({ sender: this.member, sequence, status: this.status() }));
+      this.openSocket().write(encodePeerMessage({ sender: this.member, sequence, status: this.status() }));
     });
   }
 
-  private connection(): Socket {
+  /** Returns the open socket; connects if there is none. */
+  private openSocket(): Socket {
     return (this.socket ??= this.connect());
   }
 
@@ -88,7 +94,7 @@
     const onLost = (): void => {
       if (this.socket !== socket) return;
       this.socket = null;
-      this.pending?.finish(failed('refused'));
+      this.pending?.finish(failedReply('refused'));
     };
     socket.on('error', onLost);
     socket.on('close', onLost);
@@ -99,18 +105,19 @@
     return socket;
   }
 
-  private drop(): void {
+  /** Closes the connection; the next ping opens another. */
+  private disconnect(): void {
     const socket = this.socket;
     this.socket = null;
     socket?.destroy();
   }
 }
 
-function failed(result: Exclude<PingResult, 'ok'>): PingReply {
+function failedReply(result: Exclude<PingResult, 'ok'>): PingReply {
   return { result, status: null };
 }
 
-/** Creates a function that pings peers as this member, over one persistent connection for each endpoint. */
+/** Creates a function that pings peers in the name of this member, over one persistent connection per endpoint. */
 export function createPinger(member: string, status: () => PeerStatus): Ping {
   const links = new Map<string, PeerLink>();
   return (endpoint, timeout) => {
--- a/packages/daemon/reachability-monitor.ts
+++ b/packages/daemon/reachability-monitor.ts
@@ -1,9 +1,9 @@
-/** Watches whether the workers of this node's machines reach it. */
+/** Monitors whether the workers of this node's machines reach this node. */
 import { type Membership, REACHABILITY_CHECK_INTERVAL, type WorkerReachability } from '#cluster';
 import { type Clock, sleep } from '#wire';
 import type { ShardOwnership } from './shard-ownership.js';
 
-/** What a {@link ReachabilityMonitor} depends on. */
+/** Dependencies of {@link ReachabilityMonitor}. */
 export interface ReachabilityMonitorOptions {
   readonly clock: Clock;
   readonly ownership: ShardOwnership;
@@ -11,13 +11,13 @@
   readonly membership: Membership;
 }
 
-/** Publishes in the member status when the workers of this node reach every node but this one. */
+/** Publishes in the member status whether the workers of this node reach other nodes but not this one. */
 export class ReachabilityMonitor {
   private isStopped = false;
 
   constructor(private readonly options: ReachabilityMonitorOptions) {}
 
-  /** Checks periodically until stopped. */
+  /** Checks reachability periodically until {@link stop} is called. */
   async run(): Promise<void> {
     const { clock, ownership, workerReachability, membership } = this.options;
     while (!this.isStopped) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Ends {@link run} after the check that is due next. */
+  /** Ends {@link run} after the next check. */
   stop(): void {
     this.isStopped = true;
   }
--- a/packages/daemon/role-handover.test.ts
+++ b/packages/daemon/role-handoff.test.ts
@@ -6,7 +6,7 @@
 import type { CommitResult } from '#store';
 import { type Clock, type Micros, SECOND } from '#wire';
 import type { StateFreshness } from './state-freshness.js';
-import { RoleHandover, type RoleHandoverOptions } from './role-handover.js';
+import { RoleHandoff, type RoleHandoffOptions } from './role-handoff.js';
 
 /** A clock whose timers fire at once, with their delay added to the time. */
 class LeapingClock implements Clock {
@@ -31,7 +31,7 @@
 interface Situation {
   isStoreReachable: boolean;
   members: string[];
-  supportsHandover: boolean;
+  supportsHandoff: boolean;
   commit: CommitResult;
   /** Shards that stay with this node. */
   retainedShards: number[];
@@ -42,7 +42,7 @@
 const HEALTHY: Situation = {
   isStoreReachable: true,
   members: ['node-1', 'node-2'],
-  supportsHandover: true,
+  supportsHandoff: true,
   commit: { kind: 'applied', revision: 9 },
   retainedShards: [],
   ownedShards: [1],
@@ -50,7 +50,7 @@
 
 interface Trial {
   clock: Clock;
-  handover: RoleHandover;
+  handover: RoleHandoff;
   roles: RoleRegistry;
   /** The resigned shards that this node published, in their order. */
   published: string[];
@@ -75,7 +75,7 @@
   const replica: Partial<Replica> = {
     members: new Map(situation.members.map((member) => [member, {} as Member])),
     shardOwners: new Map(situation.ownedShards.map((shard) => [shard, {} as ShardOwner])),
-    allSupport: () => situation.supportsHandover,
+    allSupport: () => situation.supportsHandoff,
   };
   const membership: Partial<Membership> = {
     roles,
@@ -88,7 +88,7 @@
     },
   };
   const freshness: Partial<StateFreshness> = { isFresh: () => situation.isStoreReachable };
-  const parts: RoleHandoverOptions = {
+  const parts: RoleHandoffOptions = {
     clock,
     replica: replica as Replica,
     membership: membership as Membership,
@@ -96,7 +96,7 @@
     freshness: freshness as StateFreshness,
     allNodes: ['node-1', 'node-2'],
   };
-  return { clock, handover: new RoleHandover(parts), roles, published };
+  return { clock, handover: new RoleHandoff(parts), roles, published };
 }
 
 /** The result of handing a role over, as text. */
@@ -125,10 +125,10 @@
     refusal('no other member is alive to take it'),
   );
   assert.equal(
-    await resultOf(1, { supportsHandover: false }),
+    await resultOf(1, { supportsHandoff: false }),
     refusal('not every node has announced that it knows the hand-over of shares'),
   );
-  assert.equal(await resultOf('lead', { supportsHandover: false }), '{"kind":"handed_over"}');
+  assert.equal(await resultOf('lead', { supportsHandoff: false }), '{"kind":"handed_over"}');
 });
 
 test('a role that is being handed over, or may be lost, is not handed over again', async () => {
--- a/packages/daemon/role-handover.ts
+++ b/packages/daemon/role-handoff.ts
@@ -1,41 +1,44 @@
-/** Hands roles over on purpose, as before a planned stop. */
+/** Hands roles off to other members deliberately, for example before a planned stop. */
 import { LEADER_KEY, type Membership, type Replica } from '#cluster';
 import { type RoleName, type FencedStore, formatRoleName, type TermProof } from '#roles';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 import type { StateFreshness } from './state-freshness.js';
 
-/** How a hand-over ended. `reason` is shown to operators. */
-export type HandoverResult =
+/** The result of a handoff. Operators are shown the `reason`. */
+export type HandoffResult =
   { readonly kind: 'handed_over' } | { readonly kind: 'refused'; readonly reason: string };
 
-/** How long to wait for requests that are under way, and for the leader to assign a shard to another member. */
-const HANDOVER_TIMEOUT: Micros = 6 * SECOND;
-/** Time between two checks while waiting. */
+/** Maximum wait for pending requests to finish, and for the leader to assign a shard to another member. */
+const HANDOFF_TIMEOUT: Micros = 6 * SECOND;
+/** Time between two checks of a condition that a handoff waits for. */
 const POLL_INTERVAL: Micros = 50 * MS;
-/** How long a member that gave up a shard is not assigned that shard again. */
+/** How long a member that resigned a shard is not assigned that shard again. */
 const SHARD_ABSTENTION: Micros = 30 * SECOND;
-/** How long a member that gave up leadership is no candidate: short, in case that nobody else takes it. */
+/** How long a member that resigned leadership is no candidate. Short, in case no other member becomes the leader. */
 const LEADERSHIP_ABSTENTION: Micros = 3 * SECOND;
-/** The least number of members, this one included, at which another one can take a role. */
+/** Minimum number of members, including this one, at which another member can take a role. */
 const MIN_MEMBERS = 2;
 
-/** What a {@link RoleHandover} depends on. */
-export interface RoleHandoverOptions {
+/** Dependencies of {@link RoleHandoff}. */
+export interface RoleHandoffOptions {
   readonly clock: Clock;
   readonly replica: Replica;
   readonly membership: Membership;
   readonly store: FencedStore;
   readonly freshness: StateFreshness;
-  /** Every node of the cluster, whether it is up or not. */
+  /** Names of all configured nodes of the cluster, whether they are up or not. */
   readonly allNodes: readonly string[];
 }
 
-/** Hands over the roles that this node holds. */
-export class RoleHandover {
-  constructor(private readonly options: RoleHandoverOptions) {}
+/** Hands off the roles that this node holds. */
+export class RoleHandoff {
+  constructor(private readonly options: RoleHandoffOptions) {}
 
-  /** Gives a role up once no request under it is under way; refused if nobody could take it, or it isn't held here. */
-  async resign(role: RoleName): Promise<HandoverResult> {
+  /**
+   * Hands a role off to another member once no request under the role is pending. Refuses if no other member could take
+   * the role, or if this node does not hold it.
+   */
+  async resign(role: RoleName): Promise<HandoffResult> {
     const reason = this.refusalReason(role);
     if (reason !== null) return refused(reason);
     const { roles } = this.options.membership;
@@ -49,8 +52,9 @@
   }
 
   /**
-   * Gives all roles up before a planned stop: leadership by a hand-over where another member can take it, then the
-   * membership lease on which the others depend. What is refused or not answered ends with that lease, seconds later.
+   * Gives up all roles before a planned stop. Leadership is handed off if another member can take it. Then the
+   * membership lease, on which the other roles depend, is released. If a release is refused or not answered, the role
+   * ends when that lease expires, seconds later.
    */
   async retire(): Promise<void> {
     const { membership } = this.options;
@@ -58,6 +62,7 @@
     await membership.retire();
   }
 
+  /** Returns why the role can't be handed off, for operators; null if it can. */
   private refusalReason(role: RoleName): string | null {
     const { membership, replica, freshness, allNodes } = this.options;
     const name = formatRoleName(role);
@@ -76,6 +81,7 @@
     return null;
   }
 
+  /** Removes the leader record once no request of the leader is pending. Resolves with true if that succeeded. */
   private async releaseLeadership(termProof: TermProof): Promise<boolean> {
     const { membership, store } = this.options;
     if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
@@ -87,12 +93,15 @@
       writes: [{ remove: LEADER_KEY }],
     });
     if (result.kind === 'applied') return true;
-    // It may be applied all the same: then leadership is vacant, and another member takes it.
+    // The removal may still be applied. Leadership is then vacant, and any member may become the leader.
     membership.withdrawCandidacy(0);
     return false;
   }
 
-  /** The leader assigns the shard to another member, which raises the fencing token. */
+  /**
+   * Publishes the resignation, by which the leader assigns the shard to another member and raises the fencing token.
+   * Resolves with true once that happened; false after the timeout.
+   */
   private async releaseShard(shard: number): Promise<boolean> {
     const { membership, replica, clock } = this.options;
     const isOwner = (): boolean => membership.ownedShards().has(shard);
@@ -105,16 +114,17 @@
     return isReassigned;
   }
 
+  /** Adds the shard to the resigned shards in the member status, or removes it from them. */
   private publishResigned(shard: number, isResigned: boolean): void {
     const { membership } = this.options;
     const others = membership.resignedShards.filter((other) => other !== shard);
     void membership.publishStatus({ resignedShards: isResigned ? [...others, shard] : others });
   }
 
-  /** Resolves with whether the condition came to hold in time. */
+  /** Resolves with true once the condition holds; false if it does not hold before the timeout. */
   private async waitUntil(condition: () => boolean): Promise<boolean> {
     const { clock } = this.options;
-    const deadline = clock.now() + HANDOVER_TIMEOUT;
+    const deadline = clock.now() + HANDOFF_TIMEOUT;
     while (clock.now() < deadline) {
       if (condition()) return true;
       await sleep(clock, POLL_INTERVAL);
@@ -123,6 +133,6 @@
   }
 }
 
-function refused(reason: string): HandoverResult {
+function refused(reason: string): HandoffResult {
   return { kind: 'refused', reason };
 }
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -1,4 +1,4 @@
-/** One node as a process: its clock, its sockets and its log. */
+/** Runs one node as a process: creates its clock, its sockets and its logger. */
 import { hrtime } from 'node:process';
 import { randomBytes } from 'node:crypto';
 import { createApp, listen } from '#api';
@@ -11,32 +11,33 @@
 import { Controller } from './controller.js';
 import { createPinger, servePeers } from './peer-links.js';
 
-/** A planned stop takes no longer than this. */
+/** Maximum duration of a planned stop. */
 const RETIRE_TIMEOUT: Micros = 10 * SECOND;
 const LOG_LEVELS = ['error', 'info', 'debug'];
 const DEFAULT_LOG_LEVEL = 'info';
 const INCARNATION_BYTES = 6;
 const NANOS_PER_MICRO = 1000n;
 const UINT32_RANGE = 2 ** 32;
-/** Bounds of the number of connections to the state service, and to the cloud. */
+/** Bounds of the number of connections to the state service and, separately, to the cloud. */
 const MIN_CLIENT_SOCKETS = 8;
 const MAX_CLIENT_SOCKETS = 64;
-/** Part of a node's sockets, as a divisor, that each of these two gets within the bounds. */
+/** Each of these two services gets the node's sockets divided by this number, within the bounds. */
 const CLIENT_SOCKET_DIVISOR = 16;
 const SOCKETS_PER_PEER = 4;
 const SPARE_SOCKETS = 32;
-/** Sockets for workers and users at the least. */
+/** Minimum number of sockets for workers and users. */
 const MIN_SERVER_SOCKETS = 16;
 
-/** Handles an error that no request is answered with. */
+/** Handles an error that is not reported in the response to a request. */
 type ErrorHandler = (error: unknown) => void;
 
+/** The settings of the deployment and those of the operators. */
 interface NodeSettings {
   readonly settings: Settings;
   readonly tuning: Tuning;
 }
 
-/** A monotonic clock; `wall` is the time of day. */
+/** Creates a monotonic clock. Its `wall` is the time of day. */
 function createClock(): Clock {
   return {
     now: () => Math.floor(Number(hrtime.bigint() / NANOS_PER_MICRO)),
@@ -52,25 +53,25 @@
   };
 }
 
-/** Random numbers, uniform in [0, 1). */
+/** Creates a generator of random numbers, uniform in [0, 1). */
 function createRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / UINT32_RANGE;
 }
 
-/** Connections to the state service at the most; the cloud gets as many. */
+/** Returns the maximum number of connections to the state service, which is also that of connections to the cloud. */
 function clientSockets({ sockets }: Settings): number {
-  const part = Math.floor(sockets / CLIENT_SOCKET_DIVISOR);
-  return Math.max(MIN_CLIENT_SOCKETS, Math.min(MAX_CLIENT_SOCKETS, part));
+  const proportionalCount = Math.floor(sockets / CLIENT_SOCKET_DIVISOR);
+  return Math.max(MIN_CLIENT_SOCKETS, Math.min(MAX_CLIENT_SOCKETS, proportionalCount));
 }
 
-/** Sockets that workers and users can't have: those for both services, peers and operators, and some to spare. */
-function reservedSockets(settings: Settings, tuning: Tuning): number {
+/** Returns the number of sockets kept from workers and users: for both services, peers, operators, and as spares. */
+function reservedSocketCount(settings: Settings, tuning: Tuning): number {
   const operators = tuning.operatorListen === null ? 0 : OPERATOR_SOCKETS;
   return 2 * clientSockets(settings) + SOCKETS_PER_PEER * settings.peers.length + SPARE_SOCKETS + operators;
 }
 
-/** Ends the process on SIGTERM, once its roles are given up or that took too long. */
+/** Exits the process on SIGTERM, once the node has given up its roles or {@link RETIRE_TIMEOUT} has passed. */
 function retireOnSignal(controller: Controller): void {
   process.once('SIGTERM', () => {
     setTimeout(() => process.exit(0), RETIRE_TIMEOUT / MS);
@@ -78,6 +79,7 @@
   });
 }
 
+/** Opens the operators' listener. */
 async function serveOperators(controller: Controller, address: string, onError: ErrorHandler): Promise<void> {
   const app = createOperatorApp(
     {
@@ -91,6 +93,7 @@
   await listenForOperators(app, address);
 }
 
+/** Opens the listener for users and workers, with the sockets that are not reserved for other connections. */
 async function serveUsersAndWorkers(
   controller: Controller,
   { settings, tuning }: NodeSettings,
@@ -106,10 +109,11 @@
     },
     onError,
   );
-  const sockets = Math.max(MIN_SERVER_SOCKETS, settings.sockets - reservedSockets(settings, tuning));
+  const sockets = Math.max(MIN_SERVER_SOCKETS, settings.sockets - reservedSocketCount(settings, tuning));
   await listen(app, settings.bind, sockets);
 }
 
+/** Creates the logger to stderr. Its level is that of `LOG_LEVEL`, or the default if that names none. */
 function createLogger(member: string): Logger {
   const level = process.env['LOG_LEVEL'] ?? DEFAULT_LOG_LEVEL;
   return pino(
@@ -118,7 +122,7 @@
   );
 }
 
-/** Logs errors that nothing else handles. A fault in one exchange must not end the node. */
+/** Logs errors that no other code handles: a fault in the handling of one request must not end the node. */
 function logUnhandledErrors(log: Logger): ErrorHandler {
   const onError = (error: unknown): void => {
     log.error({ error: error instanceof Error ? error.stack : String(error) }, 'unexpected error');
@@ -128,7 +132,7 @@
   return onError;
 }
 
-/** Starts a node with these settings; resolves once it listens. Rejects if it can't listen on one of its addresses. */
+/** Starts a node. Resolves once the node listens on its addresses; rejects if it can't listen on one of them. */
 export async function runNode(settings: Settings, tuning: Tuning): Promise<void> {
   const log = createLogger(settings.member);
   const incarnation = randomBytes(INCARNATION_BYTES).toString('hex');
--- a/packages/daemon/shard-drafts.ts
+++ b/packages/daemon/shard-drafts.ts
@@ -1,53 +1,54 @@
-/** Collects what one scheduling round writes to the logs of several shards. */
+/** Collects the changes that one scheduling round writes to the logs of the owned shards. */
 import type { LogId, MachineStatus, RecordDraft } from '#cluster';
 import type { RoundPlan } from '#scheduling';
 import type { Heartbeat } from '#wire';
 import type { TaskCompletion } from '#workers';
 
-/** The record drafts of a round, one for each shard with changes. */
+/** The record drafts of one round, one for each shard with changes. */
 export class ShardDrafts {
-  private readonly drafts = new Map<LogId, RecordDraft>();
+  private readonly draftsByShard = new Map<LogId, RecordDraft>();
 
-  /** The drafts by log, in the order in which the shards got their first change. */
+  /** The drafts in the order in which the shards got their first change. Keyed by log, which is the shard number. */
   get byLog(): ReadonlyMap<LogId, RecordDraft> {
-    return this.drafts;
+    return this.draftsByShard;
   }
 
-  /** A task attempt ended on a machine of the shard. */
+  /** Adds the end of a task attempt on a machine of the shard. */
   addCompletion(shard: number, { placement, outcome }: TaskCompletion): void {
     const { job, index, attempt } = placement;
-    (this.draft(shard).completions ??= []).push([job, index, attempt, outcome]);
+    (this.shardDraft(shard).completions ??= []).push([job, index, attempt, outcome]);
   }
 
-  /** The shard takes over a machine that another shard has released. */
+  /** Adds the acquisition of a machine that another shard has released. */
   addAcquisition(shard: number, host: string): void {
-    (this.draft(shard).acquisitions ??= []).push(host);
+    (this.shardDraft(shard).acquisitions ??= []).push(host);
   }
 
-  /** The status of a machine of the shard has changed. */
+  /** Adds a change of the status of a machine of the shard. */
   addStatus(shard: number, host: string, status: MachineStatus): void {
-    (this.draft(shard).statuses ??= []).push([host, status]);
+    (this.shardDraft(shard).statuses ??= []).push([host, status]);
   }
 
-  /** The shard releases a machine whose worker sent this heartbeat last; null if none is known. */
+  /** Adds the release of a machine. `heartbeat` is the last one of the machine's worker; null if none is known. */
   addRelease(shard: number, host: string, heartbeat: Heartbeat | null): void {
-    (this.draft(shard).releases ??= []).push([
+    (this.shardDraft(shard).releases ??= []).push([
       host,
       heartbeat ? [heartbeat.incarnation, heartbeat.sequence] : null,
     ]);
   }
 
-  /** The starts of a plan. The plan's prices and unmet demand go to each shard that starts tasks. */
+  /** Adds the starts of a plan. The plan's prices and unmet demand are added to each shard that starts tasks. */
   addStarts({ starts, prices, unmetCpus }: RoundPlan): void {
     for (const [shard, groups] of starts) {
-      const draft = this.drafts.get(shard) ?? {};
-      this.drafts.set(shard, { ...draft, starts: groups, prices, unmetCpus });
+      const draft = this.draftsByShard.get(shard) ?? {};
+      this.draftsByShard.set(shard, { ...draft, starts: groups, prices, unmetCpus });
     }
   }
 
-  private draft(shard: number): RecordDraft {
-    let found = this.drafts.get(shard);
-    if (!found) this.drafts.set(shard, (found = {}));
-    return found;
+  /** Returns the draft of the shard; creates it if there is none. */
+  private shardDraft(shard: number): RecordDraft {
+    let draft = this.draftsByShard.get(shard);
+    if (!draft) this.draftsByShard.set(shard, (draft = {}));
+    return draft;
   }
 }
--- a/packages/daemon/zone-reachability.ts
+++ b/packages/daemon/zone-reachability.ts
@@ -1,7 +1,7 @@
-/** Which controllers can reach the workers of which zones, by the network partitions that the members have published. */
+/** Determines which members can reach the workers of which zones, from the partitions that the members published. */
 import { partitionedZonePairs, type Replica, zonePair } from '#cluster';
 
-/** The network partitions between zones at the time of construction. */
+/** The network partitions between zones, as published when this object was constructed. */
 export class ZoneReachability {
   private readonly partitionedPairs: ReadonlySet<string>;
 
@@ -9,17 +9,17 @@
     this.partitionedPairs = partitionedZonePairs([...replica.members.values()]);
   }
 
-  /** At least one pair of zones is partitioned. */
+  /** True if at least one pair of zones is partitioned. */
   get hasPartition(): boolean {
     return this.partitionedPairs.size > 0;
   }
 
-  /** The zone is partitioned from at least one other zone. */
+  /** True if the zone is partitioned from at least one other zone. */
   isPartitioned(zone: string): boolean {
     return [...this.partitionedPairs].some((pair) => pair.split('|').includes(zone));
   }
 
-  /** The member can reach workers in the zone. A member whose zone is unknown counts as able to. */
+  /** True if the member can reach workers in the zone, or if the zone of the member is unknown. */
   canReach(member: string, zone: string): boolean {
     const memberZone = this.replica.members.get(member)?.zone;
     return (
