--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -1,6 +1,6 @@
 /**
- * Every answer of a node to users, workers and health checks, as literals: they change only with the protocol. How an
- * answer becomes bytes is pinned in the tests of `api`.
+ * Golden tests of every response of a node to users, workers and health checks. The literals change only with the
+ * protocol. The tests of `api` check how a response is encoded to bytes.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,14 +26,14 @@
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STORE_UNREACHABLE = '503 {"error":"state not reachable"}, after 1 s, on a new connection';
 
-/** Status, body and what goes into headers. */
-function textOf(answer: ServiceResponse): string {
-  const after = answer.retryAfterS === undefined ? '' : `, after ${answer.retryAfterS} s`;
-  const close = answer.closesConnection ? ', on a new connection' : '';
-  return `${answer.status} ${JSON.stringify(answer.body)}${after}${close}`;
+/** Formats the status, the body and the fields that become headers. */
+function responseText(response: ServiceResponse): string {
+  const after = response.retryAfterS === undefined ? '' : `, after ${response.retryAfterS} s`;
+  const close = response.closesConnection ? ', on a new connection' : '';
+  return `${response.status} ${JSON.stringify(response.body)}${after}${close}`;
 }
 
-/** A clock that stands still and whose timers fire at once. */
+/** A clock whose time never advances and whose timers fire at once. */
 const STOPPED_CLOCK: Clock = {
   now: () => 0,
   wall: () => 1_790_000_000_123_456,
@@ -43,22 +43,23 @@
   },
 };
 
-type StateService = (method: HttpMethod, path: string, body: unknown) => HttpReply | null;
+/** Responds to a request to the state service; null means no response. */
+type StateServiceStub = (method: HttpMethod, path: string, body: unknown) => HttpReply | null;
 
-interface UserBench {
-  users: JobService;
+interface JobServiceFixture {
+  jobService: JobService;
   replica: Replica;
-  /** The commits that the state service got. */
+  /** The bodies of the commits that the state service received, as JSON. */
   commits: string[];
 }
 
-/** A node whose copy of the state is complete up to revision 0, with the sample's machine types. */
-function userBench(answer: StateService): UserBench {
+/** Creates the job service of a node whose replica is complete up to revision 0, with the sample machine types. */
+function jobServiceFixture(stateService: StateServiceStub): JobServiceFixture {
   const commits: string[] = [];
   const call: HttpClient = (...request) => {
     const [, method, path, body] = request;
     if (path === '/commit') commits.push(JSON.stringify(body));
-    const reply = answer(method, path, body);
+    const reply = stateService(method, path, body);
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
   };
   const store = new StoreClient(STATE, call);
@@ -66,34 +67,35 @@
   replica.state = 'following';
   for (const type of SAMPLE_TYPES) replica.machineTypes.set(type.name, type);
   const settings = sampleSettings(0, 1);
-  const users = new JobService({ settings, store, replica, clock: STOPPED_CLOCK });
-  return { users, replica, commits };
+  const jobService = new JobService({ settings, store, replica, clock: STOPPED_CLOCK });
+  return { jobService, replica, commits };
 }
 
-const absent: HttpReply = { status: 404, body: { Epoch: 0 } };
-const UNREACHED: StateService = () => null;
-/** Reads show nothing, commits get this answer. */
-const committing =
-  (reply: HttpReply | null): StateService =>
+const KEY_ABSENT: HttpReply = { status: 404, body: { Epoch: 0 } };
+const UNREACHABLE_STORE: StateServiceStub = () => null;
+/** A state service without any keys, which answers every commit with this reply. */
+const answeringCommits =
+  (reply: HttpReply | null): StateServiceStub =>
   (_method, path) =>
-    path === '/commit' ? reply : absent;
-const EMPTY = committing({ status: 200, body: { Epoch: 1 } });
-const REFUSING = committing({ status: 409, body: { failed: [], Epoch: 0 } });
-/** The job is over, and lies apart from the live ones. */
-const over =
-  (status: string): StateService =>
+    path === '/commit' ? reply : KEY_ABSENT;
+const ACCEPTING_STORE = answeringCommits({ status: 200, body: { Epoch: 1 } });
+const REFUSING_STORE = answeringCommits({ status: 409, body: { failed: [], Epoch: 0 } });
+/** A state service that stores the job under the prefix of terminal jobs and refuses commits. */
+const withTerminalJob =
+  (status: string): StateServiceStub =>
   (_method, path) => {
     if (path === '/commit') return { status: 409, body: { failed: [], Epoch: 0 } };
     if (path === '/store/mw/over/j-1') return { status: 200, body: { V: { Status: status }, Stamp: 0 } };
-    return absent;
+    return KEY_ABSENT;
   };
 
-function live(replica: Replica, change: Partial<JobSpec> = {}): void {
-  replica.jobs.set('j-1', { spec: sampleJob('j-1', change), acceptedAtMs: 0, acceptedRevision: 4 });
+/** Adds a live job to the replica. */
+function addLiveJob(replica: Replica, overrides: Partial<JobSpec> = {}): void {
+  replica.jobs.set('j-1', { spec: sampleJob('j-1', overrides), acceptedAtMs: 0, acceptedRevision: 4 });
 }
 
-/** The job runs with one task on a machine; another is done. */
-function running({ ledger }: Replica): void {
+/** Starts two tasks of the job on a machine and completes one of them. */
+function startTasks({ ledger }: Replica): void {
   const machines: PlacementRecord['machines'] = [['n-1', 'large', 'east', false, 0, 0]];
   ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines });
   const starts: PlacementRecord['starts'] = [
@@ -114,9 +116,9 @@
 
 const BODY = encodeSubmission(sampleJob('j-1'));
 
-test('a new job is accepted with 201, and stored under its id if that was never used before', async () => {
-  const { users, commits } = userBench(EMPTY);
-  assert.equal(textOf(await users.submitJob(BODY)), '201 {"Uid":"j-1","Status":"pending"}');
+test('accepts a new job with 201 and stores it on condition that its id was never used', async () => {
+  const { jobService, commits } = jobServiceFixture(ACCEPTING_STORE);
+  assert.equal(responseText(await jobService.submitJob(BODY)), '201 {"Uid":"j-1","Status":"pending"}');
   assert.deepEqual(commits, [
     '{"Guards":[{"Path":"mw/now/job/j-1","Stamp":0},{"Path":"mw/over/j-1","Stamp":0}],' +
       '"Writes":[{"Set":"mw/now/job/j-1","V":{"At":1790000000123,"Job":{"id":"j-1","jobClass":"batch",' +
@@ -126,16 +128,16 @@
   ]);
 });
 
-test('a malformed submission gets 400 with the field', async () => {
-  const { users } = userBench(EMPTY);
-  assert.equal(textOf(await users.submitJob('x')), '400 {"error":"invalid: body"}');
+test('answers a malformed submission with 400 and the name of the field', async () => {
+  const { jobService } = jobServiceFixture(ACCEPTING_STORE);
+  assert.equal(responseText(await jobService.submitJob('x')), '400 {"error":"invalid: body"}');
   for (const field of Object.keys(BODY)) {
-    const answer = await users.submitJob({ ...BODY, [field]: { odd: 1 } });
-    assert.equal(textOf(answer), `400 {"error":"invalid: ${field}"}`);
+    const response = await jobService.submitJob({ ...BODY, [field]: { odd: 1 } });
+    assert.equal(responseText(response), `400 {"error":"invalid: ${field}"}`);
   }
 });
 
-test('a job that can never run gets 422 with the reason', async () => {
+test('answers a job that can never run with 422 and the reason', async () => {
   const cases: [Partial<JobSpec>, string][] = [
     [{ team: 'red' }, 'unknown team red'],
     [{ cpus: 13 }, 'a task fits no allowed machine type'],
@@ -152,124 +154,135 @@
       'all tasks can not be in one zone and spread over zones at the same time',
     ],
   ];
-  const { users, commits } = userBench(EMPTY);
-  for (const [change, error] of cases) {
-    const answer = await users.submitJob(encodeSubmission(sampleJob('j-1', change)));
-    assert.equal(textOf(answer), `422 {"error":"${error}"}`);
+  const { jobService, commits } = jobServiceFixture(ACCEPTING_STORE);
+  for (const [overrides, error] of cases) {
+    const response = await jobService.submitJob(encodeSubmission(sampleJob('j-1', overrides)));
+    assert.equal(responseText(response), `422 {"error":"${error}"}`);
   }
   assert.deepEqual(commits, []);
 });
 
-test('a node that can not decide yet answers why, and to retry after a second', async () => {
-  const unready = userBench(EMPTY);
-  unready.replica.machineTypes.clear();
+test('answers 503 with the reason and a retry delay while the node can not decide on a job', async () => {
+  const withoutMachineTypes = jobServiceFixture(ACCEPTING_STORE);
+  withoutMachineTypes.replica.machineTypes.clear();
   assert.equal(
-    textOf(await unready.users.submitJob(BODY)),
+    responseText(await withoutMachineTypes.jobService.submitJob(BODY)),
     '503 {"error":"machine types not known yet"}, after 1 s',
   );
-  const old = userBench(EMPTY);
+  const withoutGangSupport = jobServiceFixture(ACCEPTING_STORE);
   const gang = encodeSubmission(sampleJob('j-1', { shape: 'gang' }));
   assert.equal(
-    textOf(await old.users.submitJob(gang)),
+    responseText(await withoutGangSupport.jobService.submitJob(gang)),
     '503 {"error":"gangs are not served by all nodes yet"}, after 1 s',
   );
 });
 
-/** Each of them on a node of its own, since a node keeps what it knows to be over. */
-const ASKED: [string, (users: JobService) => Promise<ServiceResponse>][] = [
-  ['submitted again', (users) => users.submitJob(BODY)],
-  ['submitted again, malformed', (users) => users.submitJob({ ...BODY, Pieces: 0 })],
-  ['submitted again, for an unknown team', (users) => users.submitJob({ ...BODY, Crew: 'red' })],
-  ['shown', (users) => users.getJob('j-1')],
+/** Requests for one job, each to be sent to a new node, because a node caches terminal statuses. */
+const JOB_REQUESTS: [string, (jobService: JobService) => Promise<ServiceResponse>][] = [
+  ['submitted again', (jobService) => jobService.submitJob(BODY)],
+  ['submitted again, malformed', (jobService) => jobService.submitJob({ ...BODY, Pieces: 0 })],
+  ['submitted again, for an unknown team', (jobService) => jobService.submitJob({ ...BODY, Crew: 'red' })],
+  ['shown', (jobService) => jobService.getJob('j-1')],
 ];
 
-test('a known job gets 200 with its state, whatever is requested', async () => {
-  for (const [what, ask] of ASKED) {
-    const pending = userBench(REFUSING);
-    live(pending.replica);
+test('answers every request for an existing job with 200 and its state', async () => {
+  for (const [description, sendRequest] of JOB_REQUESTS) {
+    const withPendingJob = jobServiceFixture(REFUSING_STORE);
+    addLiveJob(withPendingJob.replica);
     assert.equal(
-      textOf(await ask(pending.users)),
+      responseText(await sendRequest(withPendingJob.jobService)),
       '200 {"Uid":"j-1","Status":"pending","done":0,"running":0}',
-      what,
+      description,
     );
-    const busy = userBench(REFUSING);
-    live(busy.replica);
-    running(busy.replica);
+    const withRunningTask = jobServiceFixture(REFUSING_STORE);
+    addLiveJob(withRunningTask.replica);
+    startTasks(withRunningTask.replica);
     assert.equal(
-      textOf(await ask(busy.users)),
+      responseText(await sendRequest(withRunningTask.jobService)),
       '200 {"Uid":"j-1","Status":"running","done":1,"running":1}',
-      what,
+      description,
     );
-    for (const [stored, told] of [
+    for (const [stored, reported] of [
       ['done', 'done'],
       ['cancelled', 'withdrawn'],
     ] as const) {
-      const text = `200 {"Uid":"j-1","Status":"${told}"}`;
-      assert.equal(textOf(await ask(userBench(over(stored)).users)), text, what);
-      const ended = userBench(REFUSING);
-      ended.replica.terminalJobs.set('j-1', { status: stored, revision: 4 });
-      assert.equal(textOf(await ask(ended.users)), text, what);
+      const text = `200 {"Uid":"j-1","Status":"${reported}"}`;
+      assert.equal(
+        responseText(await sendRequest(jobServiceFixture(withTerminalJob(stored)).jobService)),
+        text,
+        description,
+      );
+      const withEndedJob = jobServiceFixture(REFUSING_STORE);
+      withEndedJob.replica.terminalJobs.set('j-1', { status: stored, revision: 4 });
+      assert.equal(responseText(await sendRequest(withEndedJob.jobService)), text, description);
     }
   }
 });
 
-test('a node that does not reach the state service sends its users to another node', async () => {
-  for (const [what, ask] of [
-    ...ASKED,
-    ['cancelled', (users: JobService) => users.cancelJob('j-1')] as const,
+test('answers 503 and closes the connection while the state service is unreachable', async () => {
+  for (const [description, sendRequest] of [
+    ...JOB_REQUESTS,
+    ['cancelled', (jobService: JobService) => jobService.cancelJob('j-1')] as const,
   ]) {
-    assert.equal(textOf(await ask(userBench(UNREACHED).users)), STORE_UNREACHABLE, what);
+    assert.equal(
+      responseText(await sendRequest(jobServiceFixture(UNREACHABLE_STORE).jobService)),
+      STORE_UNREACHABLE,
+      description,
+    );
   }
   for (const status of [429, 503, 500, 400]) {
-    const { users } = userBench(committing({ status, body: {} }));
-    assert.equal(textOf(await users.submitJob(BODY)), STORE_UNREACHABLE, String(status));
+    const { jobService } = jobServiceFixture(answeringCommits({ status, body: {} }));
+    assert.equal(responseText(await jobService.submitJob(BODY)), STORE_UNREACHABLE, String(status));
   }
-  // It was accepted or over when the commit was refused, but what it is can't be read.
-  const { users } = userBench((_method, path) =>
+  // The refused commit shows that the job exists or has ended, but its state can't be read.
+  const { jobService } = jobServiceFixture((_method, path) =>
     path === '/commit' ? { status: 409, body: { failed: [], Epoch: 0 } } : null,
   );
-  assert.equal(textOf(await users.submitJob(BODY)), STORE_UNREACHABLE);
+  assert.equal(responseText(await jobService.submitJob(BODY)), STORE_UNREACHABLE);
 });
 
-test('a job that nobody submitted gets 404', async () => {
+test('answers 404 for a job that was never submitted', async () => {
   for (const id of ['j-1', 'x-1', '', `j-${'1'.repeat(33)}`]) {
-    const { users } = userBench(EMPTY);
-    assert.equal(textOf(await users.getJob(id)), '404 {"error":"no such job"}', id);
-    assert.equal(textOf(await users.cancelJob(id)), '404 {"error":"no such job"}', id);
+    const { jobService } = jobServiceFixture(ACCEPTING_STORE);
+    assert.equal(responseText(await jobService.getJob(id)), '404 {"error":"no such job"}', id);
+    assert.equal(responseText(await jobService.cancelJob(id)), '404 {"error":"no such job"}', id);
   }
 });
 
-test('a cancelled job is withdrawn, one with a terminal status keeps it', async () => {
-  const { users, replica, commits } = userBench(EMPTY);
-  live(replica);
-  assert.equal(textOf(await users.cancelJob('j-1')), '200 {"Uid":"j-1","Status":"withdrawn"}');
+test('reports a cancelled job as withdrawn, and keeps the status of a job that has ended', async () => {
+  const { jobService, replica, commits } = jobServiceFixture(ACCEPTING_STORE);
+  addLiveJob(replica);
+  assert.equal(responseText(await jobService.cancelJob('j-1')), '200 {"Uid":"j-1","Status":"withdrawn"}');
   assert.deepEqual(commits, [
     '{"Guards":[{"Path":"mw/now/job/j-1","Stamp":4},{"Path":"mw/over/j-1","Stamp":0}],' +
       '"Writes":[{"Set":"mw/now/job/j-1","V":{"Status":"cancelled"}}]}',
   ]);
   assert.equal(
-    textOf(await userBench(over('done')).users.cancelJob('j-1')),
+    responseText(await jobServiceFixture(withTerminalJob('done')).jobService.cancelJob('j-1')),
     '200 {"Uid":"j-1","Status":"done"}',
   );
   assert.equal(
-    textOf(await userBench(over('cancelled')).users.cancelJob('j-1')),
+    responseText(await jobServiceFixture(withTerminalJob('cancelled')).jobService.cancelJob('j-1')),
     '200 {"Uid":"j-1","Status":"withdrawn"}',
   );
   for (const status of [409, 429, 503]) {
-    const refused = userBench(committing({ status, body: { failed: [], Epoch: 0 } }));
-    live(refused.replica);
-    assert.equal(textOf(await refused.users.cancelJob('j-1')), STORE_UNREACHABLE, String(status));
+    const refused = jobServiceFixture(answeringCommits({ status, body: { failed: [], Epoch: 0 } }));
+    addLiveJob(refused.replica);
+    assert.equal(responseText(await refused.jobService.cancelJob('j-1')), STORE_UNREACHABLE, String(status));
   }
 });
 
-interface NodeBench {
+interface ControllerFixture {
   clock: SimClock;
   store: SimStore;
   controller: Controller;
-  ask: (body: unknown) => Promise<string>;
+  sendHeartbeat: (body: unknown) => Promise<string>;
 }
 
-/** Rows that make node-0 own shard 0; nobody owns shard 2, node-1 leads and owns the others. */
+/**
+ * Rows of the state in which node-1 is the leader and owns shard 1, node-0 owns shard 0, an earlier start of node-0
+ * owns shard 3, and no member owns shard 2.
+ */
 const ROWS: [path: string, value: WireFields][] = [
   ['mw/now/lead', { Member: 'node-1', Nonce: 'other.1' }],
   ['mw/now/token', { Token: 41 }],
@@ -308,8 +321,8 @@
   { sequence: 1, at: 1_790_000_000_002, releases: [['n-4', null]] },
 ];
 
-/** A node alone in its deployment, on a state service that holds the rows above. */
-function nodeBench(tuning: Partial<Tuning> = {}): NodeBench {
+/** Creates the controller of a deployment with one node, on a state service that holds the rows above. */
+function controllerFixture(tuning: Partial<Tuning> = {}): ControllerFixture {
   const clock = new SimClock();
   const random = (): number => 0.5;
   const net = new SimNet(clock, random);
@@ -327,13 +340,13 @@
     step();
   });
   const controller = controllerOf({ clock, settings, call, tuning });
-  const ask = async (body: unknown): Promise<string> => {
+  const sendHeartbeat = async (body: unknown): Promise<string> => {
     let text = 'no answer';
-    void controller.handleHeartbeat(body).then((answer) => (text = textOf(answer)));
+    void controller.handleHeartbeat(body).then((response) => (text = responseText(response)));
     await pass(clock, 3 * SECOND);
     return text;
   };
-  return { clock, store, controller, ask };
+  return { clock, store, controller, sendHeartbeat };
 }
 
 interface ControllerParts {
@@ -363,12 +376,12 @@
   });
 }
 
-/** Advances simulated time, with a step in between so that whatever is under way settles. */
+/** Advances simulated time. Runs the events that become due and lets pending promises settle. */
 async function pass(clock: SimClock, duration: Micros): Promise<void> {
   await clock.run(clock.time + duration, () => undefined);
 }
 
-function heartbeatOf(host: string, sequence: number, change: object = {}): WireFields {
+function heartbeatOf(host: string, sequence: number, overrides: object = {}): WireFields {
   return {
     Host: host,
     Endpoint: '10.1.0.1:9000',
@@ -380,16 +393,16 @@
     Baton: 41,
     RecallS: null,
     Pieces: [],
-    ...change,
+    ...overrides,
   };
 }
 
-test('a worker of the node gets the fencing token and a command of each kind', async () => {
-  const { clock, controller, ask } = nodeBench();
+test('answers a worker of an owned machine with the fencing token and a command of each kind', async () => {
+  const { clock, controller, sendHeartbeat } = controllerFixture();
   controller.start();
   await pass(clock, 3 * SECOND);
   assert.equal(
-    await ask(heartbeatOf('n-0', 1)),
+    await sendHeartbeat(heartbeatOf('n-0', 1)),
     '200 {"Baton":41,"Orders":[{"Verb":"launch","Piece":"j-1/0","Try":1024}]}',
   );
   const pieces = [
@@ -398,74 +411,80 @@
     { Piece: 'j-9/1', Try: 3, Status: 'exited', Cause: 'done' },
   ];
   assert.equal(
-    await ask(heartbeatOf('n-0', 2, { Pieces: pieces })),
+    await sendHeartbeat(heartbeatOf('n-0', 2, { Pieces: pieces })),
     '200 {"Baton":41,"Orders":[{"Verb":"halt","Piece":"j-9/0","Try":3,"WindDownS":0},' +
       '{"Verb":"reap","Piece":"j-9/1","Try":3}]}',
   );
   assert.equal(
-    await ask(heartbeatOf('n-0', 3, { Pieces: pieces.slice(0, 1) })),
+    await sendHeartbeat(heartbeatOf('n-0', 3, { Pieces: pieces.slice(0, 1) })),
     '200 {"Baton":41,"Orders":[]}',
   );
   controller.stop();
 });
 
-test('a worker of another node is redirected to its owner, or refused with the reason', async () => {
-  const { clock, store, controller, ask } = nodeBench();
-  assert.equal(await ask(heartbeatOf('n-0', 1)), '503 {"error":"machine not known"}, after 1 s');
+test('redirects a worker of another node to its owner, or refuses it with the reason', async () => {
+  const { clock, store, controller, sendHeartbeat } = controllerFixture();
+  assert.equal(await sendHeartbeat(heartbeatOf('n-0', 1)), '503 {"error":"machine not known"}, after 1 s');
   controller.start();
   await pass(clock, 3 * SECOND);
-  assert.equal(await ask({ Host: 'n-0' }), '400 {"error":"not a report"}');
-  assert.equal(await ask(heartbeatOf('n-9', 1)), '503 {"error":"machine not known"}, after 1 s');
-  assert.equal(await ask(heartbeatOf('n-1', 1)), '421 {"Foreman":"node-1"}');
-  assert.equal(await ask(heartbeatOf('n-2', 1)), '503 {"error":"no owner known"}, after 1 s');
-  assert.equal(await ask(heartbeatOf('n-3', 1)), '503 {"error":"not ready yet"}, after 1 s');
-  assert.equal(await ask(heartbeatOf('n-0', 1, { Baton: 42 })), '503 {"error":"superseded"}, after 1 s');
-  assert.match(await ask(heartbeatOf('n-0', 7)), /^200 /);
-  assert.equal(await ask(heartbeatOf('n-0', 6)), '503 {"error":"stale report"}, after 1 s');
+  assert.equal(await sendHeartbeat({ Host: 'n-0' }), '400 {"error":"not a report"}');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-9', 1)), '503 {"error":"machine not known"}, after 1 s');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-1', 1)), '421 {"Foreman":"node-1"}');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-2', 1)), '503 {"error":"no owner known"}, after 1 s');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-3', 1)), '503 {"error":"not ready yet"}, after 1 s');
+  assert.equal(
+    await sendHeartbeat(heartbeatOf('n-0', 1, { Baton: 42 })),
+    '503 {"error":"superseded"}, after 1 s',
+  );
+  assert.match(await sendHeartbeat(heartbeatOf('n-0', 7)), /^200 /);
+  assert.equal(await sendHeartbeat(heartbeatOf('n-0', 6)), '503 {"error":"stale report"}, after 1 s');
   store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
   store.setOutage(true);
   await pass(clock, SECOND);
-  assert.match(await ask(heartbeatOf('n-0', 8)), /^200 /);
+  assert.match(await sendHeartbeat(heartbeatOf('n-0', 8)), /^200 /);
   await pass(clock, 20 * SECOND);
-  assert.equal(await ask(heartbeatOf('n-0', 9)), '503 {"error":"state not reachable"}, after 1 s');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-0', 9)), '503 {"error":"state not reachable"}, after 1 s');
   controller.stop();
 });
 
-test('a machine in transfer between two shards is refused until the node has acquired it', async () => {
-  const { clock, store, controller, ask } = nodeBench();
+test('refuses the worker of a machine in transfer until the node has acquired the machine', async () => {
+  const { clock, store, controller, sendHeartbeat } = controllerFixture();
   store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
   store.isLate = (writes) => writes.some((write) => String(write['Set']).startsWith('mw/now/log/0/'));
   controller.start();
   await pass(clock, 2 * SECOND);
-  assert.equal(await ask(heartbeatOf('n-4', 1)), '503 {"error":"machine on the move"}, after 1 s');
+  assert.equal(await sendHeartbeat(heartbeatOf('n-4', 1)), '503 {"error":"machine on the move"}, after 1 s');
   controller.stop();
 });
 
-test('a worker ahead of the state is refused where data loss is detected', async () => {
-  const { clock, controller, ask } = nodeBench({ detectsDataLoss: true });
+test('refuses a worker that is ahead of the state if data loss detection is enabled', async () => {
+  const { clock, controller, sendHeartbeat } = controllerFixture({ detectsDataLoss: true });
   controller.start();
   await pass(clock, 10 * SECOND);
   const pieces = [{ Piece: 'j-1/0', Try: 50 * 1024, Status: 'running' }];
   assert.equal(
-    await ask(heartbeatOf('n-0', 1, { Pieces: pieces })),
+    await sendHeartbeat(heartbeatOf('n-0', 1, { Pieces: pieces })),
     '503 {"error":"state behind the worker"}, after 1 s',
   );
   controller.stop();
 });
 
-test('a health check gets 200 once the node can serve requests, and the reason until then', async () => {
-  const { clock, controller } = nodeBench();
-  assert.equal(textOf(controller.health()), '503 {"error":"not ready yet"}, after 1 s');
+test('answers a health check with 200 once the node can serve requests, and with the reason until then', async () => {
+  const { clock, controller } = controllerFixture();
+  assert.equal(responseText(controller.health()), '503 {"error":"not ready yet"}, after 1 s');
   controller.start();
   await pass(clock, 3 * SECOND);
-  assert.equal(textOf(controller.health()), '200 {"Status":"ok"}');
+  assert.equal(responseText(controller.health()), '200 {"Status":"ok"}');
   controller.stop();
-  const none: HttpClient = () => Promise.reject(new Error('no response'));
-  const alone = controllerOf({
+  const failingClient: HttpClient = () => Promise.reject(new Error('no response'));
+  const isolatedController = controllerOf({
     clock: new SimClock(),
     settings: sampleSettings(0, 2),
-    call: none,
+    call: failingClient,
     tuning: {},
   });
-  assert.equal(textOf(alone.health()), '503 {"error":"cut off from the state service"}, after 1 s');
+  assert.equal(
+    responseText(isolatedController.health()),
+    '503 {"error":"cut off from the state service"}, after 1 s',
+  );
 });
--- a/packages/daemon/machine-rebalancer.test.ts
+++ b/packages/daemon/machine-rebalancer.test.ts
@@ -9,7 +9,7 @@
   readonly destination: number | 'scale_in' | null;
 }
 
-/** A replica with member a in zone east and member b in zone west, which own shards 0 and 1. */
+/** A replica with member a in zone east, which owns shard 0, and member b in zone west, which owns shard 1. */
 function replicaWith(machines: readonly MachineStub[], unreachableFromA: readonly string[] = []): Replica {
   const members = [
     { member: 'a', zone: 'east', unreachable: unreachableFromA },
@@ -26,7 +26,7 @@
   return stub as unknown as Replica;
 }
 
-test('without a partition the shard with the fewest machines gets a new one, transfers counted at their target', () => {
+test('assigns a machine to the shard with the fewest machines, counting transfers at their target', () => {
   const replica = replicaWith([
     { shard: 0, destination: null },
     { shard: 0, destination: 1 },
@@ -35,13 +35,13 @@
   assert.equal(shardForZone(replica, 2, 'west'), 0);
 });
 
-test('during a partition a machine belongs to a shard whose owner reaches its zone, however many it has', () => {
+test('assigns a machine during a partition to a shard whose owner reaches its zone, even if it is not the smallest', () => {
   const replica = replicaWith([{ shard: 1, destination: null }], ['b']);
   assert.equal(shardForZone(replica, 2, 'west'), 1);
   assert.equal(shardForZone(replica, 2, 'east'), 0);
 });
 
-test('of two shards with as many machines the lower one gets the next, and a shard without an owner counts', () => {
+test('prefers the lower of two shards with equally many machines, and includes shards without an owner', () => {
   assert.equal(shardForZone(replicaWith([]), 3, 'west'), 0);
   const replica = replicaWith([
     { shard: 0, destination: null },
@@ -50,7 +50,7 @@
   assert.equal(shardForZone(replica, 3, 'west'), 2);
 });
 
-test('a partition that one side has published keeps both from the zone of the other, and nobody from a third', () => {
+test('applies a partition that one side published to both zones, but not to a third zone', () => {
   const reachability = new ZoneReachability(replicaWith([], ['b']));
   assert.equal(reachability.hasPartition, true);
   assert.equal(reachability.canReach('a', 'west'), false);
--- a/packages/daemon/peer-links.test.ts
+++ b/packages/daemon/peer-links.test.ts
@@ -5,8 +5,8 @@
 import { MS } from '#wire';
 import { createPinger, servePeers } from './peer-links.js';
 
-// The type of a ping and the names of its fields are checked by nothing but the sending of one.
-test('a ping over a real connection tells what the peer knows, and says when there is none', async () => {
+// Only sending a ping checks that the fields of its record match the Avro schema: the compiler does not.
+test('returns the status of the peer over one persistent connection, and a refusal once the peer is gone', async () => {
   const status: PeerStatus = {
     fencingToken: 7,
     isStoreReachable: true,
@@ -26,7 +26,7 @@
   for (let i = 0; i < 2; i++) {
     assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'ok', status });
   }
-  assert.equal(sockets.length, 1, 'the connection is not kept');
+  assert.equal(sockets.length, 1, 'the connection was not reused');
   server.close();
   for (const socket of sockets) socket.destroy();
   assert.deepEqual(await ping(endpoint, 1000 * MS), { result: 'refused', status: null });
