--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -245,8 +245,8 @@
     const { membership, replica } = this.cluster;
     const onUnreachable = (unreachable: readonly string[]): void => {
       // A peer without a member row is down. Only a live peer that does not answer is unreachable.
-      const alive = unreachable.filter((name) => replica.members.has(name));
-      void membership.publishStatus({ unreachable: alive });
+      const unreachableMembers = unreachable.filter((name) => replica.members.has(name));
+      void membership.publishStatus({ unreachable: unreachableMembers });
     };
     const onStatus = (status: PeerStatus, peer: string): void => {
       this.onPeerStatus(status, peer);
--- a/packages/daemon/machine-rebalancer.test.ts
+++ b/packages/daemon/machine-rebalancer.test.ts
@@ -35,7 +35,7 @@
   assert.equal(shardForZone(replica, 2, 'west'), 0);
 });
 
-test('assigns a machine during a partition to a shard whose owner reaches its zone, even if it is not the smallest', () => {
+test('assigns a machine during a partition to a shard whose owner reaches its zone, even if it is larger', () => {
   const replica = replicaWith([{ shard: 1, destination: null }], ['b']);
   assert.equal(shardForZone(replica, 2, 'west'), 1);
   assert.equal(shardForZone(replica, 2, 'east'), 0);
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -66,8 +66,8 @@
 }
 
 /**
- * Decides whether this node may command a worker: by shard ownership, by the freshness of the replica and by whether
- * workers reach this node.
+ * The basis of this node's authority over workers: the shards that it owns and the freshness of its replica. With them
+ * are the registry of the workers that follow from the shards, and the tracker of whether workers reach this node.
  */
 export interface AuthorityComponents {
   readonly workers: WorkerRegistry;
@@ -76,7 +76,7 @@
   readonly freshness: StateFreshness;
 }
 
-/** Builds the components that decide whether this node may command a worker. */
+/** Builds the components behind this node's authority over workers. */
 export function buildAuthorityComponents(
   options: ControllerOptions,
   cluster: ClusterComponents,
@@ -127,7 +127,7 @@
   return { writeLimits, logWriter };
 }
 
-/** Decides which task runs on which machine, and estimates run times and future demand. */
+/** The components that decide which task runs on which machine, and that estimate run times and future demand. */
 export interface SchedulingComponents {
   readonly runTimeEstimator: RunTimeEstimator;
   readonly scheduler: Scheduler;
--- a/packages/daemon/role-handoff.ts
+++ b/packages/daemon/role-handoff.ts
@@ -13,9 +13,9 @@
 /** Time between two checks of a condition that a handoff waits for. */
 const POLL_INTERVAL: Micros = 50 * MS;
 /** How long a member that resigned a shard is not assigned that shard again. */
-const SHARD_ABSTENTION: Micros = 30 * SECOND;
+const SHARD_REASSIGNMENT_COOLDOWN: Micros = 30 * SECOND;
 /** How long a member that resigned leadership is no candidate. Short, in case no other member becomes the leader. */
-const LEADERSHIP_ABSTENTION: Micros = 3 * SECOND;
+const CANDIDACY_COOLDOWN: Micros = 3 * SECOND;
 /** Minimum number of members, including this one, at which another member can take a role. */
 const MIN_MEMBERS = 2;
 
@@ -85,7 +85,7 @@
   private async releaseLeadership(termProof: TermProof): Promise<boolean> {
     const { membership, store } = this.options;
     if (!(await this.waitUntil(() => membership.roles.pendingActionCount('lead') === 0))) return false;
-    membership.withdrawCandidacy(LEADERSHIP_ABSTENTION);
+    membership.withdrawCandidacy(CANDIDACY_COOLDOWN);
     const result = await store.compareAndSwap({
       proofs: [termProof],
       action: 'hand over the lead',
@@ -106,7 +106,7 @@
     const { membership, replica, clock } = this.options;
     const isOwner = (): boolean => membership.ownedShards().has(shard);
     this.publishResigned(shard, true);
-    clock.after(SHARD_ABSTENTION, () => {
+    clock.after(SHARD_REASSIGNMENT_COOLDOWN, () => {
       this.publishResigned(shard, false);
     });
     const isReassigned = await this.waitUntil(() => !isOwner() && replica.shardOwners.has(shard));
--- a/packages/daemon/shard-round.ts
+++ b/packages/daemon/shard-round.ts
@@ -103,7 +103,7 @@
     return drafts;
   }
 
-  /** True if the machine may leave its shard now. For scale-in it must have no placements left. */
+  /** True if the machine has a destination and may be released now: for scale-in, only once nothing can run on it. */
   private isReleasable({ host, destination }: MachineEntry): boolean {
     if (destination === null) return false;
     return destination !== 'scale_in' || !this.options.replica.ledger.placementsByHost.has(host);
