--- a/packages/cluster/change-applier.ts
+++ b/packages/cluster/change-applier.ts
@@ -1,4 +1,4 @@
-/** Applies rows of the state service, and changes of them, to a node's copy of the live state. */
+/** Applies rows of the state service, and changes of these rows, to a node's replica of the live state. */
 import {
   CAPABILITY_PREFIX,
   CHECKPOINT_CHUNK_PREFIX,
@@ -19,26 +19,26 @@
 import { decodeCheckpointHead } from './stored/checkpoint-codec.js';
 import {
   decodeFencingToken,
-  decodeHolder,
+  decodeLeaseHolder,
   decodeShardOwner,
-  isReadable,
+  isHolderReadable,
   UNREADABLE_FENCING_TOKEN,
 } from './stored/holder-codec.js';
 import { decodeJobRow, decodeTerminalStatus, isTerminal } from './stored/job-codec.js';
 import { decodeMachineTypeRow } from './stored/machine-type-codec.js';
 import { decodeCapabilities, decodeMember } from './stored/member-codec.js';
-import { decodeRecord, storedSequence } from './stored/record-codec.js';
+import { decodeRecord, decodeSequence } from './stored/record-codec.js';
 import type { TerminalStatusCache } from './terminal-status-cache.js';
 import type { Change, Row } from '#store';
 
-/** What changes are applied to. */
+/** Dependencies of {@link ChangeApplier}. */
 export interface ChangeApplierOptions {
   readonly state: ClusterState;
   readonly terminalStatuses: TerminalStatusCache;
   readonly log: Logger;
 }
 
-/** Applies changes in the order in which it is given them: that of their commits. */
+/** Applies changes to a {@link ClusterState}. The caller passes them in the order of their commits. */
 export class ChangeApplier {
   private readonly state: ClusterState;
   private readonly terminalStatuses: TerminalStatusCache;
@@ -50,7 +50,7 @@
     this.log = log;
   }
 
-  /** Applies one change; false if it is a record that comes after a gap in its log. */
+  /** Applies one change. Returns false if the change is a record that follows a gap in its log. */
   apply(change: Change): boolean {
     const { path } = change;
     if (path.startsWith(LOG_PREFIX)) return this.applyRecord(change);
@@ -67,9 +67,9 @@
     return true;
   }
 
-  /** Notes which record lies in a slot of a log. */
+  /** Records which log record a slot holds, and at which revision. */
   trackLogSlot({ path, value, revision }: Row): void {
-    this.state.logSlots.set(path, { sequence: storedSequence(value), revision });
+    this.state.logSlots.set(path, { sequence: decodeSequence(value), revision });
   }
 
   private applyRecord({ path, value, revision }: Change): boolean {
@@ -98,13 +98,13 @@
   }
 
   private applyLeader({ path, value, revision }: Change): void {
-    this.state.leader = value && this.checkReadable(path, decodeHolder(value, revision));
+    this.state.leader = value && this.logIfUnreadable(path, decodeLeaseHolder(value, revision));
   }
 
   private applyShardOwner({ path, value, revision }: Change): void {
     const shard = Number(path.slice(SHARD_PREFIX.length));
     if (!value) this.state.shardOwners.delete(shard);
-    else this.state.shardOwners.set(shard, this.checkReadable(path, decodeShardOwner(value, revision)));
+    else this.state.shardOwners.set(shard, this.logIfUnreadable(path, decodeShardOwner(value, revision)));
   }
 
   private applyFencingToken({ path, value, revision }: Change): void {
@@ -145,9 +145,9 @@
     else this.state.checkpointChunkKeys.delete(path);
   }
 
-  /** Passes on the holder of a role; a row that can't be read closes the role, and is logged. */
-  private checkReadable<H extends LeaseHolder>(path: string, holder: H): H {
-    if (!isReadable(holder)) this.logUnreadable(path, holder.revision);
+  /** Returns the holder unchanged. Logs the row if it is unreadable, in which case no member may act in the role. */
+  private logIfUnreadable<H extends LeaseHolder>(path: string, holder: H): H {
+    if (!isHolderReadable(holder)) this.logUnreadable(path, holder.revision);
     return holder;
   }
 
--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -1,4 +1,4 @@
-/** Checkpoints of the placement ledger, the archive of terminal jobs, and garbage collection. Leader only. */
+/** Checkpoints of the placement ledger, archival of terminal jobs, and garbage collection. Only the leader acts. */
 import { adaptLimits, VALUE_FRAME_BYTES, valuesPerCommit } from './commit-limits.js';
 import {
   CHECKPOINT_HEAD_KEY,
@@ -10,8 +10,13 @@
 } from './keys.js';
 import type { Logger } from './logger.js';
 import type { Replica } from './replica.js';
-import { checkpointRows, encodeCheckpointHead, encodeChunk, packRows } from './stored/checkpoint-codec.js';
-import { encodeFinal } from './stored/job-codec.js';
+import {
+  encodeCheckpointRows,
+  encodeCheckpointHead,
+  encodeChunk,
+  packIntoChunks,
+} from './stored/checkpoint-codec.js';
+import { encodeTerminalStatus } from './stored/job-codec.js';
 import type { FencedStore, RoleRegistry, TermProof } from '#roles';
 import {
   type CommitResult,
@@ -23,16 +28,16 @@
 } from '#store';
 import { type Clock, type Micros, MS, SECOND, sleep } from '#wire';
 
-/** Fewest records between two checkpoints. */
+/** Minimum number of records between two checkpoints. */
 const MIN_CHECKPOINT_INTERVAL_RECORDS = 90;
-/** Records between two checkpoints for each chunk of the last one: large checkpoints are written less often. */
+/** Minimum number of records between two checkpoints per chunk of the last one: large checkpoints are less frequent. */
 const INTERVAL_RECORDS_PER_CHUNK = 8;
-/** Fraction of a log's ring at which a checkpoint is due in any case: writing it takes time, too. */
+/** Fill level of a log's ring at which a checkpoint is always due. It leaves room for records during the write. */
 const CHECKPOINT_LOG_FILL = 0.5;
 const MAX_WRITE_ATTEMPTS = 8;
 const WRITE_RETRY_DELAY: Micros = 400 * MS;
 
-/** What a {@link CheckpointWriter} works with. */
+/** Dependencies of {@link CheckpointWriter}. */
 export interface CheckpointWriterOptions {
   readonly store: FencedStore;
   readonly replica: Replica;
@@ -43,16 +48,17 @@
   readonly log: Logger;
 }
 
-/** Keeps the logs short enough to be written on, and the live keys few enough to be read at a start. */
+/** Keeps free slots in the logs, and keeps the number of live keys small enough for the read at a node's start. */
 export class CheckpointWriter {
   private isMaintaining = false;
-  private attempts = 0;
+  /** Number of checkpoints that this process has begun. */
+  private checkpointCount = 0;
 
   constructor(private readonly options: CheckpointWriterOptions) {}
 
   /**
-   * One step of maintenance: writes a checkpoint if one is due, or else archives terminal jobs; then removes stale
-   * checkpoint chunks. Does nothing on a node that does not lead, or while an earlier step goes on.
+   * Performs one maintenance step: writes a checkpoint if one is due, or else archives terminal jobs, and then removes
+   * stale checkpoint chunks. Does nothing on a node that does not lead, or while an earlier step is running.
    */
   async maintain(): Promise<void> {
     const termProof = this.options.roles.proveHeld('lead');
@@ -70,11 +76,14 @@
 
   private isCheckpointDue(): boolean {
     const { checkpointChunkCount, recordsSinceCheckpoint, fullestLogRecords } = this.options.replica;
-    const due = Math.max(MIN_CHECKPOINT_INTERVAL_RECORDS, INTERVAL_RECORDS_PER_CHUNK * checkpointChunkCount);
-    return recordsSinceCheckpoint >= due || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
+    const limit = Math.max(
+      MIN_CHECKPOINT_INTERVAL_RECORDS,
+      INTERVAL_RECORDS_PER_CHUNK * checkpointChunkCount,
+    );
+    return recordsSinceCheckpoint >= limit || fullestLogRecords >= CHECKPOINT_LOG_FILL * LOG_RING_CAPACITY;
   }
 
-  /** Removes chunks of checkpoints that a newer one has replaced. */
+  /** Removes chunks of checkpoints that a newer checkpoint has replaced. */
   private async removeChunks(termProof: TermProof, paths: readonly string[]): Promise<void> {
     const { store, clock, rateLimiter } = this.options;
     await sleep(clock, rateLimiter.delay());
@@ -85,7 +94,7 @@
     this.adaptLimits(result);
   }
 
-  /** Moves terminal jobs out of the live keys, with what checkpoints leave of the write rate. */
+  /** Moves terminal jobs out of the live keys, at the write rate that checkpoints leave unused. */
   private async archiveTerminalJobs(termProof: TermProof): Promise<void> {
     const { store, replica, limits, rateLimiter } = this.options;
     const terminal = [...replica.terminalJobs].slice(0, Math.max(1, Math.floor(limits.txnOps / 2)));
@@ -94,7 +103,7 @@
     const writes: Write[] = [];
     for (const [id, { status, revision }] of terminal) {
       guards.push({ path: jobKey(id), revision });
-      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeFinal(status) });
+      writes.push({ remove: jobKey(id) }, { set: terminalKey(id), value: encodeTerminalStatus(status) });
     }
     rateLimiter.consume(writes.length);
     const action = 'put away ended jobs';
@@ -107,21 +116,21 @@
     const { replica, limits, log } = this.options;
     const { ledger, jobs } = replica;
     const positions = ledger.allPositions();
-    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.attempts);
+    const id = checkpointId(ledger.totalRecords, termProof.term, ++this.checkpointCount);
     const previousRevision = replica.checkpointRevision;
-    const rows = checkpointRows(ledger, (job) => jobs.has(job));
-    const chunks = packRows(rows, limits.valueBytes - VALUE_FRAME_BYTES);
+    const rows = encodeCheckpointRows(ledger, (job) => jobs.has(job));
+    const chunks = packIntoChunks(rows, limits.valueBytes - VALUE_FRAME_BYTES);
     const writes = chunks.map((chunk, i) => ({ set: checkpointChunkKey(id, i), value: encodeChunk(chunk) }));
     if (!(await this.writeChunks(termProof, writes))) return;
-    // Once a newer checkpoint is the current one, the chunks of its predecessors are removed: a late commit of this
-    // head must not bring it back then.
+    // The guard prevents a delayed commit of this head from replacing a newer checkpoint: by then the chunks of this
+    // checkpoint may have been removed.
     const guards = [{ path: CHECKPOINT_HEAD_KEY, revision: previousRevision }];
     const head = encodeCheckpointHead({ id, positions, chunkCount: chunks.length });
     if (!(await this.writeWithRetry(termProof, guards, [{ set: CHECKPOINT_HEAD_KEY, value: head }]))) return;
     log.debug({ checkpointId: id, chunks: chunks.length }, 'checkpoint written');
   }
 
-  /** Writes the chunks of one checkpoint, several in each commit. False: at least one was not written. */
+  /** Writes the chunks of one checkpoint, several in each commit. Resolves to false if a chunk was not written. */
   private async writeChunks(termProof: TermProof, writes: readonly Write[]): Promise<boolean> {
     const batchSize = valuesPerCommit(this.options.limits);
     for (let i = 0; i < writes.length; i += batchSize) {
@@ -131,9 +140,9 @@
   }
 
   /**
-   * Writes a part of a checkpoint, again if it was not applied: the parts already written would be of no use without
-   * the others, and logs can't grow for ever without a checkpoint. Repeating is harmless: the keys of the chunks are
-   * the checkpoint's own, and the commit of its head is guarded.
+   * Writes a part of a checkpoint and retries if it was not applied. Without a retry the parts already written would be
+   * useless, and the logs cannot grow without checkpoints. Retries are safe: the chunk keys are unique to the
+   * checkpoint, and the commit of its head is guarded.
    */
   private async writeWithRetry(termProof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
     const { store, clock, rateLimiter } = this.options;
@@ -145,7 +154,7 @@
       if (result.kind === 'applied') return true;
       if (result.kind === 'refused') return false;
       this.adaptLimits(result);
-      // The other chunks have the size that was refused: the checkpoint is begun anew with smaller ones.
+      // The other chunks have the same size, so the next maintenance step starts a checkpoint with smaller chunks.
       if (isTooLarge(result)) return false;
     }
     return false;
--- a/packages/cluster/done-set.ts
+++ b/packages/cluster/done-set.ts
@@ -1,59 +1,61 @@
-/** Which tasks of a job are done: a bit each, written out as ranges ("0-41,44"). */
+/** The completed tasks of a job as a bit set, which is encoded as ranges ("0-41,44"). */
 
-/** A growing set of task indexes. */
+/** A set of task indexes to which indexes can only be added. */
 export class DoneSet {
   private bits = new Uint8Array(0);
   private size = 0;
-  /** Every index below this is done. */
-  private low = 0;
+  /** The lowest index that is not in the set. */
+  private lowestIncomplete = 0;
 
-  /** How many tasks are done. */
+  /** Number of completed tasks. */
   get count(): number {
     return this.size;
   }
 
-  /** The lowest index that is not done. */
-  get firstOpen(): number {
-    return this.low;
+  /** The lowest index that is not in the set. */
+  get firstIncomplete(): number {
+    return this.lowestIncomplete;
   }
 
+  /** Returns true if the task is completed. */
   has(index: number): boolean {
     return ((this.bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
+  /** Adds a task; has no effect if it is in the set already. */
   add(index: number): void {
     if (this.has(index)) return;
-    const at = index >> 3;
-    if (at >= this.bits.length) {
-      const grown = new Uint8Array(Math.max(at + 1, this.bits.length * 2));
+    const byteIndex = index >> 3;
+    if (byteIndex >= this.bits.length) {
+      const grown = new Uint8Array(Math.max(byteIndex + 1, this.bits.length * 2));
       grown.set(this.bits);
       this.bits = grown;
     }
-    this.bits[at] = (this.bits[at] ?? 0) | (1 << (index & 7));
+    this.bits[byteIndex] = (this.bits[byteIndex] ?? 0) | (1 << (index & 7));
     this.size++;
-    while (this.has(this.low)) this.low++;
+    while (this.has(this.lowestIncomplete)) this.lowestIncomplete++;
   }
 
-  /** All tasks of a job of this size. */
+  /** Adds all tasks of a job of this size. */
   addAll(size: number): void {
     for (let i = 0; i < size; i++) this.add(i);
   }
 
-  /** The set as ranges in ascending order, as in "0-41" or "44". */
+  /** Returns the set as ranges in ascending order, such as "0-41" or "44". */
   ranges(): string[] {
-    const out: string[] = [];
+    const ranges: string[] = [];
     const end = this.bits.length * 8;
     for (let i = 0; i < end; i++) {
       if (!this.has(i)) continue;
       let last = i;
       while (this.has(last + 1)) last++;
-      out.push(last === i ? String(i) : `${i}-${last}`);
+      ranges.push(last === i ? String(i) : `${i}-${last}`);
       i = last;
     }
-    return out;
+    return ranges;
   }
 
-  /** Adds ranges as {@link ranges} gives them, joined by commas. */
+  /** Adds ranges in the form that {@link ranges} returns, joined by commas. */
   addRanges(text: string): void {
     for (const part of text.split(',')) {
       if (part === '') continue;
--- a/packages/pricing/pricing-round.ts
+++ b/packages/pricing/pricing-round.ts
@@ -1,12 +1,13 @@
-/** One pricing round: prices every shape, then places pending tasks. */
+/** A pricing round: adjusts the prices of every shape, then places the pending tasks. */
 import { placeSegments } from './placement.js';
 import { poolByShape } from './shape-pools.js';
-import { movePrices } from './price-adjustment.js';
+import { adjustPrices } from './price-adjustment.js';
 import { segmentsWithinLimits } from './segments.js';
 import type { PricingRoundInput, PricingRoundResult } from './types.js';
 
 /**
- * Runs one round of the design. Pure but for the given randomness; the input stays as it is.
+ * Runs one pricing round: splits the pending tasks into segments, runs the price passes and places the segments. The
+ * result depends on the input and its random numbers only. The input's machines and prices are not modified.
  */
 export function runPricingRound(input: PricingRoundInput): PricingRoundResult {
   const { options } = input;
@@ -14,6 +15,6 @@
   const segments = segmentsWithinLimits(input, pools);
   const highestPriority = Math.max(1, ...segments.map((segment) => segment.priority));
   const market = { pools, highestPriority, options };
-  for (let pass = 0; pass < options.passes; pass++) movePrices(segments, market);
+  for (let pass = 0; pass < options.passes; pass++) adjustPrices(segments, market);
   return placeSegments(input, segments, market);
 }
--- a/packages/recovery/data-loss-detector.ts
+++ b/packages/recovery/data-loss-detector.ts
@@ -110,16 +110,16 @@
     return inconsistencies.length === 0;
   }
 
-  judgeReading(reading: StateReading): boolean {
-    const { sentAt, shown } = reading;
+  verifyReading(reading: StateReading): boolean {
+    const { sentAt, current } = reading;
     // A reading that began before the alarm was raised can neither clear nor confirm the alarm.
     if (this.alarm.isRaised() && sentAt <= this.alarm.since) return false;
     this.incompleteReadings = 0;
     const evidence = [
       ...toEvidence(`${OWN_SOURCE_PREFIX} copy`, this.compareWithReplica(reading)),
-      ...this.compareWithObservations(sentAt, shown),
+      ...this.compareWithObservations(sentAt, current),
     ];
-    if (evidence.length === 0) this.acceptReading(shown);
+    if (evidence.length === 0) this.acceptReading(current);
     else this.alarm.escalate(evidence);
     return evidence.length === 0;
   }
@@ -129,10 +129,10 @@
    * raised, until they or the keys that replace them are found. Without an alarm they prove nothing: the replica of a node
    * that was disconnected for a long time may hold any number of jobs that have ended since.
    */
-  private compareWithReplica({ shown, known, differences }: StateReading): Inconsistency[] {
+  private compareWithReplica({ current, previous, differences }: StateReading): Inconsistency[] {
     if (this.alarm.isRaised()) this.missingKeyTracker.recordAbsent(differences.absent);
     return [
-      ...findInconsistencies(known ?? {}, shown),
+      ...findInconsistencies(previous ?? {}, current),
       ...missingKeyInconsistencies(this.missingKeyTracker.list()),
       ...differences.regressed.map((key): Inconsistency => ({ kind: 'key_regressed', key })),
       ...differences.forked.map((key): Inconsistency => ({ kind: 'history_forked', key })),
@@ -147,7 +147,7 @@
     this.alarm.clear();
   }
 
-  confirmCopy(sentAt: Micros, replicaMarks: HighWaterMarks): boolean {
+  confirmReplica(sentAt: Micros, replicaMarks: HighWaterMarks): boolean {
     if (this.alarm.isRaised()) return false;
     const evidence = this.compareWithObservations(sentAt, replicaMarks);
     if (evidence.length > 0) this.alarm.raise(evidence);
--- a/packages/workers/machine-ownership.ts
+++ b/packages/workers/machine-ownership.ts
@@ -35,7 +35,7 @@
 /** The version of the ledger and of the owner rows at the last sync. A sync at the same version does nothing. */
 interface SyncedState {
   readonly ledger: Ledger;
-  readonly ownershipChanges: number;
+  readonly ownershipChangeCount: number;
   readonly ownerRevisions: string;
 }
 
@@ -71,11 +71,11 @@
   /** Returns true, and records the new version, if the ledger or the owner rows have changed since the last sync. */
   private recordIfChanged({ ledger, owners }: OwnershipView): boolean {
     const ownerRevisions = [...owners].map(([shard, owner]) => `${shard}/${owner.revision}`).join();
-    const { ownershipChanges } = ledger;
+    const { ownershipChangeCount } = ledger;
     const last = this.synced;
-    const isSameLedger = last?.ledger === ledger && last.ownershipChanges === ownershipChanges;
+    const isSameLedger = last?.ledger === ledger && last.ownershipChangeCount === ownershipChangeCount;
     if (isSameLedger && last.ownerRevisions === ownerRevisions) return false;
-    this.synced = { ledger, ownershipChanges, ownerRevisions };
+    this.synced = { ledger, ownershipChangeCount, ownerRevisions };
     return true;
   }
 
