--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -1,3 +1,4 @@
+/** Commands of the command line against operators' listeners and HTTP servers on loopback. */
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
 import { existsSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -19,8 +20,8 @@
 import { sampleJob } from '#testkit';
 import { execute, FAILURE_EXIT, USAGE_EXIT } from './index.js';
 
-/** A node whose state service shows a lower revision than before. */
-const LOSS: NodeDataLossStatus = {
+/** Status of a node that has read a lower revision from the state service than before. */
+const DATA_LOSS_STATUS: NodeDataLossStatus = {
   member: 'node-2',
   dataLoss: {
     state: 'frozen',
@@ -37,7 +38,7 @@
   },
 };
 
-const REPORT: NodeRoleStatus = {
+const ROLE_STATUS: NodeRoleStatus = {
   member: 'node-1',
   membership: 'member',
   knowledgeAgeS: 0.4,
@@ -65,13 +66,13 @@
   ],
 };
 
-interface Run {
+interface CommandResult {
   code: number;
   out: string[];
   errors: string[];
 }
 
-async function run(...args: string[]): Promise<Run> {
+async function run(...args: string[]): Promise<CommandResult> {
   const out: string[] = [];
   const errors: string[] = [];
   const code = await execute(
@@ -82,7 +83,7 @@
   return { code, out, errors };
 }
 
-/** A snapshot of a node that knows one job and one machine. */
+/** Lines of a snapshot with one job, one terminal status of another job, and one machine. */
 const SNAPSHOT = [
   {
     kind: 'header',
@@ -101,7 +102,7 @@
   { kind: 'ledger', row: ['h', 'n-1', 0, 1, 0, 0, 0] },
 ];
 
-/** Its lines, with the trailer that belongs to them. */
+/** Yields the lines as text, followed by their trailer. */
 function* textOf(lines: readonly object[]): Generator<string> {
   const body = lines.map((line) => `${JSON.stringify(line)}\n`);
   yield* body;
@@ -109,30 +110,32 @@
   yield `${JSON.stringify({ kind: 'trailer', lines: body.length, sha256, hasAllFinals: true })}\n`;
 }
 
-async function* linesOf(lines: readonly object[]): AsyncGenerator<string> {
+async function* streamSnapshot(lines: readonly object[]): AsyncGenerator<string> {
   await Promise.resolve();
   yield* textOf(lines);
 }
 
-/** A listener over a node that reports {@link REPORT} and hands over the lead only. */
-async function withListener(act: (address: string, resigned: RoleName[]) => Promise<void>): Promise<void> {
-  const resigned: RoleName[] = [];
+/** Runs a test against a listener of a node that reports {@link ROLE_STATUS} and hands over only the role `lead`. */
+async function withListener(
+  use: (address: string, requestedRoles: RoleName[]) => Promise<void>,
+): Promise<void> {
+  const requestedRoles: RoleName[] = [];
   const resign = (role: RoleName): Promise<ResignResult> => {
-    resigned.push(role);
+    requestedRoles.push(role);
     const reason = 'share/1 is not held here: node-2 holds it';
     return Promise.resolve(role === 'lead' ? { kind: 'handed_over' } : { kind: 'refused', reason });
   };
-  const unexpected = (cause: unknown): void => {
+  const rethrow = (cause: unknown): void => {
     throw cause;
   };
-  const snapshot = (): AsyncIterable<string> => linesOf(SNAPSHOT);
+  const snapshot = (): AsyncIterable<string> => streamSnapshot(SNAPSHOT);
   const app = createOperatorApp(
-    { roleStatus: () => REPORT, dataLossStatus: () => LOSS, snapshot, resign },
-    unexpected,
+    { roleStatus: () => ROLE_STATUS, dataLossStatus: () => DATA_LOSS_STATUS, snapshot, resign },
+    rethrow,
   );
   const server = await listenForOperators(app, '127.0.0.1:0');
   try {
-    await act(`127.0.0.1:${portOf(server)}`, resigned);
+    await use(`127.0.0.1:${portOf(server)}`, requestedRoles);
   } finally {
     server.closeAllConnections();
     server.close();
@@ -143,7 +146,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Sends bytes as they are and returns what comes back until the connection ends. */
+/** Sends raw bytes and returns everything that is received until the connection is closed. */
 function sendRaw(address: string, bytes: string, closeAfterMs: number): Promise<string> {
   const [host, port] = address.split(':');
   return new Promise((resolve) => {
@@ -158,20 +161,21 @@
   });
 }
 
-const CLOSED = '127.0.0.1:1';
+/** An address at which no server listens. */
+const CLOSED_ADDRESS = '127.0.0.1:1';
 
-test('roles are shown with holder, term, lease, open intents and the last refusal, and silent nodes named', async () => {
+test('duties shows holder, term, lease, open intents and the last refusal of each role, and names nodes that do not answer', async () => {
   await withListener(async (address) => {
-    const { code, out } = await run('duties', '--node', address, CLOSED);
+    const { code, out } = await run('duties', '--node', address, CLOSED_ADDRESS);
     assert.equal(code, 0);
     const text = out.join('\n');
     for (const part of ['lead', 'node-1', '41', '2.4 s', '1 rentals, 2 returns', 'term 38', '0.4 s old']) {
       assert.ok(text.includes(part), `${part} is missing in ${text}`);
     }
     assert.match(text, /127\.0\.0\.1:1: no answer \(.*ECONNREFUSED/);
-    const json = await run('duties', '--json', '--node', address, CLOSED);
+    const json = await run('duties', '--json', '--node', address, CLOSED_ADDRESS);
     const value = JSON.parse(json.out.join('\n')) as { nodes: unknown[]; silent: { node: string }[] };
-    const { roles, ...others } = REPORT;
+    const { roles, ...others } = ROLE_STATUS;
     const duties = roles.map(({ roleName: duty, openIntents, ...role }) => {
       if (!openIntents) return { duty, openIntents, ...role };
       const { scaleOutRequests: rentals, scaleInHosts: returns, ...more } = openIntents;
@@ -180,13 +184,13 @@
     assert.deepEqual(value.nodes, [{ node: address, ...others, duties }]);
     assert.deepEqual(
       value.silent.map((s) => s.node),
-      [CLOSED],
+      [CLOSED_ADDRESS],
     );
   });
 });
 
-test('a role is handed over, or the command fails with the reason', async () => {
-  await withListener(async (address, resigned) => {
+test('duties resign hands a role over, or fails with the reason', async () => {
+  await withListener(async (address, requestedRoles) => {
     assert.deepEqual(await run('duties', 'resign', 'lead', '--node', address), {
       code: 0,
       out: ['lead was handed over'],
@@ -195,19 +199,19 @@
     const refused = await run('duties', 'resign', 'share/1', '--node', address);
     assert.equal(refused.code, FAILURE_EXIT);
     assert.match(refused.errors.join(), /share\/1 was not handed over: .*node-2 holds it/);
-    assert.deepEqual(resigned, ['lead', 1]);
-    assert.equal((await run('duties', 'resign', 'lead', '--node', CLOSED)).code, FAILURE_EXIT);
+    assert.deepEqual(requestedRoles, ['lead', 1]);
+    assert.equal((await run('duties', 'resign', 'lead', '--node', CLOSED_ADDRESS)).code, FAILURE_EXIT);
   });
 });
 
-test('recover status shows the inconsistencies, and ends with exit code 1 while data is lost', async () => {
+test('recover status shows the inconsistencies and returns exit code 1 while data is lost', async () => {
   await withListener(async (address) => {
-    const { code, out, errors } = await run('recover', 'status', '--node', address, CLOSED);
+    const { code, out, errors } = await run('recover', 'status', '--node', address, CLOSED_ADDRESS);
     assert.equal(code, FAILURE_EXIT);
     assert.match(out[1] ?? '', /^node-2 +frozen +12\.5 s +1 +431 +7$/);
     assert.equal(out[2], 'node-2: own requests: epoch 9 is shown, 431 was seen');
     assert.match(out[3] ?? '', /^127\.0\.0\.1:\d+: no answer/);
-    assert.match(errors[0] ?? '', /lost state, as node-2 found/);
+    assert.match(errors[0] ?? '', /lost data, detected by node-2;/);
     const json = await run('recover', 'status', '--json', '--node', address);
     const seen = { epoch: 431, token: 7, positions: { lead: 3 } };
     const evidence = [
@@ -218,14 +222,18 @@
       },
     ];
     assert.deepEqual((JSON.parse(json.out.join('\n')) as { nodes: object[] }).nodes, [
-      { node: address, member: LOSS.member, loss: { ...LOSS.dataLoss, evidence, seen } },
+      {
+        node: address,
+        member: DATA_LOSS_STATUS.member,
+        loss: { ...DATA_LOSS_STATUS.dataLoss, evidence, seen },
+      },
     ]);
   });
 });
 
-test('a snapshot is written, verified and shown, and other files are rejected by the name of their fault', async () => {
+test('snapshot writes, verifies and shows snapshots, and rejects invalid files with the kind of their fault', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-cli-'));
-  const at = (name: string): string => join(folder, name);
+  const pathOf = (name: string): string => join(folder, name);
   const compressed = gzipSync([...textOf(SNAPSHOT)].join(''));
   const [header, ...rest] = SNAPSHOT;
   const variant = (lines: readonly object[]): Buffer => gzipSync([...textOf(lines)].join(''));
@@ -245,7 +253,7 @@
   ];
   try {
     await withListener(async (address) => {
-      const file = at('state.snapshot');
+      const file = pathOf('state.snapshot');
       const taken = await run('snapshot', file, '--node', address);
       assert.deepEqual(taken, {
         code: 0,
@@ -259,12 +267,12 @@
       assert.ok(shown.out.includes('epoch, token       431, 7'), shown.out.join('\n'));
       const json = JSON.parse((await run('snapshot', 'show', file, '--json')).out.join('')) as object;
       assert.equal((json as { machines: number }).machines, 1);
-      assert.equal((await run('snapshot', at('new'), '--node', CLOSED)).code, FAILURE_EXIT);
-      assert.equal(existsSync(at('new.partial')), false);
+      assert.equal((await run('snapshot', pathOf('new'), '--node', CLOSED_ADDRESS)).code, FAILURE_EXIT);
+      assert.equal(existsSync(pathOf('new.partial')), false);
     });
     for (const [name, bytes, fault] of faults) {
-      writeFileSync(at(name), bytes);
-      const { code, errors } = await run('snapshot', 'verify', at(name));
+      writeFileSync(pathOf(name), bytes);
+      const { code, errors } = await run('snapshot', 'verify', pathOf(name));
       assert.equal(code, FAILURE_EXIT, name);
       assert.match(errors[0] ?? '', fault, name);
     }
@@ -273,7 +281,7 @@
   }
 });
 
-test('wrong usage ends with exit code 2 and one line that says what to do', async () => {
+test('a usage error returns exit code 2 and prints one line that explains it', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-cli-'));
   const write = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
@@ -281,13 +289,18 @@
   };
   const xml = (listen: string): string =>
     `<micaworks><operations><listen>${listen}</listen></operations></micaworks>`;
-  const wrongXml = ['nowhere', '127.0.0.1', '127.0.0.1:0', '127.0.0.1:99999', '999.0.0.1:80', ''].map(
-    (listen, i) => ['check', '--operator', write(`listen-${i}.xml`, xml(listen))],
-  );
+  const invalidListenCases = [
+    'nowhere',
+    '127.0.0.1',
+    '127.0.0.1:0',
+    '127.0.0.1:99999',
+    '999.0.0.1:80',
+    '',
+  ].map((listen, i) => ['check', '--operator', write(`listen-${i}.xml`, xml(listen))]);
   const flag = '<micaworks><operations><handOverOnStop>perhaps</handOverOnStop></operations></micaworks>';
-  const noTeam = { ...encodeSubmission(sampleJob('j-1')), Crew: null };
+  const jobWithoutTeam = { ...encodeSubmission(sampleJob('j-1')), Crew: null };
   const cases: string[][] = [
-    ...wrongXml,
+    ...invalidListenCases,
     ['check', '--operator', write('flag.xml', flag)],
     [],
     ['frobnicate'],
@@ -301,8 +314,8 @@
     ['recover', 'frobnicate'],
     ['recover', 'status', '--node', 'nowhere'],
     ['duties', 'resign', 'lead'],
-    ['duties', 'resign', 'everything', '--node', CLOSED],
-    ['duties', 'resign', 'share/x', '--node', CLOSED],
+    ['duties', 'resign', 'everything', '--node', CLOSED_ADDRESS],
+    ['duties', 'resign', 'share/x', '--node', CLOSED_ADDRESS],
     ['check'],
     ['check', '--config', join(folder, 'missing.toml')],
     ['check', '--operator', write('cut.xml', '<micaworks><round>')],
@@ -310,7 +323,7 @@
     ['run', '--config', write('wrong.toml', 'member = 1')],
     ['submit', join(folder, 'missing.json')],
     ['submit', write('cut.json', '{"Uid":')],
-    ['submit', write('no-team.json', JSON.stringify(noTeam))],
+    ['submit', write('no-team.json', JSON.stringify(jobWithoutTeam))],
     ['show', 'j-'],
     ['withdraw', 'everything'],
   ];
@@ -326,7 +339,7 @@
   }
 });
 
-test('help, version and a usable file end with exit code 0', async () => {
+test('help, version and a valid settings file return exit code 0', async () => {
   const example = new URL('../../deploy/operator.example.xml', import.meta.url).pathname;
   for (const args of [['--help'], ['--version'], ['duties', '--help'], ['check', '--operator', example]]) {
     const { code, out } = await run(...args);
@@ -335,19 +348,19 @@
   }
 });
 
-test('a job is submitted, shown and withdrawn over the wire package', async () => {
+test('submit, show and withdraw send the requests of the published protocol and print the state of the job', async () => {
   const { decode, encode, encodeJobState } = await import('#wire');
-  const seen: string[] = [];
+  const requests: string[] = [];
   const server = createServer((request, response) => {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
       const body = chunks.length > 0 ? (decode(Buffer.concat(chunks)) as { Uid: string }) : null;
-      seen.push(`${request.method} ${request.url} ${body?.Uid ?? ''}`.trim());
+      requests.push(`${request.method} ${request.url} ${body?.Uid ?? ''}`.trim());
       const status = request.url?.endsWith('/withdraw') === true ? 'cancelled' : 'pending';
-      const isKnown = request.url !== '/submissions/j-404';
-      response.statusCode = isKnown ? 200 : 404;
-      response.end(encode(isKnown ? encodeJobState({ id: 'j-7', status }) : { error: 'no such job' }));
+      const jobExists = request.url !== '/submissions/j-404';
+      response.statusCode = jobExists ? 200 : 404;
+      response.end(encode(jobExists ? encodeJobState({ id: 'j-7', status }) : { error: 'no such job' }));
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -359,10 +372,10 @@
     assert.deepEqual((await run('submit', file, '--node', address)).out, ['j-7: pending']);
     assert.deepEqual((await run('show', 'j-7', '--node', address)).out, ['j-7: pending']);
     assert.deepEqual((await run('withdraw', 'j-7', '--node', address)).out, ['j-7: cancelled']);
-    const missing = await run('show', 'j-404', '--node', address);
-    assert.equal(missing.code, FAILURE_EXIT);
-    assert.match(missing.errors.join(), /404: no such job/);
-    assert.deepEqual(seen.slice(0, 3), [
+    const notFound = await run('show', 'j-404', '--node', address);
+    assert.equal(notFound.code, FAILURE_EXIT);
+    assert.match(notFound.errors.join(), /404: no such job/);
+    assert.deepEqual(requests.slice(0, 3), [
       'POST /submissions j-7',
       'GET /submissions/j-7',
       'POST /submissions/j-7/withdraw',
@@ -374,8 +387,8 @@
   }
 });
 
-test('hostile and half-written requests to the listener are rejected and stop nothing', async () => {
-  await withListener(async (address, resigned) => {
+test('the listener rejects malformed and incomplete requests and continues to serve', async () => {
+  await withListener(async (address, requestedRoles) => {
     const post = (body: string, length = body.length): string =>
       `POST /duties/resign HTTP/1.1\r\nHost: x\r\nContent-Length: ${length}\r\n\r\n${body}`;
     const cases: [string, RegExp][] = [
@@ -387,12 +400,12 @@
       ['POST /duties HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n', / 405 /],
       ['GET /../etc HTTP/1.1\r\nHost: x\r\n\r\n', / 404 /],
       ['\u0000\u0001 nonsense\r\n\r\n', / 400 /],
-      // Says that more comes, and goes away.
+      // Announces a longer body than it sends, then closes the connection.
       [post('{"duty":', 500), /^$/],
     ];
     for (const [bytes, answer] of cases) assert.match(await sendRaw(address, bytes, 500), answer);
-    assert.deepEqual(resigned, []);
-    // More idle connections than it takes: it drops the rest, and serves again once they are gone.
+    assert.deepEqual(requestedRoles, []);
+    // More idle connections than the listener accepts: it drops the others, and serves again once these are closed.
     const idle = [...Array(20).keys()].map(() => sendRaw(address, 'GET /duties HTTP/1.1\r\n', 300));
     await Promise.all(idle);
     assert.equal((await run('duties', '--node', address)).code, 0);
--- a/packages/cli/command-test-support.ts
+++ b/packages/cli/command-test-support.ts
@@ -1,4 +1,4 @@
-/** Runs commands in the process of a test against listeners on loopback, and keeps what they print. For tests only. */
+/** Runs commands inside the test process against listeners on loopback and records their output. For tests only. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -14,11 +14,11 @@
 } from '#operations';
 import { execute } from './index.js';
 
-/** Nothing listens there. */
-export const CLOSED = '127.0.0.1:1';
+/** An address at which no server listens. */
+export const CLOSED_ADDRESS = '127.0.0.1:1';
 
-/** A node that knows of roles in every state. */
-export const DUTIES: NodeRoleStatus = {
+/** Status of a node with one role in each state. */
+export const ROLE_STATUS: NodeRoleStatus = {
   member: 'node-1',
   membership: 'member',
   knowledgeAgeS: 0.4,
@@ -96,22 +96,22 @@
   ],
 };
 
-/** A node without data loss. */
-export const SERVING: NodeDataLossStatus = {
+/** Status of a node that has detected no data loss. */
+export const SERVING_STATUS: NodeDataLossStatus = {
   member: 'node-1',
   dataLoss: { state: 'serving', sinceS: 100, evidence: [], falseAlarms: 0, seen: { revision: 432 } },
 };
 
-const NODE: OperatedNode = {
-  roleStatus: () => DUTIES,
-  dataLossStatus: () => SERVING,
+const DEFAULT_NODE: OperatedNode = {
+  roleStatus: () => ROLE_STATUS,
+  dataLossStatus: () => SERVING_STATUS,
   snapshot: () => null,
   resign: () => Promise.resolve({ kind: 'handed_over' }),
 };
 
-/** The address of a listener over a node, which ends with the test. */
-export async function listen(t: TestContext, node: Partial<OperatedNode> = {}): Promise<string> {
-  const app = createOperatorApp({ ...NODE, ...node }, () => undefined);
+/** Starts an operators' listener for a node and returns its address. The listener is closed after the test. */
+export async function startListener(t: TestContext, node: Partial<OperatedNode> = {}): Promise<string> {
+  const app = createOperatorApp({ ...DEFAULT_NODE, ...node }, () => undefined);
   const server = await listenForOperators(app, '127.0.0.1:0');
   t.after(() => {
     server.closeAllConnections();
@@ -120,8 +120,12 @@
   return addressOf(server);
 }
 
-/** The address of a server that gives each request the same answer, which ends with the test. */
-export async function answerAlways(t: TestContext, status: number, body: Buffer | string): Promise<string> {
+/** Starts a server that sends the same response to every request and returns its address. It is closed after the test. */
+export async function startFixedResponseServer(
+  t: TestContext,
+  status: number,
+  body: Buffer | string,
+): Promise<string> {
   const server = createServer((_request, response) => {
     response.statusCode = status;
     response.end(body);
@@ -138,8 +142,8 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** A folder for the files of a test, which ends with it. */
-export function folderFor(t: TestContext): string {
+/** Creates a folder for the files of a test. It is removed after the test. */
+export function createTestFolder(t: TestContext): string {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-output-'));
   t.after(() => {
     rmSync(folder, { recursive: true });
@@ -147,18 +151,18 @@
   return folder;
 }
 
-/** What stands for text that differs from run to run. */
-export type Names = Readonly<Record<string, string>>;
+/** Replacements for text that differs from run to run, keyed by that text. */
+export type Placeholders = Readonly<Record<string, string>>;
 
-/** Runs a command: its exit code, then what it printed, then its errors after `! `. */
-export async function run(args: readonly string[], names: Names = {}): Promise<string[]> {
+/** Runs a command and returns its exit code and its output lines in order; lines on standard error start with `! `. */
+export async function run(args: readonly string[], placeholders: Placeholders = {}): Promise<string[]> {
   const lines: string[] = [];
   const code = await execute(
     args,
     (line) => lines.push(...line.split('\n')),
     (line) => lines.push(`! ${line}`),
   );
-  const named = (line: string): string =>
-    Object.entries(names).reduce((text, [value, name]) => text.replaceAll(value, name), line);
-  return [`exit ${code}`, ...lines.map(named)];
+  const replaceValues = (line: string): string =>
+    Object.entries(placeholders).reduce((text, [value, name]) => text.replaceAll(value, name), line);
+  return [`exit ${code}`, ...lines.map(replaceValues)];
 }
--- a/packages/cli/duties-output.test.ts
+++ b/packages/cli/duties-output.test.ts
@@ -1,10 +1,10 @@
-/** What `micaworks duties` prints, to the letter: scripts of the operators read these lines. */
+/** Golden tests of the output of `micaworks duties`, which operators' scripts parse. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type NodeRoleStatus } from '#operations';
-import { answerAlways, CLOSED, listen, run } from './command-test-support.js';
+import { startFixedResponseServer, CLOSED_ADDRESS, startListener, run } from './command-test-support.js';
 
-/** A node that has just started and knows of nobody. */
+/** Status of a node that has just started and has no information about other members. */
 const NEW_NODE: NodeRoleStatus = {
   member: 'node-3',
   membership: 'joining',
@@ -23,9 +23,9 @@
   ],
 };
 
-test('duties prints this table', async (t) => {
-  const nodes = [await listen(t), await listen(t, { roleStatus: () => NEW_NODE })];
-  assert.deepEqual(await run(['duties', '--node', ...nodes, CLOSED]), [
+test('duties prints a table of the roles as each node reports them', async (t) => {
+  const nodes = [await startListener(t), await startListener(t, { roleStatus: () => NEW_NODE })];
+  assert.deepEqual(await run(['duties', '--node', ...nodes, CLOSED_ADDRESS]), [
     'exit 0',
     'NODE    DUTY     STATE      HOLDER  TERM  SINCE   LEASE  OPEN                  LAST REFUSED',
     'node-1  lead     held       node-1  41    12.5 s  2.4 s  1 rentals, 2 returns  deal shares: the duty has changed hands (term 38, 90 s ago)',
@@ -42,10 +42,10 @@
   ]);
 });
 
-test('duties --json prints this object', async (t) => {
-  const [first, second] = [await listen(t), await listen(t, { roleStatus: () => NEW_NODE })];
-  const names = { [first]: 'FIRST', [second]: 'SECOND' };
-  assert.deepEqual(await run(['duties', '--json', '--node', first, second, CLOSED], names), [
+test('duties --json prints the answers and the nodes that do not answer', async (t) => {
+  const [first, second] = [await startListener(t), await startListener(t, { roleStatus: () => NEW_NODE })];
+  const placeholders = { [first]: 'FIRST', [second]: 'SECOND' };
+  assert.deepEqual(await run(['duties', '--json', '--node', first, second, CLOSED_ADDRESS], placeholders), [
     'exit 0',
     '{',
     '  "nodes": [',
@@ -172,14 +172,14 @@
   ]);
 });
 
-test('duties fails in these words if no node answers', async (t) => {
-  const text = await answerAlways(t, 200, 'no JSON');
-  const number = await answerAlways(t, 200, '7');
-  const error = await answerAlways(t, 500, '{"error":"internal error"}');
-  const long = await answerAlways(t, 200, 'x'.repeat(5 * 1024 * 1024));
-  const names = { [text]: 'TEXT', [number]: 'NUMBER', [error]: 'ERROR', [long]: 'LONG' };
-  const nodes = ['--node', text, number, error, long, CLOSED];
-  assert.deepEqual(await run(['duties', ...nodes], names), [
+test('duties fails if no node gives a valid answer, and prints the reason for each node', async (t) => {
+  const text = await startFixedResponseServer(t, 200, 'no JSON');
+  const number = await startFixedResponseServer(t, 200, '7');
+  const error = await startFixedResponseServer(t, 500, '{"error":"internal error"}');
+  const long = await startFixedResponseServer(t, 200, 'x'.repeat(5 * 1024 * 1024));
+  const placeholders = { [text]: 'TEXT', [number]: 'NUMBER', [error]: 'ERROR', [long]: 'LONG' };
+  const nodes = ['--node', text, number, error, long, CLOSED_ADDRESS];
+  assert.deepEqual(await run(['duties', ...nodes], placeholders), [
     'exit 1',
     'NODE  DUTY  STATE  HOLDER  TERM  SINCE  LEASE  OPEN  LAST REFUSED',
     'TEXT: no answer (its answer is not JSON)',
@@ -187,9 +187,9 @@
     'ERROR: no answer (internal error)',
     'LONG: no answer (its answer is too large)',
     '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
-    '! micaworks: no node answered; is operations/listen set in their XML?',
+    "! micaworks: no node answered; check that operations/listen is set in the nodes' operators' settings (XML)",
   ]);
-  assert.deepEqual(await run(['duties', '--json', '--node', CLOSED]), [
+  assert.deepEqual(await run(['duties', '--json', '--node', CLOSED_ADDRESS]), [
     'exit 1',
     '{',
     '  "nodes": [],',
@@ -200,22 +200,22 @@
     '    }',
     '  ]',
     '}',
-    '! micaworks: no node answered; is operations/listen set in their XML?',
+    "! micaworks: no node answered; check that operations/listen is set in the nodes' operators' settings (XML)",
   ]);
 });
 
-test('duties resign prints one of these lines', async (t) => {
-  const done = await listen(t);
-  const refusing = await listen(t, {
+test('duties resign prints the result or the reason of the refusal', async (t) => {
+  const accepting = await startListener(t);
+  const refusing = await startListener(t, {
     resign: () => Promise.resolve({ kind: 'refused', reason: 'share/1 is not held here: node-2 holds it' }),
   });
-  const failing = await listen(t, { resign: () => Promise.reject(new Error('unforeseen')) });
-  const strange = await answerAlways(t, 200, '{"kind":"later"}');
-  const names = { [failing]: 'FAILING' };
+  const failing = await startListener(t, { resign: () => Promise.reject(new Error('unforeseen')) });
+  const unexpected = await startFixedResponseServer(t, 200, '{"kind":"later"}');
+  const placeholders = { [failing]: 'FAILING' };
   const resign = (role: string, node: string): Promise<string[]> =>
-    run(['duties', 'resign', role, '--node', node], names);
-  assert.deepEqual(await resign('lead', done), ['exit 0', 'lead was handed over']);
-  assert.deepEqual(await resign('share/12', done), ['exit 0', 'share/12 was handed over']);
+    run(['duties', 'resign', role, '--node', node], placeholders);
+  assert.deepEqual(await resign('lead', accepting), ['exit 0', 'lead was handed over']);
+  assert.deepEqual(await resign('share/12', accepting), ['exit 0', 'share/12 was handed over']);
   assert.deepEqual(await resign('share/1', refusing), [
     'exit 1',
     '! micaworks: share/1 was not handed over: share/1 is not held here: node-2 holds it',
@@ -224,8 +224,11 @@
     'exit 1',
     '! micaworks: FAILING: internal error; the log of the node says more',
   ]);
-  assert.deepEqual(await resign('lead', strange), ['exit 1', '! micaworks: lead was not handed over: ?']);
-  assert.deepEqual(await resign('lead', CLOSED), [
+  assert.deepEqual(await resign('lead', unexpected), [
+    'exit 1',
+    '! micaworks: lead was not handed over: no reason given',
+  ]);
+  assert.deepEqual(await resign('lead', CLOSED_ADDRESS), [
     'exit 1',
     '! micaworks: 127.0.0.1:1: connect ECONNREFUSED 127.0.0.1:1',
   ]);
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -1,4 +1,7 @@
-/** `micaworks duties`: which node holds which role, as the nodes that answer know it. Operators call a role a duty. */
+/**
+ * Implements `micaworks duties`, which shows the holder of each role as reported by each node. Operators call a role a
+ * duty.
+ */
 import { parseRoleName } from '#roles';
 import {
   askRoles,
@@ -8,46 +11,56 @@
   type OpenIntentsAnswer,
   type RefusalAnswer,
 } from '#operations';
-import { checkAddress } from './address.js';
-import { demandAnswer, type NodeAnswers, type NodesOptions, printSilent, sortAnswers } from './answers.js';
+import { validateAddress } from './address.js';
+import {
+  requireAnswer,
+  type NodeAnswers,
+  type NodesOptions,
+  printUnresponsive,
+  splitAnswers,
+} from './answers.js';
 import { CommandFailure, UsageError } from './errors.js';
 import { formatTable, type Print, printJson } from './output.js';
 
-const HEADING = ['NODE', 'DUTY', 'STATE', 'HOLDER', 'TERM', 'SINCE', 'LEASE', 'OPEN', 'LAST REFUSED'];
+const HEADINGS = ['NODE', 'DUTY', 'STATE', 'HOLDER', 'TERM', 'SINCE', 'LEASE', 'OPEN', 'LAST REFUSED'];
 
-/** Prints the roles as each node knows them; fails if no node answers. */
+/** Prints the state of each role as reported by each node. Throws {@link CommandFailure} if no node answers. */
 export async function showRoles({ node, json }: NodesOptions, print: Print): Promise<void> {
-  const answers = sortAnswers(await askRoles(node.map(checkAddress)));
+  const answers = splitAnswers(await askRoles(node.map(validateAddress)));
   if (json) printJson(print, answers);
   else printTable(answers, print);
-  demandAnswer(answers);
+  requireAnswer(answers);
 }
 
-/** Asks a node to hand over the role of this name; fails with the reason if it does not. */
+/**
+ * Asks a node to hand over the role of this name. Throws {@link CommandFailure} with the reason if the node does not
+ * hand it over.
+ */
 export async function resignRole(name: string, node: string, print: Print): Promise<void> {
-  const address = checkAddress(node);
-  if (parseRoleName(name) === null) throw new UsageError(`${name}: no such duty; write lead or share/N`);
+  const address = validateAddress(node);
+  if (parseRoleName(name) === null) throw new UsageError(`${name}: unknown duty; expected lead or share/N`);
   const answer = await askToResign(address, name);
   if (answer.kind === 'silent') throw new CommandFailure(`${node}: ${answer.reason}`);
-  // A node of a later version may answer more than this one knows.
+  // A node of a later version may answer with a kind that this version does not define.
   const { kind, reason }: { kind: string; reason?: string } = answer.value;
-  if (kind !== 'handed_over') throw new CommandFailure(`${name} was not handed over: ${reason ?? '?'}`);
+  if (kind !== 'handed_over')
+    throw new CommandFailure(`${name} was not handed over: ${reason ?? 'no reason given'}`);
   print(`${name} was handed over`);
 }
 
 function printTable(answers: NodeAnswers<RolesAnswer>, print: Print): void {
   const { nodes } = answers;
-  const rows = nodes.flatMap((answer) => answer.duties.map((role) => rowOf(answer.member, role)));
-  for (const line of formatTable([HEADING, ...rows])) print(line);
+  const rows = nodes.flatMap((answer) => answer.duties.map((role) => roleRow(answer.member, role)));
+  for (const line of formatTable([HEADINGS, ...rows])) print(line);
   for (const { member, knowledgeAgeS, membership } of nodes) {
     const age = knowledgeAgeS === null ? 'never complete' : `${knowledgeAgeS} s old`;
     print(`${member}: ${membership}; what it knows is ${age}`);
   }
-  printSilent(answers, print);
+  printUnresponsive(answers, print);
 }
 
-/** The cells of one role, under {@link HEADING}. */
-function rowOf(member: string, role: RoleAnswer): string[] {
+/** Returns the table cells of one role, in the order of {@link HEADINGS}. */
+function roleRow(member: string, role: RoleAnswer): string[] {
   return [
     member,
     role.duty,
--- a/packages/cli/index.ts
+++ b/packages/cli/index.ts
@@ -1,3 +1,3 @@
-/** The command line. */
+/** The command line interface for operators and users. */
 export * from './errors.js';
 export * from './program.js';
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -1,4 +1,4 @@
-/** `micaworks submit`, `show` and `withdraw`: a client of the service over the published wire package. */
+/** Implements `micaworks submit`, `show` and `withdraw` as a client of the service's HTTP interface for users. */
 import { readFileSync } from 'node:fs';
 import {
   type HttpClient,
@@ -11,61 +11,71 @@
   type HttpReply,
   SECOND,
 } from '#wire';
-import { checkAddress } from './address.js';
+import { validateAddress } from './address.js';
 import { CommandFailure, messageOf, UsageError } from './errors.js';
 import type { Print } from './output.js';
 
-/** A request is retried for so long while the service is unavailable, with this pause between attempts. */
-const RETRY_FOR_MS = 60_000;
+/** While the service is unavailable, a request is retried for this time. */
+const MAX_RETRY_MS = 60_000;
+/** Pause between two attempts of a request. */
 const RETRY_PAUSE_MS = 1000;
 const RESPONSE_TIMEOUT = 5 * SECOND;
-/** Statuses of a service that is temporarily unavailable. */
+/** HTTP statuses of a service that is temporarily unavailable. */
 const UNAVAILABLE_STATUSES: readonly number[] = [429, 503, 504];
 const STDIN_FD = 0;
 const OK_STATUSES: readonly number[] = [200, 201];
 
-/** One request to a node that serves users. */
+/** A request to the user interface of a node. */
 interface UserRequest {
-  /** Address of the node, as given. */
+  /** Address of the node, as given on the command line. */
   readonly node: string;
   readonly method: HttpMethod;
   readonly path: string;
   readonly body?: object;
 }
 
-/** A request that failed for now: the service was not reached, or is temporarily unavailable. */
-interface Unserved {
+/** A request that may be retried: the node could not be reached, or the service is temporarily unavailable. */
+interface UnservedRequest {
   readonly kind: 'unserved';
   readonly reason: string;
 }
 
-/** A request that the service has answered. */
-interface Served {
+/** A request that the service has answered, with success or with an error that a retry would not change. */
+interface ServedRequest {
   readonly kind: 'served';
   readonly reply: HttpReply;
 }
 
-/** The job that a file describes, in the service's own JSON form; `-` reads standard input. */
+/**
+ * Reads a job from a JSON file and returns the body of its submission; `-` reads standard input. Throws
+ * {@link UsageError} if the file can't be read or the job is invalid.
+ */
 export function readSubmission(file: string): object {
   const parsed = parseSubmission(parseJson(file, readText(file)));
   if ('invalid' in parsed) throw new UsageError(`${file}: ${parsed.invalid} is missing or invalid`);
   return encodeSubmission(parsed.job);
 }
 
-/** Submits the job that a file describes, and prints its state. */
+/** Submits the job in a JSON file and prints the job's state. */
 export async function submitJob(file: string, node: string, print: Print): Promise<void> {
   const body = readSubmission(file);
-  printState(await ask({ node, method: 'POST', path: '/submissions', body }), print);
+  printState(await sendWithRetries({ node, method: 'POST', path: '/submissions', body }), print);
 }
 
 /** Prints the state of a job. */
 export async function showJob(id: string, node: string, print: Print): Promise<void> {
-  printState(await ask({ node, method: 'GET', path: `/submissions/${checkId(id)}` }), print);
+  printState(
+    await sendWithRetries({ node, method: 'GET', path: `/submissions/${validateJobId(id)}` }),
+    print,
+  );
 }
 
-/** Cancels a job, and prints its state. */
+/** Cancels a job and prints its state. */
 export async function withdrawJob(id: string, node: string, print: Print): Promise<void> {
-  printState(await ask({ node, method: 'POST', path: `/submissions/${checkId(id)}/withdraw` }), print);
+  printState(
+    await sendWithRetries({ node, method: 'POST', path: `/submissions/${validateJobId(id)}/withdraw` }),
+    print,
+  );
 }
 
 function readText(file: string): string {
@@ -84,35 +94,38 @@
   }
 }
 
-function checkId(id: string): string {
+function validateJobId(id: string): string {
   const isValid: boolean = isJobId(id);
   if (isValid) return id;
-  throw new UsageError(`${id}: not a job id; they look like j-000412`);
+  throw new UsageError(`${id}: invalid job id; expected an id such as j-000412`);
 }
 
-/** The service's reply; while the service is unavailable the request is retried for {@link RETRY_FOR_MS}. */
-async function ask(request: UserRequest): Promise<HttpReply> {
-  const call = createHttpClient(1);
-  checkAddress(request.node);
-  const until = Date.now() + RETRY_FOR_MS;
+/**
+ * Returns the service's reply. Retries the request while the service is unavailable, and throws {@link CommandFailure}
+ * after {@link MAX_RETRY_MS}.
+ */
+async function sendWithRetries(request: UserRequest): Promise<HttpReply> {
+  const client = createHttpClient(1);
+  validateAddress(request.node);
+  const deadlineMs = Date.now() + MAX_RETRY_MS;
   for (;;) {
-    const outcome = await tryOnce(call, request);
-    if (outcome.kind === 'served') return outcome.reply;
-    if (Date.now() + RETRY_PAUSE_MS > until) {
+    const result = await sendOnce(client, request);
+    if (result.kind === 'served') return result.reply;
+    if (Date.now() + RETRY_PAUSE_MS > deadlineMs) {
       throw new CommandFailure(
-        `${request.node}: not served for ${RETRY_FOR_MS / 1000} s (${outcome.reason}); try another node`,
+        `${request.node}: service unavailable for ${MAX_RETRY_MS / 1000} s (${result.reason}); try another node`,
       );
     }
     await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MS));
   }
 }
 
-async function tryOnce(
-  call: HttpClient,
+async function sendOnce(
+  client: HttpClient,
   { node, method, path, body }: UserRequest,
-): Promise<Served | Unserved> {
+): Promise<ServedRequest | UnservedRequest> {
   try {
-    const reply = await call(node, method, path, body, RESPONSE_TIMEOUT);
+    const reply = await client(node, method, path, body, RESPONSE_TIMEOUT);
     if (!UNAVAILABLE_STATUSES.includes(reply.status)) return { kind: 'served', reply };
     return { kind: 'unserved', reason: `status ${reply.status}` };
   } catch (cause) {
@@ -127,7 +140,7 @@
 function printState({ status, body }: HttpReply, print: Print): void {
   if (!OK_STATUSES.includes(status)) {
     const reason = typeof body['error'] === 'string' ? body['error'] : 'no reason given';
-    throw new CommandFailure(`refused with ${status}: ${reason}`);
+    throw new CommandFailure(`request refused with status ${status}: ${reason}`);
   }
   const { Uid: id, done, running } = body;
   const hasCounts = isPresent(done) && isPresent(running);
--- a/packages/cli/main.ts
+++ b/packages/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line as a process. */
+/** Entry point of the `micaworks` executable. */
 import { execute } from './program.js';
 
 const exitCode = await execute(
@@ -7,5 +7,5 @@
   (line) => process.stdout.write(`${line}\n`),
   (line) => process.stderr.write(`${line}\n`),
 );
-// `run` leaves its servers open and goes on; everything else has nothing left to do.
+// On success the process is not ended explicitly: after `run`, its servers keep the process alive.
 if (exitCode !== 0) process.exit(exitCode);
--- a/packages/cli/output-format.test.ts
+++ b/packages/cli/output-format.test.ts
@@ -1,11 +1,11 @@
-/** What the command line prints of its help, of settings files and of wrong usage, to the letter, and how it ends. */
+/** Golden tests of the help texts, of `micaworks check` and of usage errors, with the exit codes. */
 import assert from 'node:assert/strict';
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { encodeSubmission } from '#wire';
 import { sampleJob } from '#testkit';
-import { CLOSED, folderFor, run } from './command-test-support.js';
+import { CLOSED_ADDRESS, createTestFolder, run } from './command-test-support.js';
 
 const SETTINGS = `
 member = "hive-0"
@@ -41,7 +41,7 @@
 sockets = 2500
 `;
 
-test('the help names every command and option in these words', async () => {
+test('--help prints the documented commands and options', async () => {
   assert.deepEqual(await run(['--help']), [
     'exit 0',
     'Usage: micaworks [options] [command]',
@@ -209,13 +209,13 @@
   ]);
 });
 
-test('the version is that of the package', async () => {
+test('--version prints the version of the package', async () => {
   assert.deepEqual(await run(['--version']), ['exit 0', '0.1.0']);
 });
 
-test('check prints these lines', async (t) => {
-  const folder = folderFor(t);
-  const names = { [folder]: 'FOLDER' };
+test('check prints a line for each valid file and fails at the first invalid one', async (t) => {
+  const folder = createTestFolder(t);
+  const placeholders = { [folder]: 'FOLDER' };
   const write = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
     return join(folder, name);
@@ -226,48 +226,48 @@
     'on.xml',
     '<micaworks><operations><listen>127.0.0.1:7070</listen></operations></micaworks>',
   );
-  assert.deepEqual(await run(['check', '--config', config, '--operator', off], names), [
+  assert.deepEqual(await run(['check', '--config', config, '--operator', off], placeholders), [
     'exit 0',
     'FOLDER/settings.toml: usable; node hive-0 with 1 peers',
     "FOLDER/off.xml: usable; operators' listener off",
   ]);
-  assert.deepEqual(await run(['check', '--operator', on], names), [
+  assert.deepEqual(await run(['check', '--operator', on], placeholders), [
     'exit 0',
     "FOLDER/on.xml: usable; operators' listener 127.0.0.1:7070",
   ]);
   const wrong = write('wrong.toml', 'member = 1');
-  assert.deepEqual(await run(['check', '--config', wrong], names), [
+  assert.deepEqual(await run(['check', '--config', wrong], placeholders), [
     'exit 2',
     '! micaworks: member: Invalid input',
   ]);
   const wrongXml = write('wrong.xml', '<micaworks><round><gapMs>5</gapMs></round></micaworks>');
-  assert.deepEqual(await run(['check', '--config', config, '--operator', wrongXml], names), [
+  assert.deepEqual(await run(['check', '--config', config, '--operator', wrongXml], placeholders), [
     'exit 2',
     'FOLDER/settings.toml: usable; node hive-0 with 1 peers',
     "! micaworks: operators' file: round/gapMs: must be a number from 20 to 5000",
   ]);
-  assert.deepEqual(await run(['run', '--config', wrong], names), [
+  assert.deepEqual(await run(['run', '--config', wrong], placeholders), [
     'exit 2',
     '! micaworks: member: Invalid input',
   ]);
-  assert.deepEqual(await run(['run', '--config', config, '--operator', wrongXml], names), [
+  assert.deepEqual(await run(['run', '--config', config, '--operator', wrongXml], placeholders), [
     'exit 2',
     "! micaworks: operators' file: round/gapMs: must be a number from 20 to 5000",
   ]);
   const missing = join(folder, 'missing');
-  assert.deepEqual(await run(['check', '--config', missing], names), [
+  assert.deepEqual(await run(['check', '--config', missing], placeholders), [
     'exit 2',
     "! micaworks: FOLDER/missing: ENOENT: no such file or directory, open 'FOLDER/missing'",
   ]);
-  assert.deepEqual(await run(['check', '--operator', missing], names), [
+  assert.deepEqual(await run(['check', '--operator', missing], placeholders), [
     'exit 2',
     "! micaworks: FOLDER/missing: ENOENT: no such file or directory, open 'FOLDER/missing'",
   ]);
 });
 
-test('wrong usage ends with exit code 2 and one of these lines', async (t) => {
-  const folder = folderFor(t);
-  const names = { [folder]: 'FOLDER' };
+test('a usage error returns exit code 2 and prints one line that names the error', async (t) => {
+  const folder = createTestFolder(t);
+  const placeholders = { [folder]: 'FOLDER' };
   const write = (name: string, text: string): string => {
     writeFileSync(join(folder, name), text);
     return join(folder, name);
@@ -300,7 +300,7 @@
     ['duties', '--node', '127.0.0.1:70700'],
     ['duties', 'resign'],
     ['duties', 'resign', 'lead'],
-    ['duties', 'resign', 'share/x', '--node', CLOSED],
+    ['duties', 'resign', 'share/x', '--node', CLOSED_ADDRESS],
     ['recover'],
     ['recover', 'frobnicate'],
     ['recover', 'status', '--node', 'nowhere'],
@@ -311,45 +311,45 @@
   ];
   const lines: string[] = [];
   for (const args of cases) {
-    const [code, ...printed] = await run(args, names);
+    const [code, ...printed] = await run(args, placeholders);
     assert.equal(code, 'exit 2', args.join(' '));
     assert.equal(printed.length, 1, args.join(' '));
     lines.push(printed[0] ?? '');
   }
   assert.deepEqual(lines, [
-    '! micaworks: name a command; micaworks --help lists what there is',
-    "! micaworks: unknown command 'frobnicate'; micaworks --help lists what there is",
-    "! micaworks: unknown command 'dutie' (Did you mean duties?); micaworks --help lists what there is",
-    "! micaworks: unknown option '--frob'; micaworks --help lists what there is",
-    "! micaworks: required option '--config <file>' not specified; micaworks --help lists what there is",
+    '! micaworks: no command given; see micaworks --help',
+    "! micaworks: unknown command 'frobnicate'; see micaworks --help",
+    "! micaworks: unknown command 'dutie' (Did you mean duties?); see micaworks --help",
+    "! micaworks: unknown option '--frob'; see micaworks --help",
+    "! micaworks: required option '--config <file>' not specified; see micaworks --help",
     "! micaworks: FOLDER/missing.toml: ENOENT: no such file or directory, open 'FOLDER/missing.toml'",
-    '! micaworks: name a file to check: --config FILE, --operator FILE, or both',
-    "! micaworks: too many arguments for 'check'. Expected 0 arguments but got 1.; micaworks --help lists what there is",
-    "! micaworks: missing required argument 'file'; micaworks --help lists what there is",
+    '! micaworks: no file to check; pass --config FILE, --operator FILE, or both',
+    "! micaworks: too many arguments for 'check'. Expected 0 arguments but got 1.; see micaworks --help",
+    "! micaworks: missing required argument 'file'; see micaworks --help",
     "! micaworks: FOLDER/missing.json: ENOENT: no such file or directory, open 'FOLDER/missing.json'",
     '! micaworks: FOLDER/cut.json: not JSON',
     '! micaworks: FOLDER/array.json: body is missing or invalid',
     '! micaworks: FOLDER/no-team.json: Crew is missing or invalid',
-    '! micaworks: 127.0.0.1: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    "! micaworks: missing required argument 'job'; micaworks --help lists what there is",
-    '! micaworks: j-: not a job id; they look like j-000412',
-    '! micaworks: nowhere: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    '! micaworks: everything: not a job id; they look like j-000412',
-    '! micaworks: 127.0.0.1:0: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    "! micaworks: unknown option '--frob'; micaworks --help lists what there is",
-    "! micaworks: unknown option '--jsn' (Did you mean --json?); micaworks --help lists what there is",
-    "! micaworks: option '--node <address...>' argument missing; micaworks --help lists what there is",
-    '! micaworks: nowhere: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    '! micaworks: 127.0.0.1:70700: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    "! micaworks: required option '--node <address>' not specified; micaworks --help lists what there is",
-    "! micaworks: required option '--node <address>' not specified; micaworks --help lists what there is",
-    '! micaworks: share/x: no such duty; write lead or share/N',
-    '! micaworks: name a command; micaworks --help lists what there is',
-    "! micaworks: unknown command 'frobnicate'; micaworks --help lists what there is",
-    '! micaworks: nowhere: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    "! micaworks: missing required argument 'file'; micaworks --help lists what there is",
-    '! micaworks: nowhere: not an address; write HOST:PORT, such as 127.0.0.1:7070',
-    "! micaworks: missing required argument 'file'; micaworks --help lists what there is",
-    "! micaworks: missing required argument 'file'; micaworks --help lists what there is",
+    '! micaworks: 127.0.0.1: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    "! micaworks: missing required argument 'job'; see micaworks --help",
+    '! micaworks: j-: invalid job id; expected an id such as j-000412',
+    '! micaworks: nowhere: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    '! micaworks: everything: invalid job id; expected an id such as j-000412',
+    '! micaworks: 127.0.0.1:0: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    "! micaworks: unknown option '--frob'; see micaworks --help",
+    "! micaworks: unknown option '--jsn' (Did you mean --json?); see micaworks --help",
+    "! micaworks: option '--node <address...>' argument missing; see micaworks --help",
+    '! micaworks: nowhere: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    '! micaworks: 127.0.0.1:70700: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    "! micaworks: required option '--node <address>' not specified; see micaworks --help",
+    "! micaworks: required option '--node <address>' not specified; see micaworks --help",
+    '! micaworks: share/x: unknown duty; expected lead or share/N',
+    '! micaworks: no command given; see micaworks --help',
+    "! micaworks: unknown command 'frobnicate'; see micaworks --help",
+    '! micaworks: nowhere: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    "! micaworks: missing required argument 'file'; see micaworks --help",
+    '! micaworks: nowhere: invalid address; expected HOST:PORT, such as 127.0.0.1:7070',
+    "! micaworks: missing required argument 'file'; see micaworks --help",
+    "! micaworks: missing required argument 'file'; see micaworks --help",
   ]);
 });
--- a/packages/cli/output.ts
+++ b/packages/cli/output.ts
@@ -1,12 +1,12 @@
-/** What the command line prints: tables for people, JSON for programs. */
+/** Formats the output of commands: tables for people, JSON for programs. */
 
-/** Where a command writes its result, line by line. */
+/** Receives the output of a command. A call passes one line, or a help text or JSON text of several lines. */
 export type Print = (line: string) => void;
 
 const COLUMN_GAP = '  ';
 const JSON_INDENT = 2;
 
-/** Rows as lines whose columns stand below each other; the first row is the heading. */
+/** Returns one line for each row, with cells padded so that the columns align. The last column is not padded. */
 export function formatTable(rows: readonly (readonly string[])[]): string[] {
   const widths = columnWidths(rows);
   return rows.map((row) => {
@@ -16,7 +16,7 @@
   });
 }
 
-/** Prints a value as indented JSON, in one call. */
+/** Prints a value as indented JSON, in one call of `print`. */
 export function printJson(print: Print, value: unknown): void {
   print(JSON.stringify(value, null, JSON_INDENT));
 }
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -1,4 +1,4 @@
-/** The command line: its subcommands and their options, and how it ends. */
+/** Defines the subcommands and options of the command line, and maps errors to exit codes. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { loadSettings, loadTuning, SettingsError, defaultTuning } from '#settings';
@@ -11,7 +11,7 @@
 import { showSnapshot, type SnapshotOptions, takeSnapshot, verifySnapshot } from './snapshot.js';
 import { checkSettings, type SettingsFiles } from './settings.js';
 
-const PACKAGE = new URL('../../package.json', import.meta.url);
+const PACKAGE_JSON = new URL('../../package.json', import.meta.url);
 const DEFAULT_OPERATOR_NODE = '127.0.0.1:7070';
 const DEFAULT_USER_NODE = '127.0.0.1:8080';
 
@@ -25,18 +25,18 @@
 const OPERATOR_OPTION = '--operator <file>';
 const OPERATOR_HELP = "operators' settings (XML)";
 
-/** Options of the commands that ask one node. */
+/** Options of the commands that send a request to one node. */
 interface NodeOption {
   readonly node: string;
 }
 
-/** Options of `micaworks run`. */
+/** Paths of the settings files, as given to `micaworks run`. */
 interface RunOptions {
   readonly config: string;
   readonly operator?: string;
 }
 
-/** The parser of the command line, which runs the command that it finds; results go to `print`. */
+/** Returns a parser that runs the command given in its arguments and passes each line of the result to `print`. */
 export function createProgram(print: Print): Command {
   const program = new Command('micaworks')
     .description('A cluster scheduler, and the tools to operate it')
@@ -59,34 +59,34 @@
   return program;
 }
 
-/** Runs one command and returns the exit code. Errors go to `complain` as one line. */
-export async function execute(args: readonly string[], print: Print, complain: Print): Promise<number> {
+/** Runs one command and returns its exit code. An error is passed to `printError` as one line. */
+export async function execute(args: readonly string[], print: Print, printError: Print): Promise<number> {
   try {
     await createProgram(print).parseAsync([...args], { from: 'user' });
     return 0;
   } catch (cause) {
-    if (cause instanceof CommanderError) return endOfParsing(cause, complain);
-    complain(`micaworks: ${messageOf(cause)}`);
+    if (cause instanceof CommanderError) return handleParserExit(cause, printError);
+    printError(`micaworks: ${messageOf(cause)}`);
     if (cause instanceof CommandError) return cause.exitCode;
     return cause instanceof SettingsError ? USAGE_EXIT : FAILURE_EXIT;
   }
 }
 
-/** Help and version end the parsing, too, and are no errors. */
-function endOfParsing({ exitCode, code, message }: CommanderError, complain: Print): number {
+/** Returns the exit code for a parser exit: 0 after `--help` and `--version`, {@link USAGE_EXIT} after a usage error. */
+function handleParserExit({ exitCode, code, message }: CommanderError, printError: Print): number {
   if (exitCode === 0) return 0;
-  const text = code === 'commander.help' ? 'name a command' : message.replace(/^error: /, '');
-  complain(`micaworks: ${text.split('\n').join(' ')}; micaworks --help lists what there is`);
+  const text = code === 'commander.help' ? 'no command given' : message.replace(/^error: /, '');
+  printError(`micaworks: ${text.split('\n').join(' ')}; see micaworks --help`);
   return USAGE_EXIT;
 }
 
 function packageVersion(): string {
-  return String((JSON.parse(readFileSync(PACKAGE, 'utf8')) as { version: unknown }).version);
+  return String((JSON.parse(readFileSync(PACKAGE_JSON, 'utf8')) as { version: unknown }).version);
 }
 
-/** Starts the daemon in this process, as `deploy/service.toml` does. */
+/** Starts a node in this process, as the command in `deploy/service.toml` does. */
 async function runDaemon({ config, operator }: RunOptions): Promise<void> {
-  // Only this command pays for loading the daemon.
+  // Loaded on demand: the other commands start faster without the daemon's modules.
   const { runNode } = await import('#daemon/run-node');
   const tuning = operator === undefined ? defaultTuning() : await loadTuning(operator);
   await runNode(loadSettings(config), tuning);
--- a/packages/cli/recover-output.test.ts
+++ b/packages/cli/recover-output.test.ts
@@ -1,8 +1,8 @@
-/** What `micaworks recover status` prints, to the letter: scripts of the operators read these lines. */
+/** Golden tests of the output of `micaworks recover status`, which operators' scripts parse. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type NodeDataLossStatus } from '#operations';
-import { CLOSED, listen, run, SERVING } from './command-test-support.js';
+import { CLOSED_ADDRESS, startListener, run, SERVING_STATUS } from './command-test-support.js';
 
 const FROZEN: NodeDataLossStatus = {
   member: 'node-2',
@@ -45,12 +45,12 @@
 
 const NOT_WATCHED: NodeDataLossStatus = { member: 'node-4', dataLoss: null };
 
-test('recover status prints this table, and fails if state is lost', async (t) => {
+test('recover status prints a table of the nodes and their evidence, and fails if one has detected data loss', async (t) => {
   const nodes: string[] = [];
-  for (const report of [FROZEN, SERVING, NOTICED, NOT_WATCHED]) {
-    nodes.push(await listen(t, { dataLossStatus: () => report }));
+  for (const report of [FROZEN, SERVING_STATUS, NOTICED, NOT_WATCHED]) {
+    nodes.push(await startListener(t, { dataLossStatus: () => report }));
   }
-  assert.deepEqual(await run(['recover', 'status', '--node', ...nodes, CLOSED]), [
+  assert.deepEqual(await run(['recover', 'status', '--node', ...nodes, CLOSED_ADDRESS]), [
     'exit 1',
     'NODE    STATE        SINCE   FALSE ALARMS  HIGHEST EPOCH  HIGHEST TOKEN',
     'node-2  frozen       12.5 s  1             431            7',
@@ -61,7 +61,7 @@
     'node-2: worker n-000001: log 0 ends at 0, record 12 was seen',
     'node-3: own watch: mw/now/token is gone, and no node removes it',
     '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
-    '! micaworks: the state service has lost state, as node-2, node-3 found; see docs/operations/recovery.md',
+    '! micaworks: the state service has lost data, detected by node-2, node-3; see docs/operations/recovery.md',
   ]);
   const [, serving = '', , unwatched = ''] = nodes;
   assert.deepEqual(await run(['recover', 'status', '--node', serving, unwatched]), [
@@ -70,76 +70,79 @@
     'node-1  serving      100 s  0             432            0',
     'node-4  not watched  -      -             -              -',
   ]);
-  assert.deepEqual(await run(['recover', 'status', '--node', CLOSED]), [
+  assert.deepEqual(await run(['recover', 'status', '--node', CLOSED_ADDRESS]), [
     'exit 1',
     'NODE  STATE  SINCE  FALSE ALARMS  HIGHEST EPOCH  HIGHEST TOKEN',
     '127.0.0.1:1: no answer (connect ECONNREFUSED 127.0.0.1:1)',
-    '! micaworks: no node answered; is operations/listen set in their XML?',
+    "! micaworks: no node answered; check that operations/listen is set in the nodes' operators' settings (XML)",
   ]);
 });
 
-test('recover status --json prints this object', async (t) => {
-  const frozen = await listen(t, { dataLossStatus: () => FROZEN });
-  const unwatched = await listen(t, { dataLossStatus: () => NOT_WATCHED });
-  const names = { [frozen]: 'FROZEN', [unwatched]: 'UNWATCHED' };
-  assert.deepEqual(await run(['recover', 'status', '--json', '--node', frozen, unwatched, CLOSED], names), [
-    'exit 1',
-    '{',
-    '  "nodes": [',
-    '    {',
-    '      "node": "FROZEN",',
-    '      "member": "node-2",',
-    '      "loss": {',
-    '        "state": "frozen",',
-    '        "sinceS": 12.5,',
-    '        "evidence": [',
-    '          {',
-    '            "source": "own requests",',
-    '            "contradiction": {',
-    '              "kind": "epoch_went_back",',
-    '              "known": 431,',
-    '              "shown": 9',
-    '            },',
-    '            "text": "own requests: epoch 9 is shown, 431 was seen"',
-    '          },',
-    '          {',
-    '            "source": "worker n-000001",',
-    '            "contradiction": {',
-    '              "kind": "log_went_back",',
-    '              "log": "0",',
-    '              "known": 12,',
-    '              "shown": 0',
-    '            },',
-    '            "text": "worker n-000001: log 0 ends at 0, record 12 was seen"',
-    '          }',
-    '        ],',
-    '        "falseAlarms": 1,',
-    '        "seen": {',
-    '          "epoch": 431,',
-    '          "token": 7,',
-    '          "positions": {',
-    '            "0": 12,',
-    '            "lead": 3',
-    '          }',
-    '        }',
-    '      }',
-    '    },',
-    '    {',
-    '      "node": "UNWATCHED",',
-    '      "member": "node-4",',
-    '      "loss": null',
-    '    }',
-    '  ],',
-    '  "silent": [',
-    '    {',
-    '      "node": "127.0.0.1:1",',
-    '      "reason": "connect ECONNREFUSED 127.0.0.1:1"',
-    '    }',
-    '  ]',
-    '}',
-    '! micaworks: the state service has lost state, as node-2 found; see docs/operations/recovery.md',
-  ]);
-  const serving = await listen(t, { dataLossStatus: () => SERVING });
+test('recover status --json prints the answers and the nodes that do not answer', async (t) => {
+  const frozen = await startListener(t, { dataLossStatus: () => FROZEN });
+  const unwatched = await startListener(t, { dataLossStatus: () => NOT_WATCHED });
+  const placeholders = { [frozen]: 'FROZEN', [unwatched]: 'UNWATCHED' };
+  assert.deepEqual(
+    await run(['recover', 'status', '--json', '--node', frozen, unwatched, CLOSED_ADDRESS], placeholders),
+    [
+      'exit 1',
+      '{',
+      '  "nodes": [',
+      '    {',
+      '      "node": "FROZEN",',
+      '      "member": "node-2",',
+      '      "loss": {',
+      '        "state": "frozen",',
+      '        "sinceS": 12.5,',
+      '        "evidence": [',
+      '          {',
+      '            "source": "own requests",',
+      '            "contradiction": {',
+      '              "kind": "epoch_went_back",',
+      '              "known": 431,',
+      '              "shown": 9',
+      '            },',
+      '            "text": "own requests: epoch 9 is shown, 431 was seen"',
+      '          },',
+      '          {',
+      '            "source": "worker n-000001",',
+      '            "contradiction": {',
+      '              "kind": "log_went_back",',
+      '              "log": "0",',
+      '              "known": 12,',
+      '              "shown": 0',
+      '            },',
+      '            "text": "worker n-000001: log 0 ends at 0, record 12 was seen"',
+      '          }',
+      '        ],',
+      '        "falseAlarms": 1,',
+      '        "seen": {',
+      '          "epoch": 431,',
+      '          "token": 7,',
+      '          "positions": {',
+      '            "0": 12,',
+      '            "lead": 3',
+      '          }',
+      '        }',
+      '      }',
+      '    },',
+      '    {',
+      '      "node": "UNWATCHED",',
+      '      "member": "node-4",',
+      '      "loss": null',
+      '    }',
+      '  ],',
+      '  "silent": [',
+      '    {',
+      '      "node": "127.0.0.1:1",',
+      '      "reason": "connect ECONNREFUSED 127.0.0.1:1"',
+      '    }',
+      '  ]',
+      '}',
+      '! micaworks: the state service has lost data, detected by node-2; see docs/operations/recovery.md',
+    ],
+  );
+  const serving = await startListener(t, { dataLossStatus: () => SERVING_STATUS });
   assert.deepEqual(await run(['recover', 'status', '--json', '--node', serving], { [serving]: 'SERVING' }), [
     'exit 0',
     '{',
--- a/packages/cli/settings.ts
+++ b/packages/cli/settings.ts
@@ -1,18 +1,18 @@
-/** `micaworks check`: whether the settings files can be used. */
+/** Implements `micaworks check`, which validates settings files. */
 import { loadSettings, loadTuning, SettingsError } from '#settings';
 import { UsageError } from './errors.js';
 import type { Print } from './output.js';
 
-/** The files to check, as given. */
+/** Paths of the settings files to check, as given on the command line. */
 export interface SettingsFiles {
   readonly config?: string;
   readonly operator?: string;
 }
 
-/** Prints a line for each file that can be used; fails with {@link UsageError} at the first that can't. */
+/** Prints a line for each valid file. Throws {@link UsageError} if no file is given, and at the first invalid file. */
 export async function checkSettings({ config, operator }: SettingsFiles, print: Print): Promise<void> {
   if (config === undefined && operator === undefined) {
-    throw new UsageError('name a file to check: --config FILE, --operator FILE, or both');
+    throw new UsageError('no file to check; pass --config FILE, --operator FILE, or both');
   }
   try {
     if (config !== undefined) {
--- a/packages/cli/snapshot-output.test.ts
+++ b/packages/cli/snapshot-output.test.ts
@@ -1,4 +1,4 @@
-/** What `micaworks snapshot` prints, to the letter: scripts of the operators read these lines. */
+/** Golden tests of the output of `micaworks snapshot`, which operators' scripts parse. */
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
@@ -6,7 +6,13 @@
 import { test } from 'node:test';
 import { gzipSync } from 'node:zlib';
 import { sampleJob } from '#testkit';
-import { answerAlways, CLOSED, folderFor, listen, run } from './command-test-support.js';
+import {
+  startFixedResponseServer,
+  CLOSED_ADDRESS,
+  createTestFolder,
+  startListener,
+  run,
+} from './command-test-support.js';
 
 const HEADER = {
   kind: 'header',
@@ -21,7 +27,7 @@
   loss: 'frozen',
 };
 
-/** A snapshot with a line of every kind, and rows of every kind that is counted. */
+/** Lines of a snapshot with each kind of line, and with each kind of row that the summary counts. */
 const SNAPSHOT: readonly object[] = [
   HEADER,
   { kind: 'type', type: { name: 'small' } },
@@ -50,78 +56,78 @@
   { kind: 'ledger', row: ['d', 'j-1', '2'] },
 ];
 
-/** Lines as text, with the trailer that belongs to them. */
+/** Returns the lines as text, followed by their trailer. */
 function textOf(lines: readonly object[], hasAllFinals: boolean): string {
   const body = lines.map((line) => `${JSON.stringify(line)}\n`).join('');
   const sha256 = createHash('sha256').update(body).digest('hex');
   return `${body}${JSON.stringify({ kind: 'trailer', lines: lines.length, sha256, hasAllFinals })}\n`;
 }
 
-test('snapshot prints one of these lines', async (t) => {
-  const folder = folderFor(t);
-  const sending = (text: string): Promise<string> =>
-    listen(t, {
+test('snapshot prints a summary, or the reason why no snapshot was written', async (t) => {
+  const folder = createTestFolder(t);
+  const startNode = (text: string): Promise<string> =>
+    startListener(t, {
       async *snapshot() {
         await Promise.resolve();
         yield text;
       },
     });
-  const whole = await sending(textOf(SNAPSHOT, true));
-  const partial = await sending(textOf(SNAPSHOT, false));
-  const cut = await sending(textOf(SNAPSHOT, true).slice(0, 900));
-  const empty = await listen(t);
-  const strange = await answerAlways(t, 502, 'a proxy');
-  const names = { [folder]: 'FOLDER', [empty]: 'EMPTY', [strange]: 'STRANGE' };
+  const completeNode = await startNode(textOf(SNAPSHOT, true));
+  const partialNode = await startNode(textOf(SNAPSHOT, false));
+  const truncatedNode = await startNode(textOf(SNAPSHOT, true).slice(0, 900));
+  const emptyNode = await startListener(t);
+  const unexpectedNode = await startFixedResponseServer(t, 502, 'a proxy');
+  const placeholders = { [folder]: 'FOLDER', [emptyNode]: 'EMPTY', [unexpectedNode]: 'STRANGE' };
   const file = join(folder, 'state.snapshot');
   const take = (node: string, ...options: string[]): Promise<string[]> =>
-    run(['snapshot', file, ...options, '--node', node], names);
-  assert.deepEqual(await take(whole), [
+    run(['snapshot', file, ...options, '--node', node], placeholders);
+  assert.deepEqual(await take(completeNode), [
     'exit 0',
     'FOLDER/state.snapshot: epoch 431, 1 jobs, 2 tasks on machines',
   ]);
-  assert.deepEqual(await take(whole), [
+  assert.deepEqual(await take(completeNode), [
     'exit 2',
-    '! micaworks: FOLDER/state.snapshot: there is such a file; --force replaces it',
+    '! micaworks: FOLDER/state.snapshot: the file already exists; pass --force to replace it',
   ]);
-  assert.deepEqual(await take(partial, '--force'), [
+  assert.deepEqual(await take(partialNode, '--force'), [
     'exit 0',
     'FOLDER/state.snapshot: epoch 431, 1 jobs, 2 tasks on machines',
     'FOLDER/state.snapshot: the state service did not give all final answers',
   ]);
-  assert.deepEqual(await take(cut, '--force'), [
+  assert.deepEqual(await take(truncatedNode, '--force'), [
     'exit 1',
     '! micaworks: FOLDER/state.snapshot.partial: truncated: it ends after 9 lines',
   ]);
-  assert.deepEqual(await take(empty, '--force'), [
+  assert.deepEqual(await take(emptyNode, '--force'), [
     'exit 1',
     '! micaworks: EMPTY: this node holds no copy of the state yet',
   ]);
-  assert.deepEqual(await take(strange, '--force'), [
+  assert.deepEqual(await take(unexpectedNode, '--force'), [
     'exit 1',
     '! micaworks: STRANGE: answered with status 502',
   ]);
-  assert.deepEqual(await take(CLOSED, '--force'), [
+  assert.deepEqual(await take(CLOSED_ADDRESS, '--force'), [
     'exit 1',
     '! micaworks: 127.0.0.1:1: connect ECONNREFUSED 127.0.0.1:1',
   ]);
   assert.equal(existsSync(`${file}.partial`), false);
 });
 
-test('snapshot verify and show print these lines', async (t) => {
-  const folder = folderFor(t);
+test('snapshot verify and show print the content of a snapshot, or the fault of an invalid file', async (t) => {
+  const folder = createTestFolder(t);
   const write = (name: string, bytes: Buffer | string): string => {
     writeFileSync(join(folder, name), bytes);
     return join(folder, name);
   };
-  const names = { [folder]: 'FOLDER' };
-  const on = (command: string, file: string, ...options: string[]): Promise<string[]> =>
-    run(['snapshot', command, file, ...options], names);
+  const placeholders = { [folder]: 'FOLDER' };
+  const runOn = (command: string, file: string, ...options: string[]): Promise<string[]> =>
+    run(['snapshot', command, file, ...options], placeholders);
   const whole = write('whole', gzipSync(textOf(SNAPSHOT, true)));
-  // How well it is compressed is the library's.
+  // The compressed size depends on the version of the compression library.
   const size = String(readFileSync(whole).length);
   const show = async (...options: string[]): Promise<string[]> =>
-    (await on('show', whole, ...options)).map((line) => line.replace(size, 'SIZE'));
-  assert.deepEqual(await on('verify', whole), ['exit 0', 'FOLDER/whole: whole; version 1, 11 lines']);
+    (await runOn('show', whole, ...options)).map((line) => line.replace(size, 'SIZE'));
+  assert.deepEqual(await runOn('verify', whole), ['exit 0', 'FOLDER/whole: whole; version 1, 11 lines']);
   assert.deepEqual(await show(), [
     'exit 0',
     'taken at           2023-11-14T22:13:20.123Z',
@@ -172,8 +178,8 @@
     '  "bytes": SIZE',
     '}',
   ]);
-  const bare = [{ ...HEADER, loss: null, positions: {}, nodes: [] }];
-  const unwatched = await on('show', write('unwatched', gzipSync(textOf(bare, false))));
+  const emptySnapshot = [{ ...HEADER, loss: null, positions: {}, nodes: [] }];
+  const unwatched = await runOn('show', write('unwatched', gzipSync(textOf(emptySnapshot, false))));
   assert.deepEqual(
     unwatched.filter((line) => !line.startsWith('size')),
     [
@@ -209,10 +215,10 @@
   for (const [name, bytes, line] of faults) {
     const file = write(name, bytes);
     const expected = ['exit 1', `! micaworks: FOLDER/${name}: ${line}`];
-    assert.deepEqual(await on('verify', file), expected);
-    assert.deepEqual(await on('show', file), expected);
+    assert.deepEqual(await runOn('verify', file), expected);
+    assert.deepEqual(await runOn('show', file), expected);
   }
-  const missing = ['exit 2', '! micaworks: FOLDER/missing: there is no such file'];
-  assert.deepEqual(await on('verify', join(folder, 'missing')), missing);
-  assert.deepEqual(await on('show', join(folder, 'missing'), '--json'), missing);
+  const missing = ['exit 2', '! micaworks: FOLDER/missing: no such file'];
+  assert.deepEqual(await runOn('verify', join(folder, 'missing')), missing);
+  assert.deepEqual(await runOn('show', join(folder, 'missing'), '--json'), missing);
 });
--- a/packages/cli/snapshot-output.ts
+++ b/packages/cli/snapshot-output.ts
@@ -1,9 +1,9 @@
-/** What `micaworks snapshot show` prints of a snapshot. */
+/** Formats the output of `micaworks snapshot show`. */
 import type { SnapshotHeader, SnapshotSummary } from '#recovery';
 
-/** What `--json` prints: its form is stable. */
+/** The object that `--json` prints. Its fields are a stable interface for scripts. */
 export interface SnapshotOutput {
-  /** The first line of the file, as it stands there. */
+  /** The first line of the file, unchanged. */
   readonly header: SnapshotHeader;
   readonly jobs: number;
   readonly finals: number;
@@ -14,11 +14,11 @@
   readonly lines: number;
   readonly hasAllFinals: boolean;
   readonly positions: Readonly<Record<string, number>>;
-  /** Size of the file. */
+  /** Size of the compressed file. */
   readonly bytes: number;
 }
 
-/** The JSON form of what a snapshot holds, whose file has this size in bytes. */
+/** Returns the object that `--json` prints for a snapshot file of this size in bytes. */
 export function encodeSnapshotOutput(summary: SnapshotSummary, bytes: number): SnapshotOutput {
   return {
     header: summary.header,
@@ -35,7 +35,7 @@
   };
 }
 
-/** The lines of the table, as pairs of a name and a value. */
+/** Returns the rows of the table, each a name and a value. */
 export function snapshotRows(snapshot: SnapshotOutput): string[][] {
   const { header } = snapshot;
   const positions = Object.entries(snapshot.positions).map(([log, position]) => `${log}: ${position}`);
