--- a/packages/api/app.ts
+++ b/packages/api/app.ts
@@ -1,14 +1,14 @@
-/** The Koa application: from a request to an encoded answer. */
+/** The Koa application, which turns a request into an encoded response. */
 import Koa from 'koa';
 import { encode } from '#wire';
 import { InvalidBodyError } from './request-body.js';
 import { dispatch } from './routes.js';
 import type { NodeService, ServiceResponse } from './service.js';
 
-/** Receives what an operation throws. The client gets status 500 without the message. */
+/** Receives an unexpected error of an operation. The client gets status 500 without the message. */
 export type ErrorListener = (cause: unknown) => void;
 
-/** The application that serves a node's operations. */
+/** Creates the application that serves the operations of a node. */
 export function createApp(service: NodeService, onError: ErrorListener): Koa {
   const app = new Koa();
   app.silent = true;
@@ -28,7 +28,7 @@
 
 function errorResponse(cause: unknown, onError: ErrorListener): ServiceResponse {
   if (cause instanceof InvalidBodyError) {
-    // The rest of an oversized body is not read, so the connection can't be used again.
+    // The rest of an oversized body is not read, so the connection can't be reused.
     return { status: 400, body: { error: cause.message }, closesConnection: true };
   }
   onError(cause);
--- a/packages/api/connection-limiter.ts
+++ b/packages/api/connection-limiter.ts
@@ -1,15 +1,15 @@
-/** Keeps the open connections of the HTTP server within a limit. */
+/** Limits the number of open connections of an HTTP server. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
 /**
- * Limits the open connections of a server: beyond the limit the one that has been idle longest is closed. Machines that
- * died or are behind a network partition leave connections that nobody will ever close, and after a failure all workers
- * may connect to one node at once. Without a limit of its own the node would exhaust the operating system's, which fails
- * the connections to peers, to the state service and to the cloud just as well.
+ * Limits the open connections of a server: beyond the limit, the idle connection that was used least recently is
+ * closed. A machine that has failed or is behind a network partition never closes its connections, and after a node
+ * failure all workers may connect to one node at the same time. Without this limit the node would reach the limit of
+ * the operating system, and connections to peers, to the state service and to the cloud would fail, too.
  */
 export class ConnectionLimiter {
-  /** Number of requests in progress on each connection, the least recently used connection first. */
+  /** Number of requests in progress, keyed by connection; the least recently used connection is first. */
   private readonly activeRequests = new Map<Socket, number>();
 
   constructor(
@@ -32,19 +32,22 @@
     socket.once('close', () => {
       this.activeRequests.delete(socket);
     });
-    if (this.activeRequests.size > this.maxConnections) this.closeIdlest();
+    if (this.activeRequests.size > this.maxConnections) this.closeLeastRecentlyUsedIdle();
   }
 
   private recordUse(socket: Socket, change: 1 | -1): void {
     const active = this.activeRequests.get(socket);
     if (active === undefined) return;
-    // Removed and added again, so that the order of the map is that of the last use.
+    // Removed and added again, which moves the connection to the end of the map's insertion order.
     this.activeRequests.delete(socket);
     this.activeRequests.set(socket, active + change);
   }
 
-  /** The newest connection is idle, too: it is closed when all others have requests in progress. */
-  private closeIdlest(): void {
+  /**
+   * Closes the idle connection that was used least recently. If all other connections have requests in progress, this
+   * is the newest connection.
+   */
+  private closeLeastRecentlyUsedIdle(): void {
     for (const [socket, active] of this.activeRequests) {
       if (active > 0) continue;
       this.activeRequests.delete(socket);
--- a/packages/api/request-body.ts
+++ b/packages/api/request-body.ts
@@ -1,13 +1,13 @@
-/** Reads the bodies of requests. */
+/** Reads and decodes request bodies. */
 import type { IncomingMessage } from 'node:http';
 import { decode, isWireFields, MAX_BODY_BYTES, type WireFields } from '#wire';
 
-/** A body that can't be used. The message is sent to the client, with status 400. */
+/** An invalid request body. The client receives the message with status 400. */
 export class InvalidBodyError extends Error {
   override readonly name = 'InvalidBodyError';
 }
 
-/** The decoded body of a request. Rejects with an {@link InvalidBodyError} unless it is a MessagePack map. */
+/** Returns the decoded body of a request. Rejects with {@link InvalidBodyError} unless it is a MessagePack map. */
 export async function readBody(req: IncomingMessage): Promise<WireFields> {
   const bytes = await readBytes(req);
   let value: unknown;
@@ -21,8 +21,9 @@
 }
 
 /**
- * Collects a body, and refuses it as soon as it grows over the limit. Listens to the stream itself: a pipeline
- * with its abort signal made up a third of the cost of a heartbeat.
+ * Collects the bytes of a body. Rejects with {@link InvalidBodyError} as soon as the body exceeds
+ * {@link MAX_BODY_BYTES}, or if the connection is closed before its end. Uses the events of the stream directly,
+ * because a stream pipeline with an abort signal took a third of the cost of a heartbeat.
  */
 function readBytes(req: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
--- a/packages/api/routes.ts
+++ b/packages/api/routes.ts
@@ -1,9 +1,9 @@
-/** The paths of the protocol, and the operations that they stand for. */
+/** Maps the paths of the protocol to the operations of a node. */
 import type { IncomingMessage } from 'node:http';
 import { readBody } from './request-body.js';
 import type { NodeService, ServiceResponse } from './service.js';
 
-/** A request whose body has not been read. */
+/** A request whose body has not been read yet. */
 export interface RoutedRequest {
   readonly method: string;
   readonly path: string;
@@ -53,7 +53,10 @@
   { method: 'GET', path: /^\/healthz$/, takesBody: false, run: (service) => service.health() },
 ];
 
-/** Has the service answer a request. Rejects as the service or the reading of the body does. */
+/**
+ * Calls the operation for a request and returns its response: 404 for an unknown path, 405 for a wrong method.
+ * Rejects with the error of the operation or of {@link readBody}.
+ */
 export async function dispatch(service: NodeService, request: RoutedRequest): Promise<ServiceResponse> {
   const { method, path, message } = request;
   const matches = ROUTES.map((route) => ({ route, match: route.path.exec(path) })).filter((r) => r.match);
--- a/packages/api/service.ts
+++ b/packages/api/service.ts
@@ -1,17 +1,17 @@
-/** What the HTTP interface needs of a node. */
+/** The interface between the HTTP layer and a node. */
 
 /** The answer to a user or a worker, before it is encoded. */
 export interface ServiceResponse {
   /** HTTP status. */
   readonly status: number;
   readonly body: object;
-  /** Seconds after which the client should try again. */
+  /** Value of the `Retry-After` header, in seconds; no header if undefined. */
   readonly retryAfterS?: number;
-  /** The client should use a new connection for its next request. */
+  /** True if the response closes the connection, so that the client opens another for its next request. */
   readonly closesConnection?: boolean;
 }
 
-/** The operations that the protocol offers. Bodies are decoded maps whose fields have not been checked. */
+/** The operations of the protocol. Bodies are decoded MessagePack maps whose fields have not been validated. */
 export interface NodeService {
   submitJob(body: unknown): Promise<ServiceResponse>;
   getJob(id: string): Promise<ServiceResponse>;
--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -164,7 +164,7 @@
 /** An address at which no server listens. */
 const CLOSED_ADDRESS = '127.0.0.1:1';
 
-test('duties shows holder, term, lease, open intents and the last refusal of each role, and names nodes that do not answer', async () => {
+test('duties shows the state of each role, and names nodes that do not answer', async () => {
   await withListener(async (address) => {
     const { code, out } = await run('duties', '--node', address, CLOSED_ADDRESS);
     assert.equal(code, 0);
@@ -231,7 +231,7 @@
   });
 });
 
-test('snapshot writes, verifies and shows snapshots, and rejects invalid files with the kind of their fault', async () => {
+test('snapshot writes, verifies and shows snapshots, and names the fault of an invalid file', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-cli-'));
   const pathOf = (name: string): string => join(folder, name);
   const compressed = gzipSync([...textOf(SNAPSHOT)].join(''));
@@ -348,7 +348,7 @@
   }
 });
 
-test('submit, show and withdraw send the requests of the published protocol and print the state of the job', async () => {
+test('submit, show and withdraw call the HTTP interface for users and print the state of the job', async () => {
   const { decode, encode, encodeJobState } = await import('#wire');
   const requests: string[] = [];
   const server = createServer((request, response) => {
--- a/packages/cli/command-test-support.ts
+++ b/packages/cli/command-test-support.ts
@@ -120,7 +120,9 @@
   return addressOf(server);
 }
 
-/** Starts a server that sends the same response to every request and returns its address. It is closed after the test. */
+/**
+ * Starts a server that sends the same response to every request and returns its address. It is closed after the test.
+ */
 export async function startFixedResponseServer(
   t: TestContext,
   status: number,
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -72,7 +72,9 @@
   }
 }
 
-/** Returns the exit code for a parser exit: 0 after `--help` and `--version`, {@link USAGE_EXIT} after a usage error. */
+/**
+ * Returns the exit code for a parser exit: 0 after `--help` and `--version`, {@link USAGE_EXIT} after a usage error.
+ */
 function handleParserExit({ exitCode, code, message }: CommanderError, printError: Print): number {
   if (exitCode === 0) return 0;
   const text = code === 'commander.help' ? 'no command given' : message.replace(/^error: /, '');
--- a/packages/cli/recover-output.test.ts
+++ b/packages/cli/recover-output.test.ts
@@ -45,7 +45,7 @@
 
 const NOT_WATCHED: NodeDataLossStatus = { member: 'node-4', dataLoss: null };
 
-test('recover status prints a table of the nodes and their evidence, and fails if one has detected data loss', async (t) => {
+test('recover status prints the nodes and their evidence, and fails if one has detected data loss', async (t) => {
   const nodes: string[] = [];
   for (const report of [FROZEN, SERVING_STATUS, NOTICED, NOT_WATCHED]) {
     nodes.push(await startListener(t, { dataLossStatus: () => report }));
--- a/packages/cli/recover.ts
+++ b/packages/cli/recover.ts
@@ -1,4 +1,6 @@
-/** Implements `micaworks recover status`, which shows whether the nodes have detected data loss in the state service. */
+/**
+ * Implements `micaworks recover status`, which shows whether the nodes have detected data loss in the state service.
+ */
 import { askLoss, type RecoveryAnswer } from '#operations';
 import { validateAddress } from './address.js';
 import {
--- a/packages/cli/snapshot.ts
+++ b/packages/cli/snapshot.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Writes a snapshot of a node to a file. The snapshot is downloaded to `FILE.partial`, verified and then renamed, so that
- * a failed download never replaces an existing snapshot.
+ * Writes a snapshot of a node to a file. The snapshot is downloaded to `FILE.partial`, verified and then renamed, so
+ * that a failed download never replaces an existing snapshot.
  */
 export async function takeSnapshot(
   file: string,
@@ -43,7 +43,10 @@
   }
 }
 
-/** Verifies a snapshot file and prints one line. Throws {@link CommandFailure} with the fault if the file is not valid. */
+/**
+ * Verifies a snapshot file and prints one line. Throws {@link CommandFailure} with the fault if the file is not
+ * valid.
+ */
 export async function verifySnapshot(file: string, print: Print): Promise<void> {
   const { lines, header } = await readVerified(file);
   print(`${file}: whole; version ${header.version}, ${lines} lines`);
--- a/packages/settings/error.ts
+++ b/packages/settings/error.ts
@@ -1,6 +1,6 @@
-/** What is wrong with a settings file. */
+/** The error of an unusable settings file. */
 
-/** A settings file that can't be read or used; the message names the file or the field, and what is wrong with it. */
+/** A settings file can't be read or is invalid. The message names the file or the field, and what is wrong with it. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
--- a/packages/settings/index.ts
+++ b/packages/settings/index.ts
@@ -1,4 +1,4 @@
-/** The settings of a node: those of the platform (TOML) and those of its operators (XML). */
+/** Reads the settings of a node: the platform's file (TOML) and the operators' file (XML). */
 export * from './error.js';
 export * from './operator.js';
 export * from './platform.js';
--- a/packages/settings/operator.ts
+++ b/packages/settings/operator.ts
@@ -1,16 +1,16 @@
-/** The operators' settings: what they may tune beyond the platform's file. Every element of their file is optional. */
+/** The operators' settings, which add to the platform's file. Every element of the operators' file is optional. */
 import { isIPv4 } from 'node:net';
 import { fromSeconds, type Micros, MS, SECOND } from '#wire';
 import { SettingsError } from './error.js';
 import { readSettingsFile } from './read-file.js';
 
-/** What an operator may tune beyond the platform's file. */
+/** The operators' settings. Times are in microseconds. */
 export interface Tuning {
   /** Minimum time between two scheduling rounds. */
   roundGap: Micros;
-  /** Time after which a scheduling round runs without any change. */
+  /** Time after which a scheduling round runs even if no state has changed. */
   roundIdle: Micros;
-  /** Price adjustments a scheduling round. */
+  /** Number of price adjustments per scheduling round. */
   passes: number;
   /** Price change for an unmet demand of a whole machine, as a fraction of the top priority. */
   step: number;
@@ -20,31 +20,31 @@
   gpuTaskWeight: number;
   /** Priority raise for use within a team's guarantee, as a fraction of the top priority. */
   guaranteeWeight: number;
-  /** Waiting this long doubles a job's priority. */
+  /** Waiting time after which a job's priority has doubled. */
   priorityDoublingTime: Micros;
-  /** Random machines with free capacity that are considered for each task. */
+  /** Number of randomly chosen machines with free capacity that are considered for each task. */
   choices: number;
   /** Address of the operators' listener; null for none. */
   operatorListen: string | null;
-  /** The node hands its roles over when its process is asked to end (SIGTERM). */
+  /** True if the node hands its roles over when its process receives SIGTERM. */
   handsOverOnStop: boolean;
-  /** The node detects data loss in the state service, and commits nothing while data is lost. */
+  /** True if the node detects data loss in the state service, and commits nothing while data is lost. */
   detectsDataLoss: boolean;
 }
 
-/** An element of the file that holds a number. */
+/** An element of the operators' file that holds a number. */
 export interface TuningParameter {
-  /** Path of the element in the file; the unit is a part of the name. */
+  /** Path of the element in the file. A unit of time is a suffix of the name (`Ms`, `S`). */
   readonly path: string;
   readonly minimum: number;
   readonly maximum: number;
-  /** Only whole numbers are valid. */
+  /** True if only whole numbers are valid. */
   readonly isInteger: boolean;
-  /** The fields that a value in the file sets. */
+  /** Returns the fields that a value in the file sets. */
   readonly apply: (value: number) => Partial<Tuning>;
 }
 
-/** Every element with a number that the file may hold, with its range; {@link defaultTuning} holds the defaults. */
+/** All elements that hold a number, with their ranges. {@link defaultTuning} has the defaults. */
 export const TUNING_PARAMETERS: readonly TuningParameter[] = [
   {
     path: 'round/gapMs',
@@ -115,7 +115,7 @@
 const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 const MAX_PORT = 65_535;
 
-/** What holds without an operators' file, and for every element that a file leaves out. */
+/** Returns the defaults, which apply without an operators' file and to every element that a file omits. */
 export function defaultTuning(): Tuning {
   return {
     roundGap: 250 * MS,
@@ -134,8 +134,8 @@
 }
 
 /**
- * Reads the text of an operators' file. Unknown elements are ignored; a wrong value fails with {@link SettingsError}
- * that names its element.
+ * Parses the text of an operators' file. Unknown elements are ignored. Throws {@link SettingsError} that names the
+ * first element with an invalid value.
  */
 export async function parseTuning(xml: string): Promise<Tuning> {
   const root = await parseXml(xml);
@@ -150,15 +150,15 @@
   return tuning;
 }
 
-/** Reads an operators' file; fails with {@link SettingsError} if it can't be read or used. */
+/** Reads and parses an operators' file. Throws {@link SettingsError} if it can't be read or is invalid. */
 export async function loadTuning(file: string): Promise<Tuning> {
   return parseTuning(readSettingsFile(file));
 }
 
-/** The content of the file's root element. */
+/** Returns the content of the root element. Throws {@link SettingsError} if the text is not XML or has another root. */
 async function parseXml(xml: string): Promise<unknown> {
-  // Loaded on demand: a node without such a file starts faster.
-  // The successor of XMLValidator is another package; operators read the messages of this one.
+  // Loaded on demand: a node without an operators' file starts faster.
+  // XMLValidator is deprecated in favour of another package. It stays, since operators rely on its error messages.
   // eslint-disable-next-line @typescript-eslint/no-deprecated
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
@@ -168,7 +168,7 @@
   return root;
 }
 
-/** The content of the element at a path of a section and a name; undefined if the file doesn't have it. */
+/** Returns the content of the element at a path (`section/name`); undefined if the file doesn't have it. */
 function elementAt(root: unknown, path: string): unknown {
   let element = root;
   for (const name of path.split('/')) {
@@ -178,7 +178,9 @@
   return element;
 }
 
-/** The number that an element holds; null if the file doesn't have it. */
+/**
+ * Returns the number in an element; null if the file doesn't have it. Throws {@link SettingsError} if it is invalid.
+ */
 function numberAt(root: unknown, { path, minimum, maximum, isInteger }: TuningParameter): number | null {
   const text = elementAt(root, path);
   if (text === undefined) return null;
@@ -189,7 +191,7 @@
   throw new SettingsError(`operators' file: ${path}: must be ${kind} from ${minimum} to ${maximum}`);
 }
 
-/** The flag that an element holds; off if the file doesn't have it. */
+/** Returns the flag in an element; false if the file doesn't have it. Throws {@link SettingsError} if it is invalid. */
 function flagAt(root: unknown, path: string): boolean {
   const text = elementAt(root, path);
   if (text === undefined || text === 'false') return false;
@@ -197,7 +199,9 @@
   throw new SettingsError(`operators' file: ${path}: must be true or false`);
 }
 
-/** The address that an element holds; null if the file doesn't have it. */
+/**
+ * Returns the address in an element; null if the file doesn't have it. Throws {@link SettingsError} if it is invalid.
+ */
 function addressAt(root: unknown, path: string): string | null {
   const text = elementAt(root, path);
   if (text === undefined) return null;
--- a/packages/settings/platform.ts
+++ b/packages/settings/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's settings: a node's identity, its peers, and the limits of its environment. */
+/** The platform's settings: the identity and addresses of a node, its peers, and the limits of its environment. */
 import { parse } from 'smol-toml';
 import { fromSeconds, type Micros } from '#wire';
 import { SettingsError } from './error.js';
@@ -8,74 +8,86 @@
 const BYTES_PER_KB = 1024;
 const MS_PER_SECOND = 1000;
 
-/** A team, and the resources that it is guaranteed and limited to. */
+/** A team with its quota: guaranteed resources and upper limits. */
 export interface Team {
   name: string;
-  /** Guaranteed; 0 for none. */
+  /** Guaranteed CPUs; 0 for no guarantee. */
   cpus: number;
-  /** At most; Infinity for no limit. */
+  /** Upper limit of CPUs; Infinity for no limit. */
   cpusMax: number;
+  /** Guaranteed GPUs; 0 for no guarantee. */
   gpus: number;
+  /** Upper limit of GPUs; Infinity for no limit. */
   gpusMax: number;
 }
 
-/** What the users expect of a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export interface Objective {
+  /** `wait` for a time until tasks start; every other kind is treated as a time until the job ends. */
   kind: string;
-  /** Null for jobs of every class. */
+  /** Class of the jobs to which the objective applies; null for all classes. */
   jobClass: string | null;
+  /** Time within which the jobs are to reach the objective; null for no time. */
   within: Micros | null;
 }
 
 /** Another node of the cluster. */
 export interface Peer {
   member: string;
-  /** Its zone. */
+  /** Zone in which the node runs. */
   domain: string;
   /** Host and port at which it serves its peers. */
   endpoint: string;
 }
 
-/** The platform's settings, in the units of the code. */
+/** The platform's settings. Times are in microseconds and sizes in bytes. */
 export interface Settings {
+  /** Name of this node. */
   member: string;
+  /** Zone in which this node runs. */
   domain: string;
-  /** Host and port for workers and users. */
+  /** Host and port at which this node serves workers and users. */
   bind: string;
-  /** Host and port for peers. */
+  /** Host and port at which this node serves its peers. */
   clusterListen: string;
   peers: Peer[];
-  /** Host and port of the cloud's interface. */
+  /** Host and port of the cloud API. */
   cloud: string;
   /** Host and port of the state service. */
   state: string;
-  /** Controllers that the cluster starts with; there are as many shards. */
+  /** Number of nodes with which the cluster starts. The number of shards is the same. */
   initialSize: number;
   zones: string[];
-  /** How far a node's time of day may lie from the true time. */
+  /** Largest difference between a node's wall-clock time and the true time. */
   timeBound: Micros;
   teams: Team[];
   objectives: Objective[];
   /** Time between two heartbeats of a worker. */
   heartbeatInterval: Micros;
-  /** A worker ends its tasks once its last heartbeat that was answered was sent longer ago than this. */
+  /** A worker stops its tasks when more than this time has passed since it sent its last answered heartbeat. */
   workerLease: Micros;
-  /** Time within which a cancelled job's tasks must have stopped, from the confirmation to its user on. */
+  /** Time within which the tasks of a cancelled job must have stopped, counted from the confirmation to the user. */
   cancellationDeadline: Micros;
-  /** How long a gang's tasks wait for each other. */
+  /** Time for which the tasks of a gang wait for each other. */
   gangWait: Micros;
-  /** Time within which a gang's tasks detect the loss of one of them, and all of them must be told to stop. */
+  /** Time within which the tasks of a gang detect the loss of one of them, and all of them must be ordered to stop. */
   gangPeer: Micros;
-  /** Limits of the state service: the smaller of those in force and of those announced. */
+  /**
+   * Requests per second that the state service accepts. Each limit of the state service is the lower of the current
+   * and the announced value.
+   */
   stateRps: number;
+  /** Write requests per second that the state service accepts. */
   stateWriteRps: number;
+  /** Largest value that the state service stores, in bytes. */
   valueBytes: number;
+  /** Largest number of operations that the state service accepts in one transaction. */
   txnOps: number;
-  /** Requests a second that the cloud accepts. */
+  /** Requests per second that the cloud API accepts. */
   cloudRps: number;
-  /** Lag of the cloud's list of machines; at times it is twice that. */
+  /** Usual lag of the cloud's list of machines. The lag is occasionally twice as long. */
   machineListLag: Micros;
-  /** Connections that a node may have open. */
+  /** Number of connections that a node may have open. */
   sockets: number;
 }
 
@@ -85,17 +97,17 @@
   'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'gangWait' | 'gangPeer'
 >;
 
-/** Reads the text of a platform's file; fails with {@link SettingsError} that names the first field that is wrong. */
+/** Parses the text of a platform's file. Throws {@link SettingsError} that names the first invalid field. */
 export function parseSettings(toml: string): Settings {
-  const { facts, ...own } = parsePlatformFile(toml);
+  const { facts, ...node } = parsePlatformFile(toml);
   return {
-    member: own.member,
-    domain: own.domain,
-    bind: own.bind,
-    clusterListen: own.cluster_listen,
-    peers: own.peers,
-    cloud: own.endpoints.cloud,
-    state: own.endpoints.state,
+    member: node.member,
+    domain: node.domain,
+    bind: node.bind,
+    clusterListen: node.cluster_listen,
+    peers: node.peers,
+    cloud: node.endpoints.cloud,
+    state: node.endpoints.state,
     initialSize: facts.initial_size,
     zones: facts.zones,
     timeBound: fromSeconds(facts.time_bound_ms / MS_PER_SECOND),
@@ -109,7 +121,7 @@
   };
 }
 
-/** Reads a platform's file; fails with {@link SettingsError} if it can't be read or used. */
+/** Reads and parses a platform's file. Throws {@link SettingsError} if it can't be read or is invalid. */
 export function loadSettings(file: string): Settings {
   return parseSettings(readSettingsFile(file));
 }
@@ -142,8 +154,9 @@
 }
 
 /**
- * "0 means none": a guest team has neither a guarantee nor a limit. Where CPUs are limited, no GPUs are allowed
- * by 0 of them: a limit kept too strictly breaks no rule.
+ * Returns true for a guest team, which has neither a guarantee nor a limit. In the file a limit of 0 means "none",
+ * which is ambiguous. It means "no limit" only if both limits are 0. If only one of them is 0, the team may use none
+ * of that resource: a limit that is too strict violates no rule.
  */
 function hasNoLimits(team: PlatformFacts['teams'][number]): boolean {
   return team.cpus_max === 0 && team.gpus_max === 0;
@@ -167,16 +180,16 @@
   };
 }
 
-function stateSettingsOf({ next, ...present }: PlatformFacts['state']): StateSettings {
+function stateSettingsOf({ next, ...current }: PlatformFacts['state']): StateSettings {
   return {
-    stateRps: smallerLimit(present.rps, next?.rps),
-    stateWriteRps: smallerLimit(present.write_rps, next?.write_rps),
-    valueBytes: Math.floor(smallerLimit(present.value_kb, next?.value_kb) * BYTES_PER_KB),
-    txnOps: smallerLimit(present.txn_ops, next?.txn_ops),
+    stateRps: smallerLimit(current.rps, next?.rps),
+    stateWriteRps: smallerLimit(current.write_rps, next?.write_rps),
+    valueBytes: Math.floor(smallerLimit(current.value_kb, next?.value_kb) * BYTES_PER_KB),
+    txnOps: smallerLimit(current.txn_ops, next?.txn_ops),
   };
 }
 
-/** The limit that holds now and will hold later, too: it may fall at any moment, without notice. */
-function smallerLimit(present: number, later: number | undefined): number {
-  return Math.min(present, later ?? present);
+/** Returns the lower of the current and the announced limit, since the announced one may take effect without notice. */
+function smallerLimit(current: number, announced: number | undefined): number {
+  return Math.min(current, announced ?? current);
 }
--- a/packages/settings/read-file.ts
+++ b/packages/settings/read-file.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { SettingsError } from './error.js';
 
-/** The text of a settings file; fails with {@link SettingsError} if it can't be read. */
+/** Returns the text of a settings file. Throws {@link SettingsError} if it can't be read. */
 export function readSettingsFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
--- a/packages/settings/settings-format.test.ts
+++ b/packages/settings/settings-format.test.ts
@@ -1,4 +1,6 @@
-/** Every field of the platform's file and of the operators' file: its name, its range, its default, its error. */
+/**
+ * Golden tests of every field of the platform's file and the operators' file: name, range, default and error message.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
@@ -14,7 +16,7 @@
   type Tuning,
 } from './index.js';
 
-/** A file that names every field, each with a value of its own. */
+/** A platform's file that sets every field, each to a distinctive value. */
 const FULL = `
 member = "hive-0"
 domain = "almaty"
@@ -94,14 +96,14 @@
   sockets: 2500,
 };
 
-/** The same file with only what it must hold. */
-const LEAST = FULL.replace(/\[\[peers\]\][^[]*/, '')
+/** The same file without its optional fields. */
+const MINIMAL = FULL.replace(/\[\[peers\]\][^[]*/, '')
   .replace(/\[\[facts\.objectives\]\][^[]*/, '')
   .replace(/\[facts\.state\.next\][^[]*/, '')
   .replace(/^(time_bound_ms|gpus|gpus_max|gang_wait_s|gang_peer_s) = .*\n/gm, '');
 
-/** The message with which a text is refused. */
-function refusalOf(toml: string): string {
+/** Returns the error message for a platform's file; `taken` if the file is valid. */
+function errorOf(toml: string): string {
   try {
     parseSettings(toml);
   } catch (cause) {
@@ -111,12 +113,12 @@
   return 'taken';
 }
 
-test("every field of the platform's file is read", () => {
+test("parses every field of the platform's file", () => {
   assert.deepEqual(parseSettings(FULL), FULL_SETTINGS);
 });
 
-test("what the platform's file may leave out has these defaults", () => {
-  assert.deepEqual(parseSettings(LEAST), {
+test("optional fields of the platform's file have defaults", () => {
+  assert.deepEqual(parseSettings(MINIMAL), {
     ...FULL_SETTINGS,
     peers: [],
     timeBound: 100_000,
@@ -129,11 +131,14 @@
     valueBytes: 4096,
     txnOps: 8,
   });
-  const objective = LEAST.replace('[facts.workers]', '[[facts.objectives]]\nkind = "start"\n[facts.workers]');
+  const objective = MINIMAL.replace(
+    '[facts.workers]',
+    '[[facts.objectives]]\nkind = "start"\n[facts.workers]',
+  );
   assert.deepEqual(parseSettings(objective).objectives, [{ kind: 'start', jobClass: null, within: null }]);
 });
 
-test("what is missing in the platform's file is named in these words", () => {
+test("the error for a missing field of the platform's file names the field", () => {
   const fields = [
     'member',
     'domain',
@@ -157,8 +162,8 @@
     'mem_mb',
     'sockets',
   ];
-  const refusals = fields.map((field) => refusalOf(LEAST.replace(new RegExp(`^${field} = .*\n`, 'm'), '')));
-  assert.deepEqual(refusals, [
+  const errors = fields.map((field) => errorOf(MINIMAL.replace(new RegExp(`^${field} = .*\n`, 'm'), '')));
+  assert.deepEqual(errors, [
     'member: Invalid input',
     'domain: Invalid input',
     'bind: Invalid input',
@@ -183,9 +188,9 @@
   ]);
   const sections = ['endpoints', 'facts.workers', 'facts.state', 'facts.cloud', 'facts.machine_limits'];
   const without = (section: string): string =>
-    LEAST.replace(new RegExp(`\\[${section.replaceAll('.', '\\.')}\\][^[]*`), '');
+    MINIMAL.replace(new RegExp(`\\[${section.replaceAll('.', '\\.')}\\][^[]*`), '');
   assert.deepEqual(
-    sections.map((section) => refusalOf(without(section))),
+    sections.map((section) => errorOf(without(section))),
     [
       'endpoints: Invalid input',
       'facts.workers: Invalid input',
@@ -194,15 +199,15 @@
       'facts.machine_limits: Invalid input',
     ],
   );
-  assert.equal(refusalOf('member = "hive-0"'), 'domain: Invalid input');
-  assert.equal(refusalOf(LEAST.replace(/\[\[facts\.teams\]\][^[]*/, '')), 'facts.teams: Invalid input');
+  assert.equal(errorOf('member = "hive-0"'), 'domain: Invalid input');
+  assert.equal(errorOf(MINIMAL.replace(/\[\[facts\.teams\]\][^[]*/, '')), 'facts.teams: Invalid input');
   assert.equal(
-    refusalOf('[facts'),
+    errorOf('[facts'),
     'not TOML: Error: Invalid TOML document: incomplete key-value: cannot find end of key',
   );
 });
 
-test("what is wrong in the platform's file is named in these words", () => {
+test("the error for an invalid value in the platform's file names the field", () => {
   const values: [field: string, value: string][] = [
     ['member', '1'],
     ['member', '""'],
@@ -240,10 +245,10 @@
     ['mem_mb', '0.0'],
     ['sockets', '0'],
   ];
-  const refusals = values.map(([field, value]) =>
-    refusalOf(FULL.replace(new RegExp(`^${field} = .*`, 'm'), `${field} = ${value}`)),
+  const errors = values.map(([field, value]) =>
+    errorOf(FULL.replace(new RegExp(`^${field} = .*`, 'm'), `${field} = ${value}`)),
   );
-  assert.deepEqual(refusals, [
+  assert.deepEqual(errors, [
     'member: Invalid input',
     'member: Invalid input',
     'domain: Invalid input',
@@ -282,7 +287,7 @@
   ]);
 });
 
-test('the limits of requests to the state service and to the cloud have to be positive', () => {
+test('the limits of the state service and of the cloud must be positive', () => {
   for (const [limit, name] of [
     ['rps = 80.0', 'facts.state.rps'],
     ['rps = 10.0', 'facts.cloud.rps'],
@@ -292,11 +297,11 @@
     ['txn_ops = 6', 'facts.state.next.txn_ops'],
   ] as const) {
     const field = limit.split(' ')[0] ?? '';
-    assert.equal(refusalOf(FULL.replace(limit, `${field} = 0`)), `${name}: Invalid input`);
+    assert.equal(errorOf(FULL.replace(limit, `${field} = 0`)), `${name}: Invalid input`);
   }
 });
 
-test('the minimum of each field is accepted', () => {
+test('accepts the minimum of each field', () => {
   const values: [field: string, value: string][] = [
     ['initial_size', '1'],
     ['initial_size', '"4"'],
@@ -309,12 +314,12 @@
   ];
   for (const [field, value] of values) {
     const toml = FULL.replace(new RegExp(`^${field} = .*`, 'm'), `${field} = ${value}`);
-    assert.equal(refusalOf(toml), 'taken', `${field} = ${value}`);
+    assert.equal(errorOf(toml), 'taken', `${field} = ${value}`);
   }
 });
 
-/** Every element with a number, its range, and whether the number must be whole; the defaults are below. */
-const NUMBERS: readonly [path: string, least: number, most: number, whole: boolean][] = [
+/** Every element that holds a number, its range, and true if the number must be whole. */
+const NUMBER_ELEMENTS: readonly [path: string, minimum: number, maximum: number, isInteger: boolean][] = [
   ['round/gapMs', 20, 5000, false],
   ['round/idleMs', 100, 10_000, false],
   ['pricing/passes', 1, 1000, true],
@@ -326,14 +331,14 @@
   ['placement/choices', 1, 64, true],
 ];
 
-/** An operators' file with one element. */
-function fileWith(path: string, text: string): string {
+/** Returns an operators' file with one element. */
+function tuningFile(path: string, text: string): string {
   const [section, name] = path.split('/');
   return `<micaworks><${section}><${name}>${text}</${name}></${section}></micaworks>`;
 }
 
-/** The message with which an operators' file is refused. */
-async function tuningRefusalOf(xml: string): Promise<string> {
+/** Returns the error message for an operators' file; `taken` if the file is valid. */
+async function tuningErrorOf(xml: string): Promise<string> {
   try {
     await parseTuning(xml);
   } catch (cause) {
@@ -343,26 +348,26 @@
   return 'taken';
 }
 
-test("the operators' file has these numbers, in these ranges", async () => {
+test("numbers in the operators' file are accepted only within their ranges", async () => {
   assert.deepEqual(
     TUNING_PARAMETERS.map(({ path }) => path),
-    NUMBERS.map(([path]) => path),
+    NUMBER_ELEMENTS.map(([path]) => path),
   );
-  for (const [path, least, most, whole] of NUMBERS) {
-    const kind = whole ? 'a whole number' : 'a number';
-    const message = `operators' file: ${path}: must be ${kind} from ${least} to ${most}`;
-    const beyond = whole ? [least - 1, most + 1] : [least - 0.001, most + 0.001];
-    for (const value of [...beyond.map(String), 'many', '', ' ', 'NaN', '<more>1</more>']) {
-      assert.equal(await tuningRefusalOf(fileWith(path, value)), message, value);
+  for (const [path, minimum, maximum, isInteger] of NUMBER_ELEMENTS) {
+    const kind = isInteger ? 'a whole number' : 'a number';
+    const message = `operators' file: ${path}: must be ${kind} from ${minimum} to ${maximum}`;
+    const outOfRange = isInteger ? [minimum - 1, maximum + 1] : [minimum - 0.001, maximum + 0.001];
+    for (const value of [...outOfRange.map(String), 'many', '', ' ', 'NaN', '<more>1</more>']) {
+      assert.equal(await tuningErrorOf(tuningFile(path, value)), message, value);
     }
-    if (whole) assert.equal(await tuningRefusalOf(fileWith(path, `${least}.5`)), message);
-    for (const value of [String(least), String(most), ` ${most} `]) {
-      assert.equal(await tuningRefusalOf(fileWith(path, value)), 'taken', value);
+    if (isInteger) assert.equal(await tuningErrorOf(tuningFile(path, `${minimum}.5`)), message);
+    for (const value of [String(minimum), String(maximum), ` ${maximum} `]) {
+      assert.equal(await tuningErrorOf(tuningFile(path, value)), 'taken', value);
     }
   }
 });
 
-test("each element of the operators' file sets this, and nothing else", async () => {
+test("each element of the operators' file sets only its own field", async () => {
   const cases: [path: string, text: string, change: Partial<Tuning>][] = [
     ['round/gapMs', '20.5', { roundGap: 20_500 }],
     ['round/idleMs', '100', { roundIdle: 100_000 }],
@@ -382,11 +387,11 @@
     ['later/gapMs', '7', {}],
   ];
   for (const [path, text, change] of cases) {
-    assert.deepEqual(await parseTuning(fileWith(path, text)), { ...defaultTuning(), ...change }, path);
+    assert.deepEqual(await parseTuning(tuningFile(path, text)), { ...defaultTuning(), ...change }, path);
   }
 });
 
-test("without an operators' file these values hold", () => {
+test("without an operators' file the documented defaults apply", () => {
   const expected: Tuning = {
     operatorListen: null,
     handsOverOnStop: false,
@@ -404,7 +409,7 @@
   assert.deepEqual(defaultTuning(), expected);
 });
 
-test("what is wrong in the operators' file is named in these words", async () => {
+test("the error for an invalid operators' file names the element or the line", async () => {
   for (const address of [
     'nowhere',
     '127.0.0.1',
@@ -415,7 +420,7 @@
     'localhost:80',
   ]) {
     assert.equal(
-      await tuningRefusalOf(fileWith('operations/listen', address)),
+      await tuningErrorOf(tuningFile('operations/listen', address)),
       "operators' file: operations/listen: must be an IPv4 address and a port, such as 127.0.0.1:7070",
       address,
     );
@@ -423,22 +428,22 @@
   for (const path of ['operations/handOverOnStop', 'recovery/noticeLoss']) {
     for (const text of ['yes', 'TRUE', '1', '']) {
       const message = `operators' file: ${path}: must be true or false`;
-      assert.equal(await tuningRefusalOf(fileWith(path, text)), message, text);
+      assert.equal(await tuningErrorOf(tuningFile(path, text)), message, text);
     }
   }
   assert.equal(
-    await tuningRefusalOf('<micaworks><round>'),
+    await tuningErrorOf('<micaworks><round>'),
     'operators\' file, line 1: Invalid \'[    "micaworks",    "round"]\' found.',
   );
   assert.equal(
-    await tuningRefusalOf('<micaworks>\n<round></micaworks>'),
+    await tuningErrorOf('<micaworks>\n<round></micaworks>'),
     "operators' file, line 2: Expected closing tag 'round' (opened in line 2, col 1) instead of closing tag 'micaworks'.",
   );
-  assert.equal(await tuningRefusalOf('<other/>'), "operators' file: micaworks: the root element is missing");
-  assert.equal(await tuningRefusalOf(''), "operators' file, line 1: Start tag expected.");
+  assert.equal(await tuningErrorOf('<other/>'), "operators' file: micaworks: the root element is missing");
+  assert.equal(await tuningErrorOf(''), "operators' file, line 1: Start tag expected.");
 });
 
-test('a file that can not be read is named with the reason', async () => {
+test('the error for an unreadable file names the file and the reason', async () => {
   const missing = '/nowhere/settings';
   const message = `${missing}: ENOENT: no such file or directory, open '${missing}'`;
   assert.throws(
--- a/packages/settings/settings.test.ts
+++ b/packages/settings/settings.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the rules by which settings files are parsed, and of the operators' files under deploy. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -43,25 +44,25 @@
 sockets = 2500
 `;
 
-test('the platform file is read into whole microseconds and bytes, unknown fields are ignored', () => {
+test('times are converted to microseconds and sizes to bytes, and unknown fields are ignored', () => {
   const settings = parseSettings(TOML);
   assert.equal(settings.workerLease, 22 * SECOND);
   assert.equal(settings.valueBytes, 4096);
   assert.deepEqual(settings.teams[0], { name: 'pricing', cpus: 32, cpusMax: 104, gpus: 0, gpusMax: 0 });
 });
 
-test('optional fields of gangs and of announced limits have defaults, and wrong values are named', () => {
+test('the times of gangs have defaults, and the error for an invalid value names the field', () => {
   const settings = parseSettings(TOML);
   assert.equal(settings.gangWait, 50 * SECOND);
   assert.equal(settings.gangPeer, 5 * SECOND);
   const gangs = parseSettings(TOML.replace('cancel_s', 'gang_wait_s = 45.0\ngang_peer_s = 4.0\ncancel_s'));
   assert.equal(gangs.gangWait, 45 * SECOND);
   assert.equal(gangs.gangPeer, 4 * SECOND);
-  const wrong: [string, RegExp][] = [
+  const invalidLines: [string, RegExp][] = [
     ['gang_wait_s = 0.0', /^facts\.workers\.gang_wait_s: /],
     ['gang_peer_s = "soon"', /^facts\.workers\.gang_peer_s: /],
   ];
-  for (const [line, message] of wrong) {
+  for (const [line, message] of invalidLines) {
     const toml = TOML.replace('cancel_s', `${line}\ncancel_s`);
     assert.throws(
       () => parseSettings(toml),
@@ -70,10 +71,10 @@
   }
 });
 
-test('the smaller of the present and the announced limits of the state service holds', () => {
-  const next = (lines: string): string =>
+test('the lower of the current and the announced limit of the state service applies', () => {
+  const withAnnounced = (lines: string): string =>
     TOML.replace('[facts.cloud]', `[facts.state.next]\n${lines}\n[facts.cloud]`);
-  const settings = parseSettings(next('value_kb = 2.0\ntxn_ops = 16\nwrite_rps = 18.0'));
+  const settings = parseSettings(withAnnounced('value_kb = 2.0\ntxn_ops = 16\nwrite_rps = 18.0'));
   assert.equal(settings.valueBytes, 2048);
   assert.equal(settings.txnOps, 8);
   assert.equal(settings.stateWriteRps, 18);
@@ -81,7 +82,7 @@
   for (const line of ['txn_ops = 0', 'txn_ops = 1.5', 'value_kb = -1.0', 'write_rps = true']) {
     const field = line.split(' ')[0] ?? '';
     assert.throws(
-      () => parseSettings(next(line)),
+      () => parseSettings(withAnnounced(line)),
       (cause) => cause instanceof SettingsError && cause.message.startsWith(`facts.state.next.${field}: `),
     );
   }
@@ -93,7 +94,7 @@
   assert.deepEqual(parseSettings(guest).teams[0], { name: 'pricing', ...none });
 });
 
-test('a field that is missing or wrong is named', () => {
+test('the error for a missing or invalid field names the field on one line', () => {
   const cases: [RegExp, string, string][] = [
     [/facts\.workers\.lease_s/, 'lease_s = 22.0', 'lease_s = "long"'],
     [/facts\.state\.txn_ops/, 'txn_ops = 8', ''],
@@ -110,18 +111,18 @@
   }
 });
 
-test("the operators' example is the defaults", async () => {
+test("the operators' example file yields the defaults", async () => {
   const example = readFileSync(new URL('../../deploy/operator.example.xml', import.meta.url), 'utf8');
   assert.deepEqual(await parseTuning(example), defaultTuning());
 });
 
-test("a wrong value in the operators' file is named, an unknown element ignored", async () => {
-  const passes = (text: string) =>
+test("an invalid value in the operators' file is named in the error, and unknown elements are ignored", async () => {
+  const parsePasses = (text: string) =>
     parseTuning(`<micaworks><pricing><passes>${text}</passes></pricing></micaworks>`);
-  assert.equal((await passes('12')).passes, 12);
-  for (const bad of ['0', '1.5', 'many', '']) {
+  assert.equal((await parsePasses('12')).passes, 12);
+  for (const invalid of ['0', '1.5', 'many', '']) {
     await assert.rejects(
-      passes(bad),
+      parsePasses(invalid),
       (cause: unknown) => cause instanceof SettingsError && cause.message.includes('pricing/passes'),
     );
   }
@@ -130,7 +131,7 @@
   assert.deepEqual(await parseTuning('<micaworks><later>1</later></micaworks>'), defaultTuning());
 });
 
-test('optional features are off by default, and the files under deploy switch them on', async () => {
+test('optional features are off by default, and the files under deploy enable them', async () => {
   const read = (name: string): string =>
     readFileSync(new URL(`../../deploy/${name}`, import.meta.url), 'utf8');
   const { operatorListen, handsOverOnStop, detectsDataLoss } = defaultTuning();
@@ -139,6 +140,6 @@
   assert.deepEqual([roles.operatorListen, roles.handsOverOnStop], ['127.0.0.1:7070', true]);
   const recovery = await parseTuning(read('operator.recovery.xml'));
   assert.deepEqual([recovery.operatorListen, recovery.detectsDataLoss], ['127.0.0.1:7070', true]);
-  const wrong = '<micaworks><recovery><noticeLoss>yes</noticeLoss></recovery></micaworks>';
-  await assert.rejects(parseTuning(wrong), /recovery\/noticeLoss: must be true or false/);
+  const invalidFlag = '<micaworks><recovery><noticeLoss>yes</noticeLoss></recovery></micaworks>';
+  await assert.rejects(parseTuning(invalidFlag), /recovery\/noticeLoss: must be true or false/);
 });
