--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -1,4 +1,4 @@
-/** Commands of the command line against operators' listeners and HTTP servers on loopback. */
+/** Tests of the commands against operators' listeners and HTTP servers on loopback. */
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
 import { existsSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -25,7 +25,7 @@
 const STDIN_FD = 0;
 const OK_STATUSES: readonly number[] = [200, 201];
 
-/** A request to the user interface of a node. */
+/** A request to the HTTP interface that a node offers to users. */
 interface UserRequest {
   /** Address of the node, as given on the command line. */
   readonly node: string;
