--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -23,7 +23,7 @@
 // At nine hundred machines the leader once planned a round every two seconds, the others four a second.
 test('a checkpoint of many values is paced by its own limiter and does not hold up the scheduling rounds of the leader', async () => {
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
@@ -82,7 +82,7 @@
 /** A writer over a state service that records and refuses every commit; its node owns shard 0 and leads. */
 function recordingWriter(): RecordingWriter {
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -100,7 +100,7 @@
   });
   for (const commit of COMMITS.slice(0, committed)) store.commit(commit);
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -75,7 +75,7 @@
 class StoreFixture {
   readonly clock = new SimClock();
   readonly nodeClock: Clock = {
-    ...this.clock.view(
+    ...this.clock.createProcessClock(
       (step) => {
         step();
       },
@@ -98,7 +98,7 @@
   }
 
   client(): StoreClient {
-    const call = this.net.caller('node-1', null, (step) => {
+    const call = this.net.createClient('node-1', null, (step) => {
       step();
     });
     return new StoreClient(STORE_ENDPOINT, call);
@@ -169,7 +169,7 @@
     assert.ok(this.membership.ownLeaderLease());
     for (const shard of [0, 1]) {
       const value = { Member: 'node-1', Nonce: 'p1.1', Token: 1 };
-      this.store.spoil({ Set: shardKey(shard), V: value, Permit: 1 });
+      this.store.writeUnguarded({ Set: shardKey(shard), V: value, Permit: 1 });
     }
     await this.advance(SECOND);
     this.logWriter = this.writerFor(valueBytes);
@@ -206,7 +206,8 @@
 /** Returns the replica of a node that loads these rows, which are written in this order. */
 async function loadFromTexts(texts: Record<string, string>): Promise<Replica> {
   const service = new StoreFixture();
-  for (const [path, text] of Object.entries(texts)) service.store.spoil({ Set: path, V: fromText(text) });
+  for (const [path, text] of Object.entries(texts))
+    service.store.writeUnguarded({ Set: path, V: fromText(text) });
   return service.loadReplica();
 }
 
@@ -667,7 +668,7 @@
 test('a terminal status is stored under the live key of its job, and later moved to the terminal key', async () => {
   const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-2']) {
-    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
+    node.store.writeUnguarded({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
   }
   await node.advance(SECOND);
   const done = [...node.replica.jobs].filter(([id]) => id === 'j-1');
@@ -693,7 +694,7 @@
   assert.deepEqual(node.rowTexts(TERMINAL_PREFIX), terminalRows);
   const service = new StoreFixture();
   for (const [path, text] of Object.entries(terminalRows))
-    service.store.spoil({ Set: path, V: fromText(text) });
+    service.store.writeUnguarded({ Set: path, V: fromText(text) });
   const restarted = await service.loadReplica();
   assert.equal(await service.runUntil(restarted.terminalStatus('j-1')), 'done');
   assert.equal(await service.runUntil(restarted.terminalStatus('j-2')), 'cancelled');
@@ -704,7 +705,7 @@
 async function nodeWithFullLedger(): Promise<LeaderFixture> {
   const node = await new LeaderFixture().start();
   for (const id of ['j-1', 'j-3']) {
-    node.store.spoil({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
+    node.store.writeUnguarded({ Set: jobKey(id), V: encodeJobRow(sampleJob(id), WALL_MS) });
   }
   await node.append(['lead', LEADER_DRAFT]);
   await node.append([0, START_DRAFT]);
--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -8,7 +8,15 @@
 import { type PlacementRecord, Replica } from '#cluster';
 import { type Settings, defaultTuning, type Tuning } from '#settings';
 import { StoreClient } from '#store';
-import { SAMPLE_TYPES, sampleJob, sampleSettings, SimClock, SimNet, SimStore, STATE } from '#testkit';
+import {
+  SAMPLE_TYPES,
+  sampleJob,
+  sampleSettings,
+  SimClock,
+  SimNet,
+  SimStore,
+  STATE_ENDPOINT,
+} from '#testkit';
 import {
   type HttpClient,
   type Clock,
@@ -61,7 +69,7 @@
     const reply = answer(method, path, body);
     return reply ? Promise.resolve(reply) : Promise.reject(new Error('no response'));
   };
-  const store = new StoreClient(STATE, call);
+  const store = new StoreClient(STATE_ENDPOINT, call);
   const replica = new Replica({ store, clock: STOPPED_CLOCK, log: SILENT, stateRps: 1000 });
   replica.state = 'following';
   for (const type of SAMPLE_TYPES) replica.machineTypes.set(type.name, type);
@@ -321,9 +329,9 @@
     valueBytes: 2048,
     pageRows: 1000,
   });
-  net.serve(STATE, null, store.handler);
-  for (const [path, value] of ROWS) store.spoil({ Set: path, V: value });
-  const call = net.caller('node-0', 'east', (step) => {
+  net.serve(STATE_ENDPOINT, null, store.handler);
+  for (const [path, value] of ROWS) store.writeUnguarded({ Set: path, V: value });
+  const call = net.createClient('node-0', 'east', (step) => {
     step();
   });
   const controller = controllerOf({ clock, settings, call, tuning });
@@ -344,7 +352,7 @@
 }
 
 function controllerOf({ clock, settings, call, tuning }: ControllerParts): Controller {
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
@@ -422,7 +430,7 @@
   assert.equal(await ask(heartbeatOf('n-0', 1, { Baton: 42 })), '503 {"error":"superseded"}, after 1 s');
   assert.match(await ask(heartbeatOf('n-0', 7)), /^200 /);
   assert.equal(await ask(heartbeatOf('n-0', 6)), '503 {"error":"stale report"}, after 1 s');
-  store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
+  store.writeUnguarded({ Set: RELEASE[0], V: RELEASE[1] });
   store.setOutage(true);
   await pass(clock, SECOND);
   assert.match(await ask(heartbeatOf('n-0', 8)), /^200 /);
@@ -433,8 +441,8 @@
 
 test('a machine in transfer between two shards is refused until the node has acquired it', async () => {
   const { clock, store, controller, ask } = nodeBench();
-  store.spoil({ Set: RELEASE[0], V: RELEASE[1] });
-  store.isLate = (writes) => writes.some((write) => String(write['Set']).startsWith('mw/now/log/0/'));
+  store.writeUnguarded({ Set: RELEASE[0], V: RELEASE[1] });
+  store.delaysCommit = (writes) => writes.some((write) => String(write['Set']).startsWith('mw/now/log/0/'));
   controller.start();
   await pass(clock, 2 * SECOND);
   assert.equal(await ask(heartbeatOf('n-4', 1)), '503 {"error":"machine on the move"}, after 1 s');
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -22,7 +22,7 @@
   SimNet,
   SimStore,
   SimCluster,
-  STATE,
+  STATE_ENDPOINT,
 } from '#testkit';
 import { type Clock, encodeSubmission, type WireFields, type JobSpec, MS, RANKS, SECOND } from '#wire';
 import { JobService } from './job-service.js';
@@ -53,7 +53,7 @@
 class UserWorld {
   readonly clock = new SimClock();
   readonly view: Clock = {
-    ...this.clock.view(
+    ...this.clock.createProcessClock(
       (step) => {
         step();
       },
@@ -74,14 +74,14 @@
   readonly users: JobService;
 
   constructor(rows: Record<string, string>, valueBytes = 4096) {
-    this.net.serve(STATE, null, this.store.handler);
+    this.net.serve(STATE_ENDPOINT, null, this.store.handler);
     for (const [path, text] of Object.entries(rows)) {
-      this.store.spoil({ Set: path, V: JSON.parse(text) as WireFields });
+      this.store.writeUnguarded({ Set: path, V: JSON.parse(text) as WireFields });
     }
-    const call = this.net.caller('node-0', null, (step) => {
+    const call = this.net.createClient('node-0', null, (step) => {
       step();
     });
-    const client = new StoreClient(STATE, call);
+    const client = new StoreClient(STATE_ENDPOINT, call);
     this.replica = new Replica({ store: client, clock: this.view, log: SILENT, stateRps: 10_000 });
     this.users = new JobService({
       settings: sampleSettings(0, 1, { valueBytes }),
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -23,7 +23,7 @@
   private records = 0;
 
   constructor() {
-    const clock = this.clock.view(
+    const clock = this.clock.createProcessClock(
       (step) => {
         step();
       },
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -78,7 +78,7 @@
   fc.assert(
     fc.property(fc.array(steps, { maxLength: 60 }), (history) => {
       const clock = new SimClock();
-      const view = clock.view(
+      const view = clock.createProcessClock(
         (step) => {
           step();
         },
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -304,7 +304,7 @@
     ids.forEach((id, i) => {
       const [first, second] = machinesOf(cluster, [id]);
       const dead = first === undefined ? undefined : cluster.cloud.hosts.get(first);
-      if (dead) cluster.cloud.die(dead);
+      if (dead) cluster.cloud.crash(dead);
       if (second === undefined) return;
       if (i === 0) cluster.net.unansweredParties.add(second);
       else refuseAll(cluster, second, true);
@@ -475,8 +475,8 @@
       await cluster.run(6 * SECOND);
     }
     cluster.store.lateCommitRate = 0;
-    const { came, applied } = cluster.store.lateCommits;
-    assert.ok(came >= 30 && applied > 0, `${came} came late, ${applied} landed`);
+    const { executed, applied } = cluster.store.lateCommits;
+    assert.ok(executed >= 30 && applied > 0, `${executed} came late, ${applied} landed`);
     await untilOver(cluster, jobs, 300);
   }
 });
@@ -593,7 +593,7 @@
   });
   const leaving = new Set<string>();
   const answers: number[] = [];
-  cluster.store.isLate = (writes) => {
+  cluster.store.delaysCommit = (writes) => {
     const hosts = releasedIn(writes);
     // Only the transactions of the first owner that lets machines go: their late ones decide when this is over.
     if (leaving.size > 0 && !hosts.some((host) => leaving.has(host))) return false;
@@ -601,18 +601,18 @@
     return hosts.length > 0;
   };
   cluster.onHeartbeat = (host, _node, status) => {
-    if (leaving.has(host) && cluster.store.lateCommits.came === 0) answers.push(status);
+    if (leaving.has(host) && cluster.store.lateCommits.executed === 0) answers.push(status);
   };
   cluster.submit(sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 20 }));
   await cluster.run(15 * SECOND);
   cluster.submit(sampleJob('j-2', { team: 'green', taskCount: 10, estimateS: 20 }));
-  for (let i = 0; i < 400 && cluster.store.lateCommits.came === 0; i++) await cluster.run(0.1 * SECOND);
-  assert.ok(cluster.store.lateCommits.came > 0, 'no machine was let go');
+  for (let i = 0; i < 400 && cluster.store.lateCommits.executed === 0; i++) await cluster.run(0.1 * SECOND);
+  assert.ok(cluster.store.lateCommits.executed > 0, 'no machine was let go');
   assert.ok(answers.length > 2, `only ${answers.length} reports in between`);
   assert.deepEqual(
     answers.filter((status) => status === 200),
     [],
   );
-  cluster.store.isLate = () => false;
+  cluster.store.delaysCommit = () => false;
   await untilOver(cluster, ['j-1', 'j-2']);
 });
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -194,7 +194,7 @@
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
   for (let i = 0; i < 8; i++) cluster.submit(sampleJob(`j-${i}`, { taskCount: 4, estimateS: 400 }));
   await cluster.run(50 * SECOND);
-  assert.ok(cluster.isOld(2) && cluster.invariants.starts > 0);
+  assert.ok(cluster.runsProductionVersion(2) && cluster.invariants.starts > 0);
   cluster.store.wipe();
   await cluster.run(4 * SECOND);
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
--- a/packages/testkit/duration-meter.ts
+++ b/packages/testkit/duration-meter.ts
@@ -2,7 +2,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import { type Micros, MS } from '#wire';
 
-const HIGHEST_MS = 600_000;
+const MAX_DURATION_MS = 600_000;
 const PERCENTILES = [50, 90, 99, 100];
 
 /** Collects durations by name. */
@@ -12,7 +12,7 @@
   record(name: string, duration: Micros): void {
     let histogram = this.histograms.get(name);
     if (!histogram) {
-      histogram = build({ highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 3 });
+      histogram = build({ highestTrackableValue: MAX_DURATION_MS, numberOfSignificantValueDigits: 3 });
       this.histograms.set(name, histogram);
     }
     histogram.recordValue(Math.round(duration / MS));
@@ -28,8 +28,8 @@
 
   /** The longest of those whose name begins so, in milliseconds. */
   longest(prefix: string): number {
-    const owned = [...this.histograms].filter(([name]) => name.startsWith(prefix));
-    return Math.max(0, ...owned.map(([, histogram]) => histogram.maxValue));
+    const matching = [...this.histograms].filter(([name]) => name.startsWith(prefix));
+    return Math.max(0, ...matching.map(([, histogram]) => histogram.maxValue));
   }
 
   get count(): number {
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -155,7 +155,7 @@
   ] as const) {
     const cluster = await createBusyCluster({ seed });
     const cold = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
-    cluster.freezeNode(cold, pause * SECOND);
+    cluster.suspendNode(cold, pause * SECOND);
     await cluster.run(4.5 * SECOND);
     assert.equal(ownersOf(cluster).has(cold), false, 'its shards wait for it');
     const before = cluster.heartbeatCount(cold);
@@ -201,7 +201,7 @@
   const early = await post('j-9', 1, encodeSubmission(sampleJob('j-9', never)));
   assert.ok(early === 503 || early === 422, `${early}`);
   await cluster.run(3 * SECOND);
-  cluster.cloud.isOut = true;
+  cluster.cloud.isUnavailable = true;
   cluster.net.slowdowns.set('10.2.0.1:2379', 8);
   await round(1);
   cluster.net.slowdowns.clear();
@@ -209,7 +209,7 @@
   assert.equal(await post('j-1', 2, encodeSubmission(known)), 503);
   assert.equal(await post('j-9', 2, encodeSubmission(sampleJob('j-9'))), 503);
   cluster.store.setOutage(false);
-  cluster.cloud.isOut = false;
+  cluster.cloud.isUnavailable = false;
   await cluster.run(2 * SECOND);
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
   await round(2);
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -76,7 +76,7 @@
   assert.equal(cluster.gangs.starts, 1);
   const host = cluster.cloud.hosts.get(first ?? '');
   assert.ok(host);
-  cluster.cloud.die(host);
+  cluster.cloud.crash(host);
   await finish(cluster, 'j-1', 160);
   assert.equal(cluster.gangs.starts, 2);
 });
@@ -87,7 +87,7 @@
   const [first] = await untilGathered(cluster, 'j-1', 1);
   const host = cluster.cloud.hosts.get(first ?? '');
   assert.ok(host && cluster.gangs.starts === 0);
-  cluster.cloud.die(host);
+  cluster.cloud.crash(host);
   await finish(cluster, 'j-1', 160);
   assert.equal(cluster.gangs.starts, 1);
 });
@@ -100,7 +100,7 @@
     const isPart = (write: Record<string, unknown>): boolean =>
       String(write['Set']).startsWith(LOG_PREFIX) && JSON.stringify(write['V']).includes('"gang"');
     // The commit that completes the start gets lost with its owner: it lands late, if it lands at all.
-    cluster.store.isLate = (writes) => {
+    cluster.store.delaysCommit = (writes) => {
       const isCut = cuts === 0 && writes.some(isPart);
       if (!isCut) return false;
       cuts++;
--- a/packages/testkit/known-red.test.ts
+++ b/packages/testkit/known-red.test.ts
@@ -1,27 +1,31 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge, parseKnownRed } from './known-red.js';
+import { evaluateRun, parseKnownRed } from './known-red.js';
 
 const KNOWN = parseKnownRed('a task ends | the end is late | issue 14\n');
-const ok = { name: 'another', passed: true };
+const OTHER_PASSED = { name: 'another', passed: true };
 
 test('a listed test may fail or pass, and is told of either way', () => {
-  const failed = judge(KNOWN, [ok, { name: 'a task ends', passed: false }]);
+  const failed = evaluateRun(KNOWN, [OTHER_PASSED, { name: 'a task ends', passed: false }]);
   assert.equal(failed.passed, true);
   assert.match(failed.lines.join(), /known red, failed: a task ends \(the end is late; issue 14\)/);
-  const passed = judge(KNOWN, [ok, { name: 'a task ends', passed: true }]);
+  const passed = evaluateRun(KNOWN, [OTHER_PASSED, { name: 'a task ends', passed: true }]);
   assert.equal(passed.passed, true);
   assert.match(passed.lines.join(), /known red, passed/);
 });
 
 test('any other failure, a line that names no test, and a run without tests fail', () => {
   assert.equal(
-    judge(KNOWN, [ok, { name: 'a task ends', passed: true }, { ...ok, passed: false }]).passed,
+    evaluateRun(KNOWN, [
+      OTHER_PASSED,
+      { name: 'a task ends', passed: true },
+      { ...OTHER_PASSED, passed: false },
+    ]).passed,
     false,
   );
-  assert.equal(judge(KNOWN, [ok]).passed, false);
-  assert.equal(judge([], []).passed, false);
-  assert.equal(judge([], [ok]).passed, true);
+  assert.equal(evaluateRun(KNOWN, [OTHER_PASSED]).passed, false);
+  assert.equal(evaluateRun([], []).passed, false);
+  assert.equal(evaluateRun([], [OTHER_PASSED]).passed, true);
 });
 
 test('a fourth line, and one that is not whole, are refused', () => {
--- a/packages/testkit/known-red.ts
+++ b/packages/testkit/known-red.ts
@@ -37,18 +37,19 @@
 }
 
 /** Passed if nothing failed but what is listed, and each line names a test that was run. */
-export function judge(known: readonly KnownRed[], results: readonly TestResult[]): Verdict {
+export function evaluateRun(knownFailures: readonly KnownRed[], results: readonly TestResult[]): Verdict {
   const lines: string[] = [];
   let passed = results.length > 0;
   if (!passed) lines.push('no test was run');
-  for (const { test, cause, issue } of known) {
-    const owned = results.filter((r) => r.name === test);
-    if (owned.length === 0) passed = false;
-    const state = owned.length === 0 ? 'names no test' : owned.some((r) => !r.passed) ? 'failed' : 'passed';
+  for (const { test, cause, issue } of knownFailures) {
+    const matching = results.filter((r) => r.name === test);
+    if (matching.length === 0) passed = false;
+    const state =
+      matching.length === 0 ? 'names no test' : matching.some((r) => !r.passed) ? 'failed' : 'passed';
     lines.push(`known red, ${state}: ${test} (${cause}; ${issue})`);
   }
-  const listed = new Set(known.map((k) => k.test));
-  for (const { name } of results.filter((r) => !r.passed && !listed.has(r.name))) {
+  const listedTests = new Set(knownFailures.map((k) => k.test));
+  for (const { name } of results.filter((r) => !r.passed && !listedTests.has(r.name))) {
     passed = false;
     lines.push(`failed, and not listed: ${name}`);
   }
--- a/packages/testkit/loopback-main.ts
+++ b/packages/testkit/loopback-main.ts
@@ -15,11 +15,11 @@
   process.stdout.write(`${member}: operators ${operators}, users ${users}, process ${processId}\n`);
 }
 process.stdout.write(`state service: process ${process.pid}\n`);
-let bringBack: (() => void) | null = null;
+let restoreData: (() => void) | null = null;
 process.on('SIGUSR2', () => {
-  if (bringBack) bringBack();
-  bringBack = bringBack ? null : trial.loseData();
-  process.stdout.write(`state service: ${bringBack ? 'has lost everything' : 'has it all again'}\n`);
+  if (restoreData) restoreData();
+  restoreData = restoreData ? null : trial.loseData();
+  process.stdout.write(`state service: ${restoreData ? 'has lost everything' : 'has it all again'}\n`);
 });
 process.once('SIGINT', () => {
   trial.stop();
--- a/packages/testkit/loopback-node.ts
+++ b/packages/testkit/loopback-node.ts
@@ -30,7 +30,11 @@
 }
 
 /** The platform's settings of one node; workers and leases are quicker than any real ones. */
-function platformSettings(self: NodeAddresses, all: readonly NodeAddresses[], services: Services): string {
+function platformSettings(
+  self: NodeAddresses,
+  all: readonly NodeAddresses[],
+  services: ServiceAddresses,
+): string {
   const peers = all
     .filter((other) => other !== self)
     .flatMap((peer) => [
@@ -81,30 +85,30 @@
 }
 
 /** Addresses of the simulated services. */
-export interface Services {
+export interface ServiceAddresses {
   state: string;
   cloud: string;
 }
 
 /** A controller process on loopback. */
 export class LoopbackNode {
-  isFrozen = false;
+  isSuspended = false;
   private child: ChildProcess | null = null;
   private readonly args: string[];
 
   constructor(
     readonly addresses: NodeAddresses,
     all: readonly NodeAddresses[],
-    services: Services,
+    services: ServiceAddresses,
     folder: string,
   ) {
     const config = join(folder, `${addresses.member}.toml`);
     const operator = join(folder, `${addresses.member}.xml`);
     writeFileSync(config, platformSettings(addresses, all, services));
     const listen = `<listen>${addresses.operators}</listen>`;
-    const stop = '<handOverOnStop>true</handOverOnStop>';
+    const handOverOnStop = '<handOverOnStop>true</handOverOnStop>';
     const recovery = '<recovery><noticeLoss>true</noticeLoss></recovery>';
-    const operations = `<operations>${listen}${stop}</operations>`;
+    const operations = `<operations>${listen}${handOverOnStop}</operations>`;
     writeFileSync(operator, `<micaworks>${operations}${recovery}</micaworks>`);
     this.args = [MAIN, '--config', config, '--operator', operator];
   }
@@ -127,17 +131,17 @@
     });
   }
 
-  freeze(): void {
-    this.isFrozen = this.child?.kill('SIGSTOP') ?? false;
+  suspend(): void {
+    this.isSuspended = this.child?.kill('SIGSTOP') ?? false;
   }
 
-  thaw(): void {
+  resume(): void {
     this.child?.kill('SIGCONT');
-    this.isFrozen = false;
+    this.isSuspended = false;
   }
 
   /** Asks the process to end, as for a planned stop; resolves with its exit code. */
-  retire(): Promise<number | null> {
+  stopGracefully(): Promise<number | null> {
     const { child } = this;
     this.child = null;
     return new Promise((resolve) => {
@@ -150,7 +154,7 @@
   kill(): void {
     const { child } = this;
     this.child = null;
-    this.isFrozen = false;
+    this.isSuspended = false;
     child?.kill('SIGKILL');
   }
 }
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -20,10 +20,10 @@
 import type { SimStore } from './sim-store.js';
 import { VacancyMeter } from './vacancy-meter.js';
 
-const NODES = 3;
+const NODE_COUNT = 3;
 const TEAMS = ['blue', 'green', 'red'];
 /** How long a frozen leader is left frozen at most until another one is named. */
-const REPLACEMENT_MS = 15_000;
+const LEADER_TIMEOUT_MS = 15_000;
 /** How long users and machines have at most to end their work once the troubles are over. */
 const SETTLE_MS = 90_000;
 
@@ -60,7 +60,7 @@
   private readonly servers: LoopbackServer[] = [];
   private readonly folder = mkdtempSync(join(tmpdir(), 'micaworks-loopback-'));
   private readonly counts = { terms: 0, freezes: 0, kills: 0 };
-  private isOver = false;
+  private isStopped = false;
 
   constructor(private readonly options: TrialOptions) {
     const generator = xoroshiro128plus(options.seed);
@@ -80,7 +80,7 @@
       random: this.random,
       storeLimits: { rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
       cloud: { types: LOOPBACK_TYPES, capacity: 4, listLag: SECOND },
-      gangTimes: { wait: 20 * SECOND, peer: 3 * SECOND },
+      gangTimes: { gatherTimeout: 20 * SECOND, peerLossTimeout: 3 * SECOND },
       teamLimits: new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }])),
       cancellationDeadline: 20 * SECOND,
       onCommit: (writes) => {
@@ -94,23 +94,23 @@
   async start(): Promise<void> {
     const state = await this.serve((...args) => this.services.store.handler(...args));
     const cloud = await this.serve((...args) => this.services.cloud.handler(...args));
-    const all = await Promise.all([...Array(NODES).keys()].map(chooseAddresses));
+    const all = await Promise.all([...Array(NODE_COUNT).keys()].map(chooseAddresses));
     for (const addresses of all) {
       this.nodes.push(new LoopbackNode(addresses, all, { state, cloud }, this.folder));
     }
     for (const node of this.nodes) node.start();
-    this.watch();
+    this.checkInvariants();
   }
 
   /** The whole trial: troubles for the given time, then quiet until all work is over. */
   async run(): Promise<TrialReport> {
     await this.start();
-    const began = Date.now();
+    const startedAt = Date.now();
     const jobs = this.submitJobs(this.options.durationMs);
-    await this.replaceFrozenLeader();
-    while (Date.now() < began + this.options.durationMs) await this.injectRandomFault();
+    await this.replaceSuspendedLeader();
+    while (Date.now() < startedAt + this.options.durationMs) await this.injectRandomFault();
     this.services.cloud.lateRequestRate = 0;
-    const seconds = (Date.now() - began) / 1000;
+    const seconds = (Date.now() - startedAt) / 1000;
     const stateRequestRate = perSecond(this.services.store.requestCount, seconds);
     const renewalRate = perSecond(this.services.store.renewalCount, seconds);
     await this.waitFor(jobs, SETTLE_MS);
@@ -128,7 +128,7 @@
 
   /** Resolves with the leader that the condition holds for, or undefined if there is none in time. */
   async leaderWhere(condition: (leader: LoopbackNode) => boolean): Promise<LoopbackNode | undefined> {
-    for (const end = Date.now() + REPLACEMENT_MS; Date.now() < end;) {
+    for (const end = Date.now() + LEADER_TIMEOUT_MS; Date.now() < end;) {
       const leader = this.leader;
       if (leader && condition(leader)) return leader;
       await pause(50);
@@ -138,10 +138,10 @@
 
   /** The state service loses everything; the function brings it back. */
   loseData(): () => void {
-    const whole = this.services.store.backup();
+    const backup = this.services.store.backup();
     this.services.store.wipe();
     return () => {
-      this.services.store.restore(whole);
+      this.services.store.restore(backup);
     };
   }
 
@@ -152,7 +152,7 @@
 
   /** Ends the trial's own children and servers; throws what broke on the way. */
   stop(): void {
-    this.isOver = true;
+    this.isStopped = true;
     this.users.stop();
     for (const node of this.nodes) node.kill();
     for (const worker of this.services.workers.values()) worker.destroy();
@@ -179,36 +179,36 @@
    * leaders the random troubles meet, and for how long, depends on how the processes are scheduled: in one run of CI
    * each of the few freezes ended before the grant did, and no term ever changed.
    */
-  private async replaceFrozenLeader(): Promise<void> {
-    const old = await this.leaderWhere(() => true);
-    if (!old) throw new Error('no leader was named');
+  private async replaceSuspendedLeader(): Promise<void> {
+    const firstLeader = await this.leaderWhere(() => true);
+    if (!firstLeader) throw new Error('no leader was named');
     // Whatever is to be wakened late has to be under way: the fleet is rented and work has begun.
     await pause(4000);
-    const frozen = this.leader ?? old;
+    const suspended = this.leader ?? firstLeader;
     this.counts.freezes++;
-    this.recordVacancies(frozen, 'freeze');
-    frozen.freeze();
-    const next = await this.leaderWhere((leader) => leader !== frozen);
-    frozen.thaw();
-    if (!next) throw new Error('a frozen leader was not replaced');
+    this.recordVacancies(suspended, 'freeze');
+    suspended.suspend();
+    const successor = await this.leaderWhere((leader) => leader !== suspended);
+    suspended.resume();
+    if (!successor) throw new Error('a frozen leader was not replaced');
   }
 
   private async injectRandomFault(): Promise<void> {
-    const any = this.nodes[Math.floor(this.random() * NODES)];
-    const node = this.random() < 0.7 ? (this.leader ?? any) : any;
-    if (node?.isUp === true && !node.isFrozen) {
-      if (this.random() < 0.75) await this.freeze(node);
+    const anyNode = this.nodes[Math.floor(this.random() * NODE_COUNT)];
+    const node = this.random() < 0.7 ? (this.leader ?? anyNode) : anyNode;
+    if (node?.isUp === true && !node.isSuspended) {
+      if (this.random() < 0.75) await this.suspend(node);
       else await this.kill(node);
     }
     await pause(500 + this.random() * 3000);
   }
 
-  private async freeze(node: LoopbackNode): Promise<void> {
+  private async suspend(node: LoopbackNode): Promise<void> {
     this.counts.freezes++;
     this.recordVacancies(node, 'freeze');
-    node.freeze();
+    node.suspend();
     await pause(300 + this.random() * 7000);
-    node.thaw();
+    node.resume();
     for (const role of this.rolesOf(node)) this.vacancies.recovered(role);
   }
 
@@ -223,7 +223,7 @@
   private rolesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
       this.services.store.rows.get(path)?.value['Member'] === node.addresses.member;
-    const shards = [...Array(NODES).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
+    const shards = [...Array(NODE_COUNT).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
     return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
 
@@ -245,10 +245,10 @@
   private setUpWorker(): WorkerSetup {
     return {
       nodes: this.nodes.map(({ addresses: { member, users } }) => ({ member, endpoint: users })),
-      caller: (gate) => {
-        const call = createHttpClient(1);
+      createClient: (gate) => {
+        const httpClient = createHttpClient(1);
         return async (...args) => {
-          const reply = await call(...args);
+          const reply = await httpClient(...args);
           return new Promise((resolve) => {
             gate(() => {
               resolve(reply);
@@ -267,12 +267,12 @@
     return this.users.submitJobs(durationMs);
   }
 
-  private watch(): void {
+  private checkInvariants(): void {
     this.services.failure.guard(() => {
       this.services.invariants.check(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
-      if (!this.isOver) this.watch();
+      if (!this.isStopped) this.checkInvariants();
     });
   }
 
--- a/packages/testkit/machine-faults.ts
+++ b/packages/testkit/machine-faults.ts
@@ -24,14 +24,14 @@
   for (const worker of workers.values()) {
     const host = cloud.hosts.get(worker.machine.host);
     const draw = random();
-    if (draw < 0.25 && host) cloud.die(host);
+    if (draw < 0.25 && host) cloud.crash(host);
     else if (draw < 0.6) hang(target, worker);
   }
 }
 
 /** One machine dies. */
 export function killMachine({ cluster, host }: FaultTarget): void {
-  if (host) cluster.cloud.die(host);
+  if (host) cluster.cloud.crash(host);
 }
 
 /** The cloud reclaims one machine after a notice. */
--- a/packages/testkit/network-faults.ts
+++ b/packages/testkit/network-faults.ts
@@ -2,7 +2,7 @@
 import { SECOND } from '#wire';
 import type { FaultTarget } from './fault-target.js';
 import { pick } from './random-jobs.js';
-import { STATE } from './sample-settings.js';
+import { STATE_ENDPOINT } from './sample-settings.js';
 import type { NetworkFaults } from './sim-net.js';
 
 function withNetworkFaults(target: FaultTarget, seconds: number, faults: NetworkFaults): void {
@@ -135,7 +135,7 @@
 /** The state service, or one node, is slow. */
 export function slowDownEndpoint(target: FaultTarget): void {
   const { net, random } = target.cluster;
-  const name = pick(random, [STATE, `10.0.0.${target.nodeIndex}:80`, target.nodeName]);
+  const name = pick(random, [STATE_ENDPOINT, `10.0.0.${target.nodeIndex}:80`, target.nodeName]);
   target.during(
     target.randomSeconds(5, 30),
     () => {
--- a/packages/testkit/node-faults.ts
+++ b/packages/testkit/node-faults.ts
@@ -26,5 +26,5 @@
 
 /** A node's process is suspended while its clocks run on, for less than its lease up to well over a worker's lease. */
 export function freezeNode(target: FaultTarget): void {
-  target.cluster.freezeNode(target.nodeIndex, target.randomSeconds(1, 29) * SECOND);
+  target.cluster.suspendNode(target.nodeIndex, target.randomSeconds(1, 29) * SECOND);
 }
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -30,25 +30,25 @@
 }
 
 /** What the production version tells its peers. */
-interface ProductionPeerWord {
+interface ProductionPeerStatus {
   readonly token: number;
   readonly served: boolean;
   readonly referred: Record<string, number>;
 }
 
-interface ProductionPingAnswer {
+interface ProductionPingResult {
   readonly result: 'ok' | 'refused' | 'silent';
-  readonly word: ProductionPeerWord | null;
+  readonly word: ProductionPeerStatus | null;
 }
 
-interface ProductionParts {
+interface ProductionOptions {
   readonly settings: ProductionSettings;
   readonly tuning: ProductionTuning;
   readonly clock: Clock;
   readonly random: () => number;
   readonly incarnation: string;
   readonly call: HttpClient;
-  readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingAnswer>;
+  readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingResult>;
   readonly log: Logger;
 }
 
@@ -76,7 +76,7 @@
   readonly onHost: ReadonlyMap<string, ReadonlyMap<string, ProductionPlacement>>;
 }
 
-interface ProductionStateCopy {
+interface ProductionReplicaSnapshot {
   readonly member: string;
   readonly state: ReplicaState;
   readonly applied: number;
@@ -88,8 +88,8 @@
   start(): void;
   report(body: unknown): Promise<ServiceResponse>;
   health(): ServiceResponse;
-  word(): ProductionPeerWord;
-  stateCopy(): ProductionStateCopy;
+  word(): ProductionPeerStatus;
+  stateCopy(): ProductionReplicaSnapshot;
   readonly users: {
     submit(body: unknown): Promise<ServiceResponse>;
     show(id: string): Promise<ServiceResponse>;
@@ -114,12 +114,12 @@
 /** Loads the controller of the version in production. */
 export async function loadProductionVersion(): Promise<ProductionVersion> {
   const fixture = (await import(FIXTURE.href)) as {
-    Controller: new (parts: ProductionParts) => ProductionController;
+    Controller: new (parts: ProductionOptions) => ProductionController;
   };
-  return { createController: (options) => adapt(new fixture.Controller(partsOf(options))) };
+  return { createController: (options) => toSimulatedController(new fixture.Controller(optionsOf(options))) };
 }
 
-function adapt(controller: ProductionController): SimulatedController {
+function toSimulatedController(controller: ProductionController): SimulatedController {
   const { users } = controller;
   return {
     start: () => {
@@ -138,7 +138,7 @@
   };
 }
 
-function partsOf(options: ControllerOptions): ProductionParts {
+function optionsOf(options: ControllerOptions): ProductionOptions {
   return {
     settings: settingsOf(options.settings),
     tuning: tuningOf(options.tuning),
@@ -167,19 +167,23 @@
   return { ...others, waitDoubles: priorityDoublingTime };
 }
 
-function pingOf(ping: Ping): ProductionParts['ping'] {
+function pingOf(ping: Ping): ProductionOptions['ping'] {
   return async (endpoint, timeout) => {
     const answer = await ping(endpoint, timeout);
     if (answer.status === null) return { result: answer.result, word: null };
-    const { status: word } = answer;
+    const { status } = answer;
     return {
       result: answer.result,
-      word: { token: word.fencingToken, served: word.isStoreReachable, referred: word.redirectedWorkers },
+      word: {
+        token: status.fencingToken,
+        served: status.isStoreReachable,
+        referred: status.redirectedWorkers,
+      },
     };
   };
 }
 
-function replicaFactsOf({ member, state, applied, ledger }: ProductionStateCopy): ReplicaFacts {
+function replicaFactsOf({ member, state, applied, ledger }: ProductionReplicaSnapshot): ReplicaFacts {
   return { member, state, applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
 }
 
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -11,7 +11,7 @@
 import { randomArray } from './random-jobs.js';
 import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { sampleJob } from './sample-job.js';
-import { CLOUD } from './sample-settings.js';
+import { CLOUD_ENDPOINT } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
@@ -79,16 +79,16 @@
     await cluster.run(30 * SECOND);
     const first = leaderOf(cluster);
     const name = `node-${first}`;
-    cluster.net.hold(name, CLOUD);
+    cluster.net.hold(name, CLOUD_ENDPOINT);
     await cluster.run(20 * SECOND);
     for (let i = 0; i < successors; i++) {
       const leader = leaderOf(cluster);
       const term = termOf(cluster);
-      cluster.freezeNode(leader, OVER_A_TERM);
+      cluster.suspendNode(leader, OVER_A_TERM);
       await cluster.run(OVER_A_TERM + SECOND);
       assert.notEqual(termOf(cluster), term, 'nobody took over');
     }
-    const held = cluster.net.release(name, CLOUD);
+    const held = cluster.net.release(name, CLOUD_ENDPOINT);
     assert.ok(held > 0, 'nothing was held');
     await cluster.run(40 * SECOND);
     await finish(cluster);
@@ -108,7 +108,7 @@
     onceRecorded(cluster, field, () => {
       frozen = leaderOf(cluster);
       term = termOf(cluster);
-      cluster.freezeNode(frozen, OVER_A_TERM);
+      cluster.suspendNode(frozen, OVER_A_TERM);
     });
     await cluster.run(100 * SECOND);
     assert.ok(frozen >= 0, `no ${field} were recorded`);
@@ -130,7 +130,7 @@
       if (frozen.length > 0) return;
       const node = leaderOf(cluster);
       frozen.push({ node, term: termOf(cluster) });
-      cluster.freezeNode(node, OVER_A_TERM);
+      cluster.suspendNode(node, OVER_A_TERM);
     };
     await cluster.run(60 * SECOND);
     const [old] = frozen;
@@ -183,7 +183,7 @@
     for (let i = 0; i < 5; i++) {
       await cluster.run(15 * SECOND);
       terms.add(termOf(cluster));
-      cluster.freezeNode(leaderOf(cluster), 5 * SECOND);
+      cluster.suspendNode(leaderOf(cluster), 5 * SECOND);
     }
     await cluster.run(60 * SECOND);
     assert.ok(terms.size > 2, 'the lead did not change hands');
@@ -199,17 +199,17 @@
     const isLeaders = (write: WireFields): boolean =>
       String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
     let delayed = 0;
-    cluster.store.isLate = (writes) => {
+    cluster.store.delaysCommit = (writes) => {
       if (!writes.some(isLeaders)) return false;
       delayed++;
       return true;
     };
     for (let i = 0; i < 60 && delayed === 0; i++) await cluster.run(0.5 * SECOND);
     assert.ok(delayed > 0, 'the leader recorded nothing');
-    cluster.freezeNode(old, OVER_A_TERM);
-    cluster.store.isLate = () => false;
+    cluster.suspendNode(old, OVER_A_TERM);
+    cluster.store.delaysCommit = () => false;
     await cluster.run(OVER_A_TERM + SECOND);
-    assert.ok(cluster.store.lateCommits.came > 0, 'no commit came late');
+    assert.ok(cluster.store.lateCommits.executed > 0, 'no commit came late');
     await finish(cluster);
   }
 });
@@ -248,7 +248,7 @@
 
 test('a leader partitioned from the cloud, its peers or its workers only keeps the invariants', async () => {
   const cuts: ((cluster: SimCluster, leader: number) => string[])[] = [
-    (_cluster, leader) => [`node-${leader}>${CLOUD}`],
+    (_cluster, leader) => [`node-${leader}>${CLOUD_ENDPOINT}`],
     (cluster, leader) => [...cluster.workers.keys()].map((host) => `${host}>10.0.0.${leader}:80`),
     (cluster, leader) =>
       [...Array(cluster.nodeCount).keys()].flatMap((i) => [
@@ -395,7 +395,7 @@
   const spoil = (path: string, value: WireFields): void => {
     // As if a foreign hand had written it, with the grant that the row had.
     const Permit = cluster.store.rows.get(path)?.leaseId ?? null;
-    cluster.store.spoil({ Set: path, V: value, Permit });
+    cluster.store.writeUnguarded({ Set: path, V: value, Permit });
   };
   spoil(LEADER_KEY, { Member: 7 });
   spoil('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
@@ -424,7 +424,7 @@
   await cluster.run(30 * SECOND);
   const row = cluster.store.rows.get('mw/now/token');
   assert.ok(row);
-  cluster.store.spoil({ Set: 'mw/now/token', V: { Token: 'many' } });
+  cluster.store.writeUnguarded({ Set: 'mw/now/token', V: { Token: 'many' } });
   await cluster.run(3 * SECOND);
   const answered = (): number => [0, 1, 2].reduce((sum, i) => sum + cluster.heartbeatCount(i), 0);
   const before = answered();
@@ -432,7 +432,7 @@
   await cluster.run(8 * SECOND);
   assert.equal(answered(), before, 'workers were answered under no token');
   assert.deepEqual(cluster.store.rows.get('mw/now/token')?.value, { Token: 'many' });
-  cluster.store.spoil({ Set: 'mw/now/token', V: row.value });
+  cluster.store.writeUnguarded({ Set: 'mw/now/token', V: row.value });
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(20 * SECOND);
   assert.ok(answered() > before);
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -26,7 +26,7 @@
 export interface Sender {
   /** The term of the lead that the sender believed in when it sent; null if it named none. */
   term: number | null;
-  isOld: boolean;
+  runsProductionVersion: boolean;
 }
 
 /** How many effects there were of each kind; those of terms that were over are counted apart. */
@@ -47,10 +47,10 @@
 function requiredRoleKeys(write: WireFields): string[] {
   const path = String(write['Set'] ?? write['Remove']);
   if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
-  const isLeaders = [SHARD_PREFIX, MACHINE_TYPE_PREFIX, CHECKPOINT_CHUNK_PREFIX, TERMINAL_PREFIX].some(
+  const isLeaderOwned = [SHARD_PREFIX, MACHINE_TYPE_PREFIX, CHECKPOINT_CHUNK_PREFIX, TERMINAL_PREFIX].some(
     (prefix) => path.startsWith(prefix),
   );
-  if (isLeaders || path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
+  if (isLeaderOwned || path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
   // Ended jobs are put away by the leader.
   return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
@@ -79,8 +79,8 @@
     this.counts.commits++;
     for (const write of writes) {
       for (const key of requiredRoleKeys(write)) this.checkGuard(key, guards, write);
-      const isEnd = isWireFields(write['V']) && write['V']['Status'] === 'done';
-      if (isEnd && String(write['Set']).startsWith(JOB_PREFIX)) this.checkShardGuard(guards, write);
+      const isJobEnd = isWireFields(write['V']) && write['V']['Status'] === 'done';
+      if (isJobEnd && String(write['Set']).startsWith(JOB_PREFIX)) this.checkShardGuard(guards, write);
     }
   }
 
@@ -97,8 +97,8 @@
   /** A worker starts a task: its start must be in a record, and not have ended. */
   launched(taskName: string, attempt: number, host: string, fencingToken: number): void {
     this.counts.launches++;
-    const at = parseTaskName(taskName);
-    const placement = at ? this.ledger.placement(at.job, at.index) : undefined;
+    const position = parseTaskName(taskName);
+    const placement = position ? this.ledger.placement(position.job, position.index) : undefined;
     if (fencingToken > this.token) {
       throw new InvariantViolation(
         'unrecorded',
@@ -114,21 +114,21 @@
   }
 
   /** The cloud rents machines under this name for the first time. */
-  scaledOut(name: string, sender: Sender): void {
+  scaledOut(requestId: string, sender: Sender): void {
     this.counts.scaleOuts++;
-    if (this.isOver(sender)) this.counts.lateScaleOuts++;
-    if (!this.recordedScaleOuts.has(name))
-      throw new InvariantViolation('unrecorded', `rental ${name} is in no record`);
+    if (this.hasStaleTerm(sender)) this.counts.lateScaleOuts++;
+    if (!this.recordedScaleOuts.has(requestId))
+      throw new InvariantViolation('unrecorded', `rental ${requestId} is in no record`);
   }
 
   /** The cloud deletes a machine that was there; `works`: it had not stopped by itself. */
-  deleted(host: string, works: boolean, sender: Sender): void {
+  deleted(host: string, wasWorking: boolean, sender: Sender): void {
     this.counts.deletions++;
-    if (this.isOver(sender)) this.counts.lateDeletions++;
-    if (!works) return;
+    if (this.hasStaleTerm(sender)) this.counts.lateDeletions++;
+    if (!wasWorking) return;
     const entry = this.ledger.machines.get(host);
     if (entry?.destination === 'scale_in' && entry.shard === null) return;
-    if (sender.isOld) this.counts.unrecordedByOld++;
+    if (sender.runsProductionVersion) this.counts.unrecordedByOld++;
     else {
       const state = entry ? `shard ${entry.shard}, destination ${entry.destination}` : 'in no record';
       throw new InvariantViolation(
@@ -138,7 +138,7 @@
     }
   }
 
-  private isOver({ term }: Sender): boolean {
+  private hasStaleTerm({ term }: Sender): boolean {
     return term !== null && term !== this.term;
   }
 
@@ -164,10 +164,10 @@
   }
 
   private applyRecord(path: string, record: PlacementRecord): void {
-    for (const [name] of record.scaleOuts ?? []) {
-      if (this.recordedScaleOuts.has(name))
-        throw new InvariantViolation('unrecorded', `rental ${name} is named twice`);
-      this.recordedScaleOuts.add(name);
+    for (const [requestId] of record.scaleOuts ?? []) {
+      if (this.recordedScaleOuts.has(requestId))
+        throw new InvariantViolation('unrecorded', `rental ${requestId} is named twice`);
+      this.recordedScaleOuts.add(requestId);
     }
     this.ledger.apply(logIdOfKey(path), record);
   }
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -5,7 +5,7 @@
 import { formatRoleName } from '#roles';
 import { type WireFields, SECOND } from '#wire';
 import { sampleJob } from './sample-job.js';
-import { STATE } from './sample-settings.js';
+import { STATE_ENDPOINT } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 import { type VacancyCause, VacancyMeter } from './vacancy-meter.js';
 
@@ -43,8 +43,8 @@
       meter.began(formatRoleName(shard), cause, clock.time);
     }
   }
-  const link = `node-${leader}>${STATE}`;
-  if (cause === 'freeze') cluster.freezeNode(leader, TROUBLE);
+  const link = `node-${leader}>${STATE_ENDPOINT}`;
+  if (cause === 'freeze') cluster.suspendNode(leader, TROUBLE);
   else if (cause === 'crash') cluster.killNode(leader);
   else net.refusedLinks.add(link);
   await cluster.run(TROUBLE);
--- a/packages/testkit/sample-job.ts
+++ b/packages/testkit/sample-job.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '#wire';
 
 /** A job as users might submit it, for tests to vary. */
-export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
+export function sampleJob(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     jobClass: 'batch',
@@ -24,6 +24,6 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...change,
+    ...overrides,
   };
 }
--- a/packages/testkit/sample-settings.ts
+++ b/packages/testkit/sample-settings.ts
@@ -4,9 +4,9 @@
 
 const ZONES = ['east', 'west'];
 /** Address of the simulated state service. */
-export const STATE = '10.2.0.1:2379';
+export const STATE_ENDPOINT = '10.2.0.1:2379';
 /** Address of the simulated cloud. */
-export const CLOUD = '10.2.0.2:8443';
+export const CLOUD_ENDPOINT = '10.2.0.2:8443';
 
 /** Address at which a node serves users and workers. */
 export function userEndpoint(index: number): string {
@@ -30,8 +30,12 @@
 }
 
 /** Settings of one node of a small deployment; every number differs from any real one on purpose. */
-export function sampleSettings(index: number, count: number, change: Partial<Settings> = {}): Settings {
-  const peers = [...Array(count).keys()].filter((peer) => peer !== index);
+export function sampleSettings(
+  index: number,
+  nodeCount: number,
+  overrides: Partial<Settings> = {},
+): Settings {
+  const peers = [...Array(nodeCount).keys()].filter((peer) => peer !== index);
   return {
     member: `node-${index}`,
     domain: zoneOf(index),
@@ -42,15 +46,15 @@
       domain: zoneOf(peer),
       endpoint: peerEndpoint(peer),
     })),
-    cloud: CLOUD,
-    state: STATE,
-    initialSize: count,
+    cloud: CLOUD_ENDPOINT,
+    state: STATE_ENDPOINT,
+    initialSize: nodeCount,
     zones: ZONES,
     timeBound: 50 * MS,
     teams: teamSettings(),
     objectives: [{ kind: 'finished', jobClass: 'batch', within: 60 * SECOND }],
     ...sampleLimits(),
-    ...change,
+    ...overrides,
   };
 }
 
--- a/packages/testkit/service-faults.ts
+++ b/packages/testkit/service-faults.ts
@@ -44,10 +44,10 @@
   target.during(
     target.randomSeconds(3, 20),
     () => {
-      cloud.isOut = true;
+      cloud.isUnavailable = true;
     },
     () => {
-      cloud.isOut = false;
+      cloud.isUnavailable = false;
     },
   );
 }
--- a/packages/testkit/sim-clock.ts
+++ b/packages/testkit/sim-clock.ts
@@ -1,7 +1,7 @@
 /** Simulated time: a queue of events that tests play as fast as they can. */
 import type { Clock, Micros, Timer } from '#wire';
 
-interface Event {
+interface ScheduledEvent {
   at: Micros;
   order: number;
   run: () => void;
@@ -22,7 +22,7 @@
 /** Simulated time: events in order, each followed by everything that it made ready. */
 export class SimClock implements SimulationClock {
   time: Micros = 1_000_000;
-  private heap: Event[] = [];
+  private heap: ScheduledEvent[] = [];
   private order = 0;
 
   at(delay: Micros, run: () => void): Timer {
@@ -39,7 +39,7 @@
    * A process's own view: its steady clock runs a little off, its time of day too; its timers die with it. Both
    * clocks run on while it stands still.
    */
-  view(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
+  createProcessClock(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
     return {
       now: () => Math.floor(this.time * (1 + drift)),
       wall: () => 1_790_000_000_000_000 + this.time + wallClockOffset,
@@ -75,18 +75,18 @@
     this.time = until;
   }
 
-  private before(a: Event, b: Event): boolean {
+  private isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
     return a.at < b.at || (a.at === b.at && a.order < b.order);
   }
 
-  private push(event: Event): void {
+  private push(event: ScheduledEvent): void {
     const heap = this.heap;
     let i = heap.push(event) - 1;
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!this.before(event, heap[up] as Event)) break;
-      heap[i] = heap[up] as Event;
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!this.isBefore(event, heap[parent] as ScheduledEvent)) break;
+      heap[i] = heap[parent] as ScheduledEvent;
+      i = parent;
     }
     heap[i] = event;
   }
@@ -99,9 +99,13 @@
     for (;;) {
       let child = 2 * i + 1;
       if (child >= heap.length) break;
-      if (child + 1 < heap.length && this.before(heap[child + 1] as Event, heap[child] as Event)) child++;
-      if (!this.before(heap[child] as Event, last)) break;
-      heap[i] = heap[child] as Event;
+      if (
+        child + 1 < heap.length &&
+        this.isBefore(heap[child + 1] as ScheduledEvent, heap[child] as ScheduledEvent)
+      )
+        child++;
+      if (!this.isBefore(heap[child] as ScheduledEvent, last)) break;
+      heap[i] = heap[child] as ScheduledEvent;
       i = child;
     }
     heap[i] = last;
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -11,7 +11,7 @@
   createdAt: Micros;
 }
 
-interface Snapshot {
+interface ListSnapshot {
   at: Micros;
   rows: WireFields[];
 }
@@ -19,10 +19,13 @@
 /** Who sent a request, as the simulated cluster notes it beside the protocol's own fields. */
 function senderOf(body: WireFields): Sender {
   const term = body['SenderTerm'];
-  return { term: typeof term === 'number' ? term : null, isOld: body['SenderIsOld'] === true };
+  return {
+    term: typeof term === 'number' ? term : null,
+    runsProductionVersion: body['SenderIsOld'] === true,
+  };
 }
 
-function encodeType(type: MachineType): WireFields {
+function encodeMachineType(type: MachineType): WireFields {
   return {
     Sku: type.name,
     Cpus: type.cpus,
@@ -55,41 +58,41 @@
 /** The simulated cloud. */
 export class SimCloud {
   readonly hosts = new Map<string, CloudHost>();
-  isOut = false;
+  isUnavailable = false;
   /** Share of rental and deletion requests that get no answer and are carried out up to `lateBy` later. */
   lateRequestRate = 0;
   maxRequestDelay: Micros = 60 * SECOND;
   /** Share of machines that take several times as long to boot. */
   slowBootRate = 0;
   /** Called when machines are rented under a name for the first time, and for each machine that is deleted. */
-  onScaleOut: (name: string, sender: Sender) => void = () => undefined;
+  onScaleOut: (requestId: string, sender: Sender) => void = () => undefined;
   onDeletion: (host: CloudHost, sender: Sender) => void = () => undefined;
-  private readonly answers = new Map<string, string[]>();
-  private snapshots: Snapshot[] = [];
-  private count = 0;
+  private readonly hostsByRequest = new Map<string, string[]>();
+  private snapshots: ListSnapshot[] = [];
+  private createdCount = 0;
 
   constructor(private readonly options: SimCloudOptions) {
-    this.snap();
+    this.takeSnapshot();
   }
 
   readonly handler: Handler = (_from, method, path, body) => {
-    if (this.isOut) return { status: 503, body: { error: 'trouble' } };
+    if (this.isUnavailable) return { status: 503, body: { error: 'trouble' } };
     const url = new URL(path, 'http://cloud');
     const fields = isWireFields(body) ? body : {};
     if (url.pathname === '/machine_types')
-      return { status: 200, body: { Builds: this.options.types.map(encodeType) } };
+      return { status: 200, body: { Builds: this.options.types.map(encodeMachineType) } };
     if (method !== 'POST') return this.list(url.searchParams);
-    const act = (): SimResponse =>
+    const execute = (): SimResponse =>
       url.pathname === '/rentals'
         ? this.createMachines(fields)
         : this.deleteMachines(fields['Hosts'] as string[], fields);
-    if (this.lateRequestRate === 0 || this.options.random() >= this.lateRequestRate) return act();
-    this.options.clock.at(this.options.random() * this.maxRequestDelay, act);
+    if (this.lateRequestRate === 0 || this.options.random() >= this.lateRequestRate) return execute();
+    this.options.clock.at(this.options.random() * this.maxRequestDelay, execute);
     return new Promise(() => undefined);
   };
 
   /** The machine stops with all that is on it; the list shows it only later. */
-  die(host: CloudHost): void {
+  crash(host: CloudHost): void {
     this.options.destroy(host);
     host.state = 'died';
     this.options.clock.at(30 * SECOND, () => {
@@ -104,37 +107,37 @@
   }
 
   private createMachines(body: WireFields): SimResponse {
-    const request = String(body['Hire']);
-    const known = this.answers.get(request);
-    if (known) return { status: 200, body: { Hosts: known } };
+    const requestId = String(body['Hire']);
+    const previousHosts = this.hostsByRequest.get(requestId);
+    if (previousHosts) return { status: 200, body: { Hosts: previousHosts } };
     const facts = {
       machineType: String(body['Build']),
       zone: String(body['Hall']),
       spot: body['Loaners'] === true,
     };
-    const taken = [...this.hosts.values()].filter(
+    const rentedCount = [...this.hosts.values()].filter(
       (h) => h.machineType === facts.machineType && h.zone === facts.zone && h.spot === facts.spot,
     ).length;
-    const number = Math.min(Number(body['Number']), this.options.capacity - taken);
-    if (number <= 0) return { status: 503, body: { error: 'no capacity' } };
-    this.onScaleOut(request, senderOf(body));
+    const newHostCount = Math.min(Number(body['Number']), this.options.capacity - rentedCount);
+    if (newHostCount <= 0) return { status: 503, body: { error: 'no capacity' } };
+    this.onScaleOut(requestId, senderOf(body));
     const Hosts: string[] = [];
-    for (let i = 0; i < number; i++) {
-      const name = `n-${String(this.count++).padStart(6, '0')}`;
+    for (let i = 0; i < newHostCount; i++) {
+      const name = `n-${String(this.createdCount++).padStart(6, '0')}`;
       const host: CloudHost = { host: name, ...facts, state: 'starting', createdAt: this.options.clock.time };
       this.hosts.set(name, host);
       Hosts.push(name);
-      const never = this.options.random() < 0.05;
-      const boot = (this.options.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
-      if (never) continue;
-      const slowness = this.slowBootRate > 0 && this.options.random() < this.slowBootRate ? 6 : 1;
-      this.options.clock.at(slowness * boot * (0.6 + this.options.random() * 0.9), () => {
+      const failsToBoot = this.options.random() < 0.05;
+      const bootTime = (this.options.types.find((t) => t.name === facts.machineType)?.bootS ?? 10) * SECOND;
+      if (failsToBoot) continue;
+      const slowdownFactor = this.slowBootRate > 0 && this.options.random() < this.slowBootRate ? 6 : 1;
+      this.options.clock.at(slowdownFactor * bootTime * (0.6 + this.options.random() * 0.9), () => {
         if (this.hosts.get(name) !== host) return;
         host.state = 'running';
         this.options.boot(host);
       });
     }
-    this.answers.set(request, Hosts);
+    this.hostsByRequest.set(requestId, Hosts);
     return { status: 200, body: { Hosts } };
   }
 
@@ -151,14 +154,14 @@
 
   private list(query: URLSearchParams): SimResponse {
     const lag = this.options.listLag * (1 + (this.options.random() < 0.1 ? 1 : 0));
-    const old = this.snapshots.filter((s) => s.at <= this.options.clock.time - lag).at(-1);
+    const snapshot = this.snapshots.filter((s) => s.at <= this.options.clock.time - lag).at(-1);
     const after = query.get('After') ?? '';
-    const rows = (old?.rows ?? []).filter((r) => String(r['Uid']) > after);
+    const rows = (snapshot?.rows ?? []).filter((r) => String(r['Uid']) > after);
     const limit = Number(query.get('Limit') ?? 500);
     return { status: 200, body: { Hosts: rows.slice(0, limit), More: rows.length > limit } };
   }
 
-  private snap(): void {
+  private takeSnapshot(): void {
     const rows = [...this.hosts.values()].map((h) => ({
       Uid: h.host,
       Endpoint: '',
@@ -173,7 +176,7 @@
       (s) => s.at > this.options.clock.time - 4 * this.options.listLag - 5 * SECOND,
     );
     this.options.clock.at(SECOND, () => {
-      this.snap();
+      this.takeSnapshot();
     });
   }
 }
--- a/packages/testkit/sim-cluster-options.ts
+++ b/packages/testkit/sim-cluster-options.ts
@@ -35,5 +35,5 @@
   /** Clock errors beyond what the protocol allows. */
   readonly clockError?: (index: number) => ClockError;
   /** The cancellation deadline that users were promised, where the controllers are configured with another. */
-  readonly promisedCancel?: Micros;
+  readonly promisedCancellationDeadline?: Micros;
 }
--- a/packages/testkit/sim-cluster.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -7,7 +7,14 @@
 import type { FreeCapacity, InvariantChecker } from './invariants.js';
 import type { ReplicaFacts } from './ledger-agreement.js';
 import type { RoleHistory } from './role-history.js';
-import { CLOUD, peerEndpoint, SAMPLE_TYPES, sampleSettings, STATE, userEndpoint } from './sample-settings.js';
+import {
+  CLOUD_ENDPOINT,
+  peerEndpoint,
+  SAMPLE_TYPES,
+  sampleSettings,
+  STATE_ENDPOINT,
+  userEndpoint,
+} from './sample-settings.js';
 import { SimClock } from './sim-clock.js';
 import type { CloudHost, SimCloud } from './sim-cloud.js';
 import type { ClusterEvent, SimClusterOptions } from './sim-cluster-options.js';
@@ -51,8 +58,10 @@
     this.invariants.onEvent = (event) => {
       this.onEvent(event);
     };
-    this.net.serve(STATE, null, (...args) => this.services.failure.guard(() => this.store.handler(...args)));
-    this.net.serve(CLOUD, null, this.cloud.handler);
+    this.net.serve(STATE_ENDPOINT, null, (...args) =>
+      this.services.failure.guard(() => this.store.handler(...args)),
+    );
+    this.net.serve(CLOUD_ENDPOINT, null, this.cloud.handler);
     this.nodes = [...Array(nodeCount).keys()].map((index) => this.createNode(index));
     for (const node of this.nodes) node.start();
   }
@@ -104,7 +113,7 @@
 
   /** A node of the present version that is up; null while it is down or of the version in production. */
   controller(index: number): Controller | null {
-    return this.nodes[index]?.present ?? null;
+    return this.nodes[index]?.currentController ?? null;
   }
 
   /** Status of this node's answer to health checks; null while it is down. */
@@ -121,23 +130,23 @@
   }
 
   /** Ends the node's process and starts it again with the present version. */
-  upgradeNode(index: number, downFor: Micros): void {
+  upgradeNode(index: number, downtime: Micros): void {
     const node = this.node(index);
-    node.isOld = false;
+    node.runsProductionVersion = false;
     node.kill();
-    this.clock.at(downFor, () => {
+    this.clock.at(downtime, () => {
       node.start();
     });
   }
 
   /** The node runs the version in production, or will when it comes back. */
-  isOld(index: number): boolean {
-    return this.nodes[index]?.isOld ?? false;
+  runsProductionVersion(index: number): boolean {
+    return this.nodes[index]?.runsProductionVersion ?? false;
   }
 
   /** Suspends the node's process: timers, answers and requests wait for it, clocks don't. */
-  freezeNode(index: number, duration: Micros): void {
-    this.node(index).freeze(duration);
+  suspendNode(index: number, duration: Micros): void {
+    this.node(index).suspend(duration);
   }
 
   /** Connections between this node and its peers are refused, either way. */
@@ -184,10 +193,10 @@
   }
 
   private freeCapacities(): FreeCapacity[] {
-    const working = [...this.workers.values()].filter(
+    const availableWorkers = [...this.workers.values()].filter(
       (worker) => worker.isAlive && !worker.isFaulty && worker.reclaimInS === null,
     );
-    return working.map((worker) => ({ machine: worker.machine, ...worker.freeCapacity() }));
+    return availableWorkers.map((worker) => ({ machine: worker.machine, ...worker.freeCapacity() }));
   }
 
   private node(index: number): SimNode {
@@ -201,7 +210,7 @@
     return new SimNode({
       index,
       settings: sampleSettings(index, options.nodes ?? NODE_COUNT, options.settings),
-      cluster: options,
+      clusterOptions: options,
       clock,
       random,
       net,
@@ -225,11 +234,11 @@
         pageRows: options.pageRows ?? 1000,
       },
       cloud: { types: this.types, capacity: options.capacity ?? 4, listLag: settings.machineListLag },
-      gangTimes: { wait: settings.gangWait, peer: settings.gangPeer },
+      gangTimes: { gatherTimeout: settings.gangWait, peerLossTimeout: settings.gangPeer },
       teamLimits: new Map(
         settings.teams.map((team) => [team.name, { cpus: team.cpusMax, gpus: team.gpusMax }]),
       ),
-      cancellationDeadline: options.promisedCancel ?? settings.cancellationDeadline,
+      cancellationDeadline: options.promisedCancellationDeadline ?? settings.cancellationDeadline,
       onCommit: (writes) => {
         this.handleCommit(writes);
       },
@@ -248,7 +257,7 @@
     if (!type) throw new Error(`machine ${host.host} is of unknown type ${host.machineType}`);
     return {
       nodes: this.nodes.map(({ index }) => ({ member: `node-${index}`, endpoint: userEndpoint(index) })),
-      caller: (gate) => this.net.caller(host.host, host.zone, gate),
+      createClient: (gate) => this.net.createClient(host.host, host.zone, gate),
       limits,
       capacity: { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb },
       isFaulty: this.drawFaultyWorker(),
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -15,9 +15,9 @@
 /** Time limits of gangs. */
 export interface GangTimes {
   /** For how long a task waits for the others. */
-  wait: Micros;
+  gatherTimeout: Micros;
   /** Within what time a task notices that another one is gone. */
-  peer: Micros;
+  peerLossTimeout: Micros;
 }
 
 type RunState = 'gathering' | 'running' | 'broken' | 'done';
@@ -29,14 +29,14 @@
 }
 
 /** How often the tasks of a running gang look after each other. */
-const WATCH_EVERY: Micros = SECOND / 2;
+const MEMBER_CHECK_INTERVAL: Micros = SECOND / 2;
 
 /** All gangs of a cluster, as their workers see them. */
 export class SimGangs {
   /** By job and attempt. */
   private readonly runs = new Map<string, GangRun>();
   /** By job: progress that was saved, which the next attempt goes on from. */
-  private readonly saved = new Map<string, Micros>();
+  private readonly checkpoints = new Map<string, Micros>();
   private readonly runTimes = new Map<string, Micros>();
   /** Attempts that came together. */
   starts = 0;
@@ -48,21 +48,21 @@
   ) {}
 
   /** The task has its image and waits for the others of its attempt. */
-  arrive(spec: JobSpec, attempt: number, member: GangMember): void {
-    const run = this.run(spec.id, attempt);
+  join(spec: JobSpec, attempt: number, member: GangMember): void {
+    const run = this.findOrCreateRun(spec.id, attempt);
     run.members.set(member.task, member);
     if (run.state === 'gathering' && run.members.size === spec.taskCount) this.start(spec, run);
   }
 
   /** The task is off its machine. What waits goes on waiting; what runs breaks up. */
   leave(spec: JobSpec, attempt: number, member: GangMember): void {
-    const run = this.run(spec.id, attempt);
+    const run = this.findOrCreateRun(spec.id, attempt);
     if (run.members.get(member.task) !== member) return;
     run.members.delete(member.task);
     if (run.state === 'running') this.breakUp(spec, run);
   }
 
-  private run(job: string, attempt: number): GangRun {
+  private findOrCreateRun(job: string, attempt: number): GangRun {
     const key = `${job}#${attempt}`;
     let run = this.runs.get(key);
     if (!run) this.runs.set(key, (run = { state: 'gathering', members: new Map(), startedAt: 0 }));
@@ -74,10 +74,10 @@
     run.startedAt = this.clock.time;
     this.starts++;
     for (const member of run.members.values()) member.started();
-    this.watch(spec, run);
+    this.checkMembers(spec, run);
   }
 
-  private watch(spec: JobSpec, run: GangRun): void {
+  private checkMembers(spec: JobSpec, run: GangRun): void {
     if (run.state !== 'running') return;
     const members = [...run.members.values()];
     if (members.some((member) => !member.isAnswering())) {
@@ -86,28 +86,31 @@
       run.state = 'done';
       for (const member of members) member.completed();
     } else {
-      this.clock.at(WATCH_EVERY, () => {
-        this.watch(spec, run);
+      this.clock.at(MEMBER_CHECK_INTERVAL, () => {
+        this.checkMembers(spec, run);
       });
     }
   }
 
   /** Progress since the last checkpoint is lost; the tasks that are left notice within their time. */
   private breakUp(spec: JobSpec, run: GangRun): void {
-    const interval = fromSeconds(spec.checkpointS);
-    if (interval > 0) {
-      this.saved.set(spec.id, Math.floor(this.progress(spec, run) / interval) * interval);
+    const checkpointInterval = fromSeconds(spec.checkpointS);
+    if (checkpointInterval > 0) {
+      this.checkpoints.set(
+        spec.id,
+        Math.floor(this.progress(spec, run) / checkpointInterval) * checkpointInterval,
+      );
     }
     run.state = 'broken';
     for (const member of run.members.values()) {
-      this.clock.at(this.random() * this.times.peer, () => {
+      this.clock.at(this.random() * this.times.peerLossTimeout, () => {
         if (run.members.get(member.task) === member) member.lostPeer();
       });
     }
   }
 
   private progress(spec: JobSpec, run: GangRun): Micros {
-    return (this.saved.get(spec.id) ?? 0) + this.clock.time - run.startedAt;
+    return (this.checkpoints.get(spec.id) ?? 0) + this.clock.time - run.startedAt;
   }
 
   private runTime(spec: JobSpec): Micros {
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -43,7 +43,7 @@
  */
 export class SimNet {
   faults: NetworkFaults = { faultRate: 0, maxDelay: 0 };
-  private readonly handlers = new Map<string, { handler: Handler; place: string | null }>();
+  private readonly handlers = new Map<string, { handler: Handler; zone: string | null }>();
   private readonly partitions = new Set<string>();
   /** Zones that reach nothing outside, and whether connections to them are reset at once or just hang. */
   private readonly isolated = new Map<string, 'hold' | 'reset'>();
@@ -61,11 +61,11 @@
     private readonly random: () => number,
   ) {}
 
-  serve(endpoint: string, place: string | null, handler: Handler): void {
-    this.handlers.set(endpoint, { handler, place });
+  serve(endpoint: string, zone: string | null, handler: Handler): void {
+    this.handlers.set(endpoint, { handler, zone });
   }
 
-  unplug(endpoint: string): void {
+  stopServing(endpoint: string): void {
     this.handlers.delete(endpoint);
   }
 
@@ -102,27 +102,27 @@
   }
 
   /** A caller for one party; what comes back reaches it through the gate. */
-  caller(from: string, place: string | null, gate: Gate): HttpClient {
+  createClient(from: string, zone: string | null, gate: Gate): HttpClient {
     return (endpoint, method, path, body, timeout) =>
       new Promise<HttpReply>((resolve, reject) => {
-        let over = false;
-        const finish = (act: () => void): void => {
-          if (over) return;
-          over = true;
-          gate(act);
+        let isFinished = false;
+        const finish = (deliverResult: () => void): void => {
+          if (isFinished) return;
+          isFinished = true;
+          gate(deliverResult);
         };
         this.clock.at(timeout, () => {
           finish(() => {
             reject(new Error('timeout'));
           });
         });
-        const wire = body === undefined ? undefined : decode(encode(body));
-        this.deliver(from, place, endpoint, method, path, wire, (served) => {
+        const receivedBody = body === undefined ? undefined : decode(encode(body));
+        this.deliver(from, zone, endpoint, method, path, receivedBody, (response) => {
           finish(() => {
-            if (!served) reject(new Error('refused'));
+            if (!response) reject(new Error('refused'));
             else {
-              const answer = decode(encode(served.body));
-              resolve({ status: served.status, body: isWireFields(answer) ? answer : ({} as WireFields) });
+              const answer = decode(encode(response.body));
+              resolve({ status: response.status, body: isWireFields(answer) ? answer : ({} as WireFields) });
             }
           });
         });
@@ -131,47 +131,52 @@
 
   private deliver(
     from: string,
-    place: string | null,
+    zone: string | null,
     endpoint: string,
     method: HttpMethod,
     path: string,
     body: unknown,
-    answer: (served: SimResponse | null) => void,
+    answer: (response: SimResponse | null) => void,
   ): void {
     const queue = this.held.get(`${from}>`) ?? this.held.get(`${from}>${endpoint}`);
     if (queue) {
       queue.push(() => {
-        this.deliver(from, place, endpoint, method, path, body, answer);
+        this.deliver(from, zone, endpoint, method, path, body, answer);
       });
       return;
     }
-    const there = this.handlers.get(endpoint);
-    if (this.refusedLinks.has(`${from}>${endpoint}`) || this.isReset(place, there?.place ?? null)) {
+    const target = this.handlers.get(endpoint);
+    if (this.refusedLinks.has(`${from}>${endpoint}`) || this.isReset(zone, target?.zone ?? null)) {
       this.clock.at(this.latency(), () => {
         answer(null);
       });
       return;
     }
-    if (this.isPartitioned(place, there?.place ?? null)) return;
+    if (this.isPartitioned(zone, target?.zone ?? null)) return;
     this.maybeDuplicate(from, endpoint, method, path, body);
-    const pace = Math.max(this.slowdowns.get(from) ?? 1, this.slowdowns.get(endpoint) ?? 1);
-    const luck = this.random();
-    const { faultRate: trouble, maxDelay: hold } = this.faults;
-    const lateRequest = luck < trouble / 3;
-    const lostAnswer = !lateRequest && luck < (2 * trouble) / 3;
-    const lostRequest = !lateRequest && !lostAnswer && luck < trouble;
-    if (lostRequest) return;
-    const delay = lateRequest ? this.random() * hold : this.latency() * pace;
+    const slowdown = Math.max(this.slowdowns.get(from) ?? 1, this.slowdowns.get(endpoint) ?? 1);
+    const draw = this.random();
+    const { faultRate, maxDelay } = this.faults;
+    const isRequestLate = draw < faultRate / 3;
+    const isResponseLost = !isRequestLate && draw < (2 * faultRate) / 3;
+    const isRequestLost = !isRequestLate && !isResponseLost && draw < faultRate;
+    if (isRequestLost) return;
+    const delay = isRequestLate ? this.random() * maxDelay : this.latency() * slowdown;
     this.clock.at(delay, () => {
-      const now = this.handlers.get(endpoint);
-      if (!now) {
+      const currentTarget = this.handlers.get(endpoint);
+      if (!currentTarget) {
         answer(null);
         return;
       }
-      void Promise.resolve(now.handler(from, method, path, body)).then((served) => {
-        if (lostAnswer || this.unansweredParties.has(from) || this.isPartitioned(place, now.place)) return;
-        this.clock.at(this.latency() * pace, () => {
-          answer(served);
+      void Promise.resolve(currentTarget.handler(from, method, path, body)).then((response) => {
+        if (
+          isResponseLost ||
+          this.unansweredParties.has(from) ||
+          this.isPartitioned(zone, currentTarget.zone)
+        )
+          return;
+        this.clock.at(this.latency() * slowdown, () => {
+          answer(response);
         });
       });
     });
@@ -185,9 +190,9 @@
     path: string,
     body: unknown,
   ): void {
-    const { duplicateRate: copies = 0, maxDuplicateDelay: copyAfter = 0 } = this.faults;
-    if (path !== '/v1/report' || copies === 0 || this.random() >= copies) return;
-    this.clock.at(this.random() * copyAfter, () => {
+    const { duplicateRate = 0, maxDuplicateDelay = 0 } = this.faults;
+    if (path !== '/v1/report' || duplicateRate === 0 || this.random() >= duplicateRate) return;
+    this.clock.at(this.random() * maxDuplicateDelay, () => {
       void this.handlers.get(endpoint)?.handler(from, method, path, body);
     });
   }
--- a/packages/testkit/sim-node.ts
+++ b/packages/testkit/sim-node.ts
@@ -6,24 +6,24 @@
 import type { Gate, SimClock } from './sim-clock.js';
 import type { ClockError, SimClusterOptions } from './sim-cluster-options.js';
 import type { SimNet, SimResponse } from './sim-net.js';
-import { simulate, type SimulatedController } from './simulated-controller.js';
-import { CLOUD } from './sample-settings.js';
+import { toSimulatedController, type SimulatedController } from './simulated-controller.js';
+import { CLOUD_ENDPOINT } from './sample-settings.js';
 
-const SILENT: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
+const NO_LOG: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const HEARTBEAT_PATH = '/v1/report';
 
 /** One run of a node's process. */
-interface ProcessLife {
+interface ProcessRun {
   isRunning: boolean;
   /** Until then the process is suspended, while its clocks run on. */
-  frozenUntil: Micros;
+  suspendedUntil: Micros;
 }
 
 /** What a node needs of its cluster. */
 export interface SimNodeOptions {
   readonly index: number;
   readonly settings: Settings;
-  readonly cluster: SimClusterOptions;
+  readonly clusterOptions: SimClusterOptions;
   readonly clock: SimClock;
   readonly random: () => number;
   readonly net: SimNet;
@@ -38,15 +38,15 @@
   /** Null while the process is down. */
   controller: SimulatedController | null = null;
   /** The same controller if it is of the present version. */
-  present: Controller | null = null;
+  currentController: Controller | null = null;
   /** Its process comes back with the version in production. */
-  isOld: boolean;
+  runsProductionVersion: boolean;
   /** Heartbeats that this node has answered with 200. */
   heartbeatCount = 0;
-  private life: ProcessLife = { isRunning: false, frozenUntil: 0 };
+  private run: ProcessRun = { isRunning: false, suspendedUntil: 0 };
 
   constructor(private readonly options: SimNodeOptions) {
-    this.isOld = options.cluster.production !== undefined;
+    this.runsProductionVersion = options.clusterOptions.production !== undefined;
   }
 
   get index(): number {
@@ -55,41 +55,41 @@
 
   /** Starts the process unless it runs. */
   start(): void {
-    if (this.life.isRunning) return;
-    const life: ProcessLife = { isRunning: true, frozenUntil: 0 };
-    this.life = life;
-    const gate = this.gateOf(life);
+    if (this.run.isRunning) return;
+    const run: ProcessRun = { isRunning: true, suspendedUntil: 0 };
+    this.run = run;
+    const gate = this.gateOf(run);
     const controller = this.createController(this.controllerOptions(gate));
     this.controller = controller;
     controller.start();
     this.servePeers(controller, gate);
-    this.serveUsersAndWorkers(controller, life, gate);
+    this.serveUsersAndWorkers(controller, run, gate);
   }
 
   /** Ends the process without notice. */
   kill(): void {
-    if (!this.life.isRunning) return;
-    this.life.isRunning = false;
+    if (!this.run.isRunning) return;
+    this.run.isRunning = false;
     this.controller = null;
-    this.present = null;
+    this.currentController = null;
     const { net, settings } = this.options;
-    net.unplug(settings.bind);
-    net.unplug(settings.clusterListen);
+    net.stopServing(settings.bind);
+    net.stopServing(settings.clusterListen);
   }
 
   /** Suspends the process: timers, answers and requests wait for it, clocks don't. */
-  freeze(duration: Micros): void {
-    this.life.frozenUntil = this.options.clock.time + duration;
+  suspend(duration: Micros): void {
+    this.run.suspendedUntil = this.options.clock.time + duration;
   }
 
-  private gateOf(life: ProcessLife): Gate {
+  private gateOf(run: ProcessRun): Gate {
     const { clock, random } = this.options;
     const pass: Gate = (step) => {
-      if (!life.isRunning) return;
-      if (clock.time >= life.frozenUntil) step();
+      if (!run.isRunning) return;
+      if (clock.time >= run.suspendedUntil) step();
       // What has gathered meanwhile passes in a random order.
       else {
-        clock.at(life.frozenUntil - clock.time + random() * 20 * MS, () => {
+        clock.at(run.suspendedUntil - clock.time + random() * 20 * MS, () => {
           pass(step);
         });
       }
@@ -98,43 +98,49 @@
   }
 
   private clockError(): ClockError {
-    const { index, random, cluster } = this.options;
-    const allowed = {
+    const { index, random, clusterOptions } = this.options;
+    const allowedError = {
       drift: (random() - 0.5) * 0.001,
       wallClockOffset: Math.floor((random() - 0.5) * 100 * MS),
     };
-    return cluster.clockError?.(index) ?? allowed;
+    return clusterOptions.clockError?.(index) ?? allowedError;
   }
 
   private controllerOptions(gate: Gate): ControllerOptions {
-    const { settings, cluster, clock, random, net, nextIncarnation } = this.options;
+    const { settings, clusterOptions, clock, random, net, nextIncarnation } = this.options;
     const { drift, wallClockOffset } = this.clockError();
-    const call = net.caller(settings.member, settings.domain, gate);
+    const httpClient = net.createClient(settings.member, settings.domain, gate);
     return {
-      settings: this.isOld ? { ...settings, ...cluster.production?.settings } : settings,
-      tuning: { ...defaultTuning(), ...cluster.tuning },
-      clock: clock.view(gate, drift, wallClockOffset),
+      settings: this.runsProductionVersion
+        ? { ...settings, ...clusterOptions.production?.settings }
+        : settings,
+      tuning: { ...defaultTuning(), ...clusterOptions.tuning },
+      clock: clock.createProcessClock(gate, drift, wallClockOffset),
       random,
       incarnation: nextIncarnation(),
-      httpClient: this.withSender(call),
-      ping: pingThrough(call),
-      log: cluster.log ?? SILENT,
+      httpClient: this.withSender(httpClient),
+      ping: pingWith(httpClient),
+      log: clusterOptions.log ?? NO_LOG,
     };
   }
 
   private createController(options: ControllerOptions): SimulatedController {
-    const { production } = this.options.cluster;
-    if (this.isOld && production) return production.version.createController(options);
-    this.present = new Controller(options);
-    return simulate(this.present);
+    const { production } = this.options.clusterOptions;
+    if (this.runsProductionVersion && production) return production.version.createController(options);
+    this.currentController = new Controller(options);
+    return toSimulatedController(this.currentController);
   }
 
   /** Adds the sender and its term to each request to the cloud, for the checks of effects. */
-  private withSender(call: HttpClient): HttpClient {
+  private withSender(httpClient: HttpClient): HttpClient {
     return (endpoint, method, path, body, timeout) => {
-      if (endpoint !== CLOUD || !isWireFields(body)) return call(endpoint, method, path, body, timeout);
-      const sender = { SenderTerm: this.present?.leaderTerm() ?? null, SenderIsOld: this.isOld };
-      return call(endpoint, method, path, { ...body, ...sender }, timeout);
+      if (endpoint !== CLOUD_ENDPOINT || !isWireFields(body))
+        return httpClient(endpoint, method, path, body, timeout);
+      const sender = {
+        SenderTerm: this.currentController?.leaderTerm() ?? null,
+        SenderIsOld: this.runsProductionVersion,
+      };
+      return httpClient(endpoint, method, path, { ...body, ...sender }, timeout);
     };
   }
 
@@ -146,7 +152,7 @@
     });
   }
 
-  private serveUsersAndWorkers(controller: SimulatedController, life: ProcessLife, gate: Gate): void {
+  private serveUsersAndWorkers(controller: SimulatedController, run: ProcessRun, gate: Gate): void {
     const { net, settings } = this.options;
     net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
       await new Promise<void>(gate);
@@ -155,7 +161,7 @@
         if (answer.status === 200) this.heartbeatCount++;
         this.options.onHeartbeat(isWireFields(body) ? String(body['Host']) : '', answer.status);
       }
-      return life.isRunning ? answer : await new Promise(() => undefined);
+      return run.isRunning ? answer : await new Promise(() => undefined);
     });
   }
 }
@@ -183,9 +189,9 @@
   };
 }
 
-function pingThrough(call: HttpClient): Ping {
+function pingWith(httpClient: HttpClient): Ping {
   return (endpoint, timeout) =>
-    call(endpoint, 'GET', '/', undefined, timeout).then(
+    httpClient(endpoint, 'GET', '/', undefined, timeout).then(
       (reply) => ({
         result: 'ok',
         status: {
--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -16,7 +16,7 @@
 export interface WorkerSetup {
   /** Addresses of the nodes by name. */
   readonly nodes: { member: string; endpoint: string }[];
-  readonly caller: (gate: Gate) => HttpClient;
+  readonly createClient: (gate: Gate) => HttpClient;
   readonly limits: WorkerLimits;
   readonly capacity: WorkerCapacity;
   /** Every task fails on this worker. */
@@ -114,7 +114,7 @@
       random,
       invariants: this.invariants,
       gangs: this.gangs,
-      job: (id) => this.specs.get(id),
+      findJob: (id) => this.specs.get(id),
       ...this.options.setUpWorker(host),
       onLaunch: (...launch) => {
         this.failure.guard(() => {
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -15,7 +15,7 @@
   /** How long each grant lives. */
   leases: ReadonlyMap<number, Micros>;
   /** The latest changes, for watches. */
-  history: readonly StoredChange[];
+  recentChanges: readonly StoredChange[];
   revision: number;
 }
 
@@ -44,7 +44,7 @@
   after: number;
   /** When it is answered even without news. */
   until: Micros;
-  answer: (served: SimResponse) => void;
+  answer: (response: SimResponse) => void;
 }
 
 /** The state service, as its page describes it. */
@@ -64,99 +64,104 @@
   /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
   lateCommitRate = 0;
   /** Whether this very transaction gets no answer and is carried out late, too. */
-  isLate: (writes: readonly WireFields[]) => boolean = () => false;
+  delaysCommit: (writes: readonly WireFields[]) => boolean = () => false;
   /** Transactions that came to their turn late, and how many of those still changed something. */
-  lateCommits = { came: 0, applied: 0 };
+  lateCommits = { executed: 0, applied: 0 };
   /** Called with every transaction that is applied, before it is. */
   beforeApply: (guards: WireFields[], writes: WireFields[]) => void = () => undefined;
   /** Called with every transaction that was applied. */
   afterApply: (writes: WireFields[]) => void = () => undefined;
   /** What it shows is not what was committed: see {@link restore}. */
   hasLostData = false;
-  private newest = 0;
-  private readonly leases = new Map<number, { life: Micros; until: Micros }>();
+  private highestRevision = 0;
+  private readonly leases = new Map<number, { duration: Micros; until: Micros }>();
   private nextLeaseId = 1;
-  private history: StoredChange[] = [];
-  private forgotten = 0;
+  private recentChanges: StoredChange[] = [];
+  private compactedRevision = 0;
   private watches: Watch[] = [];
-  private areLowered = false;
-  private requests = { tokens: 0, at: 0 };
-  private changes = { tokens: 0, at: 0 };
+  private hasLoweredLimits = false;
+  private requestBucket = { tokens: 0, at: 0 };
+  private writeBucket = { tokens: 0, at: 0 };
 
   constructor(
     private readonly clock: SimulationClock,
     private readonly random: () => number,
     private limits: StoreLimits,
   ) {
-    this.requests.tokens = limits.rps;
-    this.changes.tokens = limits.writeRps;
+    this.requestBucket.tokens = limits.rps;
+    this.writeBucket.tokens = limits.writeRps;
     this.sweep();
   }
 
   /** From now on less is allowed; what is stored stays readable. */
   lowerLimits(limits: Partial<StoreLimits>): void {
     this.limits = { ...this.limits, ...limits };
-    this.areLowered = true;
+    this.hasLoweredLimits = true;
   }
 
   setOutage(on: boolean): void {
     this.isOut = on;
     // After an outage every grant gets its full time again.
-    if (!on) for (const g of this.leases.values()) g.until = this.clock.time + g.life;
-    if (!on) this.wakeWatches();
+    if (!on) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
+    if (!on) this.answerDueWatches();
   }
 
   readonly handler: Handler = (from, method, path, body) => {
     this.requestCount++;
-    if (!this.admit(this.requests, this.limits.rps, 1)) return { status: 429, body: {} };
+    if (!this.admit(this.requestBucket, this.limits.rps, 1)) return { status: 429, body: {} };
     if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: {} };
     if (path === '/commit' && isWireFields(body)) {
       const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
-      const isUnlucky = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
-      if (isUnlucky || this.isLate(writes)) return this.commitLate(body);
+      const isDelayed = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
+      if (isDelayed || this.delaysCommit(writes)) return this.commitLate(body);
     }
     return this.route(from, method, path, body);
   };
 
   /** Writes a row without asking anybody, as a foreign hand might. */
-  spoil(write: WireFields): void {
+  writeUnguarded(write: WireFields): void {
     this.revision++;
     const leaseId = typeof write['Permit'] === 'number' ? write['Permit'] : null;
-    this.put(String(write['Set']), write['V'] as WireFields, leaseId);
-    this.wakeWatches();
+    this.putRow(String(write['Set']), write['V'] as WireFields, leaseId);
+    this.answerDueWatches();
   }
 
   backup(): StoreBackup {
-    const grants = new Map([...this.leases].map(([id, { life }]) => [id, life]));
-    return { rows: new Map(this.rows), leases: grants, history: [...this.history], revision: this.revision };
+    const leases = new Map([...this.leases].map(([id, { duration }]) => [id, duration]));
+    return {
+      rows: new Map(this.rows),
+      leases,
+      recentChanges: [...this.recentChanges],
+      revision: this.revision,
+    };
   }
 
   /** Holds what it held at the backup, and knows nothing of what was committed since; grants get their full time. */
-  restore({ rows, leases: grants, history, revision }: StoreBackup): void {
-    if (!this.hasLostData) this.newest = this.revision;
-    this.hasLostData = revision < this.newest;
+  restore({ rows, leases, recentChanges, revision }: StoreBackup): void {
+    if (!this.hasLostData) this.highestRevision = this.revision;
+    this.hasLostData = revision < this.highestRevision;
     this.rows.clear();
     for (const [path, row] of rows) this.rows.set(path, row);
     this.leases.clear();
-    for (const [id, life] of grants) this.leases.set(id, { life, until: this.clock.time + life });
+    for (const [id, duration] of leases) this.leases.set(id, { duration, until: this.clock.time + duration });
     this.revision = revision;
-    this.history = [...history];
+    this.recentChanges = [...recentChanges];
   }
 
   /** Loses everything, as one that was set up anew. */
   wipe(): void {
-    this.restore({ rows: new Map(), leases: new Map(), history: [], revision: 0 });
+    this.restore({ rows: new Map(), leases: new Map(), recentChanges: [], revision: 0 });
   }
 
   /** Loses some keys; open watches are told of it, or nobody is. */
-  loseKeys(isLost: (path: string) => boolean, isTold: boolean): string[] {
+  loseKeys(isLost: (path: string) => boolean, notifiesWatches: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
-    if (isTold) this.revision++;
+    if (notifiesWatches) this.revision++;
     for (const path of lost) {
-      if (isTold) this.drop(path);
+      if (notifiesWatches) this.deleteRow(path);
       else this.rows.delete(path);
     }
-    this.wakeWatches();
+    this.answerDueWatches();
     return lost;
   }
 
@@ -176,39 +181,39 @@
   ): SimResponse | Promise<SimResponse> {
     const url = new URL(path, 'http://state');
     const fields = isWireFields(body) ? body : {};
-    if (method === 'GET' && url.pathname === '/store') return this.list(url.searchParams);
-    if (method === 'GET' && url.pathname === '/follow') return this.follow(from, url.searchParams);
-    if (method === 'GET' && url.pathname.startsWith('/store/')) return this.get(url.pathname.slice(7));
+    if (method === 'GET' && url.pathname === '/store') return this.listRows(url.searchParams);
+    if (method === 'GET' && url.pathname === '/follow') return this.openWatch(from, url.searchParams);
+    if (method === 'GET' && url.pathname.startsWith('/store/')) return this.getRow(url.pathname.slice(7));
     if (method === 'POST' && url.pathname === '/commit') return this.commit(fields);
     if (method === 'POST' && url.pathname === '/grants') {
-      const life = Number(fields['LifeMs']) * MS;
+      const duration = Number(fields['LifeMs']) * MS;
       const id = this.nextLeaseId++;
-      this.leases.set(id, { life, until: this.clock.time + life });
+      this.leases.set(id, { duration, until: this.clock.time + duration });
       return { status: 200, body: { Permit: id } };
     }
-    const handleLease = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
-    if (handleLease) return this.grant(Number(handleLease[1]), method);
+    const leaseMatch = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
+    if (leaseMatch) return this.handleLease(Number(leaseMatch[1]), method);
     return { status: 400, body: {} };
   }
 
-  private grant(id: number, method: HttpMethod): SimResponse {
-    const grant = this.leases.get(id);
-    if (!grant) return { status: 404, body: {} };
-    if (method === 'DELETE') this.expire(id);
+  private handleLease(id: number, method: HttpMethod): SimResponse {
+    const lease = this.leases.get(id);
+    if (!lease) return { status: 404, body: {} };
+    if (method === 'DELETE') this.expireLease(id);
     else {
       this.renewalCount++;
-      grant.until = this.clock.time + grant.life;
+      lease.until = this.clock.time + lease.duration;
     }
     return { status: 200, body: {} };
   }
 
-  private get(key: string): SimResponse {
+  private getRow(key: string): SimResponse {
     const row = this.rows.get(key);
     if (!row) return { status: 404, body: { Epoch: this.revision } };
     return { status: 200, body: { Path: key, V: row.value, Stamp: row.revision, Permit: row.leaseId } };
   }
 
-  private list(query: URLSearchParams): SimResponse {
+  private listRows(query: URLSearchParams): SimResponse {
     const prefix = query.get('Starts') ?? '';
     const after = query.get('After') ?? '';
     const limit = Math.min(this.limits.pageRows, Number(query.get('Limit') ?? this.limits.pageRows));
@@ -228,16 +233,16 @@
     const guards = (body['Guards'] as WireFields[] | undefined) ?? [];
     const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
     if (writes.length > this.limits.txnOps || guards.length > 4 * this.limits.txnOps)
-      return this.tooManyWrites();
-    if (!this.admit(this.changes, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
-    for (const w of writes) {
-      if (w['Set'] === undefined) continue;
-      if (jsonBytes(w['V']) > this.limits.valueBytes) {
-        if (!this.areLowered) throw new Error(`value of ${String(w['Set'])} is over the limit`);
+      return this.refuseOversizedCommit();
+    if (!this.admit(this.writeBucket, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
+    for (const write of writes) {
+      if (write['Set'] === undefined) continue;
+      if (jsonBytes(write['V']) > this.limits.valueBytes) {
+        if (!this.hasLoweredLimits) throw new Error(`value of ${String(write['Set'])} is over the limit`);
         this.oversizedWriteCount++;
         return { status: 400, body: {} };
       }
-      const leaseId = w['Permit'];
+      const leaseId = write['Permit'];
       if (leaseId !== undefined && leaseId !== null && !this.leases.has(Number(leaseId))) {
         return { status: 400, body: { error: 'no such lease' } };
       }
@@ -249,23 +254,23 @@
     this.beforeApply(guards, writes);
     if (writes.length > 0) {
       this.revision++;
-      for (const w of writes) {
-        if (w['Set'] !== undefined) {
-          const leaseId = w['Permit'];
-          this.put(
-            String(w['Set']),
-            w['V'] as WireFields,
+      for (const write of writes) {
+        if (write['Set'] !== undefined) {
+          const leaseId = write['Permit'];
+          this.putRow(
+            String(write['Set']),
+            write['V'] as WireFields,
             leaseId === undefined || leaseId === null ? null : Number(leaseId),
           );
-        } else this.drop(String(w['Remove']));
+        } else this.deleteRow(String(write['Remove']));
       }
       this.afterApply(writes);
-      this.wakeWatches();
+      this.answerDueWatches();
     }
     return { status: 200, body: { Epoch: this.revision } };
   }
 
-  private tooManyWrites(): SimResponse {
+  private refuseOversizedCommit(): SimResponse {
     this.oversizedWriteCount++;
     return { status: 400, body: {} };
   }
@@ -274,50 +279,52 @@
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
       const before = this.revision;
       this.commit(body);
-      this.lateCommits.came++;
+      this.lateCommits.executed++;
       if (this.revision > before) this.lateCommits.applied++;
     });
     return new Promise(() => undefined);
   }
 
-  private put(path: string, value: WireFields, leaseId: number | null): void {
+  private putRow(path: string, value: WireFields, leaseId: number | null): void {
     this.rows.set(path, { value, revision: this.revision, leaseId });
-    this.remember({ path, value, revision: this.revision });
+    this.recordChange({ path, value, revision: this.revision });
   }
 
-  private drop(path: string): void {
-    if (this.rows.delete(path)) this.remember({ path, value: null, revision: this.revision });
+  private deleteRow(path: string): void {
+    if (this.rows.delete(path)) this.recordChange({ path, value: null, revision: this.revision });
   }
 
-  private remember(change: StoredChange): void {
-    this.history.push(change);
-    if (this.history.length > 10_000) this.forgotten = this.history.shift()?.revision ?? this.forgotten;
+  private recordChange(change: StoredChange): void {
+    this.recentChanges.push(change);
+    if (this.recentChanges.length > 10_000)
+      this.compactedRevision = this.recentChanges.shift()?.revision ?? this.compactedRevision;
   }
 
-  private follow(from: string, query: URLSearchParams): Promise<SimResponse> | SimResponse {
+  private openWatch(from: string, query: URLSearchParams): Promise<SimResponse> | SimResponse {
     const after = Number(query.get('After'));
     const prefix = query.get('Starts') ?? '';
-    if (after < this.forgotten) return { status: 410, body: {} };
+    if (after < this.compactedRevision) return { status: 410, body: {} };
     return new Promise((resolve) => {
       const until = this.clock.time + Number(query.get('BlockMs') ?? 0) * MS;
       this.watches.push({ from, prefix, after, until, answer: resolve });
-      this.wakeWatches();
+      this.answerDueWatches();
     });
   }
 
-  private wakeWatches(): void {
+  private answerDueWatches(): void {
     if (this.isOut) return;
-    for (const w of [...this.watches]) {
+    for (const watch of [...this.watches]) {
       // A node that alone is refused waits as all do in an outage, also beyond the time it asked for.
-      if (this.refusedNodes.has(w.from)) continue;
-      if (this.clock.time >= w.until) this.reply(w);
-      else if (this.history.some((c) => c.revision > w.after && c.path.startsWith(w.prefix))) this.reply(w);
+      if (this.refusedNodes.has(watch.from)) continue;
+      if (this.clock.time >= watch.until) this.answerWatch(watch);
+      else if (this.recentChanges.some((c) => c.revision > watch.after && c.path.startsWith(watch.prefix)))
+        this.answerWatch(watch);
     }
   }
 
-  private reply(watch: Watch): void {
+  private answerWatch(watch: Watch): void {
     this.watches = this.watches.filter((w) => w !== watch);
-    const News = this.history
+    const News = this.recentChanges
       .filter((c) => c.revision > watch.after && c.path.startsWith(watch.prefix))
       .map((c) =>
         c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
@@ -325,20 +332,20 @@
     watch.answer({ status: 200, body: { Epoch: this.revision, News } });
   }
 
-  private expire(id: number): void {
+  private expireLease(id: number): void {
     this.leases.delete(id);
     const keys = [...this.rows].filter(([, r]) => r.leaseId === id).map(([k]) => k);
     if (keys.length === 0) return;
     this.revision++;
-    for (const key of keys) this.drop(key);
-    this.wakeWatches();
+    for (const key of keys) this.deleteRow(key);
+    this.answerDueWatches();
   }
 
   private sweep(): void {
     if (!this.isOut) {
-      for (const [id, g] of this.leases) if (g.until < this.clock.time) this.expire(id);
+      for (const [id, lease] of this.leases) if (lease.until < this.clock.time) this.expireLease(id);
     }
-    this.wakeWatches();
+    this.answerDueWatches();
     this.clock.at(50 * MS, () => {
       this.sweep();
     });
--- a/packages/testkit/sim-users.ts
+++ b/packages/testkit/sim-users.ts
@@ -40,11 +40,11 @@
   /** Sends one request, without retry; returns the status of the answer, 0 if none arrives in time. */
   async send(id: string, { node, method, path, body }: UserRequest): Promise<number> {
     const { net, clock, services } = this.options;
-    const call = net.caller(`user-${id}`, null, (step) => {
+    const httpClient = net.createClient(`user-${id}`, null, (step) => {
       step();
     });
     const sentAt = clock.time;
-    const reply = await call(userEndpoint(node), method, path, body, 2 * SECOND).catch(() => null);
+    const reply = await httpClient(userEndpoint(node), method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return 0;
     const state = decodeJobStatus(reply.body);
     services.failure.guard(() => {
@@ -68,12 +68,12 @@
   }
 
   private async simulateUser(spec: JobSpec, cancelAfter: Micros | null): Promise<void> {
-    const began = this.options.clock.time;
+    const submittedAt = this.options.clock.time;
     if (!(await this.submitUntilAccepted(spec))) return;
     for (;;) {
       await this.pause(3 * SECOND);
       if (this.hasEnded(spec.id)) break;
-      if (cancelAfter !== null && this.options.clock.time > began + cancelAfter) {
+      if (cancelAfter !== null && this.options.clock.time > submittedAt + cancelAfter) {
         this.options.services.invariants.cancellationRequested(spec.id);
         await this.sendToAnyNode(spec.id, { method: 'POST', path: `/submissions/${spec.id}/withdraw` });
       } else await this.sendToAnyNode(spec.id, { method: 'GET', path: `/submissions/${spec.id}` });
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -42,10 +42,10 @@
   random: () => number;
   invariants: InvariantChecker;
   gangs: SimGangs;
-  job: (id: string) => JobSpec | undefined;
+  findJob: (id: string) => JobSpec | undefined;
   /** Addresses of the controller nodes by name. */
   nodes: { member: string; endpoint: string }[];
-  caller: (gate: Gate) => HttpClient;
+  createClient: (gate: Gate) => HttpClient;
   limits: WorkerLimits;
   capacity: WorkerCapacity;
   /** Every task fails here. */
@@ -66,21 +66,21 @@
   private sequence = 0;
   private fencingToken = 0;
   private leaseStart: Micros;
-  private node = 0;
+  private currentNode = 0;
   private hasChanged = false;
   private lastHeartbeatAt: Micros = -Infinity;
   private isHeartbeatInFlight = false;
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
-  private readonly call: HttpClient;
+  private readonly httpClient: HttpClient;
 
   constructor(
     readonly machine: MachineFacts,
     private readonly options: SimWorkerOptions,
   ) {
     this.leaseStart = options.clock.time;
-    this.node = Math.floor(options.random() * options.nodes.length);
-    this.call = options.caller((step) => {
+    this.currentNode = Math.floor(options.random() * options.nodes.length);
+    this.httpClient = options.createClient((step) => {
       if (this.isAlive) step();
     });
     this.tick();
@@ -92,7 +92,7 @@
 
   /** The node that it reports to, by its place among them. */
   get nodeIndex(): number {
-    return this.node;
+    return this.currentNode;
   }
 
   get taskCount(): number {
@@ -103,36 +103,36 @@
   destroy(): void {
     if (!this.isAlive) return;
     this.isAlive = false;
-    this.killAll();
+    this.killAllTasks();
   }
 
   private tick(): void {
     if (!this.isAlive) return;
     const { clock, limits, random } = this.options;
     if (!this.isHanging) {
-      if (clock.time - this.leaseStart > limits.workerLease) this.loseLease();
-      const due = this.lastHeartbeatAt + limits.heartbeatInterval * (0.75 + random() * 0.5);
-      const early = this.hasChanged && clock.time - this.lastHeartbeatAt >= 500 * MS;
-      if (!this.isHeartbeatInFlight && (clock.time >= due || early)) void this.sendHeartbeat();
+      if (clock.time - this.leaseStart > limits.workerLease) this.handleLeaseExpiry();
+      const dueAt = this.lastHeartbeatAt + limits.heartbeatInterval * (0.75 + random() * 0.5);
+      const isDueEarly = this.hasChanged && clock.time - this.lastHeartbeatAt >= 500 * MS;
+      if (!this.isHeartbeatInFlight && (clock.time >= dueAt || isDueEarly)) void this.sendHeartbeat();
     } else if (clock.time - this.leaseStart > limits.workerLease) {
-      this.loseLease();
+      this.handleLeaseExpiry();
     }
     clock.at(100 * MS, () => {
       this.tick();
     });
   }
 
-  private loseLease(): void {
-    this.killAll();
+  private handleLeaseExpiry(): void {
+    this.killAllTasks();
     this.incarnation++;
     this.sequence = 0;
     this.leaseStart = this.options.clock.time;
     this.hasChanged = true;
   }
 
-  private killAll(): void {
+  private killAllTasks(): void {
     for (const t of this.tasks.values()) {
-      this.leaveMachine(t);
+      this.recordTaskStopped(t);
       t.status = 'exited';
     }
     this.tasks.clear();
@@ -144,15 +144,15 @@
     this.hasChanged = false;
     this.lastHeartbeatAt = clock.time;
     const sentAt = clock.time;
-    const shift = this.incarnation;
-    const node = nodes[this.node % nodes.length] as { member: string; endpoint: string };
+    const incarnation = this.incarnation;
+    const target = nodes[this.currentNode % nodes.length] as { member: string; endpoint: string };
     const body = {
       Host: this.machine.host,
       Endpoint: '10.1.0.1:9000',
       Build: this.machine.machineType,
       Hall: this.machine.zone,
       Loaners: this.machine.spot,
-      Shift: shift,
+      Shift: incarnation,
       Tally: ++this.sequence,
       Baton: this.fencingToken,
       RecallS: this.reclaimInS,
@@ -163,76 +163,81 @@
         ...(t.cause === null ? {} : { Cause: t.cause, Stored: t.isCheckpointed }),
       })),
     };
-    const reply = await this.call(node.endpoint, 'POST', '/v1/report', body, 4 * SECOND).catch(() => null);
+    const reply = await this.httpClient(target.endpoint, 'POST', '/v1/report', body, 4 * SECOND).catch(
+      () => null,
+    );
     this.isHeartbeatInFlight = false;
     if (reply?.status === 421) {
-      const at = nodes.findIndex((n) => n.member === reply.body['Foreman']);
-      if (at >= 0 && at !== this.node) {
-        this.node = at;
+      const index = nodes.findIndex((n) => n.member === reply.body['Foreman']);
+      if (index >= 0 && index !== this.currentNode) {
+        this.currentNode = index;
         this.hasChanged = true;
         return;
       }
     }
     if (reply?.status !== 200) {
-      this.node = (this.node + 1) % nodes.length;
+      this.currentNode = (this.currentNode + 1) % nodes.length;
       this.lastHeartbeatAt = clock.time - this.options.limits.heartbeatInterval + SECOND;
       return;
     }
-    this.applyResponse(reply.body, sentAt, shift);
+    this.applyResponse(reply.body, sentAt, incarnation);
   }
 
-  private applyResponse(answer: WireFields, sentAt: Micros, shift: number): void {
-    const fencingToken = Number(answer['Baton'] ?? 0);
-    if (fencingToken < this.fencingToken || shift !== this.incarnation || this.isHanging) return;
+  private applyResponse(response: WireFields, sentAt: Micros, incarnation: number): void {
+    const fencingToken = Number(response['Baton'] ?? 0);
+    if (fencingToken < this.fencingToken || incarnation !== this.incarnation || this.isHanging) return;
     if (fencingToken > this.fencingToken) this.hasChanged = true;
     this.fencingToken = fencingToken;
     this.leaseStart = Math.max(this.leaseStart, sentAt);
-    const orders = Array.isArray(answer['Orders']) ? answer['Orders'].filter(isWireFields) : [];
-    for (const o of orders) this.execute(String(o['Verb']), String(o['Piece']), Number(o['Try']), o);
+    const commands = Array.isArray(response['Orders']) ? response['Orders'].filter(isWireFields) : [];
+    for (const command of commands)
+      this.executeCommand(String(command['Verb']), String(command['Piece']), Number(command['Try']), command);
   }
 
-  private execute(verb: string, piece: string, attempt: number, order: WireFields): void {
-    const key = `${piece}#${attempt}`;
+  private executeCommand(verb: string, taskName: string, attempt: number, command: WireFields): void {
+    const key = `${taskName}#${attempt}`;
     const task = this.tasks.get(key);
     if (verb === 'launch') {
-      if (!task) this.launch(key, piece, attempt);
+      if (!task) this.launchTask(key, taskName, attempt);
     } else if (verb === 'halt') {
-      if (task) this.halt(task, Number(order['WindDownS'] ?? 0));
+      if (task) this.stopTask(task, Number(command['WindDownS'] ?? 0));
     } else if (task?.status === 'exited') {
       this.tasks.delete(key);
       this.hasChanged = true;
     }
   }
 
-  private launch(key: string, piece: string, attempt: number): void {
+  private launchTask(key: string, taskName: string, attempt: number): void {
     const { clock, random } = this.options;
-    const spec = this.options.job(piece.slice(0, piece.lastIndexOf('/')));
+    const spec = this.options.findJob(taskName.slice(0, taskName.lastIndexOf('/')));
     const task: Task = {
-      taskName: piece,
+      taskName,
       attempt,
       status: 'pulling',
       cause: null,
       isCheckpointed: false,
       member: null,
     };
-    const other = [...this.tasks.values()].some((t) => t.taskName === piece && t.status !== 'exited');
+    const hasUnfinishedAttempt = [...this.tasks.values()].some(
+      (t) => t.taskName === taskName && t.status !== 'exited',
+    );
     this.tasks.set(key, task);
     this.hasChanged = true;
-    this.options.onLaunch(piece, attempt, this.machine.host, this.fencingToken);
-    if (!spec) this.exit(task, 'unknown');
-    else if (other) this.exit(task, 'in_use');
-    else if (!this.hasCapacity()) this.exit(task, 'full');
+    this.options.onLaunch(taskName, attempt, this.machine.host, this.fencingToken);
+    if (!spec) this.exitTask(task, 'unknown');
+    else if (hasUnfinishedAttempt) this.exitTask(task, 'in_use');
+    else if (!this.hasCapacity()) this.exitTask(task, 'full');
     else {
-      const fetch = this.images.has(spec.image) ? 0 : SECOND * spec.imageGb * (0.7 + random() * 0.6);
-      clock.at(fetch, () => {
+      const fetchTime = this.images.has(spec.image) ? 0 : SECOND * spec.imageGb * (0.7 + random() * 0.6);
+      clock.at(fetchTime, () => {
         if (!this.isAlive || this.tasks.get(key) !== task || task.status !== 'pulling') return;
         this.images.add(spec.image);
-        this.begin(key, task, spec);
+        this.startTask(key, task, spec);
       });
     }
   }
 
-  private begin(key: string, task: Task, spec: JobSpec): void {
+  private startTask(key: string, task: Task, spec: JobSpec): void {
     const { clock, invariants, random } = this.options;
     invariants.taskStarted(task.taskName, this.machine, { now: clock.time, attempt: task.attempt });
     if (spec.shape === 'gang') {
@@ -241,15 +246,15 @@
     }
     task.status = 'running';
     this.hasChanged = true;
-    const known = invariants.isDone(task.taskName);
-    const run = known ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
+    const wasDone = invariants.isDone(task.taskName);
+    const runTime = wasDone ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
     const fails = this.options.isFaulty || spec.jobClass === 'broken';
     const finish = (): void => {
       if (!this.isAlive || this.tasks.get(key) !== task || task.status !== 'running') return;
       if (this.isHanging) clock.at(500 * MS, finish);
-      else this.exit(task, fails ? 'error' : 'done');
+      else this.exitTask(task, fails ? 'error' : 'done');
     };
-    clock.at(fails ? run * 0.2 : run, finish);
+    clock.at(fails ? runTime * 0.2 : runTime, finish);
   }
 
   /** Waits for the other tasks of its attempt: it is on its machine meanwhile, and makes no progress. */
@@ -257,62 +262,62 @@
     const { clock, gangs, invariants } = this.options;
     if (invariants.isDone(task.taskName)) {
       // The result of an earlier attempt was kept.
-      this.exit(task, 'done');
+      this.exitTask(task, 'done');
       return;
     }
-    const isOn = (): boolean => this.isAlive && task.status !== 'exited';
+    const isPlaced = (): boolean => this.isAlive && task.status !== 'exited';
     const member: GangMember = {
       task: task.taskName,
-      isAnswering: () => isOn() && !this.isHanging,
+      isAnswering: () => isPlaced() && !this.isHanging,
       started: () => {
         task.status = 'running';
         this.hasChanged = true;
       },
       completed: () => {
-        if (isOn()) this.exit(task, this.options.isFaulty ? 'error' : 'done');
+        if (isPlaced()) this.exitTask(task, this.options.isFaulty ? 'error' : 'done');
       },
       lostPeer: () => {
-        if (isOn()) this.exit(task, 'peers');
+        if (isPlaced()) this.exitTask(task, 'peers');
       },
     };
     task.status = 'gathering';
     task.member = member;
     this.hasChanged = true;
-    clock.at(gangs.times.wait, () => {
-      if (this.isAlive && task.status === 'gathering') this.exit(task, 'alone');
+    clock.at(gangs.times.gatherTimeout, () => {
+      if (this.isAlive && task.status === 'gathering') this.exitTask(task, 'alone');
     });
-    gangs.arrive(spec, task.attempt, member);
+    gangs.join(spec, task.attempt, member);
   }
 
-  private halt(task: Task, windDownS: number): void {
-    const spec = this.options.job(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
+  private stopTask(task: Task, gracePeriodS: number): void {
+    const spec = this.options.findJob(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
     if (task.status === 'exited') return;
     if (task.status !== 'saving') this.stopCount++;
-    const saves = spec !== undefined && spec.shape === 'array' && spec.checkpointS > 0;
-    if (task.status === 'running' && saves && windDownS >= spec.saveS) {
+    const canCheckpoint = spec !== undefined && spec.shape === 'array' && spec.checkpointS > 0;
+    if (task.status === 'running' && canCheckpoint && gracePeriodS >= spec.saveS) {
       task.status = 'saving';
       this.hasChanged = true;
       this.options.clock.at(fromSeconds(spec.saveS), () => {
         if (this.isAlive && task.status === 'saving') {
           task.isCheckpointed = true;
-          this.exit(task, 'halted');
+          this.exitTask(task, 'halted');
         }
       });
-    } else if (task.status !== 'saving' || windDownS === 0) this.exit(task, 'halted');
+    } else if (task.status !== 'saving' || gracePeriodS === 0) this.exitTask(task, 'halted');
   }
 
-  private exit(task: Task, cause: string): void {
-    this.leaveMachine(task);
+  private exitTask(task: Task, cause: string): void {
+    this.recordTaskStopped(task);
     if (cause === 'done') this.options.invariants.taskEnded(task.taskName, true);
     task.status = 'exited';
     task.cause = cause;
     this.hasChanged = true;
   }
 
-  private leaveMachine(task: Task): void {
+  private recordTaskStopped(task: Task): void {
     if (!['running', 'saving', 'gathering'].includes(task.status)) return;
     this.options.invariants.taskEnded(task.taskName, false);
-    const spec = this.options.job(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
+    const spec = this.options.findJob(task.taskName.slice(0, task.taskName.lastIndexOf('/')));
     const { member } = task;
     task.member = null;
     if (spec && member) this.options.gangs.leave(spec, task.attempt, member);
@@ -320,20 +325,20 @@
 
   /** Room for all that is on it, the task just put there included. */
   private hasCapacity(): boolean {
-    const left = this.freeCapacity();
-    return left.cpus > -1e-6 && left.gpus > -1e-6 && left.memGb > -1e-6;
+    const free = this.freeCapacity();
+    return free.cpus > -1e-6 && free.gpus > -1e-6 && free.memGb > -1e-6;
   }
 
   /** What its tasks leave of the machine. */
   freeCapacity(): { cpus: number; gpus: number; memGb: number } {
-    const left = { ...this.options.capacity };
+    const free = { ...this.options.capacity };
     for (const t of this.tasks.values()) {
       if (t.status === 'exited') continue;
-      const other = this.options.job(t.taskName.slice(0, t.taskName.lastIndexOf('/')));
-      left.cpus -= other?.cpus ?? 0;
-      left.gpus -= other?.gpus ?? 0;
-      left.memGb -= other?.memGb ?? 0;
+      const spec = this.options.findJob(t.taskName.slice(0, t.taskName.lastIndexOf('/')));
+      free.cpus -= spec?.cpus ?? 0;
+      free.gpus -= spec?.gpus ?? 0;
+      free.memGb -= spec?.memGb ?? 0;
     }
-    return left;
+    return free;
   }
 }
--- a/packages/testkit/simulated-controller.ts
+++ b/packages/testkit/simulated-controller.ts
@@ -18,21 +18,21 @@
 }
 
 /** A controller of the present version. */
-export function simulate(controller: Controller): SimulatedController {
-  const { jobService: users } = controller;
+export function toSimulatedController(controller: Controller): SimulatedController {
+  const { jobService } = controller;
   return {
     start: () => {
       controller.start();
     },
     handleHeartbeat: (body) => controller.handleHeartbeat(body),
-    submitJob: (body) => users.submitJob(body),
-    getJob: (id) => users.getJob(id),
-    cancelJob: (id) => users.cancelJob(id),
+    submitJob: (body) => jobService.submitJob(body),
+    getJob: (id) => jobService.getJob(id),
+    cancelJob: (id) => jobService.cancelJob(id),
     health: () => controller.health(),
     peerStatus: () => controller.peerStatus(),
     replicaFacts: () => {
-      const { member, state, appliedRevision: applied, ledger } = controller.replicaSnapshot();
-      return { member, state, applied, ledger, describeLedger: () => factsOfLedger(ledger) };
+      const { member, state, appliedRevision, ledger } = controller.replicaSnapshot();
+      return { member, state, applied: appliedRevision, ledger, describeLedger: () => factsOfLedger(ledger) };
     },
   };
 }
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -11,7 +11,7 @@
 const version = await loadProductionVersion();
 
 function isUpgraded(cluster: SimCluster): boolean {
-  return ![...Array(cluster.nodeCount).keys()].some((i) => cluster.isOld(i));
+  return ![...Array(cluster.nodeCount).keys()].some((i) => cluster.runsProductionVersion(i));
 }
 
 /** Jobs come until the given second; gangs only once every node has the present version, as users promise. */
--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -8,23 +8,23 @@
 /** Measures vacancies by kind of role and cause. */
 export class VacancyMeter {
   private readonly durations = new DurationMeter();
-  private readonly open = new Map<string, { since: Micros; cause: VacancyCause }>();
+  private readonly openVacancies = new Map<string, { since: Micros; cause: VacancyCause }>();
 
   /** The holder of this role can't act from now on. */
   began(role: string, cause: VacancyCause, now: Micros): void {
-    if (!this.open.has(role)) this.open.set(role, { since: now, cause });
+    if (!this.openVacancies.has(role)) this.openVacancies.set(role, { since: now, cause });
   }
 
   /** The holder can act again, under the term that it had: nothing was vacant. */
   recovered(role: string): void {
-    this.open.delete(role);
+    this.openVacancies.delete(role);
   }
 
   /** The role has a new holder. */
   ended(role: string, now: Micros): void {
-    const vacancy = this.open.get(role);
+    const vacancy = this.openVacancies.get(role);
     if (!vacancy) return;
-    this.open.delete(role);
+    this.openVacancies.delete(role);
     const kind = role === 'lead' ? 'lead' : 'shard';
     this.durations.record(`${kind} after ${vacancy.cause}`, now - vacancy.since);
   }
