--- a/packages/testkit/duration-meter.ts
+++ b/packages/testkit/duration-meter.ts
@@ -1,12 +1,13 @@
-/** Distributions of durations, by what was measured. */
+/** Distributions of durations. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { type Micros, MS } from '#wire';
 
 const MAX_DURATION_MS = 600_000;
 const PERCENTILES = [50, 90, 99, 100];
 
-/** Collects durations by name. */
+/** Collects durations, each under the name of what was measured. */
 export class DurationMeter {
+  /** Histograms in milliseconds. Keyed by name. */
   private readonly histograms = new Map<string, Histogram>();
 
   record(name: string, duration: Micros): void {
@@ -18,7 +19,7 @@
     histogram.recordValue(Math.round(duration / MS));
   }
 
-  /** One line for each name: how many durations, and their percentiles in milliseconds. */
+  /** Returns one line for each name: the number of durations and their percentiles in milliseconds. */
   report(): string[] {
     return [...this.histograms].sort().map(([name, histogram]) => {
       const values = PERCENTILES.map((p) => `p${p} ${histogram.getValueAtPercentile(p)} ms`);
@@ -26,12 +27,13 @@
     });
   }
 
-  /** The longest of those whose name begins so, in milliseconds. */
+  /** Returns the longest duration whose name starts with this prefix, in milliseconds; 0 if there is none. */
   longest(prefix: string): number {
     const matching = [...this.histograms].filter(([name]) => name.startsWith(prefix));
     return Math.max(0, ...matching.map(([, histogram]) => histogram.maxValue));
   }
 
+  /** Number of durations under all names. */
   get count(): number {
     return [...this.histograms.values()].reduce((sum, histogram) => sum + histogram.totalCount, 0);
   }
--- a/packages/testkit/known-red.test.ts
+++ b/packages/testkit/known-red.test.ts
@@ -5,7 +5,7 @@
 const KNOWN = parseKnownRed('a task ends | the end is late | issue 14\n');
 const OTHER_PASSED = { name: 'another', passed: true };
 
-test('a listed test may fail or pass, and is told of either way', () => {
+test('a run passes whether a listed test fails or passes, and reports its result', () => {
   const failed = evaluateRun(KNOWN, [OTHER_PASSED, { name: 'a task ends', passed: false }]);
   assert.equal(failed.passed, true);
   assert.match(failed.lines.join(), /known red, failed: a task ends \(the end is late; issue 14\)/);
@@ -14,7 +14,7 @@
   assert.match(passed.lines.join(), /known red, passed/);
 });
 
-test('any other failure, a line that names no test, and a run without tests fail', () => {
+test('a run fails if an unlisted test fails, a listed test was not run, or no test was run', () => {
   assert.equal(
     evaluateRun(KNOWN, [
       OTHER_PASSED,
@@ -28,7 +28,7 @@
   assert.equal(evaluateRun([], [OTHER_PASSED]).passed, true);
 });
 
-test('a fourth line, and one that is not whole, are refused', () => {
+test('rejects a list of more than three lines, and a line with a missing or additional part', () => {
   assert.throws(() => parseKnownRed('a | b | c\n'.repeat(4)), /4 lines, 3 at most/);
   assert.equal(parseKnownRed('a | b | c\n'.repeat(3)).length, 3);
   for (const bad of ['a | b\n', 'a |  | c\n', 'a | b | c | d\n'])
--- a/packages/testkit/known-red.ts
+++ b/packages/testkit/known-red.ts
@@ -1,28 +1,34 @@
-/** The list of tests that are known to fail, and the verdict on a run of the suite. */
+/** The list of tests that are known to fail, and the evaluation of a run of the suite against it. */
 
-/** A test that fails for a real fault which is still to be mended, as `KNOWN-RED.txt` lists it. */
+/** An entry of `KNOWN-RED.txt`: a test that fails because of a real fault that is not fixed yet. */
 export interface KnownRed {
+  /** Name of the test. */
   test: string;
   cause: string;
+  /** The issue that tracks the fault. */
   issue: string;
 }
 
-/** Outcome of one test. */
+/** Result of one test. */
 export interface TestResult {
   name: string;
   passed: boolean;
 }
 
-/** Whether a run passes, given the list. */
-export interface Verdict {
+/** Evaluation of a run. */
+export interface RunEvaluation {
+  /** True if the run passes. */
   passed: boolean;
-  /** What there is to say of the list, a line each. */
+  /** One line for each entry of the list, and one for each failure that is not listed. */
   lines: string[];
 }
 
 const MAX_ENTRIES = 3;
 
-/** One test a line: its name, the cause and the issue, with ` | ` between them. Throws on anything else. */
+/**
+ * Parses `KNOWN-RED.txt`. Each line contains the name of a test, the cause and the issue, separated by ` | `; empty
+ * lines are ignored. Throws an Error if a line has another form, or if there are more than three lines.
+ */
 export function parseKnownRed(text: string): KnownRed[] {
   const rows = text.split('\n').filter((line) => line.trim() !== '');
   if (rows.length > MAX_ENTRIES)
@@ -30,14 +36,17 @@
   return rows.map((row, i) => {
     const [test, cause, issue, ...rest] = row.split(' | ').map((part) => part.trim());
     if (!test || !cause || !issue || rest.length > 0) {
-      throw new Error(`KNOWN-RED.txt: line ${i + 1} is not: test | cause | issue`);
+      throw new Error(`KNOWN-RED.txt: line ${i + 1} is "${row}", not "test | cause | issue"`);
     }
     return { test, cause, issue };
   });
 }
 
-/** Passed if nothing failed but what is listed, and each line names a test that was run. */
-export function evaluateRun(knownFailures: readonly KnownRed[], results: readonly TestResult[]): Verdict {
+/** Evaluates a run. It passes if at least one test ran, all failed tests are listed, and all listed tests ran. */
+export function evaluateRun(
+  knownFailures: readonly KnownRed[],
+  results: readonly TestResult[],
+): RunEvaluation {
   const lines: string[] = [];
   let passed = results.length > 0;
   if (!passed) lines.push('no test was run');
--- a/packages/testkit/loopback-main.ts
+++ b/packages/testkit/loopback-main.ts
@@ -1,10 +1,11 @@
 /**
- * A deployment on loopback to try the tools against, until it is interrupted:
+ * Runs a deployment on loopback, to try the command line tools with, until it is interrupted:
  *
  *     node target/testkit/loopback-main.js
  *
- * It prints the address of each node's listener and the id of its process, to be frozen (`kill -STOP`) and thawed. With
- * `kill -USR2` on its own process the state service loses everything, and with the next one has it all again.
+ * It prints the addresses and the process id of each node. A node is suspended with `kill -STOP` and resumed with
+ * `kill -CONT`. The state service runs in this program's own process: `kill -USR2` deletes all its data, and the next
+ * `kill -USR2` restores the data.
  */
 import { LoopbackTrial } from './loopback-trial.js';
 
@@ -19,7 +20,7 @@
 process.on('SIGUSR2', () => {
   if (restoreData) restoreData();
   restoreData = restoreData ? null : trial.loseData();
-  process.stdout.write(`state service: ${restoreData ? 'has lost everything' : 'has it all again'}\n`);
+  process.stdout.write(`state service: ${restoreData ? 'all data deleted' : 'all data restored'}\n`);
 });
 process.once('SIGINT', () => {
   trial.stop();
--- a/packages/testkit/loopback-node.ts
+++ b/packages/testkit/loopback-node.ts
@@ -1,4 +1,4 @@
-/** A controller as a real process of this repository: started, frozen, thawed, killed and started again by its id. */
+/** A node as a real process on loopback, which trials start, suspend, resume, kill and start again. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -8,7 +8,7 @@
 const MAIN = fileURLToPath(new URL('../daemon/main.js', import.meta.url));
 const ZONES = ['east', 'west'];
 
-/** Name, zone and addresses of a node on loopback. */
+/** Name, zone and addresses of a node. */
 export interface NodeAddresses {
   member: string;
   zone: string;
@@ -29,7 +29,7 @@
   };
 }
 
-/** The platform's settings of one node; workers and leases are quicker than any real ones. */
+/** Returns the platform settings of one node as TOML. Heartbeat intervals and leases are shorter than any real ones. */
 function platformSettings(
   self: NodeAddresses,
   all: readonly NodeAddresses[],
@@ -90,8 +90,9 @@
   cloud: string;
 }
 
-/** A controller process on loopback. */
+/** A node's process on loopback. */
 export class LoopbackNode {
+  /** True while the process is suspended. */
   isSuspended = false;
   private child: ChildProcess | null = null;
   private readonly args: string[];
@@ -113,6 +114,7 @@
     this.args = [MAIN, '--config', config, '--operator', operator];
   }
 
+  /** True if the process runs or is suspended. */
   get isUp(): boolean {
     return this.child !== null;
   }
@@ -121,6 +123,7 @@
     return this.child?.pid;
   }
 
+  /** Starts the process unless it is up. */
   start(): void {
     if (this.child) return;
     const env = { ...process.env, LOG_LEVEL: 'error' };
@@ -131,16 +134,18 @@
     });
   }
 
+  /** Suspends the process with SIGSTOP. */
   suspend(): void {
     this.isSuspended = this.child?.kill('SIGSTOP') ?? false;
   }
 
+  /** Resumes the suspended process. */
   resume(): void {
     this.child?.kill('SIGCONT');
     this.isSuspended = false;
   }
 
-  /** Asks the process to end, as for a planned stop; resolves with its exit code. */
+  /** Ends the process with SIGTERM, as a planned stop does; resolves with its exit code. */
   stopGracefully(): Promise<number | null> {
     const { child } = this;
     this.child = null;
@@ -150,7 +155,7 @@
     });
   }
 
-  /** Ends the process, frozen or not. */
+  /** Ends the process with SIGKILL, whether it runs or is suspended. */
   kill(): void {
     const { child } = this;
     this.child = null;
--- a/packages/testkit/loopback-server.ts
+++ b/packages/testkit/loopback-server.ts
@@ -1,4 +1,4 @@
-/** Serves a stand-in over real HTTP on loopback. */
+/** Serves a simulated service over real HTTP on loopback. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { decode, encode, type HttpMethod } from '#wire';
@@ -36,7 +36,7 @@
   };
 }
 
-/** A port that is free at the moment, for a process that is to listen there. */
+/** Returns a port that is free at the moment, for a process that will listen at it. */
 export async function freePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment of real processes on loopback: controllers of this repository, stand-ins for state service, cloud and
- * workers in the process of the trial. Controllers are frozen, thawed, killed and started again at random, and what the
- * cloud is asked is often carried out late. Every rule, and every effect of a role, is checked as it happens.
+ * A deployment on loopback with real node processes. State service, cloud and workers are simulated in the process of
+ * the trial. Nodes are suspended, resumed, killed and started again at random, and the cloud executes many requests
+ * late. The invariants and the effects of each role are checked as they occur.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -22,34 +22,40 @@
 
 const NODE_COUNT = 3;
 const TEAMS = ['blue', 'green', 'red'];
-/** How long a frozen leader is left frozen at most until another one is named. */
+/** Longest wait for a leader; also the longest time for which a suspended leader waits for its successor. */
 const LEADER_TIMEOUT_MS = 15_000;
-/** How long users and machines have at most to end their work once the troubles are over. */
+/** Longest time until all jobs end once no more faults are injected. */
 const SETTLE_MS = 90_000;
 
-/** What a trial can be given. */
+/** Options of a trial. */
 export interface TrialOptions {
   seed: number;
-  /** How long processes are frozen and killed. */
+  /** For how long faults are injected and jobs are submitted. */
   durationMs: number;
 }
 
-/** What happened in a trial. */
+/** Results of a trial. */
 export interface TrialReport {
+  /** Number of terms of the leader. */
   terms: number;
+  /** Number of times a process was suspended. */
   freezes: number;
   kills: number;
+  /** Number of task starts. */
   starts: number;
+  /** Number of submitted jobs. */
   jobs: number;
+  /** Ids of the jobs that have not ended. */
   unfinished: string[];
   effects: EffectCounts;
-  /** Requests to the state service a second, and the renewals of grants among them. */
+  /** Requests to the state service per second. */
   stateRequestRate: number;
+  /** Lease renewals per second, which are among these requests. */
   renewalRate: number;
   vacancies: VacancyMeter;
 }
 
-/** One trial with real controller processes. */
+/** One trial with real node processes. */
 export class LoopbackTrial {
   readonly nodes: LoopbackNode[] = [];
   private readonly clock = new RealClock();
@@ -90,7 +96,7 @@
     });
   }
 
-  /** Starts all processes; the trial's own checks run from here on. */
+  /** Starts the services and all node processes, and the check of the invariants. */
   async start(): Promise<void> {
     const state = await this.serve((...args) => this.services.store.handler(...args));
     const cloud = await this.serve((...args) => this.services.cloud.handler(...args));
@@ -102,7 +108,7 @@
     this.checkInvariants();
   }
 
-  /** The whole trial: troubles for the given time, then quiet until all work is over. */
+  /** Runs the trial: injects faults for the given time, then waits until all jobs have ended. */
   async run(): Promise<TrialReport> {
     await this.start();
     const startedAt = Date.now();
@@ -126,7 +132,7 @@
     };
   }
 
-  /** Resolves with the leader that the condition holds for, or undefined if there is none in time. */
+  /** Resolves with the leader for which the condition holds, or with undefined if there is none in time. */
   async leaderWhere(condition: (leader: LoopbackNode) => boolean): Promise<LoopbackNode | undefined> {
     for (const end = Date.now() + LEADER_TIMEOUT_MS; Date.now() < end;) {
       const leader = this.leader;
@@ -136,7 +142,7 @@
     return undefined;
   }
 
-  /** The state service loses everything; the function brings it back. */
+  /** Deletes all data of the state service; the returned function restores it. */
   loseData(): () => void {
     const backup = this.services.store.backup();
     this.services.store.wipe();
@@ -145,12 +151,12 @@
     };
   }
 
-  /** Tasks started so far, and jobs that are not over yet. */
+  /** The number of task starts so far, and the ids of the jobs that have not ended. */
   get progress(): { starts: number; unfinished: string[] } {
     return { starts: this.services.invariants.starts, unfinished: this.services.invariants.unfinishedJobs() };
   }
 
-  /** Ends the trial's own children and servers; throws what broke on the way. */
+  /** Ends all processes and servers of the trial; throws the first failure that occurred in a callback. */
   stop(): void {
     this.isStopped = true;
     this.users.stop();
@@ -162,7 +168,7 @@
     this.services.failure.rethrow();
   }
 
-  /** The node that leads, as the state service has it. */
+  /** The leader according to the state service. */
   get leader(): LoopbackNode | undefined {
     const member = this.services.store.rows.get(LEADER_KEY)?.value['Member'];
     return this.nodes.find((node) => node.addresses.member === member);
@@ -175,14 +181,14 @@
   }
 
   /**
-   * The case that every trial has to show: a holder that stands still until it is replaced, and then goes on. Which
-   * leaders the random troubles meet, and for how long, depends on how the processes are scheduled: in one run of CI
-   * each of the few freezes ended before the grant did, and no term ever changed.
+   * Suspends the leader until it is replaced, then resumes it. Every trial must cover this case. The random faults
+   * alone don't ensure it, as their effect depends on how the processes are scheduled: in one CI run each of the few
+   * suspensions ended before the lease expired, and the term never changed.
    */
   private async replaceSuspendedLeader(): Promise<void> {
     const firstLeader = await this.leaderWhere(() => true);
-    if (!firstLeader) throw new Error('no leader was named');
-    // Whatever is to be wakened late has to be under way: the fleet is rented and work has begun.
+    if (!firstLeader) throw new Error(`no leader was elected within ${LEADER_TIMEOUT_MS} ms`);
+    // Waits until machines are created and tasks have started, so that the leader has work in progress.
     await pause(4000);
     const suspended = this.leader ?? firstLeader;
     this.counts.freezes++;
@@ -190,7 +196,7 @@
     suspended.suspend();
     const successor = await this.leaderWhere((leader) => leader !== suspended);
     suspended.resume();
-    if (!successor) throw new Error('a frozen leader was not replaced');
+    if (!successor) throw new Error(`the suspended leader was not replaced within ${LEADER_TIMEOUT_MS} ms`);
   }
 
   private async injectRandomFault(): Promise<void> {
@@ -220,6 +226,7 @@
     node.start();
   }
 
+  /** Returns the names of the roles that this node holds according to the state service. */
   private rolesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
       this.services.store.rows.get(path)?.value['Member'] === node.addresses.member;
@@ -262,11 +269,12 @@
     };
   }
 
-  /** Submits jobs for the given time; resolves once all of them are done. */
+  /** Submits jobs for the given time; resolves once all of them are done, or the trial is stopped. */
   submitJobs(durationMs: number): Promise<void> {
     return this.users.submitJobs(durationMs);
   }
 
+  /** Checks the invariants every 100 ms. */
   private checkInvariants(): void {
     this.services.failure.guard(() => {
       this.services.invariants.check(this.clock.time);
@@ -276,7 +284,7 @@
     });
   }
 
-  /** Waits for it, or for so long at most. */
+  /** Waits until the work is done, but no longer than the given time. */
   private async waitFor(work: Promise<void>, ms: number): Promise<void> {
     let isDone = false;
     void work.then(() => (isDone = true));
--- a/packages/testkit/loopback-users.ts
+++ b/packages/testkit/loopback-users.ts
@@ -1,4 +1,4 @@
-/** Users of a cluster on loopback: they submit jobs and ask for their status until they are done. */
+/** Users of a cluster on loopback, who submit jobs and poll their status until they are done. */
 import {
   createHttpClient,
   decodeJobStatus,
@@ -12,7 +12,7 @@
 import { sampleJob } from './sample-job.js';
 import type { SimServices } from './sim-services.js';
 
-/** What users need of the trial. */
+/** Dependencies of {@link LoopbackUsers}. */
 export interface LoopbackUsersOptions {
   readonly clock: RealClock;
   readonly random: () => number;
@@ -22,8 +22,9 @@
 }
 
 interface UserResponse {
-  /** 0 if no answer came in time. */
+  /** HTTP status; 0 if no response arrived in time. */
   readonly status: number;
+  /** Status of the job; null if the response names none. */
   readonly state: string | null;
 }
 
@@ -48,7 +49,7 @@
     await Promise.all(users);
   }
 
-  /** Ends all users after their present request. */
+  /** Stops all users after their current request. */
   stop(): void {
     this.isStopped = true;
   }
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -1,7 +1,7 @@
 /**
- * The controller as the version in production has it, to be run side by side with the present one. Its code lies under
- * `fixtures/` as that version's own build made it; see `fixtures/README.md`. This module alone knows the names that
- * version gives to its settings, its methods and its state, and maps them onto those of the present version.
+ * The controller of the production version, for tests that run it next to the current one. Its code is the output of
+ * that version's own build, in `fixtures/`; see `fixtures/README.md`. Only this module knows the names of that
+ * version's settings, methods and state. It maps them to those of the current version; its interfaces keep them.
  */
 import type { ServiceResponse } from '#api';
 import type { Destination, Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
@@ -13,7 +13,7 @@
 
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
 
-/** Settings under the names of the production version; all others have kept their names. */
+/** Settings of the production version. Those declared here have other names than in the current version. */
 interface ProductionSettings extends Omit<
   Settings,
   'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'machineListLag'
@@ -24,12 +24,12 @@
   readonly listLag: Micros;
 }
 
-/** Operators' settings under the names of the production version. */
+/** Operator settings of the production version. */
 interface ProductionTuning extends Omit<Tuning, 'priorityDoublingTime' | 'detectsDataLoss'> {
   readonly waitDoubles: Micros;
 }
 
-/** What the production version tells its peers. */
+/** The status that a controller of the production version reports to its peers. */
 interface ProductionPeerStatus {
   readonly token: number;
   readonly served: boolean;
@@ -83,7 +83,7 @@
   readonly ledger: ProductionLedger;
 }
 
-/** The controller class of the production version, as far as a simulated cluster uses it. */
+/** The part of the production version's controller that a simulated cluster uses. */
 interface ProductionController {
   start(): void;
   report(body: unknown): Promise<ServiceResponse>;
@@ -97,11 +97,12 @@
   };
 }
 
-/** Makes controllers of the production version. */
+/** Creates controllers of the production version. */
 export interface ProductionVersion {
   createController(options: ControllerOptions): SimulatedController;
 }
 
+/** Machine statuses of the current version. Keyed by those of the production version. */
 const MACHINE_STATUSES: Readonly<Record<ProductionMachineStatus, MachineStatus>> = {
   new: 'new',
   up: 'up',
@@ -111,7 +112,7 @@
   lost: 'lost',
 };
 
-/** Loads the controller of the version in production. */
+/** Loads the controller of the production version. */
 export async function loadProductionVersion(): Promise<ProductionVersion> {
   const fixture = (await import(FIXTURE.href)) as {
     Controller: new (parts: ProductionOptions) => ProductionController;
--- a/packages/testkit/real-clock.ts
+++ b/packages/testkit/real-clock.ts
@@ -1,9 +1,9 @@
-/** The machine's own time for the stand-ins, where real processes take part. */
+/** The clock of the simulated services in trials with real processes. */
 import { hrtime } from 'node:process';
 import { type Micros, MS, type Timer } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 
-/** Real time with the interface of the simulated clock. */
+/** The monotonic time of the machine, with the interface of the simulated clock. */
 export class RealClock implements SimulationClock {
   private readonly timers = new Set<NodeJS.Timeout>();
 
@@ -28,7 +28,7 @@
     };
   }
 
-  /** Nothing that was to come will come. */
+  /** Cancels all timers. */
   stop(): void {
     for (const timer of this.timers) clearTimeout(timer);
     this.timers.clear();
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -1,7 +1,7 @@
 /**
- * Checks a history of effects: what the stand-in state service and cloud really did, and under which term it was
- * asked for. An effect of a term that is over may show only where the record rule makes it harmless: the machine
- * or the rental was named for it in the leader's log first, and nobody may use it otherwise any more.
+ * Checks the history of effects: what the simulated state service and cloud executed, and under which term it was
+ * requested. An effect of an ended term is allowed only where the record rule makes it harmless: the leader's log
+ * named the machine or the scale-out request for this purpose first, and no other use of it is allowed afterwards.
  */
 import {
   CHECKPOINT_HEAD_KEY,
@@ -22,28 +22,30 @@
 import { type WireFields, isWireFields, parseTaskName } from '#wire';
 import { InvariantViolation } from './invariants.js';
 
-/** Whose effects are judged: the version in production knows neither terms nor the record rule. */
+/** The sender of a request. The production version knows neither terms nor the record rule. */
 export interface Sender {
-  /** The term of the lead that the sender believed in when it sent; null if it named none. */
+  /** The leader's term as the sender knew it when it sent the request; null if it named none. */
   term: number | null;
   runsProductionVersion: boolean;
 }
 
-/** How many effects there were of each kind; those of terms that were over are counted apart. */
+/** Number of effects of each kind; late ones, which were requested under an ended term, are also counted separately. */
 export interface EffectCounts {
+  /** Transactions whose guards held. */
   commits: number;
-  /** Starts that workers executed, and those under a token that had been raised since. */
+  /** Task starts that workers executed. */
   launches: number;
+  /** Task starts under a fencing token that was no longer the highest. */
   lateLaunches: number;
   scaleOuts: number;
   deletions: number;
   lateScaleOuts: number;
   lateDeletions: number;
-  /** Deletions by the version in production that no record had named: a known fault of that version. */
+  /** Deletions by the production version that no record had named: a known fault of that version. */
   unrecordedByOld: number;
 }
 
-/** What a transaction has to guard: the roles under which each of its writes may be made. */
+/** Returns the keys of the roles that a transaction must guard to make this write. */
 function requiredRoleKeys(write: WireFields): string[] {
   const path = String(write['Set'] ?? write['Remove']);
   if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
@@ -51,11 +53,11 @@
     (prefix) => path.startsWith(prefix),
   );
   if (isLeaderOwned || path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
-  // Ended jobs are put away by the leader.
+  // Only the leader removes the rows of ended jobs.
   return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
 
-/** Records the effects of roles and throws an {@link InvariantViolation} for one that its term did not allow. */
+/** Records the effects of roles; throws an {@link InvariantViolation} for an effect that its term did not allow. */
 export class RoleHistory {
   readonly counts: EffectCounts = {
     launches: 0,
@@ -69,12 +71,14 @@
   };
   private readonly ledger = new Ledger();
   private readonly recordedScaleOuts = new Set<string>();
+  /** Revision of the latest leader row, which is the current term. */
   private term = 0;
+  /** The highest fencing token. */
   private token = 0;
 
   constructor(private readonly revisionOf: (path: string) => number) {}
 
-  /** The state service is about to apply this transaction. */
+  /** Checks a transaction that the state service is about to apply. */
   beforeCommit(guards: readonly WireFields[], writes: readonly WireFields[]): void {
     this.counts.commits++;
     for (const write of writes) {
@@ -84,7 +88,7 @@
     }
   }
 
-  /** The state service has applied this transaction at the given revision. */
+  /** Records a transaction that the state service has applied at this revision. */
   afterCommit(writes: readonly WireFields[], revision: number): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
@@ -94,7 +98,7 @@
     }
   }
 
-  /** A worker starts a task: its start must be in a record, and not have ended. */
+  /** Checks a task start on a worker: a record must contain the start, and the attempt must not have ended. */
   launched(taskName: string, attempt: number, host: string, fencingToken: number): void {
     this.counts.launches++;
     const position = parseTaskName(taskName);
@@ -102,26 +106,26 @@
     if (fencingToken > this.token) {
       throw new InvariantViolation(
         'unrecorded',
-        `${taskName} starts under token ${fencingToken}, the highest is ${this.token}`,
+        `${taskName} starts under fencing token ${fencingToken}; the highest one is ${this.token}`,
       );
     }
     if (fencingToken < this.token) this.counts.lateLaunches++;
     if (placement?.attempt === attempt && placement.host === host) return;
     throw new InvariantViolation(
       'unrecorded',
-      `attempt ${attempt} of ${taskName} starts on ${host} without a record`,
+      `attempt ${attempt} of ${taskName} starts on ${host} without a record of it`,
     );
   }
 
-  /** The cloud rents machines under this name for the first time. */
+  /** Checks the first execution of a scale-out request by the cloud. */
   scaledOut(requestId: string, sender: Sender): void {
     this.counts.scaleOuts++;
     if (this.hasStaleTerm(sender)) this.counts.lateScaleOuts++;
     if (!this.recordedScaleOuts.has(requestId))
-      throw new InvariantViolation('unrecorded', `rental ${requestId} is in no record`);
+      throw new InvariantViolation('unrecorded', `scale-out request ${requestId} is in no record`);
   }
 
-  /** The cloud deletes a machine that was there; `works`: it had not stopped by itself. */
+  /** Checks the deletion of a machine by the cloud. `wasWorking` is false if the machine had stopped by itself. */
   deleted(host: string, wasWorking: boolean, sender: Sender): void {
     this.counts.deletions++;
     if (this.hasStaleTerm(sender)) this.counts.lateDeletions++;
@@ -133,11 +137,12 @@
       const state = entry ? `shard ${entry.shard}, destination ${entry.destination}` : 'in no record';
       throw new InvariantViolation(
         'unrecorded',
-        `${host} is deleted in term ${sender.term} of ${this.term}: ${state}`,
+        `${host} is deleted under term ${sender.term}, the current term is ${this.term}: ${state}`,
       );
     }
   }
 
+  /** True if the sender named a term that has ended. */
   private hasStaleTerm({ term }: Sender): boolean {
     return term !== null && term !== this.term;
   }
@@ -147,26 +152,29 @@
     if (revision > 0 && guards.some((g) => g['Path'] === key && Number(g['Stamp']) === revision)) return;
     throw new InvariantViolation(
       'ownership',
-      `${String(write['Set'] ?? write['Remove'])} landed without ${key}`,
+      `${String(write['Set'] ?? write['Remove'])} was written without a guard on the current revision of ${key}`,
     );
   }
 
   private checkShardGuard(guards: readonly WireFields[], write: WireFields): void {
     if (guards.some((g) => String(g['Path']).startsWith(SHARD_PREFIX))) return;
-    throw new InvariantViolation('ownership', `${String(write['Set'])} was ended by no owner of a shard`);
+    throw new InvariantViolation(
+      'ownership',
+      `${String(write['Set'])} was marked as done without a guard on the owner of a shard`,
+    );
   }
 
   private advanceToken(value: unknown): void {
     const fencingToken = isWireFields(value) ? Number(value['Token']) : NaN;
     if (!(fencingToken > this.token))
-      throw new InvariantViolation('token', `${this.token} is followed by ${fencingToken}`);
+      throw new InvariantViolation('token', `fencing token ${this.token} is followed by ${fencingToken}`);
     this.token = fencingToken;
   }
 
   private applyRecord(path: string, record: PlacementRecord): void {
     for (const [requestId] of record.scaleOuts ?? []) {
       if (this.recordedScaleOuts.has(requestId))
-        throw new InvariantViolation('unrecorded', `rental ${requestId} is named twice`);
+        throw new InvariantViolation('unrecorded', `scale-out request ${requestId} is recorded twice`);
       this.recordedScaleOuts.add(requestId);
     }
     this.ledger.apply(logIdOfKey(path), record);
--- a/packages/testkit/sample-job.ts
+++ b/packages/testkit/sample-job.ts
@@ -1,7 +1,7 @@
 /** A sample job for tests. */
 import type { JobSpec } from '#wire';
 
-/** A job as users might submit it, for tests to vary. */
+/** Returns the specification of a small job, with the given fields replaced. */
 export function sampleJob(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
--- a/packages/testkit/sample-settings.ts
+++ b/packages/testkit/sample-settings.ts
@@ -8,12 +8,12 @@
 /** Address of the simulated cloud. */
 export const CLOUD_ENDPOINT = '10.2.0.2:8443';
 
-/** Address at which a node serves users and workers. */
+/** Returns the address at which a node serves users and workers. */
 export function userEndpoint(index: number): string {
   return `10.0.0.${index}:80`;
 }
 
-/** Address at which a node serves its peers. */
+/** Returns the address at which a node serves its peers. */
 export function peerEndpoint(index: number): string {
   return `10.0.0.${index}:81`;
 }
@@ -29,7 +29,7 @@
   ];
 }
 
-/** Settings of one node of a small deployment; every number differs from any real one on purpose. */
+/** Returns the settings of one node of a small deployment. Every number differs from any real one on purpose. */
 export function sampleSettings(
   index: number,
   nodeCount: number,
@@ -58,7 +58,7 @@
   };
 }
 
-/** Times and rates of the protocol. */
+/** Returns the time limits, rate limits and size limits of the protocol. */
 function sampleLimits() {
   return {
     heartbeatInterval: 2 * SECOND,
@@ -104,7 +104,7 @@
   },
 ];
 
-/** Machine types of the clusters on loopback, which boot faster. */
+/** Machine types of the clusters on loopback. Their machines boot faster than the sample ones. */
 export const LOOPBACK_TYPES: MachineType[] = [
   {
     name: 'small',
--- a/packages/testkit/sim-clock.ts
+++ b/packages/testkit/sim-clock.ts
@@ -1,4 +1,4 @@
-/** Simulated time: a queue of events that tests play as fast as they can. */
+/** Simulated time: a queue of events that a test executes as fast as the machine allows. */
 import type { Clock, Micros, Timer } from '#wire';
 
 interface ScheduledEvent {
@@ -8,21 +8,25 @@
 }
 
 /**
- * Lets a step happen to a process: at once, never if the process is gone, or once it moves again if it stands
- * still meanwhile.
+ * Delivers a step (a timer, a response or a request) to a simulated process. It runs the step at once if the process
+ * runs, after the process is resumed if it is suspended, and never if the process has ended.
  */
 export type Gate = (step: () => void) => void;
 
-/** Time as the stand-ins see it: simulated, or that of the machine. */
+/** The clock of the simulated services: simulated time, or the monotonic time of the machine. */
 export interface SimulationClock {
+  /** The current time. */
   readonly time: Micros;
+  /** Schedules a callback that runs after the delay. */
   at(delay: Micros, run: () => void): Timer;
 }
 
-/** Simulated time: events in order, each followed by everything that it made ready. */
+/** Simulated time. Events run one by one, ordered by time; what an event triggers settles before the next event. */
 export class SimClock implements SimulationClock {
   time: Micros = 1_000_000;
+  /** A binary heap; the earliest event is at index 0. */
   private heap: ScheduledEvent[] = [];
+  /** Number of events scheduled so far; events at the same time run in the order in which they were scheduled. */
   private order = 0;
 
   at(delay: Micros, run: () => void): Timer {
@@ -36,8 +40,8 @@
   }
 
   /**
-   * A process's own view: its steady clock runs a little off, its time of day too; its timers die with it. Both
-   * clocks run on while it stands still.
+   * Creates the clock of one simulated process. Its monotonic clock drifts by the given part, and its wall clock is off
+   * by the given offset. Its timers end with the process. Both clocks continue while the process is suspended.
    */
   createProcessClock(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
     return {
@@ -60,7 +64,7 @@
     };
   }
 
-  /** Plays all events up to `until`; `afterEach` runs once all that an event set off has settled. */
+  /** Runs all events up to `until`. Calls `afterEach` after each event, once all that it triggered has settled. */
   async run(until: Micros, afterEach: () => void): Promise<void> {
     for (;;) {
       const next = this.heap[0];
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -5,18 +5,19 @@
 import type { SimulationClock } from './sim-clock.js';
 import type { Handler, SimResponse } from './sim-net.js';
 
-/** A machine of the simulated cloud. */
+/** A machine of the simulated cloud. A died machine is listed as running until the cloud notices that it failed. */
 export interface CloudHost extends MachineFacts {
   state: 'starting' | 'running' | 'died' | 'failed';
   createdAt: Micros;
 }
 
+/** The machine list at one moment; list requests are answered from an older one. */
 interface ListSnapshot {
   at: Micros;
   rows: WireFields[];
 }
 
-/** Who sent a request, as the simulated cluster notes it beside the protocol's own fields. */
+/** Returns the sender of a request, which the simulated cluster adds to the fields of the protocol. */
 function senderOf(body: WireFields): Sender {
   const term = body['SenderTerm'];
   return {
@@ -40,33 +41,38 @@
   };
 }
 
-/** Stock and behaviour of the simulated cloud. */
+/** Capacity and timing of the simulated cloud, and its callbacks. */
 export interface SimCloudOptions {
   readonly clock: SimulationClock;
   readonly random: () => number;
   readonly types: readonly MachineType[];
-  /** How many machines there are of each machine type, zone and kind. */
+  /** Number of machines of each machine type in each zone, for spot and on-demand machines each. */
   readonly capacity: number;
-  /** Age of the machine list that requests are answered with. */
+  /** Age of the machine list in a response. */
   readonly listLag: Micros;
-  /** Starts the worker of a machine that has booted. */
+  /** Called when a machine has booted, to start its worker. */
   readonly boot: (host: CloudHost) => void;
-  /** Ends the worker of a machine that is gone. */
+  /** Called when a machine has stopped or is deleted, to end its worker. */
   readonly destroy: (host: CloudHost) => void;
 }
 
 /** The simulated cloud. */
 export class SimCloud {
+  /** All machines that are not deleted or reclaimed. Keyed by host. */
   readonly hosts = new Map<string, CloudHost>();
+  /** True while every request is answered with 503. */
   isUnavailable = false;
-  /** Share of rental and deletion requests that get no answer and are carried out up to `lateBy` later. */
+  /** Share of scale-out and deletion requests that get no response and are executed after a random delay. */
   lateRequestRate = 0;
+  /** Longest delay of such a request. */
   maxRequestDelay: Micros = 60 * SECOND;
-  /** Share of machines that take several times as long to boot. */
+  /** Share of machines that take 6 times as long to boot. */
   slowBootRate = 0;
-  /** Called when machines are rented under a name for the first time, and for each machine that is deleted. */
+  /** Called when a scale-out request first creates machines; repeating it with the same request id is idempotent. */
   onScaleOut: (requestId: string, sender: Sender) => void = () => undefined;
+  /** Called for each machine that is deleted by request. */
   onDeletion: (host: CloudHost, sender: Sender) => void = () => undefined;
+  /** Hosts that each scale-out request created. Keyed by request id. */
   private readonly hostsByRequest = new Map<string, string[]>();
   private snapshots: ListSnapshot[] = [];
   private createdCount = 0;
@@ -91,7 +97,7 @@
     return new Promise(() => undefined);
   };
 
-  /** The machine stops with all that is on it; the list shows it only later. */
+  /** Stops a machine and all tasks on it. The machine list shows it as running for another 30 s or more. */
   crash(host: CloudHost): void {
     this.options.destroy(host);
     host.state = 'died';
@@ -100,7 +106,7 @@
     });
   }
 
-  /** Taken back by the cloud, with all that is on it. */
+  /** Reclaims a machine: it stops with all tasks on it and is deleted. */
   reclaim(host: CloudHost): void {
     this.options.destroy(host);
     this.hosts.delete(host.host);
--- a/packages/testkit/sim-cluster-options.ts
+++ b/packages/testkit/sim-cluster-options.ts
@@ -4,36 +4,41 @@
 import type { MachineType, Micros } from '#wire';
 import type { ProductionVersion } from './production-version.js';
 
-/** A cancellation was confirmed, a job's last task ended, the leader changed, an owner released a machine. */
+/**
+ * What has just happened: a cancellation was confirmed, a job's last task ended, the leader changed ("lead"), or the
+ * owner of a machine released it ("release").
+ */
 export type ClusterEvent = 'confirmed' | 'last end' | 'lead' | 'release';
 
 /** Error of a node's clocks. */
 export interface ClockError {
-  /** Part by which the monotonic clock runs fast. */
+  /** Relative error of the monotonic clock; positive if it runs fast. */
   readonly drift: number;
-  /** Offset of the time of day. */
+  /** Offset of the wall clock. */
   readonly wallClockOffset: Micros;
 }
 
-/** What a test can choose about a simulated cluster. */
+/** Options of a simulated cluster. */
 export interface SimClusterOptions {
+  /** Seed of all randomness. */
   readonly seed: number;
   /** Number of nodes; 3 by default. */
   readonly nodes?: number;
   readonly log?: Logger;
-  /** Settings that differ from the sample's. */
+  /** Settings that differ from the sample settings. */
   readonly settings?: Partial<Settings>;
-  /** Operators' settings that differ from the defaults. */
+  /** Operator settings that differ from the defaults. */
   readonly tuning?: Partial<Tuning>;
+  /** Machine types that the cloud offers; {@link SAMPLE_TYPES} by default. */
   readonly types?: readonly MachineType[];
-  /** How many machines the cloud has of each machine type, zone and kind. */
+  /** Number of machines of each machine type in each zone, for spot and on-demand machines each; 4 by default. */
   readonly capacity?: number;
-  /** Rows that the state service puts into one answer to a list request. */
+  /** Most rows in one response of the state service to a list request; 1000 by default. */
   readonly pageRows?: number;
-  /** Runs nodes of the version in production until they are upgraded, with these settings beside the sample's. */
+  /** Runs all nodes with the production version, and with these settings, until they are upgraded. */
   readonly production?: { readonly version: ProductionVersion; readonly settings?: Partial<Settings> };
-  /** Clock errors beyond what the protocol allows. */
+  /** Clock errors per node, for errors beyond what the protocol allows. By default they are random and allowed. */
   readonly clockError?: (index: number) => ClockError;
-  /** The cancellation deadline that users were promised, where the controllers are configured with another. */
+  /** The cancellation deadline promised to users, if the controllers are configured with a different one. */
   readonly promisedCancellationDeadline?: Micros;
 }
--- a/packages/testkit/sim-cluster.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -1,4 +1,4 @@
-/** A simulated cluster: nodes, state service, cloud, workers and users on one simulated clock, with invariants checked. */
+/** A simulated cluster on one simulated clock: nodes, services, workers and users, with the invariants checked. */
 import type { Controller } from '#daemon';
 import type { Settings } from '#settings';
 import { type JobSpec, type JobStatus, type MachineType, type Micros, SECOND, type WireFields } from '#wire';
@@ -28,21 +28,23 @@
 
 const NODE_COUNT = 3;
 
-/** A cluster for tests. All randomness comes from its seed. */
+/** A simulated cluster for tests. All randomness comes from its seed, so that a seed reproduces a run. */
 export class SimCluster {
   readonly clock = new SimClock();
   readonly random: () => number;
   readonly net: SimNet;
   /** Called with events during which tests inject further faults. */
   onEvent: (event: ClusterEvent) => void = () => undefined;
-  /** Called with the status of each answer of a node to a worker's heartbeat. */
+  /** Called with the status of each heartbeat response. */
   onHeartbeat: (host: string, node: number, status: number) => void = () => undefined;
   private readonly services: SimServices;
   private readonly users: SimUsers;
   private readonly replicaChecks = new ReplicaChecks();
   private readonly nodes: readonly SimNode[];
   private readonly types: readonly MachineType[];
+  /** Number of process starts; it makes the incarnations unique. */
   private processStarts = 0;
+  /** Time of the next check for jobs that wait although capacity is free; it runs once a second. */
   private nextWaitingCheck: Micros = 0;
 
   constructor(private readonly options: SimClusterOptions) {
@@ -82,22 +84,22 @@
     return this.services.gangs;
   }
 
-  /** The effects of each role with the term that they were asked for under. */
+  /** The effects of each role, with the terms under which they were requested. */
   get history(): RoleHistory {
     return this.services.history;
   }
 
-  /** By host. */
+  /** All workers. Keyed by host. */
   get workers(): Map<string, SimWorker> {
     return this.services.workers;
   }
 
-  /** Specifications of submitted jobs, by id. */
+  /** Specifications of submitted jobs. Keyed by job id. */
   get specs(): Map<string, JobSpec> {
     return this.services.specs;
   }
 
-  /** By job: the last status that its user received. */
+  /** The last status that each user received. Keyed by job id. */
   get lastStatuses(): Map<string, JobStatus> {
     return this.users.lastStatuses;
   }
@@ -106,30 +108,32 @@
     return this.nodes.length;
   }
 
-  /** Heartbeats that this node has answered with 200. */
+  /** Returns the number of heartbeats that this node answered with 200. */
   heartbeatCount(index: number): number {
     return this.nodes[index]?.heartbeatCount ?? 0;
   }
 
-  /** A node of the present version that is up; null while it is down or of the version in production. */
+  /** Returns a node's controller; null while the node is down or runs the production version. */
   controller(index: number): Controller | null {
     return this.nodes[index]?.currentController ?? null;
   }
 
-  /** Status of this node's answer to health checks; null while it is down. */
+  /** Returns the status of a node's response to health checks; null while the node is down. */
   health(index: number): number | null {
     return this.nodes[index]?.controller?.health().status ?? null;
   }
 
+  /** Starts the node's process unless it runs. */
   startNode(index: number): void {
     this.node(index).start();
   }
 
+  /** Ends the node's process abruptly. */
   killNode(index: number): void {
     this.node(index).kill();
   }
 
-  /** Ends the node's process and starts it again with the present version. */
+  /** Ends the node's process and starts it again with the current version after the downtime. */
   upgradeNode(index: number, downtime: Micros): void {
     const node = this.node(index);
     node.runsProductionVersion = false;
@@ -139,17 +143,17 @@
     });
   }
 
-  /** The node runs the version in production, or will when it comes back. */
+  /** True if the node runs the production version, or will run it after its next start. */
   runsProductionVersion(index: number): boolean {
     return this.nodes[index]?.runsProductionVersion ?? false;
   }
 
-  /** Suspends the node's process: timers, answers and requests wait for it, clocks don't. */
+  /** Suspends the node's process: its timers, responses and requests wait until it is resumed; its clocks continue. */
   suspendNode(index: number, duration: Micros): void {
     this.node(index).suspend(duration);
   }
 
-  /** Connections between this node and its peers are refused, either way. */
+  /** Starts or stops refusing connections between this node and its peers, in both directions. */
   refusePeers(index: number, on: boolean): void {
     const { refusedLinks } = this.net;
     for (let peer = 0; peer < this.nodeCount; peer++) {
@@ -160,23 +164,23 @@
     }
   }
 
-  /** Submits a job as a user does: until it is accepted, then asks for its status until it has ended. */
+  /** Simulates a job's user: submits the job until it is accepted, then polls its status until it has ended. */
   submit(spec: JobSpec, cancelAfter: Micros | null = null): void {
     this.users.submit(spec, cancelAfter);
   }
 
-  /** Requests the cancellation of a job at one node, without retry; returns the status of the answer. */
+  /** Requests the cancellation of a job at one node, without retry; returns the status of the response. */
   async cancelJob(id: string, node: number): Promise<number> {
     this.invariants.cancellationRequested(id);
     return this.sendUserRequest(id, { node, method: 'POST', path: `/submissions/${id}/withdraw` });
   }
 
-  /** Sends one request of a job's user, without retry; returns the status of the answer, 0 if none arrives in time. */
+  /** Sends one request of a job's user, without retry; returns the response status, 0 if none arrives in time. */
   sendUserRequest(id: string, request: UserRequest): Promise<number> {
     return this.users.send(id, request);
   }
 
-  /** Lets simulated time pass; throws the first violation of an invariant. */
+  /** Advances simulated time by this duration; throws the first violation of an invariant. */
   async run(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => {
       this.services.failure.rethrow();
@@ -201,7 +205,7 @@
 
   private node(index: number): SimNode {
     const node = this.nodes[index];
-    if (!node) throw new RangeError(`no node ${index} among ${this.nodeCount}`);
+    if (!node) throw new RangeError(`node ${index} does not exist: the cluster has ${this.nodeCount} nodes`);
     return node;
   }
 
@@ -254,7 +258,7 @@
 
   private setUpWorker(host: CloudHost, limits: Settings): WorkerSetup {
     const type = this.types.find(({ name }) => name === host.machineType);
-    if (!type) throw new Error(`machine ${host.host} is of unknown type ${host.machineType}`);
+    if (!type) throw new Error(`machine ${host.host} has the unknown machine type ${host.machineType}`);
     return {
       nodes: this.nodes.map(({ index }) => ({ member: `node-${index}`, endpoint: userEndpoint(index) })),
       createClient: (gate) => this.net.createClient(host.host, host.zone, gate),
@@ -264,7 +268,7 @@
     };
   }
 
-  /** No worker is faulty; the draw stays so that earlier seeds give the same runs. */
+  /** Returns false: no worker is faulty. The random draw remains so that earlier seeds reproduce the same runs. */
   private drawFaultyWorker(): boolean {
     return this.random() < 0;
   }
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -1,44 +1,50 @@
-/** Gangs as the workers run them: tasks of one attempt find each other, start together and complete together. */
+/** Simulated execution of gangs: the tasks of one attempt find each other, start together and complete together. */
 import { fromSeconds, type JobSpec, type Micros, SECOND } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 
-/** A gang's task on its machine, as the others of the gang see it. */
+/** A task of a gang on its machine, as the gang's other tasks see it. */
 export interface GangMember {
   readonly task: string;
-  /** It is on its machine and makes progress there; a machine that hangs does not answer. */
+  /** True if the task is on its machine and makes progress; false on a machine that hangs. */
   isAnswering(): boolean;
+  /** Called once all tasks of the attempt are present. */
   started(): void;
+  /** Called when the gang has completed. */
   completed(): void;
+  /** Called when the task notices that another task of its attempt is lost. */
   lostPeer(): void;
 }
 
 /** Time limits of gangs. */
 export interface GangTimes {
-  /** For how long a task waits for the others. */
+  /** How long a task waits for the other tasks of its attempt. */
   gatherTimeout: Micros;
-  /** Within what time a task notices that another one is gone. */
+  /** Longest time until a task notices the loss of another one. */
   peerLossTimeout: Micros;
 }
 
 type RunState = 'gathering' | 'running' | 'broken' | 'done';
 
+/** One attempt of a gang. */
 interface GangRun {
   state: RunState;
+  /** Keyed by task name. */
   members: Map<string, GangMember>;
   startedAt: Micros;
 }
 
-/** How often the tasks of a running gang look after each other. */
+/** Interval at which the tasks of a running gang check each other. */
 const MEMBER_CHECK_INTERVAL: Micros = SECOND / 2;
 
-/** All gangs of a cluster, as their workers see them. */
+/** All gangs of a cluster. */
 export class SimGangs {
-  /** By job and attempt. */
+  /** Keyed by `job#attempt`. */
   private readonly runs = new Map<string, GangRun>();
-  /** By job: progress that was saved, which the next attempt goes on from. */
+  /** Progress in the last checkpoint, from which the next attempt continues. Keyed by job id. */
   private readonly checkpoints = new Map<string, Micros>();
+  /** Total run time, drawn at random. Keyed by job id. */
   private readonly runTimes = new Map<string, Micros>();
-  /** Attempts that came together. */
+  /** Number of attempts whose tasks started together. */
   starts = 0;
 
   constructor(
@@ -47,14 +53,14 @@
     readonly times: GangTimes,
   ) {}
 
-  /** The task has its image and waits for the others of its attempt. */
+  /** Adds a task that has its image; the attempt starts once all of its tasks have joined. */
   join(spec: JobSpec, attempt: number, member: GangMember): void {
     const run = this.findOrCreateRun(spec.id, attempt);
     run.members.set(member.task, member);
     if (run.state === 'gathering' && run.members.size === spec.taskCount) this.start(spec, run);
   }
 
-  /** The task is off its machine. What waits goes on waiting; what runs breaks up. */
+  /** Removes a task that no longer runs. A gathering attempt continues to wait; a running attempt breaks up. */
   leave(spec: JobSpec, attempt: number, member: GangMember): void {
     const run = this.findOrCreateRun(spec.id, attempt);
     if (run.members.get(member.task) !== member) return;
@@ -92,7 +98,7 @@
     }
   }
 
-  /** Progress since the last checkpoint is lost; the tasks that are left notice within their time. */
+  /** Ends a running attempt. Progress since the checkpoint is lost; each remaining task notices within a timeout. */
   private breakUp(spec: JobSpec, run: GangRun): void {
     const checkpointInterval = fromSeconds(spec.checkpointS);
     if (checkpointInterval > 0) {
@@ -109,6 +115,7 @@
     }
   }
 
+  /** Returns the progress of a running attempt, including that of its checkpoint. */
   private progress(spec: JobSpec, run: GangRun): Micros {
     return (this.checkpoints.get(spec.id) ?? 0) + this.clock.time - run.startedAt;
   }
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -1,4 +1,4 @@
-/** A simulated network with delays, losses, duplicates and partitions. */
+/** A simulated network with delays, message loss, duplicates and partitions. */
 import {
   type HttpClient,
   decode,
@@ -13,12 +13,12 @@
 } from '#wire';
 import type { Gate, SimClock } from './sim-clock.js';
 
-/** Answer of a simulated endpoint. */
+/** Response of a simulated endpoint. */
 export interface SimResponse {
   status: number;
   body: unknown;
 }
-/** Answers now, later, or never (a promise that stays open). */
+/** Handles a request. The response may come at once, later, or never (a promise that stays pending). */
 export type Handler = (
   from: string,
   method: HttpMethod,
@@ -26,34 +26,37 @@
   body: unknown,
 ) => Promise<SimResponse> | SimResponse;
 
-/** Random faults that hold for all messages. */
+/** Random faults that apply to all messages. */
 export interface NetworkFaults {
-  /** Chance that a request or an answer is lost or held back. */
+  /** Probability that a request is delayed, its response is lost, or the request is lost, with one third each. */
   faultRate: number;
-  /** How long held requests are held at most. */
+  /** Longest delay of a delayed request. */
   maxDelay: Micros;
-  /** Chance that a copy of a worker's report comes late, by up to `copyAfter`. */
+  /** Probability that a copy of a worker's heartbeat arrives later. */
   duplicateRate?: number;
+  /** Longest delay of such a copy. */
   maxDuplicateDelay?: Micros;
 }
 
 /**
- * The network between simulated parties: delays, answers that get lost, requests that are carried out long
- * after their sender gave up, and cuts between places.
+ * The network between simulated parties (nodes, workers, users, state service and cloud). Messages are delayed,
+ * responses are lost, requests arrive long after their sender timed out, and zones are partitioned from each other.
  */
 export class SimNet {
   faults: NetworkFaults = { faultRate: 0, maxDelay: 0 };
+  /** Keyed by endpoint. The zone is null for services of the whole region. */
   private readonly handlers = new Map<string, { handler: Handler; zone: string | null }>();
+  /** Pairs `zone|zone` between which no message passes. */
   private readonly partitions = new Set<string>();
-  /** Zones that reach nothing outside, and whether connections to them are reset at once or just hang. */
+  /** Isolated zones, and whether connections into and out of them hang or are reset at once. */
   private readonly isolated = new Map<string, 'hold' | 'reset'>();
-  /** Parties whose requests arrive while no answer comes back. */
+  /** Parties whose requests arrive while every response to them is lost. */
   readonly unansweredParties = new Set<string>();
-  /** Links (`from>endpoint`, or `from>` for all) whose requests are held on the way, and what is held. */
+  /** Requests held in transit. Keyed by link: `from>endpoint`, or `from>` for all endpoints. */
   private readonly held = new Map<string, (() => void)[]>();
-  /** Connections that are refused: `from>endpoint`. */
+  /** Links (`from>endpoint`) whose connections are refused. */
   readonly refusedLinks = new Set<string>();
-  /** Parties and endpoints that take so many times as long. */
+  /** Factor by which messages are slower. Keyed by party or endpoint. */
   readonly slowdowns = new Map<string, number>();
 
   constructor(
@@ -61,15 +64,17 @@
     private readonly random: () => number,
   ) {}
 
+  /** Serves requests at an endpoint; the zone is null for a service of the whole region. */
   serve(endpoint: string, zone: string | null, handler: Handler): void {
     this.handlers.set(endpoint, { handler, zone });
   }
 
+  /** Makes an endpoint refuse connections. */
   stopServing(endpoint: string): void {
     this.handlers.delete(endpoint);
   }
 
-  /** Cuts two zones from each other. The region's own services (place null) stay reachable. */
+  /** Starts or ends a partition between two zones. The services of the region (zone null) stay reachable. */
   setPartition(a: string, b: string, on: boolean): void {
     for (const key of [`${a}|${b}`, `${b}|${a}`]) {
       if (on) this.partitions.add(key);
@@ -77,22 +82,22 @@
     }
   }
 
-  /** Cuts a zone off from everything outside, the region's own services included. */
+  /** Isolates a zone from everything outside it, including the services of the region; null ends the isolation. */
   isolate(zone: string, mode: 'hold' | 'reset' | null): void {
     if (mode === null) this.isolated.delete(zone);
     else this.isolated.set(zone, mode);
   }
 
   /**
-   * Holds what this party sends, to all or to one endpoint, until {@link release}: its sender has mostly given up by
-   * then. So it looks, too, if a process stands still between deciding and sending.
+   * Holds the requests of a party, to all or to one endpoint, until {@link release}; by then most senders have timed
+   * out. A process that is suspended between a decision and its request has the same effect.
    */
   hold(from: string, endpoint = ''): void {
     const link = `${from}>${endpoint}`;
     if (!this.held.has(link)) this.held.set(link, []);
   }
 
-  /** Delivers what was held, in order; returns how many requests that were. */
+  /** Delivers the held requests in order and returns their number. */
   release(from: string, endpoint = ''): number {
     const link = `${from}>${endpoint}`;
     const requests = this.held.get(link) ?? [];
@@ -101,7 +106,7 @@
     return requests.length;
   }
 
-  /** A caller for one party; what comes back reaches it through the gate. */
+  /** Creates the HTTP client of one party; responses and timeouts reach it through the gate. */
   createClient(from: string, zone: string | null, gate: Gate): HttpClient {
     return (endpoint, method, path, body, timeout) =>
       new Promise<HttpReply>((resolve, reject) => {
@@ -182,7 +187,7 @@
     });
   }
 
-  /** A copy of a report comes long after it, whoever has the machine by then; nobody hears the answer. */
+  /** Delivers a late copy of a random heartbeat, even if another node owns the machine by then; drops the response. */
   private maybeDuplicate(
     from: string,
     endpoint: string,
@@ -197,17 +202,20 @@
     });
   }
 
+  /** True if no message passes between two zones. */
   private isPartitioned(a: string | null, b: string | null): boolean {
     if (a === b) return false;
     if ((a !== null && this.isolated.has(a)) || (b !== null && this.isolated.has(b))) return true;
     return a !== null && b !== null && this.partitions.has(`${a}|${b}`);
   }
 
+  /** True if a connection between two zones is reset at once. */
   private isReset(a: string | null, b: string | null): boolean {
     if (a === b) return false;
     return [a, b].some((zone) => zone !== null && this.isolated.get(zone) === 'reset');
   }
 
+  /** Returns a random latency: 1 to 5 ms, and up to 300 ms for 2% of the messages. */
   private latency(): Micros {
     return this.random() < 0.02
       ? Math.floor(this.random() * SECOND * 0.3)
--- a/packages/testkit/sim-node.ts
+++ b/packages/testkit/sim-node.ts
@@ -1,4 +1,4 @@
-/** A node of a simulated cluster: its process is started, suspended, ended and upgraded by tests. */
+/** A node of a simulated cluster, whose process tests start, suspend, end and upgrade. */
 import type { Logger, PeerHighWaterMark, PeerStatus, Ping } from '#cluster';
 import { Controller, type ControllerOptions } from '#daemon';
 import { defaultTuning, type Settings } from '#settings';
@@ -12,14 +12,14 @@
 const NO_LOG: Logger = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const HEARTBEAT_PATH = '/v1/report';
 
-/** One run of a node's process. */
+/** One run of a node's process, from its start to its end. */
 interface ProcessRun {
   isRunning: boolean;
-  /** Until then the process is suspended, while its clocks run on. */
+  /** The process is suspended until this time, while its clocks continue. */
   suspendedUntil: Micros;
 }
 
-/** What a node needs of its cluster. */
+/** Dependencies of {@link SimNode}. */
 export interface SimNodeOptions {
   readonly index: number;
   readonly settings: Settings;
@@ -27,21 +27,21 @@
   readonly clock: SimClock;
   readonly random: () => number;
   readonly net: SimNet;
-  /** A new name for each start of a process. */
+  /** Returns a new incarnation for each start of a process. */
   readonly nextIncarnation: () => string;
-  /** Called with the status of each answer to a worker's heartbeat. */
+  /** Called with the status of each heartbeat response. */
   readonly onHeartbeat: (host: string, status: number) => void;
 }
 
 /** One node of a simulated cluster. */
 export class SimNode {
-  /** Null while the process is down. */
+  /** The controller of either version; null while the process is down. */
   controller: SimulatedController | null = null;
-  /** The same controller if it is of the present version. */
+  /** The same controller if the process runs the current version; null otherwise. */
   currentController: Controller | null = null;
-  /** Its process comes back with the version in production. */
+  /** True if the process runs the production version, or will run it after its next start. */
   runsProductionVersion: boolean;
-  /** Heartbeats that this node has answered with 200. */
+  /** Number of heartbeats that this node answered with 200. */
   heartbeatCount = 0;
   private run: ProcessRun = { isRunning: false, suspendedUntil: 0 };
 
@@ -66,7 +66,7 @@
     this.serveUsersAndWorkers(controller, run, gate);
   }
 
-  /** Ends the process without notice. */
+  /** Ends the process abruptly. */
   kill(): void {
     if (!this.run.isRunning) return;
     this.run.isRunning = false;
@@ -77,17 +77,18 @@
     net.stopServing(settings.clusterListen);
   }
 
-  /** Suspends the process: timers, answers and requests wait for it, clocks don't. */
+  /** Suspends the process: its timers, responses and requests wait until it is resumed; its clocks continue. */
   suspend(duration: Micros): void {
     this.run.suspendedUntil = this.options.clock.time + duration;
   }
 
+  /** Creates the gate through which all steps of one process run pass. */
   private gateOf(run: ProcessRun): Gate {
     const { clock, random } = this.options;
     const pass: Gate = (step) => {
       if (!run.isRunning) return;
       if (clock.time >= run.suspendedUntil) step();
-      // What has gathered meanwhile passes in a random order.
+      // Steps that waited for a suspended process run in a random order, within 20 ms after it is resumed.
       else {
         clock.at(run.suspendedUntil - clock.time + random() * 20 * MS, () => {
           pass(step);
@@ -131,7 +132,7 @@
     return toSimulatedController(this.currentController);
   }
 
-  /** Adds the sender and its term to each request to the cloud, for the checks of effects. */
+  /** Adds the sender's term and version to each request to the cloud, from which {@link RoleHistory} checks effects. */
   private withSender(httpClient: HttpClient): HttpClient {
     return (endpoint, method, path, body, timeout) => {
       if (endpoint !== CLOUD_ENDPOINT || !isWireFields(body))
--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -1,6 +1,6 @@
 /**
- * What surrounds the nodes of a cluster under test: state service, cloud, machines and their workers, with the
- * invariants and the effects of each role checked as they happen. Simulated and loopback clusters share it.
+ * The environment of the nodes of a cluster under test: state service, cloud, machines and workers. The invariants and
+ * the effects of each role are checked as they occur. Simulated clusters and clusters on loopback share this module.
  */
 import type { WireFields, HttpClient, JobSpec, MachineType, Micros } from '#wire';
 import { FirstFailure } from './first-failure.js';
@@ -12,18 +12,19 @@
 import { SimStore, type StoreLimits } from './sim-store.js';
 import { SimWorker, type WorkerCapacity, type WorkerLimits } from './sim-worker.js';
 
-/** What differs from one worker to the next. */
+/** Options of one worker. */
 export interface WorkerSetup {
-  /** Addresses of the nodes by name. */
+  /** Name and address of each node. */
   readonly nodes: { member: string; endpoint: string }[];
+  /** Creates the HTTP client of the worker. */
   readonly createClient: (gate: Gate) => HttpClient;
   readonly limits: WorkerLimits;
   readonly capacity: WorkerCapacity;
-  /** Every task fails on this worker. */
+  /** True if every task fails on this worker. */
   readonly isFaulty: boolean;
 }
 
-/** Parts and limits of the services. */
+/** Dependencies and limits of {@link SimServices}. */
 export interface SimServicesOptions {
   readonly clock: SimulationClock;
   readonly random: () => number;
@@ -36,8 +37,9 @@
   readonly gangTimes: GangTimes;
   readonly teamLimits: TeamLimits;
   readonly cancellationDeadline: Micros;
-  /** Called after each transaction that the state service applied, unless it has lost data. */
+  /** Called with the writes of each transaction that the state service has applied, unless it has lost data. */
   readonly onCommit: (writes: WireFields[]) => void;
+  /** Returns the options of the worker on a machine that has booted. */
   readonly setUpWorker: (host: CloudHost) => WorkerSetup;
 }
 
@@ -47,10 +49,11 @@
   readonly cloud: SimCloud;
   readonly invariants: InvariantChecker;
   readonly gangs: SimGangs;
-  /** The effects of each role with the term that they were asked for under. */
+  /** The effects of each role, with the terms under which they were requested. */
   readonly history: RoleHistory;
-  /** By host. */
+  /** Workers of all running machines. Keyed by host. */
   readonly workers = new Map<string, SimWorker>();
+  /** Specifications of submitted jobs. Keyed by job id. */
   readonly specs = new Map<string, JobSpec>();
   /** The first failure in a callback. */
   readonly failure = new FirstFailure();
@@ -87,7 +90,7 @@
       this.history.beforeCommit(guards, writes);
     };
     this.store.afterApply = (writes) => {
-      // Commits after a loss belong to another history than the one recorded here.
+      // Commits after a data loss do not follow from the commits that are recorded here.
       if (this.store.hasLostData) return;
       this.history.afterCommit(writes, this.store.revision);
       this.options.onCommit(writes);
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,4 +1,4 @@
-/** A simulated state service: rows with revisions, guarded commits, leases and watches. */
+/** A simulated state service: rows with revisions, compare-and-swap transactions, leases and watches. */
 import { type WireFields, isWireFields, jsonBytes, type HttpMethod, type Micros, MS, SECOND } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 import type { Handler, SimResponse } from './sim-net.js';
@@ -9,12 +9,12 @@
   leaseId: number | null;
 }
 
-/** All that the state service held at one revision. */
+/** A copy of all data of the state service at one revision. */
 export interface StoreBackup {
   rows: ReadonlyMap<string, Row>;
-  /** How long each grant lives. */
+  /** Duration of each lease. Keyed by lease id. */
   leases: ReadonlyMap<number, Micros>;
-  /** The latest changes, for watches. */
+  /** The latest changes, from which watches are answered. */
   recentChanges: readonly StoredChange[];
   revision: number;
 }
@@ -27,59 +27,73 @@
 
 /** Limits of the simulated state service. */
 export interface StoreLimits {
+  /** Requests per second. */
   rps: number;
+  /** Written rows per second. */
   writeRps: number;
+  /** Most writes in one transaction. */
   txnOps: number;
+  /** Most bytes of one value. */
   valueBytes: number;
-  /** Rows that one answer to a list request holds at most. */
+  /** Most rows in one response to a list request. */
   pageRows: number;
 }
 
-/** Bytes that one answer to a list request holds at most. */
+/** Most bytes of rows in one response to a list request, unless its first row alone is larger. */
 const PAGE_BYTES = 512 * 1024;
 
+/** An open watch request. */
 interface Watch {
+  /** The party that sent it. */
   from: string;
   prefix: string;
+  /** The watch reports changes after this revision. */
   after: number;
-  /** When it is answered even without news. */
+  /** Time at which the watch is answered even if nothing has changed. */
   until: Micros;
   answer: (response: SimResponse) => void;
 }
 
-/** The state service, as its page describes it. */
+/** The state service, as its specification describes it. */
 export class SimStore {
+  /** All rows. Keyed by path. */
   readonly rows = new Map<string, Row>();
+  /** Revision of the latest change. */
   revision = 0;
+  /** True during an outage: every request is answered with 503, and no lease expires. */
   isOut = false;
-  /** Requests that came, and those that were over a limit. */
+  /** Number of requests received. */
   requestCount = 0;
+  /** Number of requests refused because they exceeded a rate limit. */
   refusedRequestCount = 0;
-  /** Renewals of grants among them. */
+  /** Number of lease renewals. */
   renewalCount = 0;
-  /** Writes that were larger than lowered limits allow. */
+  /** Number of transactions refused because their size exceeded a limit. */
   oversizedWriteCount = 0;
-  /** Nodes that alone get 503. */
+  /** Nodes whose requests are answered with 503 while all others are served. */
   readonly refusedNodes = new Set<string>();
-  /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+  /** Share of transactions that get no response and are executed 2 to 12 s later, after newer ones. */
   lateCommitRate = 0;
-  /** Whether this very transaction gets no answer and is carried out late, too. */
+  /** Returns true for a further transaction that gets no response and is executed late. */
   delaysCommit: (writes: readonly WireFields[]) => boolean = () => false;
-  /** Transactions that came to their turn late, and how many of those still changed something. */
+  /** Number of transactions executed late, and how many of them still changed something. */
   lateCommits = { executed: 0, applied: 0 };
-  /** Called with every transaction that is applied, before it is. */
+  /** Called with the guards and writes of each transaction whose guards hold, before its writes are applied. */
   beforeApply: (guards: WireFields[], writes: WireFields[]) => void = () => undefined;
-  /** Called with every transaction that was applied. */
+  /** Called with the writes of each transaction after they are applied. */
   afterApply: (writes: WireFields[]) => void = () => undefined;
-  /** What it shows is not what was committed: see {@link restore}. */
+  /** True while committed data is missing because an older backup was restored. */
   hasLostData = false;
+  /** The highest revision before data was lost. */
   private highestRevision = 0;
   private readonly leases = new Map<number, { duration: Micros; until: Micros }>();
   private nextLeaseId = 1;
   private recentChanges: StoredChange[] = [];
+  /** Watches that start before this revision are answered with 410: their changes are no longer kept. */
   private compactedRevision = 0;
   private watches: Watch[] = [];
   private hasLoweredLimits = false;
+  /** Token buckets of the rate limits. */
   private requestBucket = { tokens: 0, at: 0 };
   private writeBucket = { tokens: 0, at: 0 };
 
@@ -93,19 +107,21 @@
     this.sweep();
   }
 
-  /** From now on less is allowed; what is stored stays readable. */
+  /** Lowers limits at run time. Larger values that are already stored stay readable. */
   lowerLimits(limits: Partial<StoreLimits>): void {
     this.limits = { ...this.limits, ...limits };
     this.hasLoweredLimits = true;
   }
 
+  /** Starts or ends an outage. */
   setOutage(on: boolean): void {
     this.isOut = on;
-    // After an outage every grant gets its full time again.
+    // After an outage every lease gets its full duration again.
     if (!on) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
     if (!on) this.answerDueWatches();
   }
 
+  /** Handles a request to the state service. */
   readonly handler: Handler = (from, method, path, body) => {
     this.requestCount++;
     if (!this.admit(this.requestBucket, this.limits.rps, 1)) return { status: 429, body: {} };
@@ -118,7 +134,7 @@
     return this.route(from, method, path, body);
   };
 
-  /** Writes a row without asking anybody, as a foreign hand might. */
+  /** Writes a row without any guard or limit, as a program other than the controllers might. */
   writeUnguarded(write: WireFields): void {
     this.revision++;
     const leaseId = typeof write['Permit'] === 'number' ? write['Permit'] : null;
@@ -126,6 +142,7 @@
     this.answerDueWatches();
   }
 
+  /** Returns a copy of all data. */
   backup(): StoreBackup {
     const leases = new Map([...this.leases].map(([id, { duration }]) => [id, duration]));
     return {
@@ -136,7 +153,7 @@
     };
   }
 
-  /** Holds what it held at the backup, and knows nothing of what was committed since; grants get their full time. */
+  /** Replaces all data by a backup, so that later commits are lost. Leases get their full duration again. */
   restore({ rows, leases, recentChanges, revision }: StoreBackup): void {
     if (!this.hasLostData) this.highestRevision = this.revision;
     this.hasLostData = revision < this.highestRevision;
@@ -148,12 +165,12 @@
     this.recentChanges = [...recentChanges];
   }
 
-  /** Loses everything, as one that was set up anew. */
+  /** Loses all data and starts again at revision 0, as a new installation does. */
   wipe(): void {
     this.restore({ rows: new Map(), leases: new Map(), recentChanges: [], revision: 0 });
   }
 
-  /** Loses some keys; open watches are told of it, or nobody is. */
+  /** Loses some rows and returns their paths; open watches are notified of the deletions only if asked for. */
   loseKeys(isLost: (path: string) => boolean, notifiesWatches: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
     if (notifiesWatches) this.revision++;
@@ -165,7 +182,7 @@
     return lost;
   }
 
-  /** Puts lost keys back as they were, under their own revisions. */
+  /** Restores lost rows from a backup, with the revisions that they had. */
   restoreKeys({ rows }: StoreBackup, paths: Iterable<string>): void {
     for (const path of paths) {
       const row = rows.get(path);
@@ -238,7 +255,8 @@
     for (const write of writes) {
       if (write['Set'] === undefined) continue;
       if (jsonBytes(write['V']) > this.limits.valueBytes) {
-        if (!this.hasLoweredLimits) throw new Error(`value of ${String(write['Set'])} is over the limit`);
+        if (!this.hasLoweredLimits)
+          throw new Error(`value of row ${String(write['Set'])} exceeds ${this.limits.valueBytes} bytes`);
         this.oversizedWriteCount++;
         return { status: 400, body: {} };
       }
@@ -275,6 +293,7 @@
     return { status: 400, body: {} };
   }
 
+  /** Executes a transaction 2 to 12 s later; its sender gets no response. */
   private commitLate(body: WireFields): Promise<SimResponse> {
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
       const before = this.revision;
@@ -311,10 +330,11 @@
     });
   }
 
+  /** Answers the watches for which there is a change, or whose time is over. */
   private answerDueWatches(): void {
     if (this.isOut) return;
     for (const watch of [...this.watches]) {
-      // A node that alone is refused waits as all do in an outage, also beyond the time it asked for.
+      // A refused node waits as all nodes do in an outage, also beyond the time that it asked for.
       if (this.refusedNodes.has(watch.from)) continue;
       if (this.clock.time >= watch.until) this.answerWatch(watch);
       else if (this.recentChanges.some((c) => c.revision > watch.after && c.path.startsWith(watch.prefix)))
@@ -341,6 +361,7 @@
     this.answerDueWatches();
   }
 
+  /** Expires leases and answers watches, every 50 ms. */
   private sweep(): void {
     if (!this.isOut) {
       for (const [id, lease] of this.leases) if (lease.until < this.clock.time) this.expireLease(id);
@@ -351,6 +372,7 @@
     });
   }
 
+  /** Takes tokens from a rate limit's bucket; returns false if it holds too few. */
   private admit(bucket: { tokens: number; at: Micros }, rate: number, cost: number): boolean {
     bucket.tokens = Math.min(rate, bucket.tokens + ((this.clock.time - bucket.at) * rate) / SECOND);
     bucket.at = this.clock.time;
--- a/packages/testkit/sim-users.ts
+++ b/packages/testkit/sim-users.ts
@@ -1,11 +1,11 @@
-/** Users of a simulated cluster: they submit jobs, ask for their status and cancel them. */
+/** Users of a simulated cluster, who submit jobs, poll their status and cancel them. */
 import { decodeJobStatus, encodeSubmission, type JobSpec, type JobStatus, type Micros, SECOND } from '#wire';
 import { userEndpoint } from './sample-settings.js';
 import type { SimClock } from './sim-clock.js';
 import type { SimNet } from './sim-net.js';
 import type { SimServices } from './sim-services.js';
 
-/** A request of a job's user to one node. */
+/** A request from a job's user to one node. */
 export interface UserRequest {
   readonly node: number;
   readonly method: 'GET' | 'POST';
@@ -13,7 +13,7 @@
   readonly body?: unknown;
 }
 
-/** What users need of the cluster. */
+/** Dependencies of {@link SimUsers}. */
 export interface SimUsersOptions {
   readonly clock: SimClock;
   readonly random: () => number;
@@ -24,12 +24,12 @@
 
 /** All users of a simulated cluster. */
 export class SimUsers {
-  /** By job: the last status that its user received. */
+  /** The last status that each user received. Keyed by job id. */
   readonly lastStatuses = new Map<string, JobStatus>();
 
   constructor(private readonly options: SimUsersOptions) {}
 
-  /** Submits a job until it is accepted, then asks for its status until it has ended. */
+  /** Submits a job until it is accepted, then polls its status until it has ended. */
   submit(spec: JobSpec, cancelAfter: Micros | null): void {
     const { services, clock } = this.options;
     services.specs.set(spec.id, spec);
@@ -37,7 +37,7 @@
     void this.simulateUser(spec, cancelAfter);
   }
 
-  /** Sends one request, without retry; returns the status of the answer, 0 if none arrives in time. */
+  /** Sends one request, without retry; returns the status of the response, 0 if none arrives in time. */
   async send(id: string, { node, method, path, body }: UserRequest): Promise<number> {
     const { net, clock, services } = this.options;
     const httpClient = net.createClient(`user-${id}`, null, (step) => {
@@ -78,12 +78,12 @@
         await this.sendToAnyNode(spec.id, { method: 'POST', path: `/submissions/${spec.id}/withdraw` });
       } else await this.sendToAnyNode(spec.id, { method: 'GET', path: `/submissions/${spec.id}` });
     }
-    // Long after the end a repeated submission still gets the same answer.
+    // A repeated submission is idempotent: it still gets the same response long after the job has ended.
     await this.pause(20 * SECOND);
     await this.sendSubmission(spec);
   }
 
-  /** False if the cluster rejects the job. */
+  /** Returns true once the cluster accepts the job, false if it rejects the job. */
   private async submitUntilAccepted(spec: JobSpec): Promise<boolean> {
     for (;;) {
       const status = await this.sendSubmission(spec);
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -18,12 +18,13 @@
   attempt: number;
   status: 'pulling' | 'gathering' | 'running' | 'saving' | 'exited';
   cause: string | null;
+  /** True if the task saved a checkpoint before it was stopped. */
   isCheckpointed: boolean;
-  /** How the others of its gang see it, once it has its image. */
+  /** The task as a member of its gang, once its image is pulled; null otherwise. */
   member: GangMember | null;
 }
 
-/** Times that a worker keeps. */
+/** Time limits of a worker. */
 export interface WorkerLimits {
   heartbeatInterval: Micros;
   workerLease: Micros;
@@ -36,41 +37,50 @@
   readonly memGb: number;
 }
 
-/** What a simulated worker is made of. */
+/** Dependencies and options of {@link SimWorker}. */
 export interface SimWorkerOptions {
   clock: SimulationClock;
   random: () => number;
   invariants: InvariantChecker;
   gangs: SimGangs;
+  /** Returns the specification of a submitted job. */
   findJob: (id: string) => JobSpec | undefined;
-  /** Addresses of the controller nodes by name. */
+  /** Name and address of each node. */
   nodes: { member: string; endpoint: string }[];
   createClient: (gate: Gate) => HttpClient;
   limits: WorkerLimits;
   capacity: WorkerCapacity;
-  /** Every task fails here. */
+  /** True if every task fails on this worker. */
   isFaulty: boolean;
-  /** Told of every start that the worker executes, with the token of the answer that carried it. */
+  /** Called for each launch command that the worker executes, with the fencing token of its heartbeat response. */
   onLaunch: (task: string, attempt: number, host: string, fencingToken: number) => void;
 }
 
-/** A machine's worker, as the protocol describes it. */
+/** The worker of one machine, as the protocol specifies it. */
 export class SimWorker {
+  /** False once the machine has stopped. */
   isAlive = true;
-  /** Executes nothing while it hangs, but may go on later. */
+  /** True while the worker hangs: it sends no heartbeats and executes no commands, but may recover later. */
   isHanging = false;
+  /** Seconds until the cloud reclaims the machine; null if the cloud has announced nothing. */
   reclaimInS: number | null = null;
-  /** Tasks that were stopped by command. */
+  /** Number of tasks stopped by command. */
   stopCount = 0;
   private incarnation = 1;
+  /** Number of heartbeats in this incarnation. */
   private sequence = 0;
   private fencingToken = 0;
+  /** Time at which the last answered heartbeat was sent; the lease lasts from then on. */
   private leaseStart: Micros;
+  /** Index of the node that receives the heartbeats. */
   private currentNode = 0;
+  /** True if a change is to be reported before the next regular heartbeat. */
   private hasChanged = false;
   private lastHeartbeatAt: Micros = -Infinity;
   private isHeartbeatInFlight = false;
+  /** Tasks that were launched and not reaped yet. Keyed by `task#attempt`. */
   private readonly tasks = new Map<string, Task>();
+  /** Images in the cache of the machine. */
   private readonly images = new Set<string>();
   private readonly httpClient: HttpClient;
 
@@ -90,7 +100,7 @@
     return this.options.isFaulty;
   }
 
-  /** The node that it reports to, by its place among them. */
+  /** Index of the node that receives the heartbeats. */
   get nodeIndex(): number {
     return this.currentNode;
   }
@@ -99,13 +109,14 @@
     return this.tasks.size;
   }
 
-  /** The machine is gone, with all that is on it. */
+  /** Stops the machine with all tasks on it. */
   destroy(): void {
     if (!this.isAlive) return;
     this.isAlive = false;
     this.killAllTasks();
   }
 
+  /** Sends a heartbeat if one is due, and checks the lease, every 100 ms. */
   private tick(): void {
     if (!this.isAlive) return;
     const { clock, limits, random } = this.options;
@@ -122,6 +133,7 @@
     });
   }
 
+  /** Kills all tasks and starts a new worker incarnation. */
   private handleLeaseExpiry(): void {
     this.killAllTasks();
     this.incarnation++;
@@ -257,11 +269,11 @@
     clock.at(fails ? runTime * 0.2 : runTime, finish);
   }
 
-  /** Waits for the other tasks of its attempt: it is on its machine meanwhile, and makes no progress. */
+  /** Makes a task wait for the other tasks of its attempt. It occupies its machine meanwhile, without progress. */
   private joinGang(task: Task, spec: JobSpec): void {
     const { clock, gangs, invariants } = this.options;
     if (invariants.isDone(task.taskName)) {
-      // The result of an earlier attempt was kept.
+      // An earlier attempt has completed the task, and its result is stored.
       this.exitTask(task, 'done');
       return;
     }
@@ -314,6 +326,7 @@
     this.hasChanged = true;
   }
 
+  /** Reports to the invariants and to the gang that a task no longer runs. */
   private recordTaskStopped(task: Task): void {
     if (!['running', 'saving', 'gathering'].includes(task.status)) return;
     this.options.invariants.taskEnded(task.taskName, false);
@@ -323,13 +336,13 @@
     if (spec && member) this.options.gangs.leave(spec, task.attempt, member);
   }
 
-  /** Room for all that is on it, the task just put there included. */
+  /** True if the capacity of the machine covers all of its tasks, including the one just launched. */
   private hasCapacity(): boolean {
     const free = this.freeCapacity();
     return free.cpus > -1e-6 && free.gpus > -1e-6 && free.memGb > -1e-6;
   }
 
-  /** What its tasks leave of the machine. */
+  /** Returns the capacity of the machine that its tasks leave free. */
   freeCapacity(): { cpus: number; gpus: number; memGb: number } {
     const free = { ...this.options.capacity };
     for (const t of this.tasks.values()) {
--- a/packages/testkit/simulated-controller.ts
+++ b/packages/testkit/simulated-controller.ts
@@ -1,10 +1,10 @@
-/** What a simulated cluster asks of a controller, whichever version of the program it runs. */
+/** The interface between a simulated cluster and a controller, of the current or of the production version. */
 import type { ServiceResponse } from '#api';
 import type { PeerStatus } from '#cluster';
 import type { Controller } from '#daemon';
 import { factsOfLedger, type ReplicaFacts } from './ledger-agreement.js';
 
-/** One controller of either version. */
+/** A controller of either version. */
 export interface SimulatedController {
   start(): void;
   handleHeartbeat(body: unknown): Promise<ServiceResponse>;
@@ -13,11 +13,11 @@
   cancelJob(id: string): Promise<ServiceResponse>;
   health(): ServiceResponse;
   peerStatus(): PeerStatus;
-  /** This controller's copy of the state, in a form that is common to both versions. */
+  /** Returns this controller's replica of the state, in a form that is common to both versions. */
   replicaFacts(): ReplicaFacts;
 }
 
-/** A controller of the present version. */
+/** Adapts a controller of the current version. */
 export function toSimulatedController(controller: Controller): SimulatedController {
   const { jobService } = controller;
   return {
--- a/packages/testkit/suite.ts
+++ b/packages/testkit/suite.ts
@@ -1,4 +1,4 @@
-/** Runs all tests of the tree that it was compiled into, and lets those fail that `KNOWN-RED.txt` lists. */
+/** Runs all tests of the compiled tree that contains it. Only the tests that `KNOWN-RED.txt` lists may fail. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
 import { run } from 'node:test';
