--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -94,7 +94,10 @@
 
 test('with a wider renewal bound the same combination violates the invariant', async () => {
   // The controllers are told of ten seconds more than users are promised: what they add to the bound.
-  const widened = { settings: { cancellationDeadline: 35 * SECOND }, promisedCancel: 25 * SECOND };
+  const widened = {
+    settings: { cancellationDeadline: 35 * SECOND },
+    promisedCancellationDeadline: 25 * SECOND,
+  };
   await assert.rejects(
     gap(72, 1, widened),
     (cause) => cause instanceof InvariantViolation && cause.invariant === 'ran_cancelled',
--- a/packages/testkit/loopback-server.ts
+++ b/packages/testkit/loopback-server.ts
@@ -14,14 +14,14 @@
 export async function serveOnLoopback(handler: Handler): Promise<LoopbackServer> {
   const server: Server = createServer((request, response) => {
     void readBody(request).then(async (body) => {
-      const { status, body: answer } = await handler(
+      const { status, body: responseBody } = await handler(
         '',
         request.method as HttpMethod,
         request.url ?? '/',
         body,
       );
       response.statusCode = status;
-      response.end(encode(answer));
+      response.end(encode(responseBody));
     });
   });
   server.keepAliveTimeout = 60_000;
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -126,8 +126,11 @@
           finish(() => {
             if (!response) reject(new Error('refused'));
             else {
-              const answer = decode(encode(response.body));
-              resolve({ status: response.status, body: isWireFields(answer) ? answer : ({} as WireFields) });
+              const responseBody = decode(encode(response.body));
+              resolve({
+                status: response.status,
+                body: isWireFields(responseBody) ? responseBody : ({} as WireFields),
+              });
             }
           });
         });
@@ -141,19 +144,19 @@
     method: HttpMethod,
     path: string,
     body: unknown,
-    answer: (response: SimResponse | null) => void,
+    respond: (response: SimResponse | null) => void,
   ): void {
     const queue = this.held.get(`${from}>`) ?? this.held.get(`${from}>${endpoint}`);
     if (queue) {
       queue.push(() => {
-        this.deliver(from, zone, endpoint, method, path, body, answer);
+        this.deliver(from, zone, endpoint, method, path, body, respond);
       });
       return;
     }
     const target = this.handlers.get(endpoint);
     if (this.refusedLinks.has(`${from}>${endpoint}`) || this.isReset(zone, target?.zone ?? null)) {
       this.clock.at(this.latency(), () => {
-        answer(null);
+        respond(null);
       });
       return;
     }
@@ -170,7 +173,7 @@
     this.clock.at(delay, () => {
       const currentTarget = this.handlers.get(endpoint);
       if (!currentTarget) {
-        answer(null);
+        respond(null);
         return;
       }
       void Promise.resolve(currentTarget.handler(from, method, path, body)).then((response) => {
@@ -181,7 +184,7 @@
         )
           return;
         this.clock.at(this.latency() * slowdown, () => {
-          answer(response);
+          respond(response);
         });
       });
     });
--- a/packages/testkit/sim-node.ts
+++ b/packages/testkit/sim-node.ts
@@ -157,12 +157,12 @@
     const { net, settings } = this.options;
     net.serve(settings.bind, settings.domain, async (_from, method, path, body) => {
       await new Promise<void>(gate);
-      const answer = await route(controller, { method, path, body });
+      const response = await route(controller, { method, path, body });
       if (path === HEARTBEAT_PATH) {
-        if (answer.status === 200) this.heartbeatCount++;
-        this.options.onHeartbeat(isWireFields(body) ? String(body['Host']) : '', answer.status);
+        if (response.status === 200) this.heartbeatCount++;
+        this.options.onHeartbeat(isWireFields(body) ? String(body['Host']) : '', response.status);
       }
-      return run.isRunning ? answer : await new Promise(() => undefined);
+      return run.isRunning ? response : await new Promise(() => undefined);
     });
   }
 }
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -51,7 +51,7 @@
   after: number;
   /** Time at which the watch is answered even if nothing has changed. */
   until: Micros;
-  answer: (response: SimResponse) => void;
+  respond: (response: SimResponse) => void;
 }
 
 /** The state service, as its specification describes it. */
@@ -61,7 +61,7 @@
   /** Revision of the latest change. */
   revision = 0;
   /** True during an outage: every request is answered with 503, and no lease expires. */
-  isOut = false;
+  isUnavailable = false;
   /** Number of requests received. */
   requestCount = 0;
   /** Number of requests refused because they exceeded a rate limit. */
@@ -115,7 +115,7 @@
 
   /** Starts or ends an outage. */
   setOutage(on: boolean): void {
-    this.isOut = on;
+    this.isUnavailable = on;
     // After an outage every lease gets its full duration again.
     if (!on) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
     if (!on) this.answerDueWatches();
@@ -125,7 +125,7 @@
   readonly handler: Handler = (from, method, path, body) => {
     this.requestCount++;
     if (!this.admit(this.requestBucket, this.limits.rps, 1)) return { status: 429, body: {} };
-    if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: {} };
+    if (this.isUnavailable || this.refusedNodes.has(from)) return { status: 503, body: {} };
     if (path === '/commit' && isWireFields(body)) {
       const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
       const isDelayed = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
@@ -325,14 +325,14 @@
     if (after < this.compactedRevision) return { status: 410, body: {} };
     return new Promise((resolve) => {
       const until = this.clock.time + Number(query.get('BlockMs') ?? 0) * MS;
-      this.watches.push({ from, prefix, after, until, answer: resolve });
+      this.watches.push({ from, prefix, after, until, respond: resolve });
       this.answerDueWatches();
     });
   }
 
   /** Answers the watches for which there is a change, or whose time is over. */
   private answerDueWatches(): void {
-    if (this.isOut) return;
+    if (this.isUnavailable) return;
     for (const watch of [...this.watches]) {
       // A refused node waits as all nodes do in an outage, also beyond the time that it asked for.
       if (this.refusedNodes.has(watch.from)) continue;
@@ -349,7 +349,7 @@
       .map((c) =>
         c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
       );
-    watch.answer({ status: 200, body: { Epoch: this.revision, News } });
+    watch.respond({ status: 200, body: { Epoch: this.revision, News } });
   }
 
   private expireLease(id: number): void {
@@ -363,7 +363,7 @@
 
   /** Expires leases and answers watches, every 50 ms. */
   private sweep(): void {
-    if (!this.isOut) {
+    if (!this.isUnavailable) {
       for (const [id, lease] of this.leases) if (lease.until < this.clock.time) this.expireLease(id);
     }
     this.answerDueWatches();
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -73,7 +73,7 @@
   /** Time at which the last answered heartbeat was sent; the lease lasts from then on. */
   private leaseStart: Micros;
   /** Index of the node that receives the heartbeats. */
-  private currentNode = 0;
+  private currentNodeIndex = 0;
   /** True if a change is to be reported before the next regular heartbeat. */
   private hasChanged = false;
   private lastHeartbeatAt: Micros = -Infinity;
@@ -89,7 +89,7 @@
     private readonly options: SimWorkerOptions,
   ) {
     this.leaseStart = options.clock.time;
-    this.currentNode = Math.floor(options.random() * options.nodes.length);
+    this.currentNodeIndex = Math.floor(options.random() * options.nodes.length);
     this.httpClient = options.createClient((step) => {
       if (this.isAlive) step();
     });
@@ -102,7 +102,7 @@
 
   /** Index of the node that receives the heartbeats. */
   get nodeIndex(): number {
-    return this.currentNode;
+    return this.currentNodeIndex;
   }
 
   get taskCount(): number {
@@ -157,7 +157,7 @@
     this.lastHeartbeatAt = clock.time;
     const sentAt = clock.time;
     const incarnation = this.incarnation;
-    const target = nodes[this.currentNode % nodes.length] as { member: string; endpoint: string };
+    const target = nodes[this.currentNodeIndex % nodes.length] as { member: string; endpoint: string };
     const body = {
       Host: this.machine.host,
       Endpoint: '10.1.0.1:9000',
@@ -181,14 +181,14 @@
     this.isHeartbeatInFlight = false;
     if (reply?.status === 421) {
       const index = nodes.findIndex((n) => n.member === reply.body['Foreman']);
-      if (index >= 0 && index !== this.currentNode) {
-        this.currentNode = index;
+      if (index >= 0 && index !== this.currentNodeIndex) {
+        this.currentNodeIndex = index;
         this.hasChanged = true;
         return;
       }
     }
     if (reply?.status !== 200) {
-      this.currentNode = (this.currentNode + 1) % nodes.length;
+      this.currentNodeIndex = (this.currentNodeIndex + 1) % nodes.length;
       this.lastHeartbeatAt = clock.time - this.options.limits.heartbeatInterval + SECOND;
       return;
     }
