--- a/packages/fleet/scale-in-planner.ts
+++ b/packages/fleet/scale-in-planner.ts
@@ -1,31 +1,33 @@
-/** Decides which idle machines are deleted. Pure: no clock, no I/O. */
+/** Selects idle machines to scale in. Pure: no clock, no I/O. */
 import type { Micros } from '#wire';
 
 /** A machine without tasks. */
 export interface IdleMachine {
   host: string;
+  /** Time for which the machine has been up without tasks. */
   idleFor: Micros;
-  /** Since it was acquired. */
+  /** Time since the machine was acquired. */
   age: Micros;
   spot: boolean;
 }
 
-/** When an idle machine is deleted. */
+/** Conditions under which an idle machine is scaled in. */
 export interface ScaleInOptions {
   /** How long an idle on-demand machine is kept. */
-  ordinary: Micros;
+  onDemandIdleTime: Micros;
   /** How long an idle spot machine is kept. */
-  spot: Micros;
+  spotIdleTime: Micros;
   /** Minimum time that a machine is billed for. */
-  least: Micros;
+  minBilledTime: Micros;
 }
 
-/** Hosts of the idle machines to delete, in the given order. */
+/** Returns the hosts of the idle machines to scale in, in the given order. */
 export function planScaleIn(idle: readonly IdleMachine[], options: ScaleInOptions): string[] {
   return idle
     .filter(
       (machine) =>
-        machine.idleFor > (machine.spot ? options.spot : options.ordinary) && machine.age > options.least,
+        machine.idleFor > (machine.spot ? options.spotIdleTime : options.onDemandIdleTime) &&
+        machine.age > options.minBilledTime,
     )
     .map((machine) => machine.host);
 }
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-/** Plans an owner's scheduling rounds: from the replica to a round's input, and from its result to what is recorded. */
+/** Plans scheduling rounds: builds a round's input from the replica, and the plan to record from the round's result. */
 import {
   attemptNumber,
   type GangAttempt,
@@ -25,64 +25,64 @@
 import type { PreemptedTask, PreemptionPlanner } from './preemption-planner.js';
 import type { RoundInputBuilder } from './round-input-builder.js';
 
-/** Starts in one round at most, so that its records stay small. */
-const MAX_STARTS = 300;
-/** Recorded prices are rounded to a multiple of 1 / this. */
+/** Maximum number of tasks that one round starts, which limits the size of its log records. */
+const MAX_STARTS_PER_ROUND = 300;
+/** Recorded prices are rounded to a multiple of 1 / PRICE_PRECISION. */
 const PRICE_PRECISION = 1e4;
 
-/** What a round decides, to be recorded before any of it is done. */
+/** Decisions of a scheduling round. They are recorded in the log before any of them is carried out. */
 export interface RoundPlan {
-  /** By shard of the machine. */
+  /** Keyed by the shard that the machine belongs to. */
   readonly starts: ReadonlyMap<number, StartGroup[]>;
-  /** By shape, as they are recorded: price of a CPU, of a GPU and of a GB of memory. */
+  /** Rounded prices of a CPU, a GPU and a GB of memory, in this order. Keyed by shape. */
   readonly prices: Record<string, [number, number, number]>;
-  /** By team: CPUs of its tasks that found no machine. */
+  /** CPUs required by tasks for which no machine had capacity. Keyed by team. */
   readonly unmetCpus: Record<string, number>;
-  /** Running tasks that are to be preempted. */
+  /** Running tasks to preempt. */
   readonly preemptions: readonly PreemptedTask[];
 }
 
-/** The result of a round with the demand that it leaves. */
+/** Result of a scheduling round together with the unmet demand that it leaves. */
 export interface SimulatedRound extends PricingRoundResult {
-  /** Tasks that found no machine, most urgent first. */
+  /** Pending tasks for which no machine had capacity, most urgent first. */
   readonly unmetDemand: readonly UnmetDemand[];
 }
 
-/** What a scheduler works with. */
+/** Dependencies of {@link Scheduler}. */
 export interface SchedulerOptions {
   readonly settings: Settings;
   readonly tuning: Tuning;
-  /** Uniform in [0, 1). */
+  /** Returns uniformly distributed numbers in [0, 1). */
   readonly random: () => number;
   readonly replica: Replica;
   readonly workers: WorkerRegistry;
-  readonly input: RoundInputBuilder;
-  readonly preemption: PreemptionPlanner;
+  readonly inputBuilder: RoundInputBuilder;
+  readonly preemptionPlanner: PreemptionPlanner;
   readonly log: Logger;
 }
 
-/** A start that a round decided on. */
+/** One task start that a round decided on: the job and the host. */
 type Start = PricingRoundResult['starts'][number];
 
-/** Plans the rounds of this node, and simulates those of other owners for the leader's forecasts. */
+/** Plans the local node's scheduling rounds, and simulates other owners' rounds for the leader's forecasts. */
 export class Scheduler {
   private readonly pricingOptions: PricingOptions;
   private readonly shardByTeam: ReadonlyMap<string, number>;
-  /** By job: the attempt of each gang that this round starts, which all parts of the start share. */
+  /** Attempt numbers of the gangs that the current round starts; all start groups of a gang share one. Keyed by job. */
   private readonly gangAttempts = new Map<string, number>();
 
   constructor(private readonly options: SchedulerOptions) {
     const { settings, tuning } = options;
-    this.pricingOptions = { ...tuning, maxStarts: MAX_STARTS };
+    this.pricingOptions = { ...tuning, maxStarts: MAX_STARTS_PER_ROUND };
     this.shardByTeam = new Map(settings.teams.map((team, i) => [team.name, i % settings.initialSize]));
   }
 
-  /** The shard that a team belongs to: round-robin in the order of the settings. -1 for an unknown team. */
+  /** Returns the shard of a team, assigned round-robin in the order of the settings; -1 for an unknown team. */
   shardOfTeam(team: string): number {
     return this.shardByTeam.get(team) ?? -1;
   }
 
-  /** The newest heartbeat of this worker shows a task exited that the log still has as placed. */
+  /** True if the worker's latest heartbeat reports a task as exited that the log still records as placed. */
   hasUnrecordedCompletion(host: string): boolean {
     const worker = this.options.workers.trackedWorkers.get(host);
     if (!worker) return false;
@@ -92,14 +92,14 @@
     );
   }
 
-  /** Plans a round over all shards of this node: the tasks of their teams on the machines that it reaches. */
+  /** Plans a round for all shards of the local node: places their teams' tasks on the node's reachable machines. */
   plan(completions: readonly TaskCompletion[], shards: ReadonlySet<number>): RoundPlan {
-    const { input, preemption } = this.options;
+    const { inputBuilder, preemptionPlanner } = this.options;
     const completed = new Set(completions.map(({ placement }) => placement));
-    const machines = input.reachableMachines(completed);
+    const machines = inputBuilder.reachableMachines(completed);
     const { starts, prices, unmetDemand, free } = this.simulateRound(shards, machines, completed);
     const unmetCpus = unmetCpusByTeam(unmetDemand);
-    const recordedPrices = recordPrices(prices);
+    const recordedPrices = pricesToRecord(prices);
     if (starts.length > 0 || unmetDemand.length > 0) {
       this.options.log.debug(
         { starts: starts.length, unmetCpus, prices: recordedPrices, machines: machines.length },
@@ -112,22 +112,22 @@
       starts: startsByShard,
       prices: recordedPrices,
       unmetCpus,
-      preemptions: preemption.planPreemptions({ unmetDemand, machines, free, usageChanges }),
+      preemptions: preemptionPlanner.planPreemptions({ unmetDemand, machines, free, usageChanges }),
     };
   }
 
   /**
-   * Runs a round of the teams of these shards on these machines; its result has no effect. Completed placements
-   * no longer count as usage of their teams.
+   * Runs a round for the teams of the shards on the given machines, without side effects. Completed placements no
+   * longer count as usage of their teams.
    */
   simulateRound(
     shards: ReadonlySet<number>,
     machines: readonly CandidateMachine[],
     completed: ReadonlySet<Placement>,
   ): SimulatedRound {
-    const { settings, replica, input, random } = this.options;
+    const { settings, replica, inputBuilder, random } = this.options;
     const teams = settings.teams.filter(({ name }) => shards.has(this.shardOfTeam(name)));
-    const jobs = input.pendingJobs(new Set(teams.map(({ name }) => name)), completed);
+    const jobs = inputBuilder.pendingJobs(new Set(teams.map(({ name }) => name)), completed);
     const firstShard = Math.min(...shards);
     const result = runPricingRound({
       jobs,
@@ -140,15 +140,15 @@
     return {
       starts: result.starts,
       prices: result.prices,
-      unmet: result.unmet,
-      gatheringZones: result.gatheringZones,
+      unmetTaskCounts: result.unmetTaskCounts,
+      preferredZones: result.preferredZones,
       free: result.free,
       reservedHosts: result.reservedHosts,
       unmetDemand: unmetDemandOf(jobs, result),
     };
   }
 
-  /** Quotas of the teams, and their usage without the completed placements. */
+  /** Returns the quotas of the teams, and their usage without the completed placements. */
   private teamUsage(teams: Settings['teams'], completed: ReadonlySet<Placement>): TeamUsage[] {
     const { ledger } = this.options.replica;
     const usage = teams.map(({ name, cpus, gpus, cpusMax, gpusMax }) => ({
@@ -165,7 +165,7 @@
     return usage;
   }
 
-  /** By team: CPUs by which a round's starts and completions change its usage. */
+  /** Returns the CPUs by which a round's starts and completions change each team's usage. Keyed by team. */
   private usageChanges(starts: readonly Start[], completed: ReadonlySet<Placement>): Map<string, number> {
     const changes = new Map<string, number>();
     const add = (team: string, cpus: number): void => {
@@ -179,7 +179,7 @@
     return changes;
   }
 
-  /** Assigns a task to each start and groups the starts by the shard of their machine, then by job. */
+  /** Assigns a task index to each start, and groups the starts by the shard of their machine, then by job. */
   private groupStarts(starts: readonly Start[]): Map<number, StartGroup[]> {
     const { replica, workers } = this.options;
     const groupsByShard = new Map<number, StartGroup[]>();
@@ -197,21 +197,21 @@
       let groups = groupsByShard.get(shard);
       if (!groups) groupsByShard.set(shard, (groups = []));
       let group = groups.find((candidate) => candidate.job === job);
-      if (!group) groups.push((group = this.startGroup(job, spec, shard)));
+      if (!group) groups.push((group = this.createStartGroup(job, spec, shard)));
       group.tasks.push([index.value, host, worker.heartbeat.incarnation]);
     }
     return groupsByShard;
   }
 
-  /** A group without tasks yet. */
-  private startGroup(job: string, spec: JobSpec, shard: number): StartGroup {
+  /** Returns a start group of the job without tasks. */
+  private createStartGroup(job: string, spec: JobSpec, shard: number): StartGroup {
     const { team, image, cpus, gpus, memGb } = spec;
     const need: StartGroup['need'] = [cpus, gpus, memGb];
     if (spec.shape !== 'gang') return { job, team, image, need, tasks: [] };
     return { job, team, image, need, gang: this.gangAttempt(spec, shard), tasks: [] };
   }
 
-  /** The attempt of a gang: numbered by the shard in which the first of its parts is started. */
+  /** Returns the attempt of a gang. The number comes from the shard of the first of its tasks in the round. */
   private gangAttempt(spec: JobSpec, shard: number): GangAttempt {
     let attempt = this.gangAttempts.get(spec.id);
     if (attempt === undefined) {
@@ -221,41 +221,44 @@
     return { attempt, size: spec.taskCount };
   }
 
-  /** Indices of the job's tasks that are neither done nor placed, in ascending order. */
+  /** Yields the indices of the job's tasks that are neither done nor placed, in ascending order. */
   private *openIndices(job: string, taskCount: number): Generator<number> {
     const progress = this.options.replica.ledger.jobs.get(job);
-    for (let i = progress?.done.firstOpen ?? 0; i < taskCount; i++) {
+    for (let i = progress?.done.firstIncomplete ?? 0; i < taskCount; i++) {
       if (!progress?.done.has(i) && !progress?.placements.has(i)) yield i;
     }
   }
 }
 
-/** What found no machine, by priority and then by acceptance; a gang that has to lie in one zone with that zone. */
+/**
+ * Returns the tasks for which no machine had capacity, sorted by priority and then by order of acceptance. A gang that
+ * must run in one zone is returned with the zone that suits it best.
+ */
 function unmetDemandOf(
   jobs: readonly PendingJob[],
-  { unmet, gatheringZones }: PricingRoundResult,
+  { unmetTaskCounts, preferredZones }: PricingRoundResult,
 ): UnmetDemand[] {
   return jobs
-    .filter(({ id }) => (unmet.get(id) ?? 0) > 0)
+    .filter(({ id }) => (unmetTaskCounts.get(id) ?? 0) > 0)
     .sort((a, b) => b.priority - a.priority || a.acceptanceOrder - b.acceptanceOrder)
     .map((job): UnmetDemand => {
-      const count = unmet.get(job.id) ?? 0;
-      const zone = gatheringZones.get(job.id);
+      const count = unmetTaskCounts.get(job.id) ?? 0;
+      const zone = preferredZones.get(job.id);
       if (zone === undefined) return { job, count };
-      return { job: { ...job, zone }, count, zoneIsOpen: job.zone === null };
+      return { job: { ...job, zone }, count, canUseOtherZones: job.zone === null };
     });
 }
 
 function unmetCpusByTeam(unmetDemand: readonly UnmetDemand[]): Record<string, number> {
   const unmetCpus: Record<string, number> = {};
   for (const { job, count } of unmetDemand) {
-    unmetCpus[job.team] = (unmetCpus[job.team] ?? 0) + count * job.need.cpus;
+    unmetCpus[job.team] = (unmetCpus[job.team] ?? 0) + count * job.taskResources.cpus;
   }
   return unmetCpus;
 }
 
-/** The prices in the form in which they are recorded. */
-function recordPrices(prices: ReadonlyMap<string, Price>): RoundPlan['prices'] {
+/** Converts prices to the rounded form in which they are recorded. */
+function pricesToRecord(prices: ReadonlyMap<string, Price>): RoundPlan['prices'] {
   const recorded: RoundPlan['prices'] = {};
   for (const [shape, { cpu, gpu, mem }] of prices) {
     recorded[shape] = [roundPrice(cpu), roundPrice(gpu), roundPrice(mem)];
--- a/packages/testkit/loopback.test.ts
+++ b/packages/testkit/loopback.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { askLoss } from '#operations';
+import { requestDataLossStatus } from '#operations';
 import type { DataLossState } from '#recovery';
 import { LoopbackTrial } from './loopback-trial.js';
 
@@ -45,7 +45,7 @@
   const operatorAddresses = (): string[] => trial.nodes.map(({ addresses }) => addresses.operators);
   const waitUntilAllReport = async (state: DataLossState): Promise<boolean> => {
     for (const end = Date.now() + LOSS_STATE_TIMEOUT_MS; Date.now() < end; await pause(200)) {
-      const answers = await askLoss(operatorAddresses());
+      const answers = await requestDataLossStatus(operatorAddresses());
       if (answers.every((a) => a.kind === 'answered' && a.value.loss?.state === state)) return true;
     }
     return false;
