--- a/packages/testkit/cluster-checks.ts
+++ b/packages/testkit/cluster-checks.ts
@@ -1,4 +1,4 @@
-/** Checks of the stored state of a simulated cluster and of each node's copy of it. */
+/** Checks of the state store of a simulated cluster and of each node's replica of the state. */
 import {
   CHECKPOINT_CHUNK_PREFIX,
   CHECKPOINT_HEAD_KEY,
@@ -12,20 +12,23 @@
 import type { ClusterEvent } from './sim-cluster-options.js';
 import type { SimStore } from './sim-store.js';
 
-/** Compares each node's ledger with the one that the commits lead to. */
+/** Compares each node's ledger with the ledger that results from the commits to the state store. */
 export class ReplicaChecks {
   private readonly agreement = new LedgerAgreement();
-  /** By ledger: the revision at which it was last compared. */
+  /** Revision at which each ledger was last compared. Keyed by ledger. */
   private readonly checkedAt = new WeakMap<object, number>();
 
-  /** The state service has applied a transaction. */
+  /** Records a transaction that the state service has just applied. */
   transactionApplied(writes: readonly WireFields[]): void {
     this.agreement.transactionApplied(writes);
   }
 
-  /** Compares each copy once for each revision: a copy changes with nothing else. */
+  /**
+   * Compares each replica once for each revision, because a replica changes only with the revision. Throws an
+   * {@link InvariantViolation} if one differs.
+   */
   check(copies: readonly ReplicaFacts[], { revision, hasLostData }: SimStore): void {
-    // After a loss the revisions of the copies belong to another history.
+    // After a data loss the revisions of the replicas belong to another history.
     if (hasLostData) return;
     const current = copies.filter(
       (copy) => copy.applied === revision && this.checkedAt.get(copy.ledger) !== revision,
@@ -35,7 +38,7 @@
   }
 }
 
-/** Checks after a commit that the present checkpoint can be read completely. */
+/** Checks after a commit that all chunks of the current checkpoint are stored. */
 export function checkCheckpoint(store: SimStore, writes: readonly WireFields[]): void {
   const paths = writes.map((write) => String(write['Set'] ?? write['Remove']));
   if (!paths.some((path) => path === CHECKPOINT_HEAD_KEY || path.startsWith(CHECKPOINT_CHUNK_PREFIX))) return;
@@ -46,7 +49,7 @@
   }
 }
 
-/** The events that follow from a commit: changes of the leader and releases of machines. */
+/** Returns the events that a commit causes: changes of the leader and releases of machines. */
 export function eventsOf(writes: readonly WireFields[]): ClusterEvent[] {
   return writes.flatMap((write): ClusterEvent[] => {
     const path = String(write['Set'] ?? '');
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -8,7 +8,7 @@
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
-/** The combined failures of `docs/combined-failures.md`: each test brings one about, and asserts that it did occur. */
+/** The combined faults of `docs/combined-failures.md`: each test causes one and asserts that it did occur. */
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
 
@@ -16,7 +16,7 @@
   return new SimCluster({ ...options, settings: { teams: TEAMS, ...options.settings } });
 }
 
-/** A cluster of three teams with one long job each, so that every node that owns a shard has work. */
+/** Creates a cluster of three teams with one long job each, so that every node that owns a shard has work. */
 async function createBusyCluster(options: SimClusterOptions): Promise<SimCluster> {
   const cluster = createCluster(options);
   cluster.clock.at(2 * SECOND, () => {
@@ -34,13 +34,13 @@
   return Number(String(cluster.store.rows.get(key)?.value['Member']).slice('node-'.length));
 }
 
-/** The leader, and a job that runs on machines whose workers report to it. */
+/** Returns the leader, and a job that runs on machines whose workers send their heartbeats to it. */
 function leading(cluster: SimCluster): { leader: number; job: string } {
   const leader = holderOf(cluster, LEADER_KEY);
   const job = ['j-0', 'j-1', 'j-2'].find((id) =>
     cluster.invariants.runningTasks(id).some(({ host }) => cluster.workers.get(host)?.nodeIndex === leader),
   );
-  assert.ok(job !== undefined, "nothing runs on the leader's machines");
+  assert.ok(job !== undefined, "no job runs on the leader's machines");
   return { leader, job };
 }
 
@@ -48,15 +48,16 @@
   return (node + 1) % cluster.nodeCount;
 }
 
+/** Cancels the job at the given node, and asserts that the node confirms it within 1.5 s. */
 async function confirmWithdrawal(cluster: SimCluster, job: string, node: number): Promise<void> {
   let status = 0;
   void cluster.cancelJob(job, node).then((s) => (status = s));
   for (let i = 0; i < 15 && status === 0; i++) await cluster.run(0.1 * SECOND);
-  assert.equal(status, 200, 'not confirmed');
+  assert.equal(status, 200, 'the cancellation is not confirmed');
   assert.equal(cluster.lastStatuses.get(job), 'cancelled');
 }
 
-/** The state service refuses the leader alone, another node confirms a withdrawal, then it is out for all. */
+/** The state service refuses the leader only, another node confirms a cancellation, then an outage hits all nodes. */
 async function gap(seed: number, alone: number, options: Partial<SimClusterOptions> = {}): Promise<void> {
   const cluster = await createBusyCluster({ seed, ...options });
   const { leader, job } = leading(cluster);
@@ -66,14 +67,17 @@
   cluster.store.setOutage(true);
   const before = cluster.heartbeatCount(leader);
   await cluster.run(4 * SECOND);
-  assert.ok(cluster.heartbeatCount(leader) > before, 'no worker reports to the old leader any more');
-  assert.ok(cluster.invariants.runningTasks(job).length > 0, 'its tasks were gone without the bound');
-  // Longer than cancel_s of these settings. The checker throws if a task is on its machine for longer.
+  assert.ok(cluster.heartbeatCount(leader) > before, 'no worker sends heartbeats to the old leader any more');
+  assert.ok(
+    cluster.invariants.runningTasks(job).length > 0,
+    'its tasks ended before the renewal bound applied',
+  );
+  // Longer than cancel_s of these settings. The checker throws if a task stays on its machine for longer than cancel_s.
   await cluster.run(30 * SECOND);
   assert.deepEqual(cluster.invariants.runningTasks(job), []);
   const last = cluster.heartbeatCount(leader);
   await cluster.run(2 * SECOND);
-  assert.equal(cluster.heartbeatCount(leader), last, 'it still answers workers');
+  assert.equal(cluster.heartbeatCount(leader), last, 'the old leader still answers workers');
   cluster.store.setOutage(false);
   await cluster.run(3 * SECOND);
   cluster.store.refusedNodes.clear();
@@ -81,7 +85,7 @@
   assert.equal(cluster.invariants.startsAfterConfirmation, 0);
 }
 
-test('the state service refuses the leader alone, a withdrawal is confirmed, then it is out for all', async () => {
+test('a cancellation confirmed while the state service refuses the leader holds when an outage follows', async () => {
   for (const [seed, alone] of [
     [71, 0.1],
     [72, 0.5],
@@ -92,8 +96,9 @@
   }
 });
 
-test('with a wider renewal bound the same combination violates the invariant', async () => {
-  // The controllers are told of ten seconds more than users are promised: what they add to the bound.
+test('with a renewal bound that is 10 s too wide the same combination violates ran_cancelled', async () => {
+  // The controllers are configured with a cancellation deadline 10 s longer than the one promised to users, which
+  // widens the renewal bound by 10 s.
   const widened = { settings: { cancellationDeadline: 35 * SECOND }, promisedCancel: 25 * SECOND };
   await assert.rejects(
     gap(72, 1, widened),
@@ -101,7 +106,7 @@
   );
 });
 
-/** Work that ends within the test: one job of some tasks for each team. */
+/** Submits one job for each team that ends within the test, and runs until all three have running tasks. */
 async function shortWork(cluster: SimCluster, change: Partial<JobSpec> = {}): Promise<string[]> {
   const ids = TEAMS.map((_, i) => `j-1${i}`);
   ids.forEach((id, i) => {
@@ -112,21 +117,25 @@
   return ids;
 }
 
-/** All faults have ended: from here on the checker requires that no job is forgotten or left waiting. */
+/**
+ * Runs until all given jobs have ended, for `most` seconds at most. All faults have ended: from here on the checker
+ * requires that no job is forgotten or left waiting.
+ */
 async function untilOver(cluster: SimCluster, jobs: readonly string[], most = 200): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
   for (let i = 0; i < most; i++) {
     if (jobs.every((id) => ['done', 'cancelled'].includes(cluster.lastStatuses.get(id) ?? ''))) return;
     await cluster.run(SECOND);
   }
-  assert.fail(`not over in time: ${jobs.map((id) => `${id} ${cluster.lastStatuses.get(id)}`).join()}`);
+  assert.fail(`not ended in time: ${jobs.map((id) => `${id} ${cluster.lastStatuses.get(id)}`).join()}`);
 }
 
-/** Machines that carry tasks of any of the jobs. */
+/** Returns the hosts that run tasks of any of the jobs. */
 function machinesOf(cluster: SimCluster, jobs: readonly string[]): string[] {
   return [...new Set(jobs.flatMap((id) => cluster.invariants.runningTasks(id).map(({ host }) => host)))];
 }
 
+/** Starts or stops refusing connections from a worker to all nodes. */
 function refuseAll(cluster: SimCluster, host: string, on: boolean): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
     if (on) cluster.net.refusedLinks.add(`${host}>10.0.0.${i}:80`);
@@ -134,22 +143,24 @@
   }
 }
 
+/** Kills the nodes and starts them again after the pause. */
 async function killFor(cluster: SimCluster, nodes: readonly number[], pause: Micros): Promise<void> {
   for (const node of nodes) cluster.killNode(node);
   await cluster.run(pause);
   for (const node of nodes) cluster.startNode(node);
 }
 
+/** Waits up to 10 s for a leader other than the given node, and returns it. */
 async function untilLed(cluster: SimCluster, notBy: number): Promise<number> {
   for (let i = 0; i < 40; i++) {
     const leader = cluster.store.rows.has(LEADER_KEY) ? holderOf(cluster, LEADER_KEY) : notBy;
     if (leader !== notBy) return leader;
     await cluster.run(SECOND / 4);
   }
-  return assert.fail('nobody leads');
+  return assert.fail('no other node became the leader');
 }
 
-test('a leader ends while its machines are out of reach, or do not hear the new answers', async () => {
+test('a leader crashes while its machines are unreachable or receive no heartbeat responses', async () => {
   for (const [seed, unreachable] of [
     [81, false],
     [82, true],
@@ -164,7 +175,7 @@
     }
     cluster.killNode(leader);
     await untilLed(cluster, leader);
-    // Well over a lease: what these machines had is proven off, and goes on elsewhere.
+    // Much longer than a lease: the tasks of these machines are proven stopped and continue on other machines.
     await cluster.run(40 * SECOND);
     for (const host of hosts) refuseAll(cluster, host, false);
     cluster.net.unansweredParties.clear();
@@ -173,7 +184,7 @@
   }
 });
 
-test('more work than room, urgent and not, over slow links', async () => {
+test('all jobs of mixed ranks end on a fleet with too little capacity and slow links', async () => {
   const cluster = createCluster({ seed: 83, capacity: 1 });
   for (let i = 0; i < 3; i++) cluster.net.slowdowns.set(`10.0.0.${i}:80`, 150);
   const ids: string[] = [];
@@ -197,7 +208,7 @@
   await untilOver(cluster, ids, 600);
 });
 
-test('orders are held up for seconds on their way, and the machine then goes on', async () => {
+test('jobs end although commands reach machines seconds late and workers hang', async () => {
   const cluster = createCluster({ seed: 84 });
   const jobs = await shortWork(cluster);
   const hosts = machinesOf(cluster, jobs);
@@ -216,12 +227,12 @@
   await untilOver(cluster, jobs);
 });
 
-test('jobs of two and three tasks end far apart across a change of leader', async () => {
+test('jobs whose tasks end at different times complete across changes of leader', async () => {
   for (const seed of [85, 86]) {
     const cluster = createCluster({ seed });
     const jobs = await shortWork(cluster, { taskCount: 2, estimateS: 30 });
     let rounds = 0;
-    // A change of leader at every end of a task, so that one falls between the ends of each job.
+    // The leader restarts whenever a task ends, so that one restart falls between the task ends of each job.
     for (let left = -1; rounds < 4; rounds++) {
       for (let i = 0; i < 60; i++) {
         const now = jobs.reduce((sum, id) => sum + cluster.invariants.runningTasks(id).length, 0);
@@ -238,7 +249,7 @@
   }
 });
 
-test('a team is at its limit as the leader changes, machines cannot be asked, and a job is cancelled', async () => {
+test('the quota holds when a job is cancelled at a leader change while some of its machines are unreachable', async () => {
   for (const seed of [87, 88]) {
     const teams = TEAMS.map((t) => ({ ...t, cpusMax: 12 }));
     const cluster = createCluster({ seed, settings: { teams } });
@@ -254,7 +265,7 @@
     cluster.killNode(leader);
     await untilLed(cluster, leader);
     await confirmWithdrawal(cluster, 'j-10', otherThan(cluster, leader));
-    // Only what is proven off its machine makes room for the next job: the checker watches the limit.
+    // Only tasks that are proven stopped free quota for the next job. The checker verifies the limit.
     await cluster.run(20 * SECOND);
     cluster.net.unansweredParties.clear();
     refuseAll(cluster, away, false);
@@ -264,7 +275,7 @@
   }
 });
 
-test('reports held back until a new owner has acted arrive there, from the same and from earlier sessions', async () => {
+test('heartbeats that reach a new shard owner late, from current and earlier worker incarnations, do no harm', async () => {
   for (const [seed, pause] of [
     [89, 6],
     [90, 14],
@@ -276,12 +287,12 @@
     for (const host of hosts) cluster.net.hold(host);
     cluster.killNode(leader);
     await untilLed(cluster, leader);
-    // Less than a lease, or more: then what was held is of an earlier session.
+    // Shorter or longer than a lease. If longer, the held heartbeats belong to an earlier worker incarnation.
     await cluster.run(pause * SECOND);
     const late = hosts.reduce((sum, host) => sum + cluster.net.release(host), 0);
-    assert.ok(late > hosts.length, 'no report was held');
+    assert.ok(late > hosts.length, 'no heartbeat was held back');
     await cluster.run(4 * SECOND);
-    // Once more, to the owner that came back.
+    // Repeat this with the shard owner that came back.
     for (const host of hosts) cluster.net.hold(host);
     cluster.startNode(leader);
     await killFor(cluster, [otherThan(cluster, leader)], 5 * SECOND);
@@ -290,7 +301,7 @@
   }
 });
 
-test('jobs bound to one place lose machines, some of which cannot be asked', async () => {
+test('jobs with zone constraints end although machines die or become unreachable', async () => {
   for (const seed of [91, 92]) {
     const cluster = createCluster({ seed });
     const kinds: Partial<JobSpec>[] = [{ singleZone: true }, { spreadZones: true }, { zone: 'west' }];
@@ -316,7 +327,7 @@
   }
 });
 
-test('leaders change ten times in two minutes, also inside an outage', async () => {
+test('ten leader changes in two minutes, also during an outage, cause no request storm and lose no job', async () => {
   for (const outage of [false, true]) {
     const cluster = createCluster({ seed: 93 });
     const jobs = await shortWork(cluster, { estimateS: 120 });
@@ -335,12 +346,13 @@
       await cluster.run(8 * SECOND);
       tokens.push(Number(cluster.store.rows.get(FENCING_TOKEN_KEY)?.value['Token']));
     }
-    assert.ok(changes >= (outage ? 7 : 10), `the lead changed ${changes} times`);
+    assert.ok(changes >= (outage ? 7 : 10), `the leader changed ${changes} times`);
     assert.deepEqual(
       tokens,
       [...tokens].sort((a, b) => a - b),
     );
-    // No storm: on the average less than half of what the state service allows, and next to nothing refused.
+    // There is no request storm: on average the nodes send less than half of the requests per second that the state
+    // service allows, and almost none is refused.
     assert.ok(
       cluster.store.requestCount - asked < 0.5 * 100 * 120,
       `${cluster.store.requestCount - asked} requests`,
@@ -353,7 +365,7 @@
   }
 });
 
-test('the state service is slow, then refuses the leader alone, then all, while users cancel and ask', async () => {
+test('users get answers and cancellations hold while the state service is slow, refuses the leader, then all', async () => {
   const cluster = createCluster({ seed: 94 });
   const jobs = await shortWork(cluster, { estimateS: 80 });
   const leader = holderOf(cluster, LEADER_KEY);
@@ -362,14 +374,14 @@
   void cluster.cancelJob('j-10', leader);
   await cluster.run(2 * SECOND);
   cluster.net.slowdowns.clear();
-  // What was sent while it was slow is answered late.
+  // Requests that were sent while the state service was slow are answered late.
   await cluster.run(15 * SECOND);
   cluster.store.refusedNodes.add(`node-${leader}`);
   await cluster.run(SECOND);
   await confirmWithdrawal(cluster, 'j-11', otherThan(cluster, leader));
   cluster.store.setOutage(true);
   for (let i = 0; i < 32; i++) {
-    // Asked at every node: none may give an older answer, and none holds its refusal back.
+    // The request goes to every node. No node may answer with an older status, and each must answer within a second.
     const from = cluster.clock.time;
     const statuses: number[] = [];
     for (let node = 0; node < 3; node++) {
@@ -386,7 +398,7 @@
   assert.equal(cluster.lastStatuses.get('j-11'), 'cancelled');
 });
 
-test('a leader loses state and peers, not its workers and users; jobs are cancelled through the new one', async () => {
+test('a leader that loses the state service and its peers but not its workers does not run cancelled jobs on', async () => {
   for (const seed of [71, 73, 75]) {
     const cluster = await createBusyCluster({ seed });
     const { leader, job } = leading(cluster);
@@ -395,9 +407,13 @@
     const next = await untilLed(cluster, leader);
     const before = cluster.heartbeatCount(leader);
     await confirmWithdrawal(cluster, job, next);
-    assert.equal(await answerOf(cluster, job, leader), 503, 'it answers users from its old state');
+    assert.equal(
+      await answerOf(cluster, job, leader),
+      503,
+      'the old leader answers users from an outdated replica',
+    );
     await cluster.run(SECOND);
-    assert.ok(cluster.heartbeatCount(leader) > before, 'no worker stays with the old leader');
+    assert.ok(cluster.heartbeatCount(leader) > before, 'no worker sends heartbeats to the old leader');
     await cluster.run(26 * SECOND);
     assert.deepEqual(cluster.invariants.runningTasks(job), []);
     cluster.refusePeers(leader, false);
@@ -416,7 +432,7 @@
   return status;
 }
 
-test('a zone with workers and a controller is cut off for longer than a lease', async () => {
+test('jobs end after a zone with workers and a controller was isolated for longer than a lease', async () => {
   for (const [seed, mode] of [
     [98, 'hold'],
     [99, 'reset'],
@@ -432,7 +448,7 @@
   }
 });
 
-test('all controllers are away for longer than a lease', async () => {
+test('all tasks stop and later complete when all controllers are down for longer than a lease', async () => {
   const cluster = createCluster({ seed: 100 });
   const jobs = await shortWork(cluster, { estimateS: 60 });
   assert.ok(jobs.every((id) => cluster.invariants.runningTasks(id).length > 0));
@@ -440,25 +456,25 @@
   assert.deepEqual(
     jobs.flatMap((id) => cluster.invariants.runningTasks(id)),
     [],
-    'leases outlived the controllers',
+    'tasks run although the leases must have expired',
   );
   await untilOver(cluster, jobs);
   for (const id of jobs) assert.equal(cluster.lastStatuses.get(id), 'done');
 });
 
-test('workers reach no controller while a job is cancelled', async () => {
+test('a cancellation is confirmed and takes effect while workers reach no controller', async () => {
   const cluster = createCluster({ seed: 101 });
   const jobs = await shortWork(cluster, { estimateS: 60 });
   for (const host of cluster.workers.keys()) refuseAll(cluster, host, true);
   await confirmWithdrawal(cluster, 'j-10', 1);
   await cluster.run(6 * SECOND);
-  assert.ok(cluster.invariants.runningTasks('j-10').length > 0, 'their tasks ended before the lease');
+  assert.ok(cluster.invariants.runningTasks('j-10').length > 0, 'its tasks ended before the leases expired');
   await cluster.run(14 * SECOND);
   for (const host of cluster.workers.keys()) refuseAll(cluster, host, false);
   await untilOver(cluster, jobs);
 });
 
-test('transactions without an answer are carried out late, after newer ones, across ends of controllers', async () => {
+test('jobs end although transactions without a response are applied late while controllers restart', async () => {
   for (const seed of [102, 103, 104]) {
     const cluster = createCluster({ seed, settings: { valueBytes: 700, txnOps: 4 } });
     const jobs = await shortWork(cluster, { estimateS: 30, taskCount: 6 });
@@ -476,12 +492,12 @@
     }
     cluster.store.lateCommitRate = 0;
     const { came, applied } = cluster.store.lateCommits;
-    assert.ok(came >= 30 && applied > 0, `${came} came late, ${applied} landed`);
+    assert.ok(came >= 30 && applied > 0, `${came} arrived late, ${applied} were applied`);
     await untilOver(cluster, jobs, 300);
   }
 });
 
-test('a cancellation, a question and a repeated submission meet the end of the last task', async () => {
+test('a cancellation, a status request and a repeated submission are answered as the last task ends', async () => {
   const cluster = createCluster({ seed: 105 });
   const ends = new Map<string, number[]>();
   let n = 0;
@@ -520,23 +536,26 @@
     }
   };
   await cluster.run(140 * SECOND);
-  assert.ok(ends.size >= 24, `${ends.size} ends met`);
+  assert.ok(ends.size >= 24, `requests at the end of only ${ends.size} jobs`);
   assert.ok([...ends.values()].every((answers) => answers.length === 3 && answers.every((s) => s === 200)));
   const told = [...ends.keys()].map((id) => cluster.lastStatuses.get(id));
-  assert.ok(told.includes('done') && told.includes('cancelled'), 'only one order of the two occurred');
-  // What was said stays said, also after every process has ended.
+  assert.ok(
+    told.includes('done') && told.includes('cancelled'),
+    'the cancellation always came before the end, or always after it',
+  );
+  // A terminal status does not change, even after all processes have restarted; the checker verifies it.
   await killFor(cluster, [0, 1, 2], SECOND);
   await cluster.run(8 * SECOND);
   for (const id of ends.keys()) for (const node of [0, 1, 2]) await answerOf(cluster, id, node);
 });
 
-test('old reports arrive after newer ones, from earlier sessions and attempts, too', async () => {
+test('heartbeats that arrive after newer ones, also from earlier worker incarnations and attempts, do no harm', async () => {
   for (const seed of [106, 107]) {
     const cluster = createCluster({ seed });
     cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 40 * SECOND };
     const jobs = await shortWork(cluster, { estimateS: 40 });
     const hosts = machinesOf(cluster, jobs);
-    // Leases run out: the attempts that follow are new, and so are the sessions.
+    // The leases expire, so that the tasks get new attempts and the workers new incarnations.
     for (const host of hosts) refuseAll(cluster, host, true);
     await cluster.run(12 * SECOND);
     for (const host of hosts) refuseAll(cluster, host, false);
@@ -548,7 +567,7 @@
   }
 });
 
-test('controllers hand over and back, all end, and one returns, also within a second', async () => {
+test('all jobs end after failovers and a crash of all controllers, from which one returns first', async () => {
   for (const [seed, pause] of [
     [108, 0.1],
     [109, 0.9],
@@ -564,7 +583,7 @@
     await killFor(cluster, [second], pause * SECOND);
     for (let i = 0; i < 3; i++) cluster.killNode(i);
     await cluster.run(pause * SECOND);
-    // Alone, without state of its own, with all the workers.
+    // This node is alone, has no replica yet, and receives the heartbeats of all workers.
     cluster.startNode(second);
     await cluster.run(10 * SECOND);
     assert.equal(holderOf(cluster, LEADER_KEY), second);
@@ -573,7 +592,7 @@
   }
 });
 
-/** Machines whose release a transaction holds. */
+/** Returns the hosts of the machines that a transaction releases. */
 function releasedIn(writes: readonly WireFields[]): string[] {
   return writes.flatMap(({ V: record }) => {
     const releases = isWireFields(record)
@@ -583,9 +602,10 @@
   });
 }
 
-// A release names the newest report that its owner had. Answered after that, a worker might be told of a start that
-// the next owner, with an older copy of a report, would take for one that never reached it.
-test('a worker is not answered while the release of its machine may yet land', async () => {
+// The release of a machine names the newest heartbeat that its shard owner received. If the owner answered a heartbeat
+// after that, the worker might receive a start command that the next owner, judging by an older heartbeat, would take
+// for one that never arrived.
+test('a worker gets no heartbeat response while the release of its machine may still be applied', async () => {
   const cluster = createCluster({
     seed: 111,
     types: SAMPLE_TYPES.filter((t) => t.name === 'small'),
@@ -595,7 +615,7 @@
   const answers: number[] = [];
   cluster.store.isLate = (writes) => {
     const hosts = releasedIn(writes);
-    // Only the transactions of the first owner that lets machines go: their late ones decide when this is over.
+    // Only releases by the first owner that releases machines are delayed. The test ends when a late one is applied.
     if (leaving.size > 0 && !hosts.some((host) => leaving.has(host))) return false;
     for (const host of hosts) leaving.add(host);
     return hosts.length > 0;
@@ -607,8 +627,8 @@
   await cluster.run(15 * SECOND);
   cluster.submit(sampleJob('j-2', { team: 'green', taskCount: 10, estimateS: 20 }));
   for (let i = 0; i < 400 && cluster.store.lateCommits.came === 0; i++) await cluster.run(0.1 * SECOND);
-  assert.ok(cluster.store.lateCommits.came > 0, 'no machine was let go');
-  assert.ok(answers.length > 2, `only ${answers.length} reports in between`);
+  assert.ok(cluster.store.lateCommits.came > 0, 'no machine was released');
+  assert.ok(answers.length > 2, `only ${answers.length} heartbeats before the release was applied`);
   assert.deepEqual(
     answers.filter((status) => status === 200),
     [],
--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -1,4 +1,7 @@
-/** Seeded random runs in which the state service loses data while other faults are injected, and some in which it doesn't. */
+/**
+ * Seeded random runs with faults. In some of them the state service also loses data, and in the others no data loss may
+ * be reported.
+ */
 import assert from 'node:assert/strict';
 import { scheduleRandomFaults } from './random-runs.js';
 import { test } from 'node:test';
@@ -7,7 +10,7 @@
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`lost and restored state under random faults, seed ${seed}`, async () => {
+  test(`invariants hold and all jobs end when state is lost and restored under random faults, seed ${seed}`, async () => {
     const cluster = createDataLossCluster({ seed: 700 + seed });
     const { random, clock, store } = cluster;
     let losses = 0;
--- a/packages/testkit/data-loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -1,4 +1,4 @@
-/** How long nodes take to notice that state was lost, to be sure of it, and to serve again once it is back. */
+/** Measures how long nodes take to notice a data loss, to confirm it, and to serve again after the state is restored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FENCING_TOKEN_KEY } from '#cluster';
@@ -10,12 +10,15 @@
 
 const RUNS = Number(process.env['LOSS_RUNS'] ?? 2);
 const STEP: Micros = 20 * MS;
-/** A node asks the state service at least every 2 s; a reading of all live state follows a second later. */
+/**
+ * Upper bounds in milliseconds. A node sends a request to the state service at least every 2 s, and reads all live state
+ * a second later.
+ */
 const MOST_NOTICED_MS = 3_000;
 const MOST_FROZEN_MS = 6_000;
 const MOST_SERVING_MS = 6_000;
 
-/** Runs until each node has been in the state, or the patience is over. */
+/** Runs until each node has been in one of the states, and records the durations; fails after 20 s. */
 async function measure(
   cluster: SimCluster,
   name: string,
@@ -27,7 +30,7 @@
   while (waiting.size > 0) {
     assert.ok(
       cluster.clock.time < began + 20 * SECOND,
-      `${name}: node ${[...waiting].join()} takes too long`,
+      `${name}: node ${[...waiting].join()} is not in the state after 20 s`,
     );
     for (const node of waiting) {
       if (!states.includes(dataLossStatusOf(cluster, node).state)) continue;
@@ -38,6 +41,7 @@
   }
 }
 
+/** Kinds of data loss. Each function causes a loss and returns a function that restores the lost data. */
 const LOSSES = {
   'all of it': (cluster: SimCluster) => {
     const whole = cluster.store.backup();
@@ -55,7 +59,7 @@
   },
 };
 
-test('a loss is noticed, confirmed and over within the bounds', async (t) => {
+test('a data loss is noticed, confirmed and, once the state is restored, cleared within the bounds', async (t) => {
   const meter = new DurationMeter();
   for (const [what, lose] of Object.entries(LOSSES)) {
     for (let run = 0; run < RUNS; run++) {
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * The state service loses data while machines fail: nodes that notice do nothing that the lost part would forbid, no
- * task runs twice, and all work ends once the state is back. docs/recovery.md names the cases.
+ * The state service loses data. Nodes that detect the loss do nothing that the lost data would forbid, no task runs
+ * twice, and all jobs end once the state is restored. docs/recovery.md lists the cases.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,10 +22,10 @@
   createDataLossCluster,
 } from './data-loss-cluster.js';
 
-/** Longer than any lease, and than the bound up to which leases are renewed without the state. */
+/** Longer than any lease, and than the bound up to which leases are renewed without the state service. */
 const LONG = 40 * SECOND;
 
-/** Counts the transactions that are applied from now on. */
+/** Returns a counter of the transactions that are applied from now on. */
 function countCommits({ store }: SimCluster): { count: number } {
   const commits = { count: 0 };
   const { afterApply } = store;
@@ -36,7 +36,7 @@
   return commits;
 }
 
-test('after everything was lost nobody starts, ends or forgets anything, and all goes on once it is back', async () => {
+test('after a total loss no node starts a task or commits, and all jobs end once the state is restored', async () => {
   for (const seed of [601, 602]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
@@ -54,7 +54,7 @@
   }
 });
 
-test('after the state went back with its watches open nobody starts or forgets anything', async () => {
+test('after the state is rolled back under open watches no node starts a task or forgets a job', async () => {
   for (const [seed, back] of [
     [611, 25 * SECOND],
     [613, SECOND],
@@ -75,7 +75,7 @@
   }
 });
 
-test('with all controllers down at the loss, the workers alone remember that there was more', async () => {
+test('with all controllers down at the loss, the heartbeats of the workers reveal it', async () => {
   for (const [seed, isWiped] of [
     [621, true],
     [623, false],
@@ -98,7 +98,7 @@
   }
 });
 
-test('a controller that starts anew during the loss learns of it from its peers', async () => {
+test('a controller that restarts during the loss learns of it from its peers', async () => {
   for (const seed of [632, 633]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(45 * SECOND);
@@ -108,7 +108,7 @@
     assert.ok(whole.revision > old.revision, 'nothing was lost');
     cluster.store.restore(old);
     cluster.killNode(0);
-    // The first request of each of the others to what is left may be a commit, which it then doesn't believe.
+    // The first request of each other node after the loss may be a commit. The node rejects its result.
     await cluster.run(3 * SECOND);
     const commits = countCommits(cluster);
     cluster.startNode(0);
@@ -120,7 +120,7 @@
   }
 });
 
-test('keys that no node removes are missed, and all goes on once they are there again', async () => {
+test('the loss of keys that no node removes is detected, and all jobs end once they are restored', async () => {
   const cases: [number, string, (path: string) => boolean][] = [
     [641, 'token', (path) => path === FENCING_TOKEN_KEY],
     [
@@ -129,7 +129,7 @@
       (path) => path.startsWith(`${LOG_PREFIX}0/`) && Number(path.slice(-4)) % 5 === 2,
     ],
     [643, 'jobs', (path) => path.startsWith(JOB_PREFIX)],
-    [644, 'what became of jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
+    [644, 'the statuses of ended jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
   ];
   for (const [seed, what, isLost] of cases) {
     const cluster = createDataLossCluster({ seed });
@@ -147,7 +147,7 @@
   }
 });
 
-test('a loss while the state service refuses one node alone is noticed by that node, too', async () => {
+test('a loss while the state service refuses one node is detected by that node, too', async () => {
   for (const seed of [651, 652]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
@@ -166,7 +166,7 @@
   }
 });
 
-test('a node that starts anew beside a checkpoint whose parts are gone does nothing until it can be read whole', async () => {
+test('a node that restarts while chunks of the checkpoint are missing does not serve until they are restored', async () => {
   for (const seed of [671, 672]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(90 * SECOND);
@@ -180,16 +180,17 @@
     const { state, evidence } = dataLossStatusOf(cluster, 1);
     assert.notEqual(state, 'serving');
     assert.equal(evidence[0]?.inconsistency.kind, 'state_incomplete');
-    // Those that have it all in memory go on: no change has told them of the loss.
+    // Nodes with the complete state in memory go on serving, because no change event has revealed the loss to them.
     assert.equal(dataLossStatusOf(cluster, 0).state, 'serving');
     cluster.store.restoreKeys(whole, lost);
     await finishAllJobs(cluster);
   }
 });
 
-test('a node of the version in production, which does not watch, starts nothing after a total loss, as little as the others', async () => {
+test('after a total loss a node of the production version, which has no data loss detection, starts nothing either', async () => {
   const version = await loadProductionVersion();
-  // Only jobs that are known and last: the old node would take repeated submissions for new ones (docs/recovery.md).
+  // All jobs are accepted before the loss and outlast the test, because the old node would take repeated submissions
+  // for new jobs (docs/recovery.md).
   const cluster = new SimCluster({ seed: 661, production: { version }, tuning: { detectsDataLoss: true } });
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
   for (let i = 0; i < 8; i++) cluster.submit(sampleJob(`j-${i}`, { taskCount: 4, estimateS: 400 }));
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -6,7 +6,7 @@
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
-/** A cluster in which jobs run: one long job of each team. */
+/** Creates a cluster and runs it until a long job of each of the two teams has running tasks. */
 async function createBusyCluster(options: SimClusterOptions): Promise<SimCluster> {
   const cluster = new SimCluster(options);
   cluster.clock.at(2 * SECOND, () => {
@@ -18,6 +18,7 @@
   return cluster;
 }
 
+/** Returns the index of a node with the given member name. */
 function indexOf(member: unknown): number {
   return Number(String(member).slice('node-'.length));
 }
@@ -26,12 +27,13 @@
   return indexOf(cluster.store.rows.get(LEADER_KEY)?.value['Member']);
 }
 
+/** Returns the nodes that own a shard. */
 function ownersOf(cluster: SimCluster): Set<number> {
   const rows = [...cluster.store.rows].filter(([path]) => path.startsWith(SHARD_PREFIX));
   return new Set(rows.map(([, row]) => indexOf(row.value['Member'])));
 }
 
-/** Runs until all given jobs are told done; the time that took. */
+/** Runs until the users of all given jobs have received the status `done`, and returns the time that it took. */
 async function untilDone(cluster: SimCluster, jobs: readonly string[], most: Micros): Promise<Micros> {
   const from = cluster.clock.time;
   while (!jobs.every((id) => cluster.lastStatuses.get(id) === 'done')) {
@@ -41,17 +43,17 @@
   return cluster.clock.time - from;
 }
 
-test('a machine whose heartbeats arrive while no answer reaches it loses its tasks by proof and is deleted', async () => {
+test('a machine that sends heartbeats but receives no responses is deleted, and its tasks run elsewhere', async () => {
   const cluster = await createBusyCluster({ seed: 41 });
   const mute = [...cluster.workers.values()].find((w) => w.taskCount > 0);
   assert.ok(mute);
   const { host } = mute.machine;
   cluster.net.unansweredParties.add(host);
   await untilDone(cluster, ['j-1', 'j-2'], 170 * SECOND);
-  assert.equal(cluster.workers.has(host), false, 'it still costs money');
+  assert.equal(cluster.workers.has(host), false, 'the machine has not been deleted');
 });
 
-test('duplicate heartbeats, up to several leases late, mislead neither present nor later owners', async () => {
+test('duplicate heartbeats, up to several leases late, mislead neither current nor later shard owners', async () => {
   const cluster = await createBusyCluster({ seed: 42 });
   cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 45 * SECOND };
   for (let i = 0; i < 3; i++) {
@@ -63,22 +65,22 @@
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
-test('a node that alone lost the state service releases its workers once a peer has a newer fencing token', async () => {
+test('a node that the state service refuses stops answering workers once a peer has a newer fencing token', async () => {
   const cluster = await createBusyCluster({ seed: 43 });
   const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
   cluster.store.refusedNodes.add(`node-${cut}`);
   await cluster.run(9 * SECOND);
   const late = cluster.heartbeatCount(cut);
   await cluster.run(6 * SECOND);
-  assert.equal(cluster.heartbeatCount(cut), late, 'it still answers workers');
+  assert.equal(cluster.heartbeatCount(cut), late, 'the isolated node still answers workers');
   assert.equal(ownersOf(cluster).has(cut), false);
-  assert.equal(cluster.health(cut), 503, 'users are still sent to it');
+  assert.equal(cluster.health(cut), 503, 'the isolated node still reports healthy');
   cluster.store.refusedNodes.clear();
   await cluster.run(4 * SECOND);
   assert.equal(cluster.health(cut), 200);
 });
 
-test('in an outage for all nodes each stays healthy, so that users are served at once afterwards', async () => {
+test('all nodes stay healthy during a state service outage, so that users are served at once afterwards', async () => {
   const cluster = await createBusyCluster({ seed: 47 });
   cluster.store.setOutage(true);
   for (let i = 0; i < 48; i++) {
@@ -90,18 +92,18 @@
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
-test('a node that also lost its peers stops answering within its bound and returns without harm', async () => {
+test('a node without state service and peers stops answering workers within the renewal bound and later rejoins', async () => {
   const cluster = await createBusyCluster({ seed: 44 });
   const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
   cluster.store.refusedNodes.add(`node-${cut}`);
   cluster.refusePeers(cut, true);
   await cluster.run(7 * SECOND);
-  assert.equal(cluster.health(cut), 503, 'users are still sent to it');
-  // cancel_s less lease_s of these settings, together.
+  assert.equal(cluster.health(cut), 503, 'the isolated node still reports healthy');
+  // The two periods together are cancel_s minus lease_s of these settings.
   await cluster.run(9 * SECOND);
   const late = cluster.heartbeatCount(cut);
   await cluster.run(10 * SECOND);
-  assert.equal(cluster.heartbeatCount(cut), late, 'it still answers workers');
+  assert.equal(cluster.heartbeatCount(cut), late, 'the isolated node still answers workers');
   cluster.store.refusedNodes.delete(`node-${cut}`);
   cluster.refusePeers(cut, false);
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
@@ -109,14 +111,14 @@
   assert.equal(ownersOf(cluster).has(cut), true);
 });
 
-test('a leader restarts within a fraction of a second, during the election that it caused', async () => {
+test('a leader that restarts within a fraction of a second, during the election that it caused, does no harm', async () => {
   const cluster = await createBusyCluster({ seed: 45 });
   for (const pause of [0.05, 0.2, 0.4, 0.1]) {
     const leader = leaderOf(cluster);
     cluster.killNode(leader);
     await cluster.run(pause * SECOND);
     cluster.startNode(leader);
-    // About when its earlier grant ends and the others stand for the lead.
+    // About the time at which the lease of its earlier process expires and the other nodes campaign for leadership.
     await cluster.run(3.1 * SECOND);
   }
   await cluster.run(5 * SECOND);
@@ -124,7 +126,7 @@
   await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
-test('at a full fleet nothing waits for ever: a large job of low rank beside a stream of urgent ones', async () => {
+test('on a full fleet a stream of small urgent jobs does not starve large jobs of low rank', async () => {
   const cluster = new SimCluster({ seed: 46, capacity: 1 });
   let n = 10;
   const small = (team: string): void => {
@@ -147,7 +149,7 @@
   assert.deepEqual(cluster.invariants.neglectedGroups(), []);
 });
 
-test('a node frozen for longer than its lease thaws without harm and owns shards again', async () => {
+test('a node that is suspended for longer than its lease resumes without harm and owns shards again', async () => {
   for (const [seed, pause] of [
     [61, 5],
     [62, 11],
@@ -157,17 +159,17 @@
     const cold = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
     cluster.freezeNode(cold, pause * SECOND);
     await cluster.run(4.5 * SECOND);
-    assert.equal(ownersOf(cluster).has(cold), false, 'its shards wait for it');
+    assert.equal(ownersOf(cluster).has(cold), false, 'its shards have not been reassigned');
     const before = cluster.heartbeatCount(cold);
     await cluster.run((pause - 4.5) * SECOND);
-    assert.equal(cluster.heartbeatCount(cold), before, 'it moved while it stood still');
+    assert.equal(cluster.heartbeatCount(cold), before, 'the suspended node answered a worker');
     await cluster.run(12 * SECOND);
     assert.equal(ownersOf(cluster).has(cold), true);
     await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
   }
 });
 
-test('invalid requests during faults: known jobs stay known, nothing impossible is accepted', async () => {
+test('during faults no invalid request is accepted, and invalid resubmissions do not affect accepted jobs', async () => {
   const cluster = await createBusyCluster({ seed: 48 });
   const known = sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 });
   const never = { team: 'blue', cpus: 64 };
@@ -181,7 +183,7 @@
   };
   const without = (spec: JobSpec): object => ({ ...encodeSubmission(spec), Rank: undefined });
   const round = async (node: number): Promise<void> => {
-    // The checker takes 400 and 422 for a job that was accepted as forgotten.
+    // The checker reports `forgotten` if a request for an accepted job is answered with 400 or 422.
     assert.equal(await post('j-1', node, encodeSubmission(known)), 200);
     assert.equal(await post('j-1', node, encodeSubmission({ ...known, ...never })), 200);
     assert.equal(await post('j-1', node, without(known)), 200);
@@ -195,7 +197,7 @@
     );
   };
   await round(0);
-  // A process that has just started may not know yet: then it says so, at once.
+  // A process that has just started may not have loaded its state yet. It then answers 503 without delay.
   cluster.killNode(1);
   cluster.startNode(1);
   const early = await post('j-9', 1, encodeSubmission(sampleJob('j-9', never)));
@@ -215,7 +217,7 @@
   await round(2);
 });
 
-test('a job that fails on every machine uses little capacity and ends with its cancellation', async () => {
+test('a job that fails on every machine is retried with one task at a time and ends with its cancellation', async () => {
   const cluster = new SimCluster({ seed: 49 });
   cluster.clock.at(2 * SECOND, () => {
     cluster.submit(
@@ -224,7 +226,7 @@
     );
     cluster.submit(sampleJob('j-2', { team: 'blue', taskCount: 30, estimateS: 20 }));
   });
-  // By then its first tasks have failed, wherever they ran.
+  // By this time the first attempts have failed on all machines.
   await cluster.run(75 * SECOND);
   const before = cluster.invariants.starts;
   let most = 0;
@@ -232,16 +234,16 @@
     await cluster.run(SECOND);
     most = Math.max(most, cluster.invariants.runningTasks('j-1').length);
   }
-  assert.ok(cluster.invariants.starts > before, 'it is not tried again');
+  assert.ok(cluster.invariants.starts > before, 'the job is not retried');
   assert.equal(most, 1);
   assert.equal(cluster.lastStatuses.get('j-2'), 'done');
   await cluster.run(30 * SECOND);
   assert.equal(cluster.lastStatuses.get('j-1'), 'cancelled');
 });
 
-// Such a node kept its shards, since its peers and the state service reached it: its workers were sent back to it until
-// their leases ran out.
-test('a node that loses only its workers hands its shards over before the worker leases expire', async () => {
+// Guards against this failure: the node kept its shards, because its peers and the state service still reached it, and
+// the other nodes referred its workers back to it until their leases expired.
+test('a node that loses only its workers hands off its shards before the worker leases expire', async () => {
   const cluster = new SimCluster({ seed: 121, settings: { stateRps: 200, stateWriteRps: 80 } });
   cluster.clock.at(2 * SECOND, () => {
     cluster.submit(sampleJob('j-0', { team: 'blue', taskCount: 8, estimateS: 300 }));
@@ -256,7 +258,7 @@
   const reportsTo = new Map<number, number>();
   for (const w of cluster.workers.values()) reportsTo.set(w.nodeIndex, (reportsTo.get(w.nodeIndex) ?? 0) + 1);
   const [node, workers] = [...reportsTo].sort((a, b) => b[1] - a[1])[0] ?? [0, 0];
-  assert.ok(workers >= 2, 'no node has two workers');
+  assert.ok(workers >= 2, 'no node receives heartbeats of two workers');
   const links = [...cluster.workers.keys()].map((name) => `${name}>10.0.0.${node}:80`);
   for (const link of links) cluster.net.refusedLinks.add(link);
   await cluster.run(15 * SECOND);
@@ -269,8 +271,8 @@
     before.filter((task) => !after.includes(task)),
     [],
   );
-  // Back in reach it owns shards again after a while.
+  // Once the workers reach the node again, it owns shards again after some time.
   for (const link of links) cluster.net.refusedLinks.delete(link);
   await cluster.run(60 * SECOND);
-  assert.ok(cluster.heartbeatCount(node) > reports, 'it was not tried again');
+  assert.ok(cluster.heartbeatCount(node) > reports, 'the node got no shard again');
 });
--- a/packages/testkit/fault-target.ts
+++ b/packages/testkit/fault-target.ts
@@ -1,13 +1,13 @@
-/** What an injected fault acts on, and the helpers that the faults have in common. */
+/** The target of an injected fault, and helpers that the faults share. */
 import { SECOND } from '#wire';
 import type { SimCluster } from './sim-cluster.js';
 import type { CloudHost } from './sim-cloud.js';
 import type { SimWorker } from './sim-worker.js';
 
-/** One way in which a simulated cluster can fail. */
+/** A kind of fault that can be injected into a simulated cluster. */
 export interface Fault {
   readonly name: string;
-  /** Starts the fault; it ends by itself after a random time. */
+  /** Starts the fault. A temporary fault ends after a random time. */
   readonly inject: (target: FaultTarget) => void;
 }
 
@@ -16,11 +16,11 @@
   private constructor(
     readonly cluster: SimCluster,
     readonly nodeIndex: number,
-    /** Undefined if no worker is up. */
+    /** Undefined if no worker is running. */
     readonly worker: SimWorker | undefined,
   ) {}
 
-  /** Chooses a node and a worker. */
+  /** Chooses a node and a worker at random. */
   static choose(cluster: SimCluster): FaultTarget {
     const { random, nodeCount, workers } = cluster;
     const nodeIndex = Math.floor(random() * nodeCount);
@@ -28,31 +28,33 @@
     return new FaultTarget(cluster, nodeIndex, worker);
   }
 
-  /** A random number of seconds from `least` up to `least + spread`. */
+  /** Returns a random number of seconds from `least` up to `least + spread`. */
   randomSeconds(least: number, spread: number): number {
     return least + this.cluster.random() * spread;
   }
 
+  /** Member name of the chosen node. */
   get nodeName(): string {
     return `node-${this.nodeIndex}`;
   }
 
+  /** The indexes of all nodes. */
   get nodeIndexes(): number[] {
     return [...Array(this.cluster.nodeCount).keys()];
   }
 
-  /** The machine of the chosen worker, if the cloud still has it. */
+  /** The machine of the chosen worker; undefined if the cloud no longer has it. */
   get host(): CloudHost | undefined {
     return this.worker && this.cluster.cloud.hosts.get(this.worker.machine.host);
   }
 
-  /** Starts a fault at once and ends it after the given seconds. */
+  /** Starts a fault immediately and ends it after the given number of seconds. */
   during(seconds: number, start: () => void, end: () => void): void {
     start();
     this.cluster.clock.at(seconds * SECOND, end);
   }
 
-  /** Ends a node's process and starts it again. */
+  /** Kills a node's process and starts it again after `downSeconds`. */
   restartNode(index: number, downSeconds: number): void {
     const { cluster } = this;
     this.during(
@@ -66,7 +68,7 @@
     );
   }
 
-  /** Refuses connections on these links (`from>endpoint`). */
+  /** Refuses connections on these links (`from>endpoint`) for the given number of seconds. */
   refuseLinks(links: readonly string[], seconds: number): void {
     const { refusedLinks } = this.cluster.net;
     this.during(
@@ -80,7 +82,7 @@
     );
   }
 
-  /** Answers every request of all nodes to the state service with an error. */
+  /** Makes the state service answer every request with an error for the given number of seconds. */
   stopStore(seconds: number): void {
     const { store } = this.cluster;
     this.during(
@@ -94,7 +96,7 @@
     );
   }
 
-  /** Answers the requests of the chosen node to the state service with an error. */
+  /** Makes the state service answer the chosen node's requests with an error for the given number of seconds. */
   refuseNodeAtStore(seconds: number): void {
     const { refusedNodes } = this.cluster.store;
     const name = this.nodeName;
--- a/packages/testkit/first-failure.ts
+++ b/packages/testkit/first-failure.ts
@@ -1,9 +1,10 @@
-/** Failures in callbacks whose caller may swallow them. */
-/** Keeps the first thing that broke in a callback, whose caller may swallow it, until somebody looks. */
+/** Failures in callbacks whose caller may swallow exceptions. */
+
+/** Keeps the first exception of the guarded callbacks, whose callers may swallow it, until {@link FirstFailure.rethrow} is called. */
 export class FirstFailure {
   private failure: unknown = null;
 
-  /** Runs it, and keeps what it throws beside throwing it on. */
+  /** Runs a callback. If it throws, keeps the exception if it is the first one, and rethrows it. */
   guard<T>(act: () => T): T {
     try {
       return act();
@@ -13,7 +14,7 @@
     }
   }
 
-  /** Throws what broke first, if anything did. */
+  /** Throws the first exception, if there was one. */
   rethrow(): void {
     if (this.failure === null) return;
     throw this.failure instanceof Error ? this.failure : new Error(String(this.failure));
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -5,13 +5,13 @@
 import { SAMPLE_TYPES } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 
-/** When faults begin and end. */
+/** Time of the first and of the last fault. */
 const FAULT_PERIOD = { from: 25 * SECOND, until: 110 * SECOND };
 
 /**
- * More work than a small fleet holds: two teams with guarantees, tasks that are stopped for others, and a guest team
- * with hundreds of jobs of one task. The owners of shards end again and again, and are back at once or after seconds,
- * while the state service is slow, so that a node reads the live state while commits land.
+ * Runs more work than a small fleet can hold: two teams with guaranteed quota, tasks that are preempted for others, and
+ * a guest team with hundreds of jobs of one task. Nodes that own shards crash repeatedly and restart immediately or
+ * after seconds. The state service is slow, so that a node reads the live state while transactions are committed.
  */
 async function fullFleet(seed: number): Promise<SimCluster> {
   const teams = [
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -1,4 +1,4 @@
-/** Gangs through the whole service: what is asked for, what fails under them, and what comes of it. */
+/** End-to-end tests of gangs: validation, simultaneous start, and behaviour when machines or controllers fail. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LOG_PREFIX } from '#cluster';
@@ -6,12 +6,13 @@
 import { sampleJob } from './sample-job.js';
 import { SimCluster } from './sim-cluster.js';
 
+/** Returns the specification of a gang of four tasks in one zone. */
 function gang(id: string, change: Partial<JobSpec> = {}): JobSpec {
   const shape = { shape: 'gang' as const, jobClass: 'joint', taskCount: 4, singleZone: true };
   return sampleJob(id, { ...shape, checkpointS: 4, saveS: 1, estimateS: 15, ...change });
 }
 
-/** Lets the cluster run until the job is over, and some time beyond. */
+/** Runs until the job's tasks are done, for `within` seconds at most, and 20 s more; asserts that its user got `done`. */
 async function finish(cluster: SimCluster, id: string, within: number): Promise<void> {
   for (let second = 0; second < within && !cluster.invariants.isComplete(id); second++)
     await cluster.run(SECOND);
@@ -19,6 +20,7 @@
   assert.equal(cluster.lastStatuses.get(id), 'done');
 }
 
+/** Runs until the given number of the gang's tasks are on machines, for 60 s at most, and returns their hosts. */
 async function untilGathered(cluster: SimCluster, id: string, tasks: number): Promise<string[]> {
   for (let step = 0; step < 600 && cluster.invariants.runningTasks(id).length < tasks; step++)
     await cluster.run(SECOND / 10);
@@ -27,13 +29,13 @@
   return hosts;
 }
 
-test('a gang that can run is accepted, one that never can gets 422, another shape 400', async () => {
+test('a feasible gang is accepted, an infeasible one is answered 422, an unknown shape 400', async () => {
   const cluster = new SimCluster({ seed: 1 });
   const answers: number[] = [];
   const specs = [
     gang('j-1'),
     gang('j-1'),
-    // Four tasks of 6 CPUs against a limit of 20; one alone would do.
+    // Four tasks of 6 CPUs exceed the limit of 20 CPUs; a single task would not.
     gang('j-2', { cpus: 6 }),
     gang('j-3', { spreadZones: true }),
     gang('j-4', { singleZone: false, spreadZones: true, zone: 'east' }),
@@ -68,7 +70,7 @@
   assert.equal(cluster.gangs.starts, 1);
 });
 
-test('a machine that dies under a running gang costs that attempt; the next one goes on from its checkpoint', async () => {
+test('when a machine of a running gang dies, the next attempt resumes from the checkpoint', async () => {
   const cluster = new SimCluster({ seed: 3 });
   cluster.submit(gang('j-1', { estimateS: 30 }));
   const [first] = await untilGathered(cluster, 'j-1', 4);
@@ -81,7 +83,7 @@
   assert.equal(cluster.gangs.starts, 2);
 });
 
-test('a machine that dies while the gang gathers: the rest is called off, and a new attempt begins', async () => {
+test('when a machine dies while the gang gathers, a new attempt replaces the old one', async () => {
   const cluster = new SimCluster({ seed: 4 });
   cluster.submit(gang('j-1', { imageGb: 6 }));
   const [first] = await untilGathered(cluster, 'j-1', 1);
@@ -92,14 +94,14 @@
   assert.equal(cluster.gangs.starts, 1);
 });
 
-// Every record holds a few tasks and every commit one record, so that the start of six takes several of them.
-test('an owner that ends between two parts of a start leaves no half of a gang behind', async () => {
+// A record holds only a few tasks and a commit only one record, so that the start of six tasks takes several commits.
+test('a shard owner that crashes between two commits of a gang start leaves no partial gang behind', async () => {
   for (const seed of [5, 6, 7]) {
     const cluster = new SimCluster({ seed, settings: { valueBytes: 560, txnOps: 4 } });
     let cuts = 0;
     const isPart = (write: Record<string, unknown>): boolean =>
       String(write['Set']).startsWith(LOG_PREFIX) && JSON.stringify(write['V']).includes('"gang"');
-    // The commit that completes the start gets lost with its owner: it lands late, if it lands at all.
+    // The commit that completes the start loses its response, and its sender crashes. It is applied late or never.
     cluster.store.isLate = (writes) => {
       const isCut = cuts === 0 && writes.some(isPart);
       if (!isCut) return false;
@@ -121,7 +123,7 @@
   }
 });
 
-test('a gang that is cancelled while it gathers is gone in time', async () => {
+test('a gang that is cancelled while it gathers stops within the cancellation deadline', async () => {
   const cluster = new SimCluster({ seed: 8 });
   cluster.submit(gang('j-1', { imageGb: 4 }));
   await untilGathered(cluster, 'j-1', 1);
@@ -143,5 +145,5 @@
     cluster.submit(gang('j-1', { taskCount: 6, allowsSpot: true }));
   });
   await cluster.run(130 * SECOND);
-  assert.ok(cluster.gangs.starts > 0, 'the gang has not begun');
+  assert.ok(cluster.gangs.starts > 0, 'the gang has not started');
 });
--- a/packages/testkit/invariant-types.ts
+++ b/packages/testkit/invariant-types.ts
@@ -1,7 +1,7 @@
-/** What the invariant checker observes, and the error that it throws. */
+/** Observations that the invariant checker works on, and the error that it throws. */
 import type { JobSpec, JobStatus, Micros } from '#wire';
 
-/** A violated invariant of the protocol, by its name in {@link InvariantChecker}'s checks. */
+/** Thrown by the checkers when an invariant of the protocol is violated; `invariant` is its name, such as `ran_twice`. */
 export class InvariantViolation extends Error {
   constructor(
     readonly invariant: string,
@@ -11,10 +11,10 @@
   }
 }
 
-/** Resources that the running tasks of each team may use together. */
+/** Resources that the running tasks of a team may use in total. Keyed by team. */
 export type TeamLimits = ReadonlyMap<string, { readonly cpus: number; readonly gpus: number }>;
 
-/** What an invariant needs to know about a machine. */
+/** Properties of a machine that the invariants refer to. */
 export interface MachineFacts {
   host: string;
   machineType: string;
@@ -27,18 +27,18 @@
   readonly status: number;
   readonly state: JobStatus | null;
   readonly now: Micros;
-  /** When its request was sent; `now` by default. */
+  /** Time at which the request was sent; `now` by default. */
   readonly sentAt?: Micros;
 }
 
-/** When a task started, and in which attempt. */
+/** Time and attempt of a task start. */
 export interface TaskStart {
   readonly now: Micros;
   /** 0 by default. */
   readonly attempt?: number;
 }
 
-/** A machine that works, with the room that it really has. */
+/** A healthy machine with its unused resources. */
 export interface FreeCapacity {
   machine: MachineFacts;
   cpus: number;
@@ -46,27 +46,30 @@
   memGb: number;
 }
 
-/** What is known of a job from its user's answers and from the machines. */
+/** State of a job as observed from the answers to its user and from the machines. */
 export interface JobObservation {
   spec: JobSpec;
+  /** True once the user received an answer with status 200 or 201. */
   isAccepted: boolean;
+  /** Indexes of the tasks that completed their work. */
   doneTasks: Set<number>;
+  /** Status in the last answer to the user. */
   lastStatus: JobStatus | null;
   isCancellationRequested: boolean;
-  /** When its user was first informed that it is cancelled. */
+  /** Time at which its user first received the status `cancelled`. */
   cancelledAt: Micros | null;
-  /** When its user was first informed of its end. */
+  /** Time at which its user first received a terminal status. */
   endedAt: Micros | null;
   submittedAt: Micros;
-  /** When a question about it was last answered. */
+  /** Time of the last answer to a request about it. */
   answeredAt: Micros;
-  /** When the first of its tasks began. */
+  /** Time at which the first of its tasks started. */
   startedAt: Micros | null;
-  /** Since when it has waited though a machine had room; null while it does not. */
+  /** Time since which it has waited although a machine has free capacity for it; null if it does not. */
   waitingSince: Micros | null;
 }
 
-/** Whether a job with this status has ended. */
+/** True if a job with this status has ended. */
 export function isTerminal(status: JobStatus | null): boolean {
   return status === 'done' || status === 'cancelled';
 }
--- a/packages/testkit/invariants.test.ts
+++ b/packages/testkit/invariants.test.ts
@@ -15,7 +15,7 @@
   return checked;
 }
 
-/** Each invariant, violated on purpose by one step: the checker must name it. */
+/** Functions that each violate one invariant; the checker must report its name. */
 const VIOLATIONS: [invariant: string, step: () => void][] = [
   [
     'forgotten',
@@ -104,7 +104,7 @@
       const checked = checker();
       checked.cancellationRequested('j-1');
       checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
-      // Asked at the very moment at which the end was told, and after it, older answers are not allowed.
+      // A request that is sent when the terminal status is received, or later, must not get an older status.
       checked.answerReceived('j-1', { status: 200, state: 'pending', now: 3, sentAt: 2 });
     },
   ],
@@ -114,7 +114,7 @@
       const checked = checker();
       checked.cancellationRequested('j-1');
       checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
-      // Two ends can't both be true, whichever was asked for first.
+      // Two different terminal statuses are a contradiction, in whichever order they were requested.
       checked.taskEnded('j-1/0', true);
       checked.taskEnded('j-1/1', true);
       checked.taskEnded('j-1/2', true);
@@ -133,7 +133,7 @@
 ];
 
 for (const [invariant, step] of VIOLATIONS) {
-  test(`the checker catches ${invariant}`, () => {
+  test(`the checker reports a violation of ${invariant}`, () => {
     assert.throws(
       step,
       (cause: unknown) => cause instanceof InvariantViolation && cause.invariant === invariant,
@@ -141,14 +141,14 @@
   });
 }
 
-test('an answer requested before the end was known may be older, and reach its user later', () => {
+test('the checker accepts a late answer with an older status if it was requested before the terminal status arrived', () => {
   const checked = checker();
   checked.cancellationRequested('j-1');
   checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 5, sentAt: 3 });
   checked.answerReceived('j-1', { status: 200, state: 'running', now: 6, sentAt: 4 });
 });
 
-test('a job may wait without free capacity that fits, at the limit of its team, or while faults last', () => {
+test('the checker allows a job to wait without suitable capacity, at its team limit, or during faults', () => {
   const waits = (change: Parameters<typeof sampleJob>[1], cpus: number, calm = true): void => {
     const checked = checker(change);
     if (calm) checked.faultsEnded(0);
@@ -161,7 +161,7 @@
   waits({}, 4, false);
 });
 
-test('the checker accepts the ordinary course of a job', () => {
+test('the checker accepts a job that runs without incident', () => {
   const checked = checker({ taskCount: 2 });
   for (const i of [0, 1]) checked.taskStarted(`j-1/${i}`, east, { now: 1 });
   for (const i of [0, 1]) checked.taskEnded(`j-1/${i}`, true);
@@ -170,7 +170,7 @@
   assert.deepEqual(checked.unfinishedJobs(), []);
 });
 
-test('a neglected class, team or largest job is reported, and one that was served is not', () => {
+test('the checker reports neglected classes, teams and largest jobs, and no others', () => {
   const checked = new InvariantChecker(LIMITS, 10 * SECOND);
   const jobs = [
     sampleJob('j-1', { jobClass: 'fast', taskCount: 1 }),
@@ -186,7 +186,7 @@
     checked.taskEnded(`${id}/0`, true);
   }
   assert.deepEqual(checked.neglectedGroups(), [
-    'j-2 of slow began too late',
+    'j-2 of slow started too late',
     'team green: 0 of 1 done',
     'largest of slow: 0 of 1 done',
   ]);
@@ -194,5 +194,5 @@
     checked.taskStarted(`j-2/${i}`, east, { now: 241 * SECOND });
     checked.taskEnded(`j-2/${i}`, true);
   }
-  assert.deepEqual(checked.neglectedGroups(), ['j-2 of slow began too late']);
+  assert.deepEqual(checked.neglectedGroups(), ['j-2 of slow started too late']);
 });
--- a/packages/testkit/invariants.ts
+++ b/packages/testkit/invariants.ts
@@ -1,4 +1,4 @@
-/** Checks the invariants of the protocol against what happens on machines and what users are answered. */
+/** Checks the invariants of the protocol against the tasks on machines and the answers to users. */
 import { type JobSpec, type JobStatus, type Micros, SECOND } from '#wire';
 import {
   type FreeCapacity,
@@ -15,24 +15,26 @@
 
 export * from './invariant-types.js';
 
-/** Once all faults have ended, a question about a job is answered within this time. */
+/** Once all faults have ended, a status request for a job is answered within this time. */
 const ANSWER_DEADLINE: Micros = 75 * SECOND;
-/** No task waits for longer than this while a machine that fits has enough free capacity and its team is under its limit. */
+/** Longest time that a task may wait while a suitable machine has free capacity and its team is under its limit. */
 const WAITING_DEADLINE: Micros = 90 * SECOND;
 /**
  * Observes the simulated machines and the answers to users, and throws an {@link InvariantViolation} as soon as an
- * invariant of the protocol is violated. It knows nothing of the implementation.
+ * invariant of the protocol is violated. It does not depend on the implementation of the controllers.
  */
 export class InvariantChecker {
+  /** Keyed by job id. */
   private readonly jobs = new Map<string, JobObservation>();
   private readonly running: RunningTasks;
-  /** Jobs with a confirmed cancellation, until their cancellation deadline. */
+  /** Ids of jobs whose cancellation is confirmed and whose cancellation deadline has not passed. */
   private readonly cancelled = new Set<string>();
-  /** Jobs whose users do not know of an end yet. */
+  /** Ids of jobs whose users have not received a terminal status yet. */
   private readonly jobsAwaitingEnd = new Set<string>();
   private faultsEndedAt: Micros = Infinity;
+  /** Number of task starts. */
   starts = 0;
-  /** Starts before the cancellation deadline: allowed, but of no use. */
+  /** Task starts between a confirmed cancellation and its deadline: allowed, but useless. */
   startsAfterConfirmation = 0;
   /** Called with events during which tests inject further faults. */
   onEvent: (event: 'confirmed' | 'last end') => void = () => undefined;
@@ -44,6 +46,7 @@
     this.running = new RunningTasks(limits);
   }
 
+  /** Records the first submission of a job; repeated submissions change nothing. */
   jobSubmitted(spec: JobSpec, now: Micros): void {
     if (this.jobs.has(spec.id)) return;
     this.jobs.set(spec.id, {
@@ -62,19 +65,21 @@
     this.jobsAwaitingEnd.add(spec.id);
   }
 
+  /** Records that a user has requested the cancellation of a job. */
   cancellationRequested(id: string): void {
     const job = this.jobs.get(id);
     if (job) job.isCancellationRequested = true;
   }
 
-  /** A user got this answer about this job, to a request sent at `sentAt`. */
+  /** Records and checks an answer that a user received about a job, to a request sent at `sentAt`. */
   answerReceived(id: string, { status, state, now, sentAt = now }: UserAnswer): void {
     const job = this.jobs.get(id);
     if (status === 200 || status === 201) {
       if (!job) throw new InvariantViolation('invented', `${id} is answered ${status}`);
       job.isAccepted = true;
       job.answeredAt = now;
-      // Asked before the end was told, an answer may have been given before it, too, and overtaken on its way.
+      // The request was sent before the user received the terminal status, so its answer may be older than that one
+      // and have been delayed in the network.
       if (sentAt < (job.endedAt ?? -Infinity) && !isTerminal(state)) return;
       this.statusReceived(job, state, now);
     } else if (job?.isAccepted && (status === 404 || status === 400 || status === 422)) {
@@ -82,11 +87,11 @@
     }
   }
 
-  /** A task is on its machine: it has its image. */
+  /** Records that a task has its image and starts on its machine. */
   taskStarted(taskName: string, machine: MachineFacts, { now, attempt = 0 }: TaskStart): void {
     const { id } = splitTaskName(taskName);
     const job = this.jobs.get(id);
-    if (!job) throw new InvariantViolation('invented', `${taskName} starts but nobody submitted it`);
+    if (!job) throw new InvariantViolation('invented', `${taskName} starts but its job was never submitted`);
     const other = this.running.get(taskName);
     if (other)
       throw new InvariantViolation('ran_twice', `${taskName} on ${other.machine.host} and ${machine.host}`);
@@ -100,6 +105,7 @@
     if (job.cancelledAt !== null) this.startsAfterConfirmation++;
   }
 
+  /** Records that a task has left its machine; `done` is true if it completed its work. */
   taskEnded(taskName: string, done: boolean): void {
     this.running.end(taskName);
     const { id, index } = splitTaskName(taskName);
@@ -109,14 +115,14 @@
     if (job.doneTasks.size >= job.spec.taskCount) this.onEvent('last end');
   }
 
-  /** Tasks of the job that are on machines: name and machine of each. */
+  /** Returns the name and the host of each running task of the job. */
   runningTasks(id: string): { taskName: string; host: string }[] {
     return this.running.ofJob(id).map((task) => ({ taskName: task.taskName, host: task.machine.host }));
   }
 
   /**
-   * Nothing waits without reason: looked at every so often once all faults have ended, with all machines that
-   * work.
+   * Checks that no task waits without reason; `capacities` holds all healthy machines. Called periodically, and
+   * without effect until all faults have ended.
    */
   checkWaitingJobs(now: Micros, capacities: readonly FreeCapacity[]): void {
     if (now < this.faultsEndedAt) return;
@@ -128,38 +134,43 @@
           : undefined;
       if (!free) job.waitingSince = null;
       else if (now > (job.waitingSince ??= now) + WAITING_DEADLINE) {
-        throw new InvariantViolation('left_waiting', `${id} waits while ${free.machine.host} has room`);
+        throw new InvariantViolation(
+          'left_waiting',
+          `${id} waits while ${free.machine.host} has free capacity`,
+        );
       }
     }
   }
 
+  /** Returns the number of the job's tasks that are neither done nor running. */
   private waiting(id: string, job: JobObservation): number {
     return job.spec.taskCount - job.doneTasks.size - this.runningTasks(id).length;
   }
 
-  /** All tasks of the job are done. */
+  /** True if all tasks of the job are done. */
   isComplete(id: string): boolean {
     const job = this.jobs.get(id);
     return job !== undefined && job.doneTasks.size >= job.spec.taskCount;
   }
 
+  /** True if the task has completed its work. */
   isDone(taskName: string): boolean {
     const { id, index } = splitTaskName(taskName);
     return this.jobs.get(id)?.doneTasks.has(index) ?? false;
   }
 
-  /** No fault is in effect from now on. */
+  /** Records that no fault is in effect from now on. */
   faultsEnded(now: Micros): void {
     this.faultsEndedAt = now;
   }
 
-  /** What must hold at every moment. */
+  /** Checks the deadlines of answers and of cancellations. Called after every step of the simulation. */
   check(now: Micros): void {
     for (const id of this.jobsAwaitingEnd) {
       const job = this.jobs.get(id);
       if (!job || isTerminal(job.lastStatus)) this.jobsAwaitingEnd.delete(id);
       else if (job.isAccepted && now > Math.max(this.faultsEndedAt, job.answeredAt) + ANSWER_DEADLINE) {
-        throw new InvariantViolation('forgotten', `no question about ${id} is answered`);
+        throw new InvariantViolation('forgotten', `no status request for ${id} is answered`);
       }
     }
     for (const id of this.cancelled) {
@@ -168,17 +179,17 @@
       for (const task of this.running.ofJob(id)) {
         throw new InvariantViolation('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
-      // Every later start of it is caught as it begins.
+      // taskStarted() catches every later start.
       this.cancelled.delete(id);
     }
   }
 
-  /** Accepted jobs whose users do not know of their end; none at the end of a run that ended without faults. */
+  /** Returns the accepted jobs whose users have not received a terminal status; empty after a run that ends without faults. */
   unfinishedJobs(): string[] {
     return [...this.jobs].filter(([, j]) => j.isAccepted && !isTerminal(j.lastStatus)).map(([id]) => id);
   }
 
-  /** Classes, teams and largest jobs that were neglected; see {@link findNeglectedGroups}. */
+  /** Describes the neglected classes, teams and largest jobs; see {@link findNeglectedGroups}. */
   neglectedGroups(): string[] {
     return findNeglectedGroups(this.jobs.values());
   }
@@ -192,7 +203,7 @@
       );
     }
     if (state === 'cancelled' && !job.isCancellationRequested)
-      throw new InvariantViolation('went_back', `${id} was never cancelled`);
+      throw new InvariantViolation('went_back', `${id}: no cancellation was requested`);
     if (isTerminal(job.lastStatus) && state !== job.lastStatus)
       throw new InvariantViolation('went_back', `${id}: ${job.lastStatus}, ${state}`);
     job.lastStatus = state;
--- a/packages/testkit/ledger-agreement.ts
+++ b/packages/testkit/ledger-agreement.ts
@@ -1,4 +1,4 @@
-/** Checks that every node's copy of the placement state is the one that the commits lead to. */
+/** Checks that every node's replica of the placement state is the one that results from the commits. */
 import {
   decodeRecord,
   type Destination,
@@ -13,7 +13,7 @@
 import { type Count, type WireFields, isWireFields } from '#wire';
 import { InvariantViolation } from './invariants.js';
 
-/** A machine as a ledger holds it, as far as copies are compared. */
+/** The fields of a machine in a ledger that are compared between replicas. */
 export interface ComparedMachine {
   readonly host: string;
   readonly shard: number | null;
@@ -23,7 +23,7 @@
   readonly lastHeartbeat: { readonly incarnation: Count; readonly sequence: Count } | null;
 }
 
-/** A placement as a ledger holds it, as far as copies are compared. */
+/** The fields of a placement in a ledger that are compared between replicas. */
 export interface ComparedPlacement {
   readonly taskName: string;
   readonly host: string;
@@ -31,32 +31,32 @@
   readonly workerIncarnation: Count;
 }
 
-/** What is compared of a ledger, whichever version of the program keeps it. */
+/** The contents of a ledger that are compared, independent of the version of the program. */
 export interface LedgerFacts {
   readonly machines: readonly ComparedMachine[];
   readonly placements: readonly ComparedPlacement[];
 }
 
-/** One node's copy of the state. */
+/** One node's replica of the state. */
 export interface ReplicaFacts {
   readonly member: string;
   readonly state: ReplicaState;
-  /** Revision up to which every commit is applied. */
+  /** Revision up to which the replica has applied every commit. */
   readonly applied: number;
-  /** Tells one ledger from the next: a new object after every complete read of the state. */
+  /** Identity of the ledger: every complete read of the state creates a new object. */
   readonly ledger: object;
-  /** Lists all of the ledger, which costs time in proportion to its size. */
+  /** Lists the whole ledger; takes time proportional to its size. */
   readonly describeLedger: () => LedgerFacts;
 }
 
 /**
- * Checks that every node's ledger is the one that the commits, applied one after the other, lead to. It keeps a
- * ledger of its own that never restarts, is never read from a checkpoint and sees each commit as it happens.
+ * Checks that every node's ledger equals the one that results from applying the commits in order. The reference ledger
+ * is never restarted and never read from a checkpoint, and applies each commit as it happens.
  */
 export class LedgerAgreement {
   private readonly reference = new Ledger();
 
-  /** Takes in a transaction that the state service has just applied. */
+  /** Applies the records of a transaction that the state service has just applied to the reference ledger. */
   transactionApplied(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const path = String(write['Set'] ?? '');
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Compares the copies of those nodes that have applied everything up to the present revision. */
+  /** Compares the replicas that have applied everything up to the given revision with the reference ledger. */
   check(copies: readonly ReplicaFacts[], revision: number): void {
     const current = copies.filter((copy) => copy.state === 'following' && copy.applied === revision);
     if (current.length === 0) return;
@@ -88,7 +88,7 @@
   }
 }
 
-/** What is compared of a ledger of the present version. */
+/** Extracts the compared contents from a ledger of the current version. */
 export function factsOfLedger(ledger: Ledger): LedgerFacts {
   const machines = [...ledger.machines.values()].map((machine) => ({
     host: machine.host,
@@ -112,7 +112,7 @@
   return { machines, placements };
 }
 
-/** Machines with their shards, and placements, in an order that does not depend on how the ledger came about. */
+/** Describes machines and placements one per line, sorted so that the order of the commits does not matter. */
 function describe({ machines, placements }: LedgerFacts): string[] {
   const machineLines = machines.map((machine) => {
     const { host, shard, destination, ownershipCount, status, lastHeartbeat } = machine;
--- a/packages/testkit/lint-rules.test.ts
+++ b/packages/testkit/lint-rules.test.ts
@@ -17,7 +17,7 @@
   requireModuleComment: Rule.RuleModule;
 }
 
-/** The rules are plain JavaScript, as ESLint loads them; they lie beside the sources and are not compiled. */
+/** Directory of the lint rules. They are plain JavaScript, which ESLint loads directly, and are not compiled. */
 const RULES = new URL('../../tools/eslint-rules/', import.meta.url);
 const { findCycle, importGraph } = (await import(`${RULES.href}import-graph.js`)) as ImportGraphModule;
 const { requireModuleComment } = (await import(
@@ -29,7 +29,7 @@
   imports: { '#one': './target/one/index.js', '#two': './target/two/index.js' },
 });
 
-/** All cycles that imports of the given files begin, each as a line of paths, sorted. */
+/** Returns the cycles that start with an import of one of the files, sorted; each is a line of file paths. */
 function cyclesIn(files: Readonly<Record<string, string>>): string[] {
   const root = mkdtempSync(join(tmpdir(), 'lint-rules-'));
   try {
@@ -61,7 +61,7 @@
   }
 }
 
-test('an import cycle is found from each of its imports, also one made of types and longer ways around', () => {
+test('an import cycle is found from each of its imports, even if it has three files or consists of type imports', () => {
   const cycles = cyclesIn({
     'one/a.ts': `import type { B } from './b.js';\nexport type A = B;`,
     'one/b.ts': `export * from './c.js';\nexport type B = number;`,
@@ -85,7 +85,7 @@
   ]);
 });
 
-test('modules that share an import, and imports that lead into a cycle, are no cycle', () => {
+test('modules that share an import, and imports of a module in a cycle, are not reported as cycles', () => {
   const cycles = cyclesIn({
     'one/leaf.ts': `export type Leaf = number;`,
     'one/left.ts': `import type { Leaf } from './leaf.js';\nexport type Left = Leaf;`,
@@ -96,7 +96,7 @@
   assert.deepEqual(cycles, ['one/x.ts one/y.ts one/x.ts', 'one/y.ts one/x.ts one/y.ts']);
 });
 
-test('only a doc comment that stands for the module counts as one on the module', () => {
+test('only a doc comment that belongs to the module counts as a module comment', () => {
   const linter = new Linter();
   const isAccepted = (code: string): boolean => {
     const plugins = { local: { rules: { 'module-comment': requireModuleComment } } };
--- a/packages/testkit/machine-faults.ts
+++ b/packages/testkit/machine-faults.ts
@@ -3,7 +3,7 @@
 import type { FaultTarget } from './fault-target.js';
 import type { SimWorker } from './sim-worker.js';
 
-/** Time that the cloud gives a spot machine between the notice and its end. */
+/** Seconds between the cloud's reclaim notice for a machine and the reclaim itself. */
 const RECLAIM_NOTICE_S = 4;
 
 function hang(target: FaultTarget, worker: SimWorker): void {
@@ -18,7 +18,7 @@
   );
 }
 
-/** Many machines fail at once: some die, some hang for less or more than a lease. */
+/** Makes many machines fail at once: some die, others hang for shorter or longer than a worker's lease. */
 export function failManyMachines(target: FaultTarget): void {
   const { cloud, workers, random } = target.cluster;
   for (const worker of workers.values()) {
@@ -29,12 +29,12 @@
   }
 }
 
-/** One machine dies. */
+/** Kills one machine. */
 export function killMachine({ cluster, host }: FaultTarget): void {
   if (host) cluster.cloud.die(host);
 }
 
-/** The cloud reclaims one machine after a notice. */
+/** Makes the cloud reclaim one machine after a notice. */
 export function reclaimMachine({ cluster, host, worker }: FaultTarget): void {
   if (!host || !worker) return;
   worker.reclaimInS = RECLAIM_NOTICE_S;
@@ -43,7 +43,7 @@
   });
 }
 
-/** One worker executes nothing for a while. */
+/** Makes one worker hang: it executes nothing until the fault ends. */
 export function hangWorker(target: FaultTarget): void {
   if (target.worker) hang(target, target.worker);
 }
--- a/packages/testkit/mutations.ts
+++ b/packages/testkit/mutations.ts
@@ -1,6 +1,6 @@
 /**
- * Takes out one guard of `mutations.json` at a time and demands that a test fails. Works on a copy of the compiled tree, so
- * nothing of the checkout changes; by command, not in CI:
+ * Mutation testing: removes one safety check of `mutations.json` at a time and verifies that a test then fails. It works
+ * on a copy of the compiled tree, so that the checkout stays unchanged. It runs by command and not in CI:
  *
  *     node target/testkit/mutations.js [part of a name]
  */
@@ -11,16 +11,18 @@
 import { fileURLToPath } from 'node:url';
 
 interface Mutation {
-  /** The guard that is taken out. */
+  /** The safety check that is removed. */
   name: string;
+  /** Compiled file, relative to `target/`. */
   file: string;
+  /** Compiled code to replace; its first occurrence counts. */
   from: string;
   to: string;
-  /** Tests of which at least one has to fail. */
+  /** Compiled test files of which at least one has to fail, relative to `target/`. */
   tests: string[];
 }
 
-/** More random runs than CI plays, where a guard is met rarely. */
+/** More random runs than in CI, because some checks take effect rarely. */
 const ENVIRONMENT = { DUTIES_RUNS: '24', LOST_RUNS: '8' };
 
 const checkout = fileURLToPath(new URL('../../', import.meta.url));
@@ -28,7 +30,7 @@
   readFileSync(join(checkout, 'packages/testkit/mutations.json'), 'utf8'),
 ) as Mutation[];
 
-/** Whether one of the tests fails without the guard. */
+/** True if one of the tests fails without the safety check. */
 function isCaught({ name, file, from, to, tests }: Mutation): boolean {
   const folder = mkdtempSync(join(tmpdir(), 'micaworks-mutation-'));
   try {
@@ -38,7 +40,8 @@
     for (const part of ['node_modules', 'packages']) symlinkSync(join(checkout, part), join(folder, part));
     const path = join(folder, 'target', file);
     const text = readFileSync(path, 'utf8');
-    if (!text.includes(from)) throw new Error(`${name}: ${file} has no such line any more`);
+    if (!text.includes(from))
+      throw new Error(`mutation "${name}": target/${file} does not contain "${from}"`);
     writeFileSync(
       path,
       text.replace(from, () => to),
--- a/packages/testkit/neglected-groups.ts
+++ b/packages/testkit/neglected-groups.ts
@@ -1,13 +1,13 @@
-/** Fairness of a whole run: which classes, teams and largest jobs were neglected. */
+/** Fairness check for a whole run: finds the classes, teams and largest jobs that were neglected. */
 import { type Micros, SECOND } from '#wire';
 import type { JobObservation } from './invariant-types.js';
 
-/** Within this time even the largest jobs start. */
+/** Time from submission within which even the largest jobs must start. */
 const LARGEST_JOB_START_DEADLINE: Micros = 240 * SECOND;
-/** One in so many jobs of a class counts as one of its largest. */
+/** The largest tenth of the jobs of a class, rounded up, counts as its largest jobs. */
 const LARGEST_DIVISOR = 10;
 
-/** The largest jobs of a class, the largest first. */
+/** Returns the largest jobs of a class in descending order of size. */
 function largestOf(jobs: readonly JobObservation[], jobClass: string): JobObservation[] {
   const ranked = jobs
     .filter(({ spec }) => spec.jobClass === jobClass)
@@ -16,8 +16,8 @@
 }
 
 /**
- * Describes the classes, teams and largest jobs that were neglected: less than half of their jobs are done, apart from
- * those that their users cancelled, or a largest job started too late.
+ * Describes the neglected classes, teams and largest jobs. A group is neglected if less than half of its jobs are done,
+ * and a largest job if it started too late. Jobs that their users cancelled do not count.
  */
 export function findNeglectedGroups(observations: Iterable<JobObservation>): string[] {
   const jobs = [...observations].filter((job) => job.isAccepted && !job.isCancellationRequested);
@@ -34,7 +34,8 @@
     for (const job of largestOf(jobs, jobClass)) {
       add(`largest of ${jobClass}`, job);
       const wait = (job.startedAt ?? Infinity) - job.submittedAt;
-      if (wait > LARGEST_JOB_START_DEADLINE) complaints.push(`${job.spec.id} of ${jobClass} began too late`);
+      if (wait > LARGEST_JOB_START_DEADLINE)
+        complaints.push(`${job.spec.id} of ${jobClass} started too late`);
     }
   }
   for (const [name, members] of groups) {
--- a/packages/testkit/network-faults.ts
+++ b/packages/testkit/network-faults.ts
@@ -18,7 +18,7 @@
   );
 }
 
-/** The two zones can't reach each other. */
+/** Partitions the network between the two zones. */
 export function partitionZones(target: FaultTarget): void {
   const { net } = target.cluster;
   target.during(
@@ -32,14 +32,14 @@
   );
 }
 
-/** Requests and answers are lost or delayed. */
+/** Loses or delays requests and responses. */
 export function loseMessages(target: FaultTarget): void {
   withNetworkFaults(target, target.randomSeconds(5, 10), { faultRate: 0.3, maxDelay: 20 * SECOND });
 }
 
 /**
- * Copies of heartbeats arrive from seconds to well over a lease late: at the same owner, at a new one, or at one that
- * was restarted.
+ * Delivers duplicates of heartbeats from seconds to well over a lease late: to the same shard owner, to a new one, or to
+ * one that was restarted.
  */
 export function duplicateHeartbeats(target: FaultTarget): void {
   withNetworkFaults(target, target.randomSeconds(5, 20), {
@@ -50,7 +50,7 @@
   });
 }
 
-/** A worker's heartbeats arrive, but no answer reaches it. */
+/** Delivers a worker's heartbeats but loses every response to it. */
 export function loseAnswersToWorker(target: FaultTarget): void {
   if (!target.worker) return;
   const { unansweredParties } = target.cluster.net;
@@ -66,7 +66,7 @@
   );
 }
 
-/** A node loses the state service and its peers, but not its workers. */
+/** Disconnects a node from the state service and its peers, but not from its workers. */
 export function isolateNodeFromStoreAndPeers(target: FaultTarget): void {
   const { nodeIndex, nodeName } = target;
   const peers = target.nodeIndexes.filter((index) => index !== nodeIndex);
@@ -79,20 +79,20 @@
   target.refuseNodeAtStore(seconds);
 }
 
-/** A node loses its workers and nothing else. */
+/** Disconnects a node from its workers only. */
 export function isolateNodeFromWorkers(target: FaultTarget): void {
   const links = [...target.cluster.workers.keys()].map((name) => `${name}>10.0.0.${target.nodeIndex}:80`);
   target.refuseLinks(links, target.randomSeconds(5, 40));
 }
 
-/** Connections between all controllers are refused. */
+/** Refuses connections between all controllers. */
 export function refuseAllPeers(target: FaultTarget): void {
   const indexes = target.nodeIndexes;
   const links = indexes.flatMap((from) => indexes.map((to) => `node-${from}>10.0.0.${to}:81`));
   target.refuseLinks(links, target.randomSeconds(5, 20));
 }
 
-/** A zone reaches nothing outside; connections to it hang or are reset. */
+/** Isolates a zone from everything outside it; connections across its border hang or are reset. */
 export function isolateZone(target: FaultTarget): void {
   const { net, random } = target.cluster;
   const zone = pick(random, ['east', 'west']);
@@ -108,7 +108,7 @@
   );
 }
 
-/** What a machine sends is held back, for less or more than a lease, and then delivered. */
+/** Holds back a worker's messages for shorter or longer than a lease, and then delivers them. */
 export function holdWorkerMessages(target: FaultTarget): void {
   if (!target.worker) return;
   const { net } = target.cluster;
@@ -124,7 +124,7 @@
   );
 }
 
-/** About half of the machines reach no controller. */
+/** Disconnects about half of the workers from all controllers. */
 export function isolateWorkers(target: FaultTarget): void {
   const { workers, random } = target.cluster;
   const hosts = [...workers.keys()].filter(() => random() < 0.5);
@@ -132,7 +132,7 @@
   target.refuseLinks(links, target.randomSeconds(3, 25));
 }
 
-/** The state service, or one node, is slow. */
+/** Slows down the state service or one node. */
 export function slowDownEndpoint(target: FaultTarget): void {
   const { net, random } = target.cluster;
   const name = pick(random, [STATE, `10.0.0.${target.nodeIndex}:80`, target.nodeName]);
--- a/packages/testkit/node-faults.ts
+++ b/packages/testkit/node-faults.ts
@@ -2,19 +2,19 @@
 import { SECOND } from '#wire';
 import type { FaultTarget } from './fault-target.js';
 
-/** One node ends and comes back. */
+/** Kills one node and starts it again. */
 export function restartNode(target: FaultTarget): void {
   target.restartNode(target.nodeIndex, target.randomSeconds(0.2, 5));
 }
 
-/** All nodes end at once and come back one after the other. */
+/** Kills all nodes at once and starts them again at different times. */
 export function restartAllNodes(target: FaultTarget): void {
   for (const index of target.nodeIndexes) target.restartNode(index, target.randomSeconds(1, 6));
 }
 
 /**
- * A node ends and is back within a fraction of a second, twice, so that its earlier leases are still alive. An
- * election may be in progress.
+ * Restarts a node twice, within a fraction of a second each, so that its earlier leases are still alive. An election
+ * may be in progress.
  */
 export function restartNodeTwice(target: FaultTarget): void {
   const { cluster, nodeIndex } = target;
@@ -24,7 +24,7 @@
   });
 }
 
-/** A node's process is suspended while its clocks run on, for less than its lease up to well over a worker's lease. */
+/** Suspends a node's process while its clocks run on, for 1 s to 30 s: from less than its lease to well over a worker's lease. */
 export function freezeNode(target: FaultTarget): void {
   target.cluster.freezeNode(target.nodeIndex, target.randomSeconds(1, 29) * SECOND);
 }
--- a/packages/testkit/random-jobs.ts
+++ b/packages/testkit/random-jobs.ts
@@ -1,18 +1,18 @@
-/** Jobs for random runs of a deployment. */
+/** Random jobs for randomized runs of a simulated cluster. */
 import type { JobSpec, Rank } from '#wire';
 import { sampleJob } from './sample-job.js';
 
 const RANKS: Rank[] = ['best_effort', 'normal', 'urgent', 'prod'];
 
-/** One of the items. */
+/** Returns one of the items, chosen at random. */
 export function pick<T>(random: () => number, items: readonly T[]): T {
   return items[Math.floor(random() * items.length)] as T;
 }
 
-/** How many of the jobs are gangs. */
+/** Fraction of the random jobs that are gangs. */
 const GANGS = 0.25;
 
-/** A gang that fits into its team's limit. */
+/** Creates a gang that fits into its team's limit; `n` becomes part of its id. */
 export function randomGang(random: () => number, n: number): JobSpec {
   return sampleJob(`j-${String(n).padStart(6, '0')}`, {
     shape: 'gang',
@@ -31,12 +31,12 @@
   });
 }
 
-/** An array or a gang as some user might submit it. */
+/** Creates an array or a gang; `n` becomes part of its id. */
 export function randomJob(random: () => number, n: number): JobSpec {
   return random() < GANGS ? randomGang(random, n) : randomArray(random, n);
 }
 
-/** Independent tasks. */
+/** Creates an array of independent tasks; `n` becomes part of its id. */
 export function randomArray(random: () => number, n: number): JobSpec {
   const pieces = 1 + Math.floor(random() * 6);
   return sampleJob(`j-${String(n).padStart(6, '0')}`, {
--- a/packages/testkit/random-runs.ts
+++ b/packages/testkit/random-runs.ts
@@ -4,30 +4,31 @@
 import { randomJob } from './random-jobs.js';
 import type { SimCluster } from './sim-cluster.js';
 
-/** When the first job of a run arrives. */
+/** Arrival time of the first job of a run. */
 const FIRST_ARRIVAL: Micros = SECOND;
 
-/** How jobs arrive. */
+/** Arrival of random jobs. */
 export interface JobArrivals {
-  /** No job arrives later. */
+  /** No job arrives after this time. */
   readonly until: Micros;
   /** Longest time between two jobs, in seconds. */
   readonly maxGapS: number;
-  /** Which jobs are cancelled, and after how many seconds at most; by default none is. */
+  /** Fraction of the jobs that are cancelled, and the longest time until then in seconds. By default none is cancelled. */
   readonly cancellation?: { readonly rate: number; readonly withinS: number };
-  /** Makes the job with the given number; {@link randomJob} by default. */
+  /** Creates the job with the given number; {@link randomJob} by default. */
   readonly createJob?: (random: () => number, jobNumber: number) => JobSpec;
 }
 
-/** How faults are injected. */
+/** Times at which random faults are injected. */
 export interface FaultSchedule {
   readonly from: Micros;
-  /** No fault is injected later. */
+  /** No fault is injected after this time. */
   readonly until: Micros;
-  /** Shortest time between two faults, and how much longer it can be, in seconds. */
+  /** Shortest time between two faults, in seconds. */
   readonly minGapS: number;
+  /** Longest random addition to the shortest time, in seconds. */
   readonly extraGapS: number;
-  /** Whether a fault may be injected now; always by default. */
+  /** Returns true if a fault may be injected now; always true by default. */
   readonly isAllowed?: () => boolean;
 }
 
--- a/packages/testkit/randomized-faults.test.ts
+++ b/packages/testkit/randomized-faults.test.ts
@@ -6,13 +6,13 @@
 import { SimCluster } from './sim-cluster.js';
 import type { ClusterEvent } from './sim-cluster-options.js';
 
-/** Events during which a second fault is injected, while their effects are still in progress. */
+/** Events after which a follow-up fault is injected while their effects are still in progress. */
 const EVENTS: ClusterEvent[] = ['confirmed', 'last end', 'lead', 'release'];
-/** Chance of a fault for each event: changes of leader and cancellations are few, releases many. */
+/** Probability of a follow-up fault for each event; leader changes and cancellations are rare, releases frequent. */
 const CHANCE: Record<ClusterEvent, number> = { confirmed: 0.4, 'last end': 0.1, lead: 0.4, release: 0.05 };
 const MAX_FOLLOW_UPS = 6;
 
-/** Injects faults during events and counts them by event. */
+/** Injects follow-up faults until the given time and counts them by event. */
 function injectFaultsDuringEvents(cluster: SimCluster, until: number, met: Map<ClusterEvent, number>): void {
   const { random, clock } = cluster;
   let left = MAX_FOLLOW_UPS;
@@ -21,7 +21,7 @@
     if (random() > CHANCE[event]) return;
     left--;
     met.set(event, (met.get(event) ?? 0) + 1);
-    // Some within a round of the event, some while leases are still running out.
+    // Some faults hit within a scheduling round of the event, others while leases are still expiring.
     clock.at((random() < 0.6 ? 0.3 : 6) * random() * SECOND, () => {
       injectRandomFault(cluster);
     });
@@ -34,9 +34,9 @@
   };
   const log =
     process.env['CHAOS_LOG'] === undefined ? undefined : { debug: print, info: print, error: print };
-  // Every other deployment has small values, so that checkpoints take many commits.
+  // Every second run limits values to a small size, so that a checkpoint takes many commits.
   const settings = seed % 2 === 0 ? {} : { valueBytes: 700, txnOps: 3 };
-  // A start of a node reads the live state in many pages, and commits land between them.
+  // In two of three runs a starting node reads the live state in many pages, and transactions are committed in between.
   const pageRows = seed % 3 === 0 ? 1000 : 5;
   const cluster = new SimCluster({ seed, settings, pageRows, ...(log ? { log } : {}) });
   const { clock } = cluster;
@@ -49,15 +49,15 @@
   return cluster;
 }
 
-/** Each run checks every invariant after every step, and at the end that all jobs have ended. */
+// Each run checks every invariant after every step, and at the end that all jobs have ended.
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 12)];
 const met = new Map<ClusterEvent, number>();
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`invariants hold and all jobs end under random faults, seed ${seed}`, async (t) => {
     const cluster = await runWithRandomFaults(seed, met);
-    t.diagnostic(`${cluster.gangs.starts} gangs came together`);
+    t.diagnostic(`${cluster.gangs.starts} gangs started`);
     t.diagnostic(
-      `${cluster.invariants.startsAfterConfirmation} of ${cluster.invariants.starts} after a confirmation`,
+      `${cluster.invariants.startsAfterConfirmation} of ${cluster.invariants.starts} starts after a confirmed cancellation`,
     );
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
@@ -66,5 +66,5 @@
 }
 
 test('faults were injected during every kind of event', { skip: RUNS < 12 }, () => {
-  for (const event of EVENTS) assert.ok((met.get(event) ?? 0) > 0, `none met ${event}`);
+  for (const event of EVENTS) assert.ok((met.get(event) ?? 0) > 0, `no fault was injected during "${event}"`);
 });
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -1,7 +1,7 @@
 /**
- * The hard cases of docs/duties.md: a holder that stands still at the worst moment, requests that are carried out long
- * after its term, clocks that disagree, and hand-overs in the middle of failures. The checker of histories throws
- * on every effect that no term and no record covers; each test asserts that what it is about did occur.
+ * The edge cases of docs/duties.md: a role holder that is suspended at the worst moment, requests that are executed long
+ * after its term, clocks that disagree, and hand-offs during faults. The role history checker throws on every effect
+ * that no term and no record allows. Each test asserts that the case in question did occur.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -16,10 +16,10 @@
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
-/** Longer than the life of the grant on which all duties hang, and than a worker's lease. */
+/** Longer than the lease of a node, on which all its roles depend, and than a worker's lease. */
 const OVER_A_TERM = 12 * SECOND;
 
-/** Three teams whose jobs come and go, so that machines are rented and returned all the time. */
+/** Creates a cluster in which jobs of three teams start and end continuously, so that it scales out and in all the time. */
 function createBusyCluster(options: SimClusterOptions): SimCluster {
   const cluster = new SimCluster({ ...options, settings: { teams: TEAMS, ...options.settings } });
   const { random, clock } = cluster;
@@ -35,16 +35,18 @@
   return cluster;
 }
 
+/** Returns the node that is the leader, or -1 if there is none. */
 function leaderOf(cluster: SimCluster): number {
   const row = cluster.store.rows.get(LEADER_KEY);
   return row ? Number(String(row.value['Member']).slice('node-'.length)) : -1;
 }
 
+/** Returns the leader's term, or 0 if there is no leader. */
 function termOf(cluster: SimCluster): number {
   return cluster.store.rows.get(LEADER_KEY)?.revision ?? 0;
 }
 
-/** Calls once, when the leader's log takes a record with one of these fields. */
+/** Calls `act` when, after 25 s, a record with the given field is first committed to the leader's log. */
 function onceRecorded(cluster: SimCluster, field: keyof WireFields, act: () => void): void {
   const { afterApply } = cluster.store;
   let isOver = false;
@@ -60,7 +62,7 @@
   };
 }
 
-/** Runs on until all work is over, and demands that nothing was lost. */
+/** Runs on without faults, and asserts that all jobs have ended. */
 async function finish(cluster: SimCluster): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
   await cluster.run(160 * SECOND);
@@ -68,7 +70,7 @@
   assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
 }
 
-test('requests to the cloud that stay behind with a replaced leader harm nobody, after one successor and after two', async () => {
+test('cloud requests of a replaced leader that arrive late do no harm, after one successor and after two', async () => {
   for (const [seed, successors] of [
     [201, 1],
     [202, 2],
@@ -86,16 +88,16 @@
       const term = termOf(cluster);
       cluster.freezeNode(leader, OVER_A_TERM);
       await cluster.run(OVER_A_TERM + SECOND);
-      assert.notEqual(termOf(cluster), term, 'nobody took over');
+      assert.notEqual(termOf(cluster), term, 'no other node became the leader');
     }
     const held = cluster.net.release(name, CLOUD);
-    assert.ok(held > 0, 'nothing was held');
+    assert.ok(held > 0, 'no request was held back');
     await cluster.run(40 * SECOND);
     await finish(cluster);
   }
 });
 
-test('a leader that stands still between its record and its request leaves an intent that the successor finishes', async () => {
+test('the successor completes the intent of a leader that was suspended between its record and its request', async () => {
   for (const [seed, field] of [
     [211, 'rentals'],
     [212, 'rentals'],
@@ -112,14 +114,14 @@
     });
     await cluster.run(100 * SECOND);
     assert.ok(frozen >= 0, `no ${field} were recorded`);
-    assert.notEqual(termOf(cluster), term, 'nobody took over');
+    assert.notEqual(termOf(cluster), term, 'no other node became the leader');
     await finish(cluster);
     const open = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
-    assert.deepEqual(open?.scaleOutRequests, [], 'a rental was left open');
+    assert.deepEqual(open?.scaleOutRequests, [], 'a scale-out request is still open');
   }
 });
 
-test('a leader that stands still between act and record, and is leader again later, records nothing of its old term', async () => {
+test('a leader that is suspended between request and record and leads again later records nothing of its old term', async () => {
   for (const seed of [221, 222, 223]) {
     const cluster = createBusyCluster({ seed });
     const { cloud } = cluster;
@@ -134,9 +136,9 @@
     };
     await cluster.run(60 * SECOND);
     const [old] = frozen;
-    assert.ok(old, 'nothing was rented');
-    assert.notEqual(termOf(cluster), old.term, 'nobody took over');
-    // The others end, so that the old leader leads again, under a later term.
+    assert.ok(old, 'no scale-out was requested');
+    assert.notEqual(termOf(cluster), old.term, 'no other node became the leader');
+    // The other nodes are killed, so that the old leader leads again under a later term.
     for (let i = 0; i < cluster.nodeCount; i++) if (i !== old.node) cluster.killNode(i);
     await cluster.run(10 * SECOND);
     assert.equal(leaderOf(cluster), old.node);
@@ -147,7 +149,7 @@
   }
 });
 
-test('clocks that are hours apart cost time, never a machine in use', async () => {
+test('wall clocks that are hours apart cause delays but never the deletion of a machine in use', async () => {
   for (const seed of [231, 232, 233]) {
     const hours = [-2, 0, 3];
     const clockError = (index: number): { drift: number; wallClockOffset: number } => ({
@@ -161,19 +163,19 @@
     await cluster.run(200 * SECOND);
     cluster.cloud.lateRequestRate = 0;
     cluster.cloud.slowBootRate = 0;
-    // Times of day in the records make some waits as long as the clocks are apart: nothing is asked of those.
+    // Wall-clock times in the records can make waits as long as the clock differences, so the end of jobs is not asserted.
     await cluster.run(200 * SECOND);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
   }
 });
 
-test('a holder whose monotonic clock runs far too slowly or too fast is fenced all the same', async () => {
+test('a leader whose monotonic clock runs far too slowly or too fast is still fenced', async () => {
   for (const [seed, drift] of [
     [241, -0.6],
     [242, -0.9],
     [243, 0.6],
   ] as const) {
-    // One node's clock is wrong; nothing but leaders is troubled, since proofs of workers' leases do rest on clocks.
+    // Only one node's clock is wrong, and only leaders get faults, because proofs of expired worker leases rely on clocks.
     const clockError = (index: number): { drift: number; wallClockOffset: number } => ({
       drift: index === 0 ? drift : 0,
       wallClockOffset: 0,
@@ -186,12 +188,12 @@
       cluster.freezeNode(leaderOf(cluster), 5 * SECOND);
     }
     await cluster.run(60 * SECOND);
-    assert.ok(terms.size > 2, 'the lead did not change hands');
+    assert.ok(terms.size > 2, 'the leader did not change');
     await finish(cluster);
   }
 });
 
-test('the commit of an old leader that lands late has no effect', async () => {
+test('a late commit of an old leader has no effect', async () => {
   for (const seed of [251, 252, 253]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
@@ -209,26 +211,26 @@
     cluster.freezeNode(old, OVER_A_TERM);
     cluster.store.isLate = () => false;
     await cluster.run(OVER_A_TERM + SECOND);
-    assert.ok(cluster.store.lateCommits.came > 0, 'no commit came late');
+    assert.ok(cluster.store.lateCommits.came > 0, 'no commit arrived late');
     await finish(cluster);
   }
 });
 
-test('a renewal that arrives after its lease has expired revives nothing', async () => {
+test('a renewal that arrives after its lease has expired does not restore the leadership', async () => {
   const cluster = createBusyCluster({ seed: 261 });
   await cluster.run(30 * SECOND);
   const old = leaderOf(cluster);
   const term = termOf(cluster);
   cluster.net.hold(`node-${old}`, '10.2.0.1:2379');
   await cluster.run(5 * SECOND);
-  assert.notEqual(termOf(cluster), term, 'the grant did not end');
-  assert.ok(cluster.net.release(`node-${old}`, '10.2.0.1:2379') > 0, 'nothing was under way');
+  assert.notEqual(termOf(cluster), term, 'the lease did not expire');
+  assert.ok(cluster.net.release(`node-${old}`, '10.2.0.1:2379') > 0, 'no message was held back');
   await cluster.run(5 * SECOND);
   assert.notEqual(termOf(cluster), term);
   await finish(cluster);
 });
 
-test('a leader that is refused alone, then with all, keeps or loses the lead, and nothing is done twice', async () => {
+test('a leader that the state service refuses before an outage is replaced, and nothing is done twice', async () => {
   for (const seed of [271, 272]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
@@ -239,14 +241,14 @@
     await cluster.run(20 * SECOND);
     cluster.store.setOutage(false);
     await cluster.run(5 * SECOND);
-    assert.notEqual(leaderOf(cluster), old, 'it still leads though it is refused');
+    assert.notEqual(leaderOf(cluster), old, 'the refused node is still the leader');
     cluster.store.refusedNodes.clear();
     await cluster.run(20 * SECOND);
     await finish(cluster);
   }
 });
 
-test('a leader partitioned from the cloud, its peers or its workers only keeps the invariants', async () => {
+test('invariants hold when a leader is partitioned from only the cloud, its workers or its peers', async () => {
   const cuts: ((cluster: SimCluster, leader: number) => string[])[] = [
     (_cluster, leader) => [`node-${leader}>${CLOUD}`],
     (cluster, leader) => [...cluster.workers.keys()].map((host) => `${host}>10.0.0.${leader}:80`),
@@ -268,7 +270,7 @@
   }
 });
 
-test('leadership is handed over on request, to another node and within a second', async () => {
+test('leadership is handed off to another node on request', async () => {
   const cluster = createBusyCluster({ seed: 291 });
   await cluster.run(30 * SECOND);
   const old = leaderOf(cluster);
@@ -285,7 +287,7 @@
   await finish(cluster);
 });
 
-test('a shard is handed over on request: the leader assigns it to another node under a higher fencing token', async () => {
+test('a shard is handed off on request: the leader assigns it to another node under a higher fencing token', async () => {
   const cluster = createBusyCluster({ seed: 292 });
   await cluster.run(30 * SECOND);
   const ownerOf = (shard: number): unknown =>
@@ -306,7 +308,7 @@
   await finish(cluster);
 });
 
-test('a node that is stopped on purpose leaves nothing vacant for as long as a grant lives', async () => {
+test('a node that is shut down hands off its roles in less time than its lease would take to expire', async () => {
   for (const seed of [297, 298]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
@@ -316,9 +318,9 @@
         (shard) => cluster.store.rows.get(`mw/now/share/${shard}`)?.value['Member'] === `node-${node}`,
       );
     void cluster.controller(old)?.retire();
-    // Half of what a grant lives after its last renewal.
+    // Half of the lease duration.
     await cluster.run(1.5 * SECOND);
-    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== old, 'nobody leads');
+    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== old, 'no node is the leader');
     assert.equal(cluster.store.rows.has(`mw/now/member/node-${old}`), false);
     assert.equal([0, 1, 2].filter((node) => node !== old).flatMap(ownedBy).length, 3, 'a shard has no owner');
     cluster.killNode(old);
@@ -329,7 +331,7 @@
   }
 });
 
-test('a hand-over is refused with the reason where it can not be done safely', async () => {
+test('a hand-off that is not safe is refused with the reason', async () => {
   const reasons: string[] = [];
   const ask = async (cluster: SimCluster, node: number, role: 'lead' | number): Promise<string> => {
     let reason = '';
@@ -360,7 +362,7 @@
   await finish(cluster);
 });
 
-test('shards are handed over only once every node has announced the hand-over capability', async () => {
+test('shards are handed off only once every node has announced the hand-off capability', async () => {
   const version = await loadProductionVersion();
   const cluster = createBusyCluster({ seed: 294, production: { version } });
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
@@ -368,7 +370,7 @@
   const shard = [0, 1, 2].find(
     (s) => cluster.store.rows.get(`mw/now/share/${s}`)?.value['Member'] === 'node-0',
   );
-  assert.ok(shard !== undefined, 'node-0 owns nothing');
+  assert.ok(shard !== undefined, 'node-0 owns no shard');
   let reason = '';
   void cluster
     .controller(0)
@@ -383,7 +385,7 @@
   await finish(cluster);
 });
 
-test('an unreadable row of a role blocks that role alone, is logged and ends no node', async () => {
+test('an unreadable row of a role blocks only that role, is logged and crashes no node', async () => {
   const errors: string[] = [];
   const note = (fields: object): void => {
     if ('key' in fields) errors.push(String(fields.key));
@@ -393,7 +395,7 @@
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
   const spoil = (path: string, value: WireFields): void => {
-    // As if a foreign hand had written it, with the grant that the row had.
+    // Simulates a write by another program that keeps the lease of the row.
     const Permit = cluster.store.rows.get(path)?.leaseId ?? null;
     cluster.store.spoil({ Set: path, V: value, Permit });
   };
@@ -405,17 +407,21 @@
     assert.equal(
       cluster.controller(i)?.leaderTerm(),
       null,
-      'somebody leads under a row that nobody can read',
+      'a node leads although the leader row is unreadable',
     );
     assert.equal(cluster.health(i), 200);
   }
-  // Its grant ends with the process that wrote it before: then the lead is free again.
+  // The lease of the row expires with the process that created it. After that the leadership is vacant again.
   cluster.killNode(leader);
   await cluster.run(10 * SECOND);
   cluster.startNode(leader);
   await cluster.run(20 * SECOND);
   assert.ok(leaderOf(cluster) >= 0);
-  assert.notEqual(cluster.store.rows.get('mw/now/share/1')?.value['Token'], 'many', 'it was not dealt anew');
+  assert.notEqual(
+    cluster.store.rows.get('mw/now/share/1')?.value['Token'],
+    'many',
+    'the shard was not reassigned',
+  );
   await finish(cluster);
 });
 
@@ -430,7 +436,7 @@
   const before = answered();
   cluster.killNode(leaderOf(cluster));
   await cluster.run(8 * SECOND);
-  assert.equal(answered(), before, 'workers were answered under no token');
+  assert.equal(answered(), before, 'workers were answered without a fencing token');
   assert.deepEqual(cluster.store.rows.get('mw/now/token')?.value, { Token: 'many' });
   cluster.store.spoil({ Set: 'mw/now/token', V: row.value });
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
@@ -439,7 +445,7 @@
   await finish(cluster);
 });
 
-test('controllers end in pairs in the middle of a hand-over and are back within a fraction of a second', async () => {
+test('all jobs end although controllers crash in pairs during hand-offs and restart within a second', async () => {
   for (const seed of [301, 302, 303, 304]) {
     const cluster = createBusyCluster({ seed });
     const { random, clock } = cluster;
@@ -462,7 +468,7 @@
   }
 });
 
-test('beside the version in production, which knows neither records nor hand-overs, nothing of ours goes unrecorded', async () => {
+test('next to the production version, which has no records or hand-offs, the current version leaves nothing unrecorded', async () => {
   const version = await loadProductionVersion();
   for (const seed of [311, 312, 313]) {
     const cluster = new SimCluster({ seed, production: { version } });
@@ -471,7 +477,7 @@
     cloud.slowBootRate = 0.2;
     submitRandomJobs(cluster, { until: 140 * SECOND, maxGapS: 5, createJob: randomArray });
     scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 140 * SECOND, minGapS: 5, extraGapS: 20 });
-    // Two nodes are upgraded, and one comes back old only at the end of the run.
+    // Two nodes are upgraded; the third runs the production version until the end of the run.
     clock.at(40 * SECOND, () => {
       cluster.upgradeNode(0, SECOND);
     });
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -1,14 +1,17 @@
-/** Roles under random faults and late requests: what a replaced holder did has no effect, or does no harm. */
+/** Roles under random faults and late requests: actions of a replaced role holder have no effect or do no harm. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
 import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 
-/** Within a run and yet longer than any retry, boot or lease: late requests meet successors of their sender's successor. */
+/**
+ * Longest delay of a cloud request. It is shorter than a run but longer than any retry, boot or lease, so that late
+ * requests arrive when even the successor of their sender has been replaced.
+ */
 const LATE_BY = 300 * SECOND;
 
-/** Random faults while the cloud executes requests up to five minutes late and boots slowly. */
+/** Runs a cluster with random faults while the cloud executes requests up to five minutes late and boots machines slowly. */
 async function lateRequests(seed: number): Promise<SimCluster> {
   const cluster = new SimCluster({ seed });
   const { clock, cloud } = cluster;
@@ -19,7 +22,7 @@
   scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 150 * SECOND, minGapS: 4, extraGapS: 20 });
   await cluster.run(220 * SECOND);
   cloud.lateRequestRate = 0;
-  // Slow boots are a fault, too: with one machine type a job can meet four of them in a row (seed 108).
+  // Slow boots count as a fault: a job that fits one machine type only can get four of them in a row (seed 108).
   cloud.slowBootRate = 0;
   cluster.invariants.faultsEnded(clock.time);
   await cluster.run(160 * SECOND);
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -1,4 +1,7 @@
-/** How long leadership and shards are without a holder that can act, after freeze, crash and cut of the leader. */
+/**
+ * Measures how long leadership and shards are without a holder that can act, after the leader is suspended, crashes or
+ * is partitioned from the state service.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LEADER_KEY, SHARD_PREFIX } from '#cluster';
@@ -11,9 +14,12 @@
 
 const RUNS = Number(process.env['VACANCY_RUNS'] ?? 4);
 const CAUSES: VacancyCause[] = ['freeze', 'crash', 'cut'];
-/** Longer than the grant lives, so that the holder is replaced. */
+/** Duration of the fault: longer than the lease of a node, so that the role holder is replaced. */
 const TROUBLE = 12 * SECOND;
-/** Grants live for 3 s and may end 100 ms late; the rest is elections, and dealing after them. */
+/**
+ * Upper bounds in milliseconds. Leases last 3 s and may expire 100 ms late; the rest is the time for the election and,
+ * for shards, the assignment after it.
+ */
 const MOST_LEAD_MS = 4_500;
 const MOST_SHARE_MS = 6_500;
 
@@ -53,7 +59,7 @@
   await cluster.run(10 * SECOND);
 }
 
-test('a role is vacant for little longer than its lease, whatever happened to its holder', async (t) => {
+test('a role is vacant for little longer than its lease after any fault of its holder', async (t) => {
   const meter = new VacancyMeter();
   for (let seed = 1; seed <= RUNS; seed++) {
     for (const cause of CAUSES) await replaceLeader(400 + seed, cause, meter);
--- a/packages/testkit/running-tasks.ts
+++ b/packages/testkit/running-tasks.ts
@@ -1,4 +1,4 @@
-/** Tasks on simulated machines: where they may run, and how much of its limit each team uses. */
+/** Tasks on simulated machines: which machines they may run on, and the resources that each team uses. */
 import type { JobSpec } from '#wire';
 import {
   type FreeCapacity,
@@ -7,7 +7,7 @@
   type TeamLimits,
 } from './invariant-types.js';
 
-/** Tolerance for sums of fractions of CPUs. */
+/** Tolerance for rounding errors in sums of fractional CPUs. */
 const EPSILON = 1e-6;
 
 /** One task on a machine. */
@@ -18,14 +18,16 @@
   readonly attempt: number;
 }
 
-/** All running tasks. Throws an {@link InvariantViolation} for a start that must not happen. */
+/** All running tasks. Throws an {@link InvariantViolation} for a start that violates the protocol. */
 export class RunningTasks {
+  /** Keyed by task name. */
   private readonly running = new Map<string, RunningTask>();
+  /** Resources in use. Keyed by team. */
   private readonly used = new Map<string, { cpus: number; gpus: number }>();
 
   constructor(private readonly limits: TeamLimits) {}
 
-  /** A task starts on its machine. */
+  /** Records that a task starts, and checks its placement, its attempt and the limit of its team. */
   start(task: RunningTask): void {
     const { taskName, spec, machine, attempt } = task;
     this.checkPlacement(spec, taskName, machine);
@@ -34,7 +36,7 @@
     this.updateUsage(spec, 1);
   }
 
-  /** A task is off its machine; unknown tasks are ignored. */
+  /** Records that a task has left its machine; unknown tasks are ignored. */
   end(taskName: string): void {
     const task = this.running.get(taskName);
     if (!task) return;
@@ -42,17 +44,17 @@
     this.updateUsage(task.spec, -1);
   }
 
-  /** The task of that name, if it runs. */
+  /** Returns the task with that name if it is running. */
   get(taskName: string): RunningTask | undefined {
     return this.running.get(taskName);
   }
 
-  /** The running tasks of a job. */
+  /** Returns the running tasks of a job. */
   ofJob(id: string): RunningTask[] {
     return [...this.running.values()].filter((task) => task.spec.id === id);
   }
 
-  /** A machine with room for one of the job's tasks; for a gang, one of those that have room for all of them. */
+  /** Finds a machine with capacity for one of the job's tasks; for a gang, one of a set with capacity for all its tasks. */
   capacityFor(spec: JobSpec, capacities: readonly FreeCapacity[]): FreeCapacity | undefined {
     const open = capacities.filter((free) => this.fits(spec, free));
     if (spec.shape === 'array') return open[0];
@@ -64,7 +66,7 @@
     });
   }
 
-  /** Whether the job's team could use the resources of one more task, or of the whole gang, within its limit. */
+  /** True if one more task of the job, or the whole gang, stays within the team's limit. */
   isUnderLimit({ team, cpus, gpus, shape, taskCount }: JobSpec): boolean {
     const limit = this.limits.get(team);
     const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
@@ -81,11 +83,11 @@
     );
   }
 
-  /** A promise beyond the protocol: a new attempt of a gang begins only once the old one is off all machines. */
+  /** Checks a guarantee beyond the protocol: a new attempt of a gang starts only after the old one has left all machines. */
   private checkAttempt(taskName: string, job: string, attempt: number): void {
     const other = [...this.running.values()].find((r) => r.spec.id === job && r.attempt !== attempt);
     if (!other) return;
-    const detail = `${taskName} of attempt ${attempt} meets ${other.taskName} of ${other.attempt}`;
+    const detail = `${taskName} of attempt ${attempt} starts while ${other.taskName} of attempt ${other.attempt} runs`;
     throw new InvariantViolation('mixed_attempts', detail);
   }
 
@@ -94,7 +96,7 @@
     if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
   }
 
-  /** Why one more task of the job must not be on that machine now, or null. */
+  /** Returns the reason why one more task of the job must not run on that machine now, or null. */
   private placementViolation(spec: JobSpec, machine: MachineFacts): string | null {
     if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
     if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
@@ -126,7 +128,7 @@
   }
 }
 
-/** How many of the job's tasks the free capacity takes. */
+/** Returns how many of the job's tasks fit into the free capacity. */
 function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
   const part = (room: number, need: number): number =>
     need > 0 ? Math.floor(room / need + EPSILON) : Infinity;
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -6,7 +6,7 @@
 import { SAMPLE_TYPES } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 
-test('a job of 100,000 tasks is taken and worked on, and a small one beside it is not held up', async () => {
+test('a job of 100,000 tasks is accepted and runs, and does not delay a small job next to it', async () => {
   const cluster = new SimCluster({ seed: 77 });
   cluster.clock.at(2 * SECOND, () => {
     cluster.submit(sampleJob('j-1', { taskCount: 100_000, cpus: 1, estimateS: 1, team: 'blue' }));
@@ -20,7 +20,7 @@
   assert.ok(cluster.invariants.starts > 300, `only ${cluster.invariants.starts} starts`);
 });
 
-test('a fleet of three hundred machines and its tasks fit into the budgets of the state service', async () => {
+test('a fleet of three hundred machines stays within the rate limits of the state service', async () => {
   const zones = ['east', 'west'];
   const type = { name: 'small', cpus: 4, gpus: 0, memGb: 16, cacheGb: 60, fetchGbPerS: 0.5 };
   const cluster = new SimCluster({
@@ -52,12 +52,16 @@
   assert.ok(refused < asked * 0.02, `${refused} of ${asked} requests refused`);
 });
 
-test('for a claim whose room is being freed no further task is stopped', async () => {
-  // On two of these seeds those stopped used to claim, as within the guarantee, what they were stopped for.
+test('no further task is preempted for a task whose capacity is already being freed', async () => {
+  // Guards against this failure, seen with two of these seeds: preempted tasks, being within the guaranteed quota of
+  // their team, reclaimed the capacity that they had been preempted for.
   for (const seed of [71, 79, 80]) assert.equal(await stoppedForTwo(seed), 4);
 });
 
-/** Tasks that are stopped for two that need a machine each, of two such tasks on every machine. */
+/**
+ * Returns the number of tasks that are preempted for two new tasks. Each new task needs a whole machine, and every
+ * machine runs two preemptible tasks.
+ */
 async function stoppedForTwo(seed: number): Promise<number> {
   const types = SAMPLE_TYPES.filter((t) => t.name === 'small');
   const cluster = new SimCluster({ seed, capacity: 1, types });
@@ -74,8 +78,9 @@
   return [...cluster.workers.values()].reduce((sum, w) => sum + w.stopCount, 0);
 }
 
-// A machine that came up used to be told of its first task a whole time between two reports later.
-test('a machine that comes up while tasks wait gets one with the answer to its first report', async () => {
+// Guards against this failure: a new machine received its first task only one heartbeat interval after its first
+// heartbeat.
+test('a machine that comes up while tasks wait receives a task with the response to its first heartbeat', async () => {
   const settings = {
     heartbeatInterval: 6 * SECOND,
     workerLease: 20 * SECOND,
@@ -103,14 +108,16 @@
     }
   }
   assert.equal(waits.length, 8);
-  // Of three nodes the first that it asks may be another's, and it may come up between two rounds.
+  // Two of the eight may take longer: the first node that a worker contacts may not own its shard, and a machine may
+  // come up between two scheduling rounds.
   waits.sort((a, b) => a - b);
   assert.ok((waits[5] ?? Infinity) < 4 * SECOND, waits.map((w) => w / SECOND).join());
 });
 
-// Each end took two changes out of an even part of what the nodes may have: on a share with hundreds of small jobs
-// ends came minutes late, and its rounds with them, while the other nodes used next to nothing.
-test('hundreds of small jobs of one team end in time, and are put away', async () => {
+// Guards against this failure: the end of each job took two writes, and the write budget was divided evenly among the
+// nodes. On a shard with hundreds of small jobs, job ends and scheduling rounds were minutes late, while the other
+// nodes used almost none of their budget.
+test('hundreds of small jobs of one team end in time and are archived', async () => {
   const teams = ['blue', 'green', 'red'].map((name) => ({
     ...{ name, cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: Infinity },
   }));
@@ -136,10 +143,10 @@
   }
   assert.equal(lags.size, ids.length);
   const longest = Math.max(...lags.values());
-  assert.ok(longest < 5 * SECOND, `the last came ${longest / SECOND} s late`);
+  assert.ok(longest < 5 * SECOND, `the end of a job was recorded ${longest / SECOND} s late`);
   await cluster.run(90 * SECOND);
   const left = ids.filter((id) => cluster.store.rows.has(jobKey(id)));
-  assert.deepEqual(left, [], 'still read by every process that starts');
+  assert.deepEqual(left, [], 'ended jobs are not archived, so that every starting process still reads them');
   for (let node = 0; node < 3; node++) cluster.killNode(node);
   for (let node = 0; node < 3; node++) cluster.startNode(node);
   await cluster.run(10 * SECOND);
@@ -149,8 +156,9 @@
   for (const id of ids) assert.equal(cluster.lastStatuses.get(id), 'done');
 });
 
-// A guest's large job, begun while there was room and waiting ever since, outranked the teams' work on a full fleet.
-test('what has begun of the work of guests takes no room from work that came later', async () => {
+// Guards against this failure: a large guest job that had started while there was free capacity, and had been waiting
+// since, took precedence over the teams' jobs on a full fleet.
+test('a partly started guest job takes no capacity from a later job of a team with guaranteed quota', async () => {
   const none = { cpus: 0, cpusMax: Infinity, gpus: 0, gpusMax: Infinity };
   const teams = [
     { name: 'blue', cpus: 4, cpusMax: 200, gpus: 0, gpusMax: 0 },
@@ -162,10 +170,13 @@
     cluster.submit(sampleJob('j-1', { ...low, team: 'guest', taskCount: 300 }));
   });
   await cluster.run(150 * SECOND);
-  assert.ok(cluster.invariants.runningTasks('j-1').length > 8, 'the guest has no room');
+  assert.ok(cluster.invariants.runningTasks('j-1').length > 8, 'the guest job has no capacity');
   cluster.submit(sampleJob('j-2', { ...low, team: 'blue', taskCount: 24 }));
   await cluster.run(60 * SECOND);
   assert.equal(cluster.lastStatuses.get('j-2'), 'done');
   assert.equal(cluster.invariants.isComplete('j-1'), false);
-  assert.ok(cluster.invariants.runningTasks('j-1').length > 8, 'spare room is not for guests');
+  assert.ok(
+    cluster.invariants.runningTasks('j-1').length > 8,
+    'the guest job does not get the spare capacity',
+  );
 });
--- a/packages/testkit/service-faults.ts
+++ b/packages/testkit/service-faults.ts
@@ -2,17 +2,17 @@
 import { SECOND } from '#wire';
 import type { FaultTarget } from './fault-target.js';
 
-/** The state service answers nobody. */
+/** Causes an outage of the state service. */
 export function stopStore(target: FaultTarget): void {
   target.stopStore(target.randomSeconds(3, 25));
 }
 
-/** The state service refuses one node and serves the others. */
+/** Makes the state service refuse one node and serve the others. */
 export function refuseNodeAtStore(target: FaultTarget): void {
   target.refuseNodeAtStore(target.randomSeconds(3, 25));
 }
 
-/** Transactions get no answer and are applied late, after newer ones. */
+/** Leaves some transactions without a response and applies them late, after newer ones. */
 export function delayCommits(target: FaultTarget): void {
   const { store } = target.cluster;
   target.during(
@@ -27,8 +27,8 @@
 }
 
 /**
- * The state service refuses one node and then serves nobody, for about the cancellation deadline less the workers'
- * lease or for longer than the cancellation deadline.
+ * Makes the state service refuse one node, and then causes an outage. The outage lasts for about the cancellation
+ * deadline minus the workers' lease, or for longer than the cancellation deadline.
  */
 export function refuseNodeThenStopStore(target: FaultTarget): void {
   const { clock, random } = target.cluster;
@@ -38,7 +38,7 @@
   });
 }
 
-/** The cloud answers nobody. */
+/** Causes an outage of the cloud's API. */
 export function stopCloud(target: FaultTarget): void {
   const { cloud } = target.cluster;
   target.during(
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -1,4 +1,4 @@
-/** The version in production and the present one side by side, and a state service whose limits fall. */
+/** Rolling upgrades from the production version to the current one, and a state service that lowers its limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { encodeSubmission, SECOND } from '#wire';
@@ -14,7 +14,7 @@
   return ![...Array(cluster.nodeCount).keys()].some((i) => cluster.isOld(i));
 }
 
-/** Jobs come until the given second; gangs only once every node has the present version, as users promise. */
+/** Submits jobs until the given second. As users promise, gangs come only once every node runs the current version. */
 function submitJobs(cluster: SimCluster, until: number): void {
   submitRandomJobs(cluster, {
     until: until * SECOND,
@@ -24,7 +24,7 @@
   });
 }
 
-/** Upgrades one node after the other; whoever is down at its turn comes back with the present version. */
+/** Upgrades one node after the other. A node that is down at its turn comes back with the current version. */
 function rollUpgrade(cluster: SimCluster, at: number, every: number, downFor: number): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
     cluster.clock.at((at + i * every) * SECOND, () => {
@@ -35,7 +35,7 @@
 
 const [FROM, RUNS] = [Number(process.env['UPGRADE_FROM'] ?? 1), Number(process.env['UPGRADE_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`an upgrade among random troubles keeps the rules, and the limits fall, seed ${seed}`, async () => {
+  test(`invariants hold during a rolling upgrade under random faults and falling limits, seed ${seed}`, async () => {
     const old = { valueBytes: 1400, txnOps: 6, stateWriteRps: 40 };
     const settings = { valueBytes: 700, txnOps: 4, stateWriteRps: 28 };
     const cluster = new SimCluster({ seed, settings, production: { version, settings: old } });
@@ -55,18 +55,14 @@
     cluster.invariants.faultsEnded(clock.time);
     await cluster.run(150 * SECOND);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
-    assert.ok(cluster.gangs.starts > 0, 'no gang came together');
-    assert.equal(
-      cluster.store.oversizedWriteCount,
-      0,
-      'nothing is written beyond limits that were announced',
-    );
+    assert.ok(cluster.gangs.starts > 0, 'no gang started');
+    assert.equal(cluster.store.oversizedWriteCount, 0, 'a write exceeded limits that had been announced');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
     assert.deepEqual(cluster.invariants.neglectedGroups(), []);
   });
 }
 
-test('a gang is refused with 503 while a node may run the old version, and taken once none does', async () => {
+test('a gang is refused with 503 while a node may run the old version, and accepted afterwards', async () => {
   const cluster = new SimCluster({ seed: 5, production: { version } });
   const gang = sampleJob('j-000001', { shape: 'gang', taskCount: 3 });
   const submit = (node: number): Promise<number> =>
@@ -90,7 +86,7 @@
   upgrade(10, 0, 2);
   upgrade(20, 1, 2);
   at(30, 0);
-  // The last old node is down when asked for: it has not announced anything, and might come back old.
+  // At the second request the last old node is down. It has announced no capabilities and might come back unupgraded.
   upgrade(40, 2, 20);
   at(50, 1);
   at(75, 2);
@@ -98,7 +94,7 @@
   assert.deepEqual(answers, [503, 503, 201]);
 });
 
-test('limits that fall unannounced are found out by the first refusal, also in an outage', async () => {
+test('limits that are lowered without notice, also during an outage, are detected by the first refused writes', async () => {
   const cluster = new SimCluster({ seed: 9, settings: { valueBytes: 2048, txnOps: 8 } });
   submitJobs(cluster, 120);
   cluster.clock.at(50 * SECOND, () => {
@@ -108,7 +104,7 @@
   cluster.clock.at(58 * SECOND, () => {
     cluster.store.setOutage(false);
   });
-  // A new owner takes over right after it.
+  // Another node takes over the shards of node 0 shortly after the outage.
   cluster.clock.at(59 * SECOND, () => {
     cluster.killNode(0);
   });
@@ -118,7 +114,7 @@
   await cluster.run(130 * SECOND);
   cluster.invariants.faultsEnded(cluster.clock.time);
   await cluster.run(130 * SECOND);
-  assert.ok(cluster.store.oversizedWriteCount > 0, 'nothing was too large');
+  assert.ok(cluster.store.oversizedWriteCount > 0, 'no write was too large');
   assert.ok(
     cluster.store.oversizedWriteCount < 40,
     `${cluster.store.oversizedWriteCount} writes were too large`,
@@ -126,7 +122,7 @@
   assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
 });
 
-test('what the present version writes before all are new holds nothing that the production version does not know', async () => {
+test('before all nodes are upgraded the current version writes no field that the production version does not know', async () => {
   const cluster = new SimCluster({ seed: 3, production: { version } });
   submitJobs(cluster, 60);
   cluster.clock.at(15 * SECOND, () => {
