--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,12 +1,12 @@
-/** What `npm run lint` checks. `LINT_FULL=NAME npx eslint packages/NAME` checks a package by the full set. */
+/** ESLint configuration. `LINT_FULL=NAME npx eslint packages/NAME` checks a package with the full rule set. */
 import { defineConfig } from 'eslint/config';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 import { noImportCycles } from './tools/eslint-rules/no-import-cycles.js';
 import { requireModuleComment } from './tools/eslint-rules/require-module-comment.js';
 
-/** Packages that hold to the full set. A package is added when it does; the list ends with all of them. */
-const READABLE_PACKAGES = [
+/** Packages that comply with the full rule set. A package is added once it complies; the goal is to list all packages. */
+const FULL_SET_PACKAGES = [
   'api',
   'cli',
   'cloud',
@@ -22,13 +22,13 @@
   'workers',
 ];
 
-/** Packages that are checked by the full set in this run only. */
+/** Packages that are checked with the full rule set in this run only; from the environment variable `LINT_FULL`. */
 const CHECKED_IN_FULL = (process.env.LINT_FULL ?? '').split(',').filter((name) => name !== '');
 
-/** Packages with import cycles that are yet to be taken apart. */
+/** Packages with known import cycles; the cycle rule applies to them only with the full rule set. */
 const CYCLIC_PACKAGES = [];
 
-/** Rules that hold in the packages of the full set only. All others hold everywhere. */
+/** Rules that apply only to packages with the full rule set. All other rules apply everywhere. */
 const PENDING_RULES = [
   '@typescript-eslint/consistent-type-definitions',
   '@typescript-eslint/no-base-to-string',
@@ -49,7 +49,7 @@
   '@typescript-eslint/restrict-template-expressions',
 ];
 
-/** What each package may import of the others. Tests and the testkit may import all. */
+/** Other packages that each package may import. Tests and the testkit may import all packages. */
 const DEPENDENCIES = {
   wire: [],
   api: ['wire'],
@@ -82,42 +82,50 @@
   ],
 };
 
-/** Who may hold the clients that check no term: the fenced clients themselves, and what belongs to no role. */
+/**
+ * Files that may use the unfenced clients, which do not check the term of a role: the fenced clients themselves, and code
+ * that acts for no role.
+ */
 const UNFENCED_CLOUD = ['packages/roles/fenced-cloud.ts', 'packages/daemon/controller.ts'];
 const UNFENCED_STORE = [
   'packages/roles/fenced-store.ts',
-  // The node's own record and its campaign for the lead.
+  // Writes the node's own membership record and campaigns for leadership.
   'packages/cluster/membership.ts',
   // Reads only.
   'packages/cluster/replica.ts',
-  // Users' jobs, guarded by their own keys.
+  // Writes users' jobs, with compare-and-swap on the keys of the jobs.
   'packages/daemon/job-service.ts',
   'packages/daemon/controller.ts',
 ];
 
-const BOUNDARY = 'this package may not depend on that one: see DEPENDENCIES in eslint.config.js';
-const FENCE = 'act through the fenced client of #roles, under a proof of the term';
+const DEPENDENCY_MESSAGE = 'this package may not import that package: see DEPENDENCIES in eslint.config.js';
+const FENCING_MESSAGE = 'use the fenced client of #roles with a term proof instead of the unfenced client';
 
-/** Imports that the files of a package may not have. */
+/** Forbids imports in the files of a package: packages outside its dependencies, unfenced clients and term proofs. */
 function restrictedImports(name, files, ignores, clients) {
   const allowed = [name, ...DEPENDENCIES[name]];
   const others = [...Object.keys(DEPENDENCIES), 'testkit'].filter((other) => !allowed.includes(other));
   const paths = [
-    ...others.map((other) => ({ name: `#${other}`, message: BOUNDARY })),
-    ...clients.map(([from, importName]) => ({ name: from, importNames: [importName], message: FENCE })),
+    ...others.map((other) => ({ name: `#${other}`, message: DEPENDENCY_MESSAGE })),
+    ...clients.map(([from, importName]) => ({
+      name: from,
+      importNames: [importName],
+      message: FENCING_MESSAGE,
+    })),
   ];
-  const proofs = { group: ['**/term-proof.js'], message: 'proofs are given out by the RoleRegistry only' };
+  const proofs = { group: ['**/term-proof.js'], message: 'only the RoleRegistry may issue term proofs' };
   const patterns = name === 'roles' ? [] : [proofs];
   return { files, ignores, rules: { 'no-restricted-imports': ['error', { paths, patterns }] } };
 }
 
-function boundariesOf(name) {
+/** Returns the import restrictions of a package: one part for its files, and one for each file with exemptions. */
+function importBoundariesOf(name) {
   const files = [`packages/${name}/**/*.ts`];
   const tests = ['**/*.test.ts'];
   const cloud = ['#cloud', 'CloudClient'];
   const store = ['#store', 'StoreClient'];
-  const own = (paths) => paths.filter((path) => path.startsWith(`packages/${name}/`));
-  const exempt = [...new Set([...own(UNFENCED_CLOUD), ...own(UNFENCED_STORE)])];
+  const inPackage = (paths) => paths.filter((path) => path.startsWith(`packages/${name}/`));
+  const exempt = [...new Set([...inPackage(UNFENCED_CLOUD), ...inPackage(UNFENCED_STORE)])];
   return [
     restrictedImports(name, files, [...tests, ...exempt], [cloud, store]),
     ...exempt.map((path) => {
@@ -130,20 +138,20 @@
   ];
 }
 
-const FORMATTER_SPREAD = 'write the fields or elements out instead of spreading a literal';
+const SPREAD_MESSAGE = 'write out the fields or elements instead of spreading a literal';
 
-/** Limits of size that sources and tests share. */
-const SHAPE = {
+/** Limits on the shape of code that sources and tests share. */
+const SHAPE_RULES = {
   '@typescript-eslint/max-params': ['error', { max: 3 }],
   'no-restricted-syntax': [
     'error',
-    { selector: 'SpreadElement > ObjectExpression.argument', message: FORMATTER_SPREAD },
-    { selector: 'SpreadElement > ArrayExpression.argument', message: FORMATTER_SPREAD },
-    { selector: 'SpreadElement > TSAsExpression.argument > ArrayExpression', message: FORMATTER_SPREAD },
+    { selector: 'SpreadElement > ObjectExpression.argument', message: SPREAD_MESSAGE },
+    { selector: 'SpreadElement > ArrayExpression.argument', message: SPREAD_MESSAGE },
+    { selector: 'SpreadElement > TSAsExpression.argument > ArrayExpression', message: SPREAD_MESSAGE },
   ],
 };
 
-const DOC_COMMENTS = {
+const DOC_COMMENT_RULES = {
   'local/require-module-comment': 'error',
   'jsdoc/require-jsdoc': [
     'error',
@@ -166,19 +174,19 @@
   'jsdoc/no-types': 'error',
 };
 
-/** The full set for sources of the packages named. */
-const FULL_SOURCES = {
-  ...SHAPE,
-  ...DOC_COMMENTS,
+/** The full rule set for sources. */
+const FULL_SOURCE_RULES = {
+  ...SHAPE_RULES,
+  ...DOC_COMMENT_RULES,
   'max-lines': ['error', { max: 300 }],
   'max-lines-per-function': ['error', { max: 30 }],
 };
 
-/** The full set for their tests: a scenario may be longer than a function, and names tell what it shows. */
-const FULL_TESTS = { ...SHAPE, 'max-lines': ['error', { max: 500 }] };
+/** The full rule set for tests. A test may be longer than a function, and its title stands in for doc comments. */
+const FULL_TEST_RULES = { ...SHAPE_RULES, 'max-lines': ['error', { max: 500 }] };
 
 const ALL_PACKAGES = [...Object.keys(DEPENDENCIES), 'testkit'];
-const fullPackages = [...READABLE_PACKAGES, ...CHECKED_IN_FULL];
+const fullPackages = [...FULL_SET_PACKAGES, ...CHECKED_IN_FULL];
 const otherPackages = ALL_PACKAGES.filter((name) => !fullPackages.includes(name));
 const acyclicPackages = ALL_PACKAGES.filter(
   (name) => fullPackages.includes(name) || !CYCLIC_PACKAGES.includes(name),
@@ -186,8 +194,8 @@
 const filesOf = (names) => names.map((name) => `packages/${name}/**/*.ts`);
 const testsOf = (names) => names.map((name) => `packages/${name}/**/*.test.ts`);
 
-/** A part of the configuration for the files of some packages; ESLint refuses one without files. */
-const partFor = (files, part) => (files.length === 0 ? [] : [{ files, ...part }]);
+/** Returns a list with the configuration part for the given files; empty without files, since ESLint rejects such a part. */
+const configFor = (files, part) => (files.length === 0 ? [] : [{ files, ...part }]);
 
 export default defineConfig(
   { ignores: ['target/', 'node_modules/', 'packages/testkit/fixtures/'] },
@@ -213,9 +221,9 @@
         'error',
         { allowNumber: true, allowBoolean: true },
       ],
-      // Brackets show that a field comes from outside and may be missing.
+      // Bracket notation marks fields that come from external data and may be missing.
       '@typescript-eslint/dot-notation': ['error', { allowIndexSignaturePropertyAccess: true }],
-      // The runner of node:test awaits what its functions return.
+      // The test runner of node:test awaits the promises of these functions.
       '@typescript-eslint/no-floating-promises': [
         'error',
         {
@@ -227,9 +235,11 @@
     },
   },
   { files: ['**/*.js'], extends: [tseslint.configs.disableTypeChecked] },
-  partFor(filesOf(acyclicPackages), { rules: { 'local/no-import-cycles': 'error' } }),
-  partFor(filesOf(otherPackages), { rules: Object.fromEntries(PENDING_RULES.map((rule) => [rule, 'off'])) }),
-  partFor(filesOf(fullPackages), { ignores: ['**/*.test.ts'], rules: FULL_SOURCES }),
-  partFor(testsOf(fullPackages), { rules: FULL_TESTS }),
-  Object.keys(DEPENDENCIES).flatMap(boundariesOf),
+  configFor(filesOf(acyclicPackages), { rules: { 'local/no-import-cycles': 'error' } }),
+  configFor(filesOf(otherPackages), {
+    rules: Object.fromEntries(PENDING_RULES.map((rule) => [rule, 'off'])),
+  }),
+  configFor(filesOf(fullPackages), { ignores: ['**/*.test.ts'], rules: FULL_SOURCE_RULES }),
+  configFor(testsOf(fullPackages), { rules: FULL_TEST_RULES }),
+  Object.keys(DEPENDENCIES).flatMap(importBoundariesOf),
 );
--- a/tools/eslint-rules/import-graph.js
+++ b/tools/eslint-rules/import-graph.js
@@ -1,15 +1,15 @@
-/** The graph of module imports within a TypeScript program, and the cycles in it. */
+/** Import graph of a TypeScript program, and the search for import cycles in it. */
 import ts from 'typescript';
 
 /**
- * What a source file imports or exports from: by specifier as written, the path of the source file that it leads to.
+ * Paths of the source files that a source file imports or re-exports from. Keyed by module specifier as written.
  *
  * @typedef {ReadonlyMap<string, string>} Imports
  */
 
 /**
- * Maps the path of each source file of the program to its imports. Type imports count: a reader has to follow them,
- * too. Subpath imports (`#cluster`) resolve to sources; installed packages are left out.
+ * Returns the imports of each source file of the program, keyed by its path. Type imports count, because a reader has
+ * to follow them, too. Subpath imports (`#cluster`) resolve to sources; installed packages are left out.
  *
  * @param {ts.Program} program
  * @returns {Map<string, Imports>}
@@ -31,6 +31,7 @@
   return imports;
 }
 
+/** Returns the path of the source file that a specifier resolves to; undefined for an installed or unknown package. */
 function resolve(specifier, importer, { options, cache }) {
   const mode = ts.ModuleKind.ESNext;
   const result = ts.resolveModuleName(specifier, importer, options, ts.sys, cache, undefined, mode);
@@ -39,8 +40,8 @@
 }
 
 /**
- * The shortest cycle that begins with the import of `target` by `importer`, as the paths of its files, the importer
- * first and last; undefined if nothing that `target` imports leads back.
+ * Returns the shortest cycle that begins with the import of `target` by `importer`, as the paths of its files, the
+ * importer first and last. Returns undefined if no chain of imports leads from `target` back to `importer`.
  *
  * @param {ReadonlyMap<string, Imports>} graph
  * @param {string} importer
@@ -48,6 +49,7 @@
  * @returns {string[] | undefined}
  */
 export function findCycle(graph, importer, target) {
+  // Breadth-first search. Each reached file maps to the file that it was reached from; the loop also visits added keys.
   const reachedFrom = new Map([[target, importer]]);
   for (const file of reachedFrom.keys()) {
     if (file === importer) return [importer, ...pathTo(importer, reachedFrom)];
@@ -58,6 +60,7 @@
   return undefined;
 }
 
+/** Returns the path to `importer`, from the target on, by following the entries of `reachedFrom` backwards. */
 function pathTo(importer, reachedFrom) {
   const path = [importer];
   for (let file = reachedFrom.get(importer); file !== importer; file = reachedFrom.get(file)) {
--- a/tools/eslint-rules/no-import-cycles.js
+++ b/tools/eslint-rules/no-import-cycles.js
@@ -1,8 +1,8 @@
-/** Lint rule: no module may import another one that leads back to it. Needs type information for the program. */
+/** Lint rule against import cycles. It needs type information, because it works on the imports of the whole program. */
 import { relative } from 'node:path';
 import { findCycle, importGraph } from './import-graph.js';
 
-/** Graphs by program: ESLint runs a rule once for each file. */
+/** Import graphs, cached because ESLint runs a rule once for each file. Keyed by program. */
 const graphs = new WeakMap();
 
 function graphOf(program) {
@@ -14,6 +14,7 @@
   return graph;
 }
 
+/** Reports each import or re-export that is part of an import cycle. */
 export const noImportCycles = {
   meta: {
     type: 'problem',
@@ -24,13 +25,17 @@
   create(context) {
     const { cwd, filename, sourceCode } = context;
     const graph = graphOf(sourceCode.parserServices.program);
-    const check = (node) => {
+    const checkImport = (node) => {
       const target = graph.get(filename)?.get(node.source?.value);
       const cycle = target === undefined ? undefined : findCycle(graph, filename, target);
       if (cycle === undefined) return;
       const path = cycle.map((file) => relative(cwd, file)).join(' -> ');
       context.report({ node, messageId: 'cycle', data: { path } });
     };
-    return { ImportDeclaration: check, ExportNamedDeclaration: check, ExportAllDeclaration: check };
+    return {
+      ImportDeclaration: checkImport,
+      ExportNamedDeclaration: checkImport,
+      ExportAllDeclaration: checkImport,
+    };
   },
 };
--- a/tools/eslint-rules/require-module-comment.js
+++ b/tools/eslint-rules/require-module-comment.js
@@ -1,6 +1,9 @@
-/** Lint rule: a file begins with a doc comment that says what the module is for. */
+/** Lint rule that requires a doc comment on the module at the top of each file. */
 
-/** The comment stands for the module, not for the declaration that follows it. */
+/**
+ * True if the comment documents the module and not the declaration that follows it: another block comment, a blank line,
+ * an import, a re-export or the end of the file follows it.
+ */
 function isModuleComment(comment, nextNode, sourceCode) {
   if (comment?.type !== 'Block' || !comment.value.startsWith('*')) return false;
   const next = sourceCode.getTokenAfter(comment, { includeComments: true });
@@ -17,6 +20,7 @@
   );
 }
 
+/** Reports files that do not begin with a doc comment on the module. */
 export const requireModuleComment = {
   meta: {
     type: 'suggestion',
