--- a/packages/testkit/cluster-checks.ts
+++ b/packages/testkit/cluster-checks.ts
@@ -16,7 +16,7 @@
 export class ReplicaChecks {
   private readonly agreement = new LedgerAgreement();
   /** Revision at which each ledger was last compared. Keyed by ledger. */
-  private readonly checkedAt = new WeakMap<object, number>();
+  private readonly comparedAt = new WeakMap<object, number>();
 
   /** Records a transaction that the state service has just applied. */
   transactionApplied(writes: readonly WireFields[]): void {
@@ -27,19 +27,19 @@
    * Compares each replica once for each revision, because a replica changes only with the revision. Throws an
    * {@link InvariantViolation} if one differs.
    */
-  check(copies: readonly ReplicaFacts[], { revision, hasLostData }: SimStore): void {
+  check(replicas: readonly ReplicaFacts[], { revision, hasLostData }: SimStore): void {
     // After a data loss the revisions of the replicas belong to another history.
     if (hasLostData) return;
-    const current = copies.filter(
-      (copy) => copy.applied === revision && this.checkedAt.get(copy.ledger) !== revision,
+    const current = replicas.filter(
+      (replica) => replica.applied === revision && this.comparedAt.get(replica.ledger) !== revision,
     );
-    for (const { ledger } of current) this.checkedAt.set(ledger, revision);
+    for (const { ledger } of current) this.comparedAt.set(ledger, revision);
     this.agreement.check(current, revision);
   }
 }
 
 /** Checks after a commit that all chunks of the current checkpoint are stored. */
-export function checkCheckpoint(store: SimStore, writes: readonly WireFields[]): void {
+export function checkCheckpointIsComplete(store: SimStore, writes: readonly WireFields[]): void {
   const paths = writes.map((write) => String(write['Set'] ?? write['Remove']));
   if (!paths.some((path) => path === CHECKPOINT_HEAD_KEY || path.startsWith(CHECKPOINT_CHUNK_PREFIX))) return;
   const head = store.rows.get(CHECKPOINT_HEAD_KEY)?.value;
@@ -50,7 +50,7 @@
 }
 
 /** Returns the events that a commit causes: changes of the leader and releases of machines. */
-export function eventsOf(writes: readonly WireFields[]): ClusterEvent[] {
+export function clusterEventsOf(writes: readonly WireFields[]): ClusterEvent[] {
   return writes.flatMap((write): ClusterEvent[] => {
     const path = String(write['Set'] ?? '');
     if (path === LEADER_KEY) return ['lead'];
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -35,7 +35,7 @@
 }
 
 /** Returns the leader, and a job that runs on machines whose workers send their heartbeats to it. */
-function leading(cluster: SimCluster): { leader: number; job: string } {
+function leaderWithRunningJob(cluster: SimCluster): { leader: number; job: string } {
   const leader = holderOf(cluster, LEADER_KEY);
   const job = ['j-0', 'j-1', 'j-2'].find((id) =>
     cluster.invariants.runningTasks(id).some(({ host }) => cluster.workers.get(host)?.nodeIndex === leader),
@@ -49,7 +49,7 @@
 }
 
 /** Cancels the job at the given node, and asserts that the node confirms it within 1.5 s. */
-async function confirmWithdrawal(cluster: SimCluster, job: string, node: number): Promise<void> {
+async function cancelAndConfirm(cluster: SimCluster, job: string, node: number): Promise<void> {
   let status = 0;
   void cluster.cancelJob(job, node).then((s) => (status = s));
   for (let i = 0; i < 15 && status === 0; i++) await cluster.run(0.1 * SECOND);
@@ -58,12 +58,16 @@
 }
 
 /** The state service refuses the leader only, another node confirms a cancellation, then an outage hits all nodes. */
-async function gap(seed: number, alone: number, options: Partial<SimClusterOptions> = {}): Promise<void> {
+async function cancelBeforeOutage(
+  seed: number,
+  refusedS: number,
+  options: Partial<SimClusterOptions> = {},
+): Promise<void> {
   const cluster = await createBusyCluster({ seed, ...options });
-  const { leader, job } = leading(cluster);
+  const { leader, job } = leaderWithRunningJob(cluster);
   cluster.store.refusedNodes.add(`node-${leader}`);
-  await cluster.run(alone * SECOND);
-  await confirmWithdrawal(cluster, job, otherThan(cluster, leader));
+  await cluster.run(refusedS * SECOND);
+  await cancelAndConfirm(cluster, job, otherThan(cluster, leader));
   cluster.store.setOutage(true);
   const before = cluster.heartbeatCount(leader);
   await cluster.run(4 * SECOND);
@@ -86,13 +90,13 @@
 }
 
 test('a cancellation confirmed while the state service refuses the leader holds when an outage follows', async () => {
-  for (const [seed, alone] of [
+  for (const [seed, refusedS] of [
     [71, 0.1],
     [72, 0.5],
     [73, 1],
     [75, 1.5],
   ] as const) {
-    await gap(seed, alone);
+    await cancelBeforeOutage(seed, refusedS);
   }
 });
 
@@ -101,13 +105,13 @@
   // widens the renewal bound by 10 s.
   const widened = { settings: { cancellationDeadline: 35 * SECOND }, promisedCancel: 25 * SECOND };
   await assert.rejects(
-    gap(72, 1, widened),
+    cancelBeforeOutage(72, 1, widened),
     (cause) => cause instanceof InvariantViolation && cause.invariant === 'ran_cancelled',
   );
 });
 
 /** Submits one job for each team that ends within the test, and runs until all three have running tasks. */
-async function shortWork(cluster: SimCluster, change: Partial<JobSpec> = {}): Promise<string[]> {
+async function startShortJobs(cluster: SimCluster, change: Partial<JobSpec> = {}): Promise<string[]> {
   const ids = TEAMS.map((_, i) => `j-1${i}`);
   ids.forEach((id, i) => {
     cluster.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 3, estimateS: 25, ...change }));
@@ -118,12 +122,12 @@
 }
 
 /**
- * Runs until all given jobs have ended, for `most` seconds at most. All faults have ended: from here on the checker
+ * Runs until all given jobs have ended, for `maxSeconds` at most. All faults have ended: from here on the checker
  * requires that no job is forgotten or left waiting.
  */
-async function untilOver(cluster: SimCluster, jobs: readonly string[], most = 200): Promise<void> {
+async function runUntilEnded(cluster: SimCluster, jobs: readonly string[], maxSeconds = 200): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
-  for (let i = 0; i < most; i++) {
+  for (let i = 0; i < maxSeconds; i++) {
     if (jobs.every((id) => ['done', 'cancelled'].includes(cluster.lastStatuses.get(id) ?? ''))) return;
     await cluster.run(SECOND);
   }
@@ -136,25 +140,25 @@
 }
 
 /** Starts or stops refusing connections from a worker to all nodes. */
-function refuseAll(cluster: SimCluster, host: string, on: boolean): void {
+function setWorkerRefused(cluster: SimCluster, host: string, isRefused: boolean): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
-    if (on) cluster.net.refusedLinks.add(`${host}>10.0.0.${i}:80`);
+    if (isRefused) cluster.net.refusedLinks.add(`${host}>10.0.0.${i}:80`);
     else cluster.net.refusedLinks.delete(`${host}>10.0.0.${i}:80`);
   }
 }
 
 /** Kills the nodes and starts them again after the pause. */
-async function killFor(cluster: SimCluster, nodes: readonly number[], pause: Micros): Promise<void> {
+async function restartNodes(cluster: SimCluster, nodes: readonly number[], pause: Micros): Promise<void> {
   for (const node of nodes) cluster.killNode(node);
   await cluster.run(pause);
   for (const node of nodes) cluster.startNode(node);
 }
 
 /** Waits up to 10 s for a leader other than the given node, and returns it. */
-async function untilLed(cluster: SimCluster, notBy: number): Promise<number> {
+async function waitForOtherLeader(cluster: SimCluster, oldLeader: number): Promise<number> {
   for (let i = 0; i < 40; i++) {
-    const leader = cluster.store.rows.has(LEADER_KEY) ? holderOf(cluster, LEADER_KEY) : notBy;
-    if (leader !== notBy) return leader;
+    const leader = cluster.store.rows.has(LEADER_KEY) ? holderOf(cluster, LEADER_KEY) : oldLeader;
+    if (leader !== oldLeader) return leader;
     await cluster.run(SECOND / 4);
   }
   return assert.fail('no other node became the leader');
@@ -166,21 +170,21 @@
     [82, true],
   ] as const) {
     const cluster = createCluster({ seed });
-    const jobs = await shortWork(cluster, { estimateS: 60 });
+    const jobs = await startShortJobs(cluster, { estimateS: 60 });
     const leader = holderOf(cluster, LEADER_KEY);
     const hosts = machinesOf(cluster, jobs);
     for (const host of hosts.slice(0, 2)) {
       if (unreachable) cluster.net.unansweredParties.add(host);
-      else refuseAll(cluster, host, true);
+      else setWorkerRefused(cluster, host, true);
     }
     cluster.killNode(leader);
-    await untilLed(cluster, leader);
+    await waitForOtherLeader(cluster, leader);
     // Much longer than a lease: the tasks of these machines are proven stopped and continue on other machines.
     await cluster.run(40 * SECOND);
-    for (const host of hosts) refuseAll(cluster, host, false);
+    for (const host of hosts) setWorkerRefused(cluster, host, false);
     cluster.net.unansweredParties.clear();
     cluster.startNode(leader);
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
@@ -192,9 +196,15 @@
     for (let i = 0; i < 12; i++) {
       const id = `j-2${i}`;
       ids.push(id);
-      const Rank = i % 3 === 0 ? 'urgent' : i % 3 === 1 ? 'normal' : 'best_effort';
+      const jobRank = i % 3 === 0 ? 'urgent' : i % 3 === 1 ? 'normal' : 'best_effort';
       cluster.submit(
-        sampleJob(id, { team: TEAMS[i % 3]?.name ?? '', taskCount: 8, estimateS: 10, rank: Rank, memGb: 6 }),
+        sampleJob(id, {
+          team: TEAMS[i % 3]?.name ?? '',
+          taskCount: 8,
+          estimateS: 10,
+          rank: jobRank,
+          memGb: 6,
+        }),
       );
     }
   });
@@ -205,12 +215,12 @@
     ),
   );
   for (let i = 0; i < 3; i++) cluster.net.slowdowns.set(`10.0.0.${i}:80`, 20);
-  await untilOver(cluster, ids, 600);
+  await runUntilEnded(cluster, ids, 600);
 });
 
 test('jobs end although commands reach machines seconds late and workers hang', async () => {
   const cluster = createCluster({ seed: 84 });
-  const jobs = await shortWork(cluster);
+  const jobs = await startShortJobs(cluster);
   const hosts = machinesOf(cluster, jobs);
   for (let i = 0; i < 4; i++) {
     for (const host of hosts) cluster.net.slowdowns.set(host, 300 + 300 * i);
@@ -219,32 +229,32 @@
       const worker = cluster.workers.get(host);
       if (worker) worker.isHanging = i % 2 === 0;
     }
-    if (i === 1) await confirmWithdrawal(cluster, 'j-10', 1);
+    if (i === 1) await cancelAndConfirm(cluster, 'j-10', 1);
     await cluster.run(4 * SECOND);
   }
   for (const worker of cluster.workers.values()) worker.isHanging = false;
   cluster.net.slowdowns.clear();
-  await untilOver(cluster, jobs);
+  await runUntilEnded(cluster, jobs);
 });
 
 test('jobs whose tasks end at different times complete across changes of leader', async () => {
   for (const seed of [85, 86]) {
     const cluster = createCluster({ seed });
-    const jobs = await shortWork(cluster, { taskCount: 2, estimateS: 30 });
+    const jobs = await startShortJobs(cluster, { taskCount: 2, estimateS: 30 });
     let rounds = 0;
     // The leader restarts whenever a task ends, so that one restart falls between the task ends of each job.
-    for (let left = -1; rounds < 4; rounds++) {
+    for (let previousCount = -1; rounds < 4; rounds++) {
       for (let i = 0; i < 60; i++) {
-        const now = jobs.reduce((sum, id) => sum + cluster.invariants.runningTasks(id).length, 0);
-        if (left >= 0 && now < left) break;
-        left = now;
+        const runningCount = jobs.reduce((sum, id) => sum + cluster.invariants.runningTasks(id).length, 0);
+        if (previousCount >= 0 && runningCount < previousCount) break;
+        previousCount = runningCount;
         await cluster.run(SECOND / 2);
       }
-      left = -1;
-      await killFor(cluster, [holderOf(cluster, LEADER_KEY)], 0.3 * SECOND);
+      previousCount = -1;
+      await restartNodes(cluster, [holderOf(cluster, LEADER_KEY)], 0.3 * SECOND);
       await cluster.run(5 * SECOND);
     }
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
     for (const id of jobs) assert.equal(cluster.lastStatuses.get(id), 'done');
   }
 });
@@ -253,24 +263,24 @@
   for (const seed of [87, 88]) {
     const teams = TEAMS.map((t) => ({ ...t, cpusMax: 12 }));
     const cluster = createCluster({ seed, settings: { teams } });
-    const jobs = await shortWork(cluster, { taskCount: 6, estimateS: 80 });
+    const jobs = await startShortJobs(cluster, { taskCount: 6, estimateS: 80 });
     assert.equal(cluster.invariants.runningTasks('j-10').length, 6, 'the team is not at its limit');
     cluster.submit(sampleJob('j-20', { team: 'blue', taskCount: 6, estimateS: 10 }));
     await cluster.run(3 * SECOND);
-    const [mute, away] = machinesOf(cluster, ['j-10']);
-    assert.ok(mute !== undefined && away !== undefined);
-    cluster.net.unansweredParties.add(mute);
-    refuseAll(cluster, away, true);
+    const [unanswered, unreachable] = machinesOf(cluster, ['j-10']);
+    assert.ok(unanswered !== undefined && unreachable !== undefined);
+    cluster.net.unansweredParties.add(unanswered);
+    setWorkerRefused(cluster, unreachable, true);
     const leader = holderOf(cluster, LEADER_KEY);
     cluster.killNode(leader);
-    await untilLed(cluster, leader);
-    await confirmWithdrawal(cluster, 'j-10', otherThan(cluster, leader));
+    await waitForOtherLeader(cluster, leader);
+    await cancelAndConfirm(cluster, 'j-10', otherThan(cluster, leader));
     // Only tasks that are proven stopped free quota for the next job. The checker verifies the limit.
     await cluster.run(20 * SECOND);
     cluster.net.unansweredParties.clear();
-    refuseAll(cluster, away, false);
+    setWorkerRefused(cluster, unreachable, false);
     cluster.startNode(leader);
-    await untilOver(cluster, [...jobs, 'j-20']);
+    await runUntilEnded(cluster, [...jobs, 'j-20']);
     assert.equal(cluster.lastStatuses.get('j-20'), 'done');
   }
 });
@@ -281,12 +291,12 @@
     [90, 14],
   ] as const) {
     const cluster = createCluster({ seed });
-    const jobs = await shortWork(cluster, { estimateS: 60 });
+    const jobs = await startShortJobs(cluster, { estimateS: 60 });
     const leader = holderOf(cluster, LEADER_KEY);
     const hosts = machinesOf(cluster, jobs);
     for (const host of hosts) cluster.net.hold(host);
     cluster.killNode(leader);
-    await untilLed(cluster, leader);
+    await waitForOtherLeader(cluster, leader);
     // Shorter or longer than a lease. If longer, the held heartbeats belong to an earlier worker incarnation.
     await cluster.run(pause * SECOND);
     const late = hosts.reduce((sum, host) => sum + cluster.net.release(host), 0);
@@ -295,19 +305,21 @@
     // Repeat this with the shard owner that came back.
     for (const host of hosts) cluster.net.hold(host);
     cluster.startNode(leader);
-    await killFor(cluster, [otherThan(cluster, leader)], 5 * SECOND);
+    await restartNodes(cluster, [otherThan(cluster, leader)], 5 * SECOND);
     for (const host of hosts) cluster.net.release(host);
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
 test('jobs with zone constraints end although machines die or become unreachable', async () => {
   for (const seed of [91, 92]) {
     const cluster = createCluster({ seed });
-    const kinds: Partial<JobSpec>[] = [{ singleZone: true }, { spreadZones: true }, { zone: 'west' }];
-    const ids = kinds.map((kind, i) => {
+    const constraints: Partial<JobSpec>[] = [{ singleZone: true }, { spreadZones: true }, { zone: 'west' }];
+    const ids = constraints.map((constraint, i) => {
       const id = `j-3${i}`;
-      cluster.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 5, estimateS: 50, ...kind }));
+      cluster.submit(
+        sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 5, estimateS: 50, ...constraint }),
+      );
       return id;
     });
     await cluster.run(35 * SECOND);
@@ -318,19 +330,19 @@
       if (dead) cluster.cloud.die(dead);
       if (second === undefined) return;
       if (i === 0) cluster.net.unansweredParties.add(second);
-      else refuseAll(cluster, second, true);
+      else setWorkerRefused(cluster, second, true);
     });
     await cluster.run(12 * SECOND);
     cluster.net.unansweredParties.clear();
-    for (const host of cluster.workers.keys()) refuseAll(cluster, host, false);
-    await untilOver(cluster, ids);
+    for (const host of cluster.workers.keys()) setWorkerRefused(cluster, host, false);
+    await runUntilEnded(cluster, ids);
   }
 });
 
 test('ten leader changes in two minutes, also during an outage, cause no request storm and lose no job', async () => {
-  for (const outage of [false, true]) {
+  for (const hasOutage of [false, true]) {
     const cluster = createCluster({ seed: 93 });
-    const jobs = await shortWork(cluster, { estimateS: 120 });
+    const jobs = await startShortJobs(cluster, { estimateS: 120 });
     const tokens: number[] = [];
     const asked = cluster.store.requestCount;
     const refused = cluster.store.refusedRequestCount;
@@ -339,14 +351,14 @@
       if (event === 'lead') changes++;
     };
     for (let i = 0; i < 10; i++) {
-      if (outage && i === 4) cluster.store.setOutage(true);
-      if (outage && i === 6) cluster.store.setOutage(false);
+      if (hasOutage && i === 4) cluster.store.setOutage(true);
+      if (hasOutage && i === 6) cluster.store.setOutage(false);
       const leader = cluster.store.rows.has(LEADER_KEY) ? holderOf(cluster, LEADER_KEY) : i % 3;
-      await killFor(cluster, [leader], (i % 2 === 0 ? 0.2 : 3.5) * SECOND);
+      await restartNodes(cluster, [leader], (i % 2 === 0 ? 0.2 : 3.5) * SECOND);
       await cluster.run(8 * SECOND);
       tokens.push(Number(cluster.store.rows.get(FENCING_TOKEN_KEY)?.value['Token']));
     }
-    assert.ok(changes >= (outage ? 7 : 10), `the leader changed ${changes} times`);
+    assert.ok(changes >= (hasOutage ? 7 : 10), `the leader changed ${changes} times`);
     assert.deepEqual(
       tokens,
       [...tokens].sort((a, b) => a - b),
@@ -361,13 +373,13 @@
       cluster.store.refusedRequestCount - refused < 60,
       `${cluster.store.refusedRequestCount - refused} refused`,
     );
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
 test('users get answers and cancellations hold while the state service is slow, refuses the leader, then all', async () => {
   const cluster = createCluster({ seed: 94 });
-  const jobs = await shortWork(cluster, { estimateS: 80 });
+  const jobs = await startShortJobs(cluster, { estimateS: 80 });
   const leader = holderOf(cluster, LEADER_KEY);
   cluster.net.slowdowns.set('10.2.0.1:2379', 60);
   await cluster.run(5 * SECOND);
@@ -378,7 +390,7 @@
   await cluster.run(15 * SECOND);
   cluster.store.refusedNodes.add(`node-${leader}`);
   await cluster.run(SECOND);
-  await confirmWithdrawal(cluster, 'j-11', otherThan(cluster, leader));
+  await cancelAndConfirm(cluster, 'j-11', otherThan(cluster, leader));
   cluster.store.setOutage(true);
   for (let i = 0; i < 32; i++) {
     // The request goes to every node. No node may answer with an older status, and each must answer within a second.
@@ -394,21 +406,21 @@
   }
   cluster.store.setOutage(false);
   cluster.store.refusedNodes.clear();
-  await untilOver(cluster, jobs);
+  await runUntilEnded(cluster, jobs);
   assert.equal(cluster.lastStatuses.get('j-11'), 'cancelled');
 });
 
 test('a leader that loses the state service and its peers but not its workers does not run cancelled jobs on', async () => {
   for (const seed of [71, 73, 75]) {
     const cluster = await createBusyCluster({ seed });
-    const { leader, job } = leading(cluster);
+    const { leader, job } = leaderWithRunningJob(cluster);
     cluster.store.refusedNodes.add(`node-${leader}`);
     cluster.refusePeers(leader, true);
-    const next = await untilLed(cluster, leader);
+    const newLeader = await waitForOtherLeader(cluster, leader);
     const before = cluster.heartbeatCount(leader);
-    await confirmWithdrawal(cluster, job, next);
+    await cancelAndConfirm(cluster, job, newLeader);
     assert.equal(
-      await answerOf(cluster, job, leader),
+      await statusFromNode(cluster, job, leader),
       503,
       'the old leader answers users from an outdated replica',
     );
@@ -423,7 +435,7 @@
   }
 });
 
-async function answerOf(cluster: SimCluster, job: string, node: number): Promise<number> {
+async function statusFromNode(cluster: SimCluster, job: string, node: number): Promise<number> {
   let status = 0;
   void cluster
     .sendUserRequest(job, { node, method: 'GET', path: `/submissions/${job}` })
@@ -438,46 +450,46 @@
     [99, 'reset'],
   ] as const) {
     const cluster = createCluster({ seed });
-    const jobs = await shortWork(cluster, { estimateS: 50 });
+    const jobs = await startShortJobs(cluster, { estimateS: 50 });
     cluster.net.isolate('west', mode);
     await cluster.run(5 * SECOND);
-    await confirmWithdrawal(cluster, 'j-10', 0);
+    await cancelAndConfirm(cluster, 'j-10', 0);
     await cluster.run(25 * SECOND);
     cluster.net.isolate('west', null);
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
 test('all tasks stop and later complete when all controllers are down for longer than a lease', async () => {
   const cluster = createCluster({ seed: 100 });
-  const jobs = await shortWork(cluster, { estimateS: 60 });
+  const jobs = await startShortJobs(cluster, { estimateS: 60 });
   assert.ok(jobs.every((id) => cluster.invariants.runningTasks(id).length > 0));
-  await killFor(cluster, [0, 1, 2], 11 * SECOND);
+  await restartNodes(cluster, [0, 1, 2], 11 * SECOND);
   assert.deepEqual(
     jobs.flatMap((id) => cluster.invariants.runningTasks(id)),
     [],
     'tasks run although the leases must have expired',
   );
-  await untilOver(cluster, jobs);
+  await runUntilEnded(cluster, jobs);
   for (const id of jobs) assert.equal(cluster.lastStatuses.get(id), 'done');
 });
 
 test('a cancellation is confirmed and takes effect while workers reach no controller', async () => {
   const cluster = createCluster({ seed: 101 });
-  const jobs = await shortWork(cluster, { estimateS: 60 });
-  for (const host of cluster.workers.keys()) refuseAll(cluster, host, true);
-  await confirmWithdrawal(cluster, 'j-10', 1);
+  const jobs = await startShortJobs(cluster, { estimateS: 60 });
+  for (const host of cluster.workers.keys()) setWorkerRefused(cluster, host, true);
+  await cancelAndConfirm(cluster, 'j-10', 1);
   await cluster.run(6 * SECOND);
   assert.ok(cluster.invariants.runningTasks('j-10').length > 0, 'its tasks ended before the leases expired');
   await cluster.run(14 * SECOND);
-  for (const host of cluster.workers.keys()) refuseAll(cluster, host, false);
-  await untilOver(cluster, jobs);
+  for (const host of cluster.workers.keys()) setWorkerRefused(cluster, host, false);
+  await runUntilEnded(cluster, jobs);
 });
 
 test('jobs end although transactions without a response are applied late while controllers restart', async () => {
   for (const seed of [102, 103, 104]) {
     const cluster = createCluster({ seed, settings: { valueBytes: 700, txnOps: 4 } });
-    const jobs = await shortWork(cluster, { estimateS: 30, taskCount: 6 });
+    const jobs = await startShortJobs(cluster, { estimateS: 30, taskCount: 6 });
     cluster.store.lateCommitRate = 0.4;
     for (let i = 0; i < 8; i++) {
       const id = `j-4${i}`;
@@ -486,37 +498,41 @@
         sampleJob(id, { team: TEAMS[i % 3]?.name ?? '', taskCount: 4, estimateS: 8 }),
         i % 2 === 0 ? 9 * SECOND : null,
       );
-      if (i % 3 === 1) await killFor(cluster, [i % 3], 0.2 * SECOND);
-      if (i === 5) await killFor(cluster, [0, 1, 2], SECOND);
+      if (i % 3 === 1) await restartNodes(cluster, [i % 3], 0.2 * SECOND);
+      if (i === 5) await restartNodes(cluster, [0, 1, 2], SECOND);
       await cluster.run(6 * SECOND);
     }
     cluster.store.lateCommitRate = 0;
     const { came, applied } = cluster.store.lateCommits;
     assert.ok(came >= 30 && applied > 0, `${came} arrived late, ${applied} were applied`);
-    await untilOver(cluster, jobs, 300);
+    await runUntilEnded(cluster, jobs, 300);
   }
 });
 
 test('a cancellation, a status request and a repeated submission are answered as the last task ends', async () => {
   const cluster = createCluster({ seed: 105 });
-  const ends = new Map<string, number[]>();
-  let n = 0;
-  const next = (): void => {
-    const id = `j-5${n++}`;
-    const spec = sampleJob(id, { team: TEAMS[n % 3]?.name ?? '', taskCount: 1 + (n % 2), estimateS: 4 });
+  const answersByJob = new Map<string, number[]>();
+  let jobCount = 0;
+  const submitNext = (): void => {
+    const id = `j-5${jobCount++}`;
+    const spec = sampleJob(id, {
+      team: TEAMS[jobCount % 3]?.name ?? '',
+      taskCount: 1 + (jobCount % 2),
+      estimateS: 4,
+    });
     cluster.submit(spec);
-    if (n < 24) cluster.clock.at(4 * SECOND, next);
+    if (jobCount < 24) cluster.clock.at(4 * SECOND, submitNext);
   };
-  cluster.clock.at(SECOND, next);
+  cluster.clock.at(SECOND, submitNext);
   const asked = new Set<string>();
   cluster.onEvent = (event) => {
     if (event !== 'last end') return;
     for (const id of [...cluster.specs.keys()].filter(
-      (job) => !asked.has(job) && cluster.invariants.isComplete(job),
+      (job) => !asked.has(job) && cluster.invariants.isJobComplete(job),
     )) {
       asked.add(id);
       const answers: number[] = [];
-      ends.set(id, answers);
+      answersByJob.set(id, answers);
       const late = cluster.random() * 1.5 * SECOND;
       cluster.clock.at(late, () => {
         const spec = cluster.specs.get(id);
@@ -536,34 +552,36 @@
     }
   };
   await cluster.run(140 * SECOND);
-  assert.ok(ends.size >= 24, `requests at the end of only ${ends.size} jobs`);
-  assert.ok([...ends.values()].every((answers) => answers.length === 3 && answers.every((s) => s === 200)));
-  const told = [...ends.keys()].map((id) => cluster.lastStatuses.get(id));
+  assert.ok(answersByJob.size >= 24, `requests at the end of only ${answersByJob.size} jobs`);
+  assert.ok(
+    [...answersByJob.values()].every((answers) => answers.length === 3 && answers.every((s) => s === 200)),
+  );
+  const finalStatuses = [...answersByJob.keys()].map((id) => cluster.lastStatuses.get(id));
   assert.ok(
-    told.includes('done') && told.includes('cancelled'),
+    finalStatuses.includes('done') && finalStatuses.includes('cancelled'),
     'the cancellation always came before the end, or always after it',
   );
   // A terminal status does not change, even after all processes have restarted; the checker verifies it.
-  await killFor(cluster, [0, 1, 2], SECOND);
+  await restartNodes(cluster, [0, 1, 2], SECOND);
   await cluster.run(8 * SECOND);
-  for (const id of ends.keys()) for (const node of [0, 1, 2]) await answerOf(cluster, id, node);
+  for (const id of answersByJob.keys()) for (const node of [0, 1, 2]) await statusFromNode(cluster, id, node);
 });
 
 test('heartbeats that arrive after newer ones, also from earlier worker incarnations and attempts, do no harm', async () => {
   for (const seed of [106, 107]) {
     const cluster = createCluster({ seed });
     cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 40 * SECOND };
-    const jobs = await shortWork(cluster, { estimateS: 40 });
+    const jobs = await startShortJobs(cluster, { estimateS: 40 });
     const hosts = machinesOf(cluster, jobs);
     // The leases expire, so that the tasks get new attempts and the workers new incarnations.
-    for (const host of hosts) refuseAll(cluster, host, true);
+    for (const host of hosts) setWorkerRefused(cluster, host, true);
     await cluster.run(12 * SECOND);
-    for (const host of hosts) refuseAll(cluster, host, false);
+    for (const host of hosts) setWorkerRefused(cluster, host, false);
     await cluster.run(10 * SECOND);
-    await killFor(cluster, [holderOf(cluster, LEADER_KEY)], 4 * SECOND);
+    await restartNodes(cluster, [holderOf(cluster, LEADER_KEY)], 4 * SECOND);
     await cluster.run(30 * SECOND);
     cluster.net.faults = { faultRate: 0, maxDelay: 0 };
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
@@ -574,13 +592,13 @@
     [110, 4],
   ] as const) {
     const cluster = createCluster({ seed });
-    const jobs = await shortWork(cluster, { estimateS: 60 });
+    const jobs = await startShortJobs(cluster, { estimateS: 60 });
     const first = holderOf(cluster, LEADER_KEY);
     cluster.killNode(first);
-    const second = await untilLed(cluster, first);
+    const second = await waitForOtherLeader(cluster, first);
     cluster.startNode(first);
     await cluster.run(2 * SECOND);
-    await killFor(cluster, [second], pause * SECOND);
+    await restartNodes(cluster, [second], pause * SECOND);
     for (let i = 0; i < 3; i++) cluster.killNode(i);
     await cluster.run(pause * SECOND);
     // This node is alone, has no replica yet, and receives the heartbeats of all workers.
@@ -588,12 +606,12 @@
     await cluster.run(10 * SECOND);
     assert.equal(holderOf(cluster, LEADER_KEY), second);
     for (let i = 0; i < 3; i++) cluster.startNode(i);
-    await untilOver(cluster, jobs);
+    await runUntilEnded(cluster, jobs);
   }
 });
 
 /** Returns the hosts of the machines that a transaction releases. */
-function releasedIn(writes: readonly WireFields[]): string[] {
+function hostsReleasedBy(writes: readonly WireFields[]): string[] {
   return writes.flatMap(({ V: record }) => {
     const releases = isWireFields(record)
       ? (record['releases'] as [string, unknown][] | undefined)
@@ -611,17 +629,17 @@
     types: SAMPLE_TYPES.filter((t) => t.name === 'small'),
     capacity: 2,
   });
-  const leaving = new Set<string>();
+  const releasedHosts = new Set<string>();
   const answers: number[] = [];
   cluster.store.isLate = (writes) => {
-    const hosts = releasedIn(writes);
+    const hosts = hostsReleasedBy(writes);
     // Only releases by the first owner that releases machines are delayed. The test ends when a late one is applied.
-    if (leaving.size > 0 && !hosts.some((host) => leaving.has(host))) return false;
-    for (const host of hosts) leaving.add(host);
+    if (releasedHosts.size > 0 && !hosts.some((host) => releasedHosts.has(host))) return false;
+    for (const host of hosts) releasedHosts.add(host);
     return hosts.length > 0;
   };
   cluster.onHeartbeat = (host, _node, status) => {
-    if (leaving.has(host) && cluster.store.lateCommits.came === 0) answers.push(status);
+    if (releasedHosts.has(host) && cluster.store.lateCommits.came === 0) answers.push(status);
   };
   cluster.submit(sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 20 }));
   await cluster.run(15 * SECOND);
@@ -634,5 +652,5 @@
     [],
   );
   cluster.store.isLate = () => false;
-  await untilOver(cluster, ['j-1', 'j-2']);
+  await runUntilEnded(cluster, ['j-1', 'j-2']);
 });
--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -17,16 +17,16 @@
     let isRestored = true;
     const loseData = (): void => {
       if (clock.time > 120 * SECOND) return;
-      const old = store.backup();
+      const olderBackup = store.backup();
       clock.at((1 + random() * 10) * SECOND, () => {
-        const whole = store.backup();
-        if (whole.revision === old.revision) return;
+        const fullBackup = store.backup();
+        if (fullBackup.revision === olderBackup.revision) return;
         losses++;
         isRestored = false;
         if (random() < 0.4) store.wipe();
-        else store.restore(old);
+        else store.restore(olderBackup);
         clock.at((1 + random() * 20) * SECOND, () => {
-          store.restore(whole);
+          store.restore(fullBackup);
           isRestored = true;
         });
       });
--- a/packages/testkit/data-loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -14,12 +14,12 @@
  * Upper bounds in milliseconds. A node sends a request to the state service at least every 2 s, and reads all live state
  * a second later.
  */
-const MOST_NOTICED_MS = 3_000;
-const MOST_FROZEN_MS = 6_000;
-const MOST_SERVING_MS = 6_000;
+const MAX_NOTICED_MS = 3_000;
+const MAX_FROZEN_MS = 6_000;
+const MAX_SERVING_MS = 6_000;
 
 /** Runs until each node has been in one of the states, and records the durations; fails after 20 s. */
-async function measure(
+async function measureTransition(
   cluster: SimCluster,
   name: string,
   states: readonly DataLossState[],
@@ -44,39 +44,44 @@
 /** Kinds of data loss. Each function causes a loss and returns a function that restores the lost data. */
 const LOSSES = {
   'all of it': (cluster: SimCluster) => {
-    const whole = cluster.store.backup();
+    const fullBackup = cluster.store.backup();
     cluster.store.wipe();
     return () => {
-      cluster.store.restore(whole);
+      cluster.store.restore(fullBackup);
     };
   },
   'one key': (cluster: SimCluster) => {
-    const whole = cluster.store.backup();
-    const lost = cluster.store.loseKeys((path) => path === FENCING_TOKEN_KEY, true);
+    const fullBackup = cluster.store.backup();
+    const lostKeys = cluster.store.loseKeys((path) => path === FENCING_TOKEN_KEY, true);
     return () => {
-      cluster.store.restoreKeys(whole, lost);
+      cluster.store.restoreKeys(fullBackup, lostKeys);
     };
   },
 };
 
 test('a data loss is noticed, confirmed and, once the state is restored, cleared within the bounds', async (t) => {
   const meter = new DurationMeter();
-  for (const [what, lose] of Object.entries(LOSSES)) {
+  for (const [lossKind, loseData] of Object.entries(LOSSES)) {
     for (let run = 0; run < RUNS; run++) {
       const cluster = createDataLossCluster({ seed: 900 + run });
       await cluster.run((30 + cluster.random() * 3) * SECOND);
-      const bringBack = lose(cluster);
-      const noticed = measure(cluster, `noticed, ${what}`, ['noticed', 'frozen'], meter);
-      await noticed;
-      await measure(cluster, `frozen after it, ${what}`, ['frozen'], meter);
+      const restoreData = loseData(cluster);
+      const noticedMeasurement = measureTransition(
+        cluster,
+        `noticed, ${lossKind}`,
+        ['noticed', 'frozen'],
+        meter,
+      );
+      await noticedMeasurement;
+      await measureTransition(cluster, `frozen after it, ${lossKind}`, ['frozen'], meter);
       await cluster.run(10 * SECOND);
-      bringBack();
-      await measure(cluster, `serving again, ${what}`, ['serving'], meter);
+      restoreData();
+      await measureTransition(cluster, `serving again, ${lossKind}`, ['serving'], meter);
     }
   }
   for (const line of meter.report()) t.diagnostic(line);
   assert.equal(meter.count, 2 * 3 * 3 * RUNS);
-  assert.ok(meter.longest('noticed') <= MOST_NOTICED_MS, String(meter.longest('noticed')));
-  assert.ok(meter.longest('frozen') <= MOST_FROZEN_MS, String(meter.longest('frozen')));
-  assert.ok(meter.longest('serving') <= MOST_SERVING_MS, String(meter.longest('serving')));
+  assert.ok(meter.longest('noticed') <= MAX_NOTICED_MS, String(meter.longest('noticed')));
+  assert.ok(meter.longest('frozen') <= MAX_FROZEN_MS, String(meter.longest('frozen')));
+  assert.ok(meter.longest('serving') <= MAX_SERVING_MS, String(meter.longest('serving')));
 });
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -23,7 +23,7 @@
 } from './data-loss-cluster.js';
 
 /** Longer than any lease, and than the bound up to which leases are renewed without the state service. */
-const LONG = 40 * SECOND;
+const LONGER_THAN_LEASES = 40 * SECOND;
 
 /** Returns a counter of the transactions that are applied from now on. */
 function countCommits({ store }: SimCluster): { count: number } {
@@ -40,37 +40,37 @@
   for (const seed of [601, 602]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const whole = cluster.store.backup();
+    const fullBackup = cluster.store.backup();
     cluster.store.wipe();
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
     const commits = countCommits(cluster);
-    await cluster.run(LONG);
+    await cluster.run(LONGER_THAN_LEASES);
     assert.equal(cluster.invariants.starts, starts, 'something was started');
     assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
 test('after the state is rolled back under open watches no node starts a task or forgets a job', async () => {
-  for (const [seed, back] of [
+  for (const [seed, rewoundTime] of [
     [611, 25 * SECOND],
     [613, SECOND],
   ] as const) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = cluster.store.backup();
-    await cluster.run(back);
-    const whole = cluster.store.backup();
-    cluster.store.restore(old);
+    const olderBackup = cluster.store.backup();
+    await cluster.run(rewoundTime);
+    const fullBackup = cluster.store.backup();
+    cluster.store.restore(olderBackup);
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
-    await cluster.run(LONG);
+    await cluster.run(LONGER_THAN_LEASES);
     assert.equal(cluster.invariants.starts, starts, 'something was started');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
@@ -82,18 +82,18 @@
   ] as const) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     await cluster.run(20 * SECOND);
-    const whole = cluster.store.backup();
+    const fullBackup = cluster.store.backup();
     for (let i = 0; i < cluster.nodeCount; i++) cluster.killNode(i);
     if (isWiped) cluster.store.wipe();
-    else cluster.store.restore(old);
+    else cluster.store.restore(olderBackup);
     const commits = countCommits(cluster);
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(10 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
@@ -102,11 +102,11 @@
   for (const seed of [632, 633]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(45 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     await cluster.run(5 * SECOND);
-    const whole = cluster.store.backup();
-    assert.ok(whole.revision > old.revision, 'nothing was lost');
-    cluster.store.restore(old);
+    const fullBackup = cluster.store.backup();
+    assert.ok(fullBackup.revision > olderBackup.revision, 'nothing was lost');
+    cluster.store.restore(olderBackup);
     cluster.killNode(0);
     // The first request of each other node after the loss may be a commit. The node rejects its result.
     await cluster.run(3 * SECOND);
@@ -115,7 +115,7 @@
     await cluster.run(8 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
@@ -131,18 +131,18 @@
     [643, 'jobs', (path) => path.startsWith(JOB_PREFIX)],
     [644, 'the statuses of ended jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
   ];
-  for (const [seed, what, isLost] of cases) {
+  for (const [seed, lostData, isLost] of cases) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const whole = cluster.store.backup();
-    const lost = cluster.store.loseKeys(isLost, true);
-    assert.ok(lost.length > 0, `${what}: nothing to lose`);
+    const fullBackup = cluster.store.backup();
+    const lostKeys = cluster.store.loseKeys(isLost, true);
+    assert.ok(lostKeys.length > 0, `${lostData}: nothing to lose`);
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
-    await cluster.run(LONG);
-    assert.equal(cluster.invariants.starts, starts, `${what}: something was started`);
-    cluster.store.restoreKeys(whole, lost);
+    await cluster.run(LONGER_THAN_LEASES);
+    assert.equal(cluster.invariants.starts, starts, `${lostData}: something was started`);
+    cluster.store.restoreKeys(fullBackup, lostKeys);
     await finishAllJobs(cluster);
   }
 });
@@ -151,17 +151,17 @@
   for (const seed of [651, 652]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     cluster.store.refusedNodes.add('node-1');
     await cluster.run(8 * SECOND);
-    const whole = cluster.store.backup();
-    assert.ok(whole.revision > old.revision, 'nothing was lost');
-    cluster.store.restore(old);
+    const fullBackup = cluster.store.backup();
+    assert.ok(fullBackup.revision > olderBackup.revision, 'nothing was lost');
+    cluster.store.restore(olderBackup);
     await cluster.run(10 * SECOND);
     cluster.store.refusedNodes.clear();
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
@@ -170,9 +170,9 @@
   for (const seed of [671, 672]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(90 * SECOND);
-    const whole = cluster.store.backup();
-    const lost = cluster.store.loseKeys((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
-    assert.ok(lost.length > 0, 'there is no checkpoint');
+    const fullBackup = cluster.store.backup();
+    const lostKeys = cluster.store.loseKeys((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
+    assert.ok(lostKeys.length > 0, 'there is no checkpoint');
     cluster.killNode(1);
     await cluster.run(SECOND);
     cluster.startNode(1);
@@ -182,7 +182,7 @@
     assert.equal(evidence[0]?.inconsistency.kind, 'state_incomplete');
     // Nodes with the complete state in memory go on serving, because no change event has revealed the loss to them.
     assert.equal(dataLossStatusOf(cluster, 0).state, 'serving');
-    cluster.store.restoreKeys(whole, lost);
+    cluster.store.restoreKeys(fullBackup, lostKeys);
     await finishAllJobs(cluster);
   }
 });
@@ -200,7 +200,7 @@
   await cluster.run(4 * SECOND);
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
   const { starts } = cluster.invariants;
-  await cluster.run(LONG);
+  await cluster.run(LONGER_THAN_LEASES);
   assert.equal(cluster.invariants.starts, starts, 'something was started');
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
 });
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -34,10 +34,10 @@
 }
 
 /** Runs until the users of all given jobs have received the status `done`, and returns the time that it took. */
-async function untilDone(cluster: SimCluster, jobs: readonly string[], most: Micros): Promise<Micros> {
+async function runUntilDone(cluster: SimCluster, jobs: readonly string[], limit: Micros): Promise<Micros> {
   const from = cluster.clock.time;
   while (!jobs.every((id) => cluster.lastStatuses.get(id) === 'done')) {
-    assert.ok(cluster.clock.time - from < most, `not done in time: ${jobs.join()}`);
+    assert.ok(cluster.clock.time - from < limit, `not done in time: ${jobs.join()}`);
     await cluster.run(SECOND);
   }
   return cluster.clock.time - from;
@@ -45,11 +45,11 @@
 
 test('a machine that sends heartbeats but receives no responses is deleted, and its tasks run elsewhere', async () => {
   const cluster = await createBusyCluster({ seed: 41 });
-  const mute = [...cluster.workers.values()].find((w) => w.taskCount > 0);
-  assert.ok(mute);
-  const { host } = mute.machine;
+  const unansweredWorker = [...cluster.workers.values()].find((w) => w.taskCount > 0);
+  assert.ok(unansweredWorker);
+  const { host } = unansweredWorker.machine;
   cluster.net.unansweredParties.add(host);
-  await untilDone(cluster, ['j-1', 'j-2'], 170 * SECOND);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 170 * SECOND);
   assert.equal(cluster.workers.has(host), false, 'the machine has not been deleted');
 });
 
@@ -62,22 +62,22 @@
     cluster.startNode(i);
     await cluster.run(15 * SECOND);
   }
-  await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
 test('a node that the state service refuses stops answering workers once a peer has a newer fencing token', async () => {
   const cluster = await createBusyCluster({ seed: 43 });
-  const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
-  cluster.store.refusedNodes.add(`node-${cut}`);
+  const isolated = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
+  cluster.store.refusedNodes.add(`node-${isolated}`);
   await cluster.run(9 * SECOND);
-  const late = cluster.heartbeatCount(cut);
+  const heartbeatsBefore = cluster.heartbeatCount(isolated);
   await cluster.run(6 * SECOND);
-  assert.equal(cluster.heartbeatCount(cut), late, 'the isolated node still answers workers');
-  assert.equal(ownersOf(cluster).has(cut), false);
-  assert.equal(cluster.health(cut), 503, 'the isolated node still reports healthy');
+  assert.equal(cluster.heartbeatCount(isolated), heartbeatsBefore, 'the isolated node still answers workers');
+  assert.equal(ownersOf(cluster).has(isolated), false);
+  assert.equal(cluster.health(isolated), 503, 'the isolated node still reports healthy');
   cluster.store.refusedNodes.clear();
   await cluster.run(4 * SECOND);
-  assert.equal(cluster.health(cut), 200);
+  assert.equal(cluster.health(isolated), 200);
 });
 
 test('all nodes stay healthy during a state service outage, so that users are served at once afterwards', async () => {
@@ -89,26 +89,26 @@
     assert.deepEqual(healths, [200, 200, 200], `after ${i / 4} s`);
   }
   cluster.store.setOutage(false);
-  await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
 test('a node without state service and peers stops answering workers within the renewal bound and later rejoins', async () => {
   const cluster = await createBusyCluster({ seed: 44 });
-  const cut = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
-  cluster.store.refusedNodes.add(`node-${cut}`);
-  cluster.refusePeers(cut, true);
+  const isolated = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
+  cluster.store.refusedNodes.add(`node-${isolated}`);
+  cluster.refusePeers(isolated, true);
   await cluster.run(7 * SECOND);
-  assert.equal(cluster.health(cut), 503, 'the isolated node still reports healthy');
+  assert.equal(cluster.health(isolated), 503, 'the isolated node still reports healthy');
   // The two periods together are cancel_s minus lease_s of these settings.
   await cluster.run(9 * SECOND);
-  const late = cluster.heartbeatCount(cut);
+  const heartbeatsBefore = cluster.heartbeatCount(isolated);
   await cluster.run(10 * SECOND);
-  assert.equal(cluster.heartbeatCount(cut), late, 'the isolated node still answers workers');
-  cluster.store.refusedNodes.delete(`node-${cut}`);
-  cluster.refusePeers(cut, false);
-  await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+  assert.equal(cluster.heartbeatCount(isolated), heartbeatsBefore, 'the isolated node still answers workers');
+  cluster.store.refusedNodes.delete(`node-${isolated}`);
+  cluster.refusePeers(isolated, false);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
   await cluster.run(10 * SECOND);
-  assert.equal(ownersOf(cluster).has(cut), true);
+  assert.equal(ownersOf(cluster).has(isolated), true);
 });
 
 test('a leader that restarts within a fraction of a second, during the election that it caused, does no harm', async () => {
@@ -123,23 +123,23 @@
   }
   await cluster.run(5 * SECOND);
   assert.equal(ownersOf(cluster).size, 3);
-  await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
 });
 
 test('on a full fleet a stream of small urgent jobs does not starve large jobs of low rank', async () => {
   const cluster = new SimCluster({ seed: 46, capacity: 1 });
-  let n = 10;
-  const small = (team: string): void => {
+  let nextJobNumber = 10;
+  const submitSmallJob = (team: string): void => {
     const change: Partial<JobSpec> = { team, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
-    cluster.submit(sampleJob(`j-${n++}`, { ...change, jobClass: 'patch' }));
+    cluster.submit(sampleJob(`j-${nextJobNumber++}`, { ...change, jobClass: 'patch' }));
   };
-  const stream = (): void => {
+  const submitStream = (): void => {
     if (cluster.clock.time > 200 * SECOND) return;
-    small('blue');
-    small('green');
-    cluster.clock.at(5 * SECOND, stream);
+    submitSmallJob('blue');
+    submitSmallJob('green');
+    cluster.clock.at(5 * SECOND, submitStream);
   };
-  cluster.clock.at(2 * SECOND, stream);
+  cluster.clock.at(2 * SECOND, submitStream);
   cluster.clock.at(20 * SECOND, () => {
     const change: Partial<JobSpec> = { rank: 'best_effort', taskCount: 40, cpus: 2, estimateS: 10 };
     cluster.submit(sampleJob('j-1', { ...change, jobClass: 'bulk', team: 'green' }));
@@ -156,23 +156,23 @@
     [63, 28],
   ] as const) {
     const cluster = await createBusyCluster({ seed });
-    const cold = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
-    cluster.freezeNode(cold, pause * SECOND);
+    const suspended = [...ownersOf(cluster)].find((i) => i !== leaderOf(cluster)) ?? 0;
+    cluster.freezeNode(suspended, pause * SECOND);
     await cluster.run(4.5 * SECOND);
-    assert.equal(ownersOf(cluster).has(cold), false, 'its shards have not been reassigned');
-    const before = cluster.heartbeatCount(cold);
+    assert.equal(ownersOf(cluster).has(suspended), false, 'its shards have not been reassigned');
+    const before = cluster.heartbeatCount(suspended);
     await cluster.run((pause - 4.5) * SECOND);
-    assert.equal(cluster.heartbeatCount(cold), before, 'the suspended node answered a worker');
+    assert.equal(cluster.heartbeatCount(suspended), before, 'the suspended node answered a worker');
     await cluster.run(12 * SECOND);
-    assert.equal(ownersOf(cluster).has(cold), true);
-    await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+    assert.equal(ownersOf(cluster).has(suspended), true);
+    await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
   }
 });
 
 test('during faults no invalid request is accepted, and invalid resubmissions do not affect accepted jobs', async () => {
   const cluster = await createBusyCluster({ seed: 48 });
-  const known = sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 });
-  const never = { team: 'blue', cpus: 64 };
+  const acceptedJob = sampleJob('j-1', { team: 'blue', taskCount: 6, estimateS: 60 });
+  const infeasible = { team: 'blue', cpus: 64 };
   const post = async (id: string, node: number, body: unknown): Promise<number> => {
     let status = 0;
     void cluster
@@ -181,14 +181,14 @@
     await cluster.run(2.5 * SECOND);
     return status;
   };
-  const without = (spec: JobSpec): object => ({ ...encodeSubmission(spec), Rank: undefined });
-  const round = async (node: number): Promise<void> => {
+  const withoutRank = (spec: JobSpec): object => ({ ...encodeSubmission(spec), Rank: undefined });
+  const checkAnswers = async (node: number): Promise<void> => {
     // The checker reports `forgotten` if a request for an accepted job is answered with 400 or 422.
-    assert.equal(await post('j-1', node, encodeSubmission(known)), 200);
-    assert.equal(await post('j-1', node, encodeSubmission({ ...known, ...never })), 200);
-    assert.equal(await post('j-1', node, without(known)), 200);
-    assert.equal(await post('j-9', node, without(sampleJob('j-9'))), 400);
-    assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', never))), 422);
+    assert.equal(await post('j-1', node, encodeSubmission(acceptedJob)), 200);
+    assert.equal(await post('j-1', node, encodeSubmission({ ...acceptedJob, ...infeasible })), 200);
+    assert.equal(await post('j-1', node, withoutRank(acceptedJob)), 200);
+    assert.equal(await post('j-9', node, withoutRank(sampleJob('j-9'))), 400);
+    assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', infeasible))), 422);
     assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', { team: 'nobody' }))), 422);
     assert.equal(await post('j-9', node, encodeSubmission(sampleJob('j-9', { machineTypes: [] }))), 422);
     assert.equal(
@@ -196,25 +196,25 @@
       422,
     );
   };
-  await round(0);
+  await checkAnswers(0);
   // A process that has just started may not have loaded its state yet. It then answers 503 without delay.
   cluster.killNode(1);
   cluster.startNode(1);
-  const early = await post('j-9', 1, encodeSubmission(sampleJob('j-9', never)));
-  assert.ok(early === 503 || early === 422, `${early}`);
+  const earlyStatus = await post('j-9', 1, encodeSubmission(sampleJob('j-9', infeasible)));
+  assert.ok(earlyStatus === 503 || earlyStatus === 422, `${earlyStatus}`);
   await cluster.run(3 * SECOND);
   cluster.cloud.isOut = true;
   cluster.net.slowdowns.set('10.2.0.1:2379', 8);
-  await round(1);
+  await checkAnswers(1);
   cluster.net.slowdowns.clear();
   cluster.store.setOutage(true);
-  assert.equal(await post('j-1', 2, encodeSubmission(known)), 503);
+  assert.equal(await post('j-1', 2, encodeSubmission(acceptedJob)), 503);
   assert.equal(await post('j-9', 2, encodeSubmission(sampleJob('j-9'))), 503);
   cluster.store.setOutage(false);
   cluster.cloud.isOut = false;
   await cluster.run(2 * SECOND);
-  await untilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
-  await round(2);
+  await runUntilDone(cluster, ['j-1', 'j-2'], 150 * SECOND);
+  await checkAnswers(2);
 });
 
 test('a job that fails on every machine is retried with one task at a time and ends with its cancellation', async () => {
@@ -229,13 +229,13 @@
   // By this time the first attempts have failed on all machines.
   await cluster.run(75 * SECOND);
   const before = cluster.invariants.starts;
-  let most = 0;
+  let maxRunning = 0;
   for (let i = 0; i < 65; i++) {
     await cluster.run(SECOND);
-    most = Math.max(most, cluster.invariants.runningTasks('j-1').length);
+    maxRunning = Math.max(maxRunning, cluster.invariants.runningTasks('j-1').length);
   }
   assert.ok(cluster.invariants.starts > before, 'the job is not retried');
-  assert.equal(most, 1);
+  assert.equal(maxRunning, 1);
   assert.equal(cluster.lastStatuses.get('j-2'), 'done');
   await cluster.run(30 * SECOND);
   assert.equal(cluster.lastStatuses.get('j-1'), 'cancelled');
@@ -255,16 +255,17 @@
       cluster.invariants.runningTasks(id).map(({ taskName, host }) => `${taskName} on ${host}`),
     );
   const before = running();
-  const reportsTo = new Map<number, number>();
-  for (const w of cluster.workers.values()) reportsTo.set(w.nodeIndex, (reportsTo.get(w.nodeIndex) ?? 0) + 1);
-  const [node, workers] = [...reportsTo].sort((a, b) => b[1] - a[1])[0] ?? [0, 0];
+  const workerCounts = new Map<number, number>();
+  for (const w of cluster.workers.values())
+    workerCounts.set(w.nodeIndex, (workerCounts.get(w.nodeIndex) ?? 0) + 1);
+  const [node, workers] = [...workerCounts].sort((a, b) => b[1] - a[1])[0] ?? [0, 0];
   assert.ok(workers >= 2, 'no node receives heartbeats of two workers');
   const links = [...cluster.workers.keys()].map((name) => `${name}>10.0.0.${node}:80`);
   for (const link of links) cluster.net.refusedLinks.add(link);
   await cluster.run(15 * SECOND);
-  const reports = cluster.heartbeatCount(node);
+  const heartbeatsBefore = cluster.heartbeatCount(node);
   await cluster.run(15 * SECOND);
-  assert.equal(cluster.heartbeatCount(node), reports);
+  assert.equal(cluster.heartbeatCount(node), heartbeatsBefore);
   assert.equal(cluster.health(node), 200);
   const after = running();
   assert.deepEqual(
@@ -274,5 +275,5 @@
   // Once the workers reach the node again, it owns shards again after some time.
   for (const link of links) cluster.net.refusedLinks.delete(link);
   await cluster.run(60 * SECOND);
-  assert.ok(cluster.heartbeatCount(node) > reports, 'the node got no shard again');
+  assert.ok(cluster.heartbeatCount(node) > heartbeatsBefore, 'the node got no shard again');
 });
--- a/packages/testkit/fault-target.ts
+++ b/packages/testkit/fault-target.ts
@@ -83,7 +83,7 @@
   }
 
   /** Makes the state service answer every request with an error for the given number of seconds. */
-  stopStore(seconds: number): void {
+  failStore(seconds: number): void {
     const { store } = this.cluster;
     this.during(
       seconds,
--- a/packages/testkit/first-failure.ts
+++ b/packages/testkit/first-failure.ts
@@ -5,9 +5,9 @@
   private failure: unknown = null;
 
   /** Runs a callback. If it throws, keeps the exception if it is the first one, and rethrows it. */
-  guard<T>(act: () => T): T {
+  guard<T>(callback: () => T): T {
     try {
-      return act();
+      return callback();
     } catch (cause) {
       this.failure ??= cause;
       throw cause;
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -13,7 +13,7 @@
  * a guest team with hundreds of jobs of one task. Nodes that own shards crash repeatedly and restart immediately or
  * after seconds. The state service is slow, so that a node reads the live state while transactions are committed.
  */
-async function fullFleet(seed: number): Promise<SimCluster> {
+async function runFullFleet(seed: number): Promise<SimCluster> {
   const teams = [
     { name: 'blue', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
     { name: 'green', cpus: 16, cpusMax: 40, gpus: 0, gpusMax: 0 },
@@ -23,10 +23,10 @@
   const types = SAMPLE_TYPES.filter((t) => t.name === 'small');
   const cluster = new SimCluster({ seed, settings, types, capacity: 5, pageRows: 8 });
   const { random, clock } = cluster;
-  let jobs = 0;
-  const nextId = (): string => `j-${String(jobs++).padStart(6, '0')}`;
+  let jobCount = 0;
+  const nextId = (): string => `j-${String(jobCount++).padStart(6, '0')}`;
   const cancelAfter = (rate: number): number | null => (random() < rate ? random() * 20 * SECOND : null);
-  const guests = (): void => {
+  const submitGuestJobs = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
     const change = {
       team: 'guest',
@@ -37,11 +37,11 @@
       memGb: 1,
     };
     cluster.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelAfter(0.1));
-    clock.at(random() * 0.6 * SECOND, guests);
+    clock.at(random() * 0.6 * SECOND, submitGuestJobs);
   };
-  const teamJobs = (): void => {
+  const submitTeamJobs = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
-    const saves = random() < 0.5;
+    const hasCheckpoints = random() < 0.5;
     const change = {
       team: random() < 0.5 ? 'blue' : 'green',
       rank: random() < 0.3 ? ('urgent' as const) : 'normal',
@@ -49,24 +49,24 @@
       cpus: random() < 0.5 ? 2 : 4,
       memGb: 6,
       estimateS: 5 + random() * 15,
-      checkpointS: saves ? 2 : 0,
-      saveS: saves ? 1 : 0,
+      checkpointS: hasCheckpoints ? 2 : 0,
+      saveS: hasCheckpoints ? 1 : 0,
     };
     cluster.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
-    clock.at(random() * 4 * SECOND, teamJobs);
+    clock.at(random() * 4 * SECOND, submitTeamJobs);
   };
-  const endNode = (): void => {
+  const crashNode = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
     const node = Math.floor(random() * cluster.nodeCount);
     cluster.killNode(node);
     clock.at((random() < 0.5 ? 0.3 : 6) * random() * SECOND, () => {
       cluster.startNode(node);
     });
-    clock.at((3 + random() * 12) * SECOND, endNode);
+    clock.at((3 + random() * 12) * SECOND, crashNode);
   };
-  clock.at(SECOND, guests);
-  clock.at(SECOND, teamJobs);
-  clock.at(FAULT_PERIOD.from, endNode);
+  clock.at(SECOND, submitGuestJobs);
+  clock.at(SECOND, submitTeamJobs);
+  clock.at(FAULT_PERIOD.from, crashNode);
   clock.at(FAULT_PERIOD.from, () => cluster.net.slowdowns.set('10.2.0.1:2379', 4));
   clock.at(FAULT_PERIOD.until, () => cluster.net.slowdowns.delete('10.2.0.1:2379'));
   await cluster.run(FAULT_PERIOD.until + 15 * SECOND);
@@ -78,7 +78,7 @@
 const [FROM, RUNS] = [Number(process.env['CHAOS_FROM'] ?? 1), Number(process.env['CHAOS_RUNS'] ?? 4)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`invariants hold on a full fleet with guests while shard owners restart, seed ${seed}`, async (t) => {
-    const cluster = await fullFleet(seed);
+    const cluster = await runFullFleet(seed);
     t.diagnostic(`${cluster.invariants.starts} starts`);
     assert.ok(cluster.invariants.starts > 200, `only ${cluster.invariants.starts} starts`);
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -7,21 +7,21 @@
 import { SimCluster } from './sim-cluster.js';
 
 /** Returns the specification of a gang of four tasks in one zone. */
-function gang(id: string, change: Partial<JobSpec> = {}): JobSpec {
+function gangJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
   const shape = { shape: 'gang' as const, jobClass: 'joint', taskCount: 4, singleZone: true };
   return sampleJob(id, { ...shape, checkpointS: 4, saveS: 1, estimateS: 15, ...change });
 }
 
 /** Runs until the job's tasks are done, for `within` seconds at most, and 20 s more; asserts that its user got `done`. */
-async function finish(cluster: SimCluster, id: string, within: number): Promise<void> {
-  for (let second = 0; second < within && !cluster.invariants.isComplete(id); second++)
+async function runUntilDone(cluster: SimCluster, id: string, within: number): Promise<void> {
+  for (let second = 0; second < within && !cluster.invariants.isJobComplete(id); second++)
     await cluster.run(SECOND);
   await cluster.run(20 * SECOND);
   assert.equal(cluster.lastStatuses.get(id), 'done');
 }
 
 /** Runs until the given number of the gang's tasks are on machines, for 60 s at most, and returns their hosts. */
-async function untilGathered(cluster: SimCluster, id: string, tasks: number): Promise<string[]> {
+async function runUntilGathered(cluster: SimCluster, id: string, tasks: number): Promise<string[]> {
   for (let step = 0; step < 600 && cluster.invariants.runningTasks(id).length < tasks; step++)
     await cluster.run(SECOND / 10);
   const hosts = cluster.invariants.runningTasks(id).map(({ host }) => host);
@@ -33,13 +33,13 @@
   const cluster = new SimCluster({ seed: 1 });
   const answers: number[] = [];
   const specs = [
-    gang('j-1'),
-    gang('j-1'),
+    gangJob('j-1'),
+    gangJob('j-1'),
     // Four tasks of 6 CPUs exceed the limit of 20 CPUs; a single task would not.
-    gang('j-2', { cpus: 6 }),
-    gang('j-3', { spreadZones: true }),
-    gang('j-4', { singleZone: false, spreadZones: true, zone: 'east' }),
-    gang('j-5', { gpus: 1 }),
+    gangJob('j-2', { cpus: 6 }),
+    gangJob('j-3', { spreadZones: true }),
+    gangJob('j-4', { singleZone: false, spreadZones: true, zone: 'east' }),
+    gangJob('j-5', { gpus: 1 }),
   ];
   await cluster.run(15 * SECOND);
   for (const spec of specs) {
@@ -55,7 +55,7 @@
       .then((status) => answers.push(status));
     await cluster.run(SECOND);
   }
-  const service = { ...encodeSubmission(gang('j-6')), Shape: 'service' };
+  const service = { ...encodeSubmission(gangJob('j-6')), Shape: 'service' };
   void cluster
     .sendUserRequest('j-6', { node: 0, method: 'POST', path: '/submissions', body: service })
     .then((status) => answers.push(status));
@@ -65,32 +65,32 @@
 
 test('all tasks of a gang start together, in one zone', async () => {
   const cluster = new SimCluster({ seed: 2 });
-  cluster.submit(gang('j-1'));
-  await finish(cluster, 'j-1', 120);
+  cluster.submit(gangJob('j-1'));
+  await runUntilDone(cluster, 'j-1', 120);
   assert.equal(cluster.gangs.starts, 1);
 });
 
 test('when a machine of a running gang dies, the next attempt resumes from the checkpoint', async () => {
   const cluster = new SimCluster({ seed: 3 });
-  cluster.submit(gang('j-1', { estimateS: 30 }));
-  const [first] = await untilGathered(cluster, 'j-1', 4);
+  cluster.submit(gangJob('j-1', { estimateS: 30 }));
+  const [first] = await runUntilGathered(cluster, 'j-1', 4);
   await cluster.run(8 * SECOND);
   assert.equal(cluster.gangs.starts, 1);
   const host = cluster.cloud.hosts.get(first ?? '');
   assert.ok(host);
   cluster.cloud.die(host);
-  await finish(cluster, 'j-1', 160);
+  await runUntilDone(cluster, 'j-1', 160);
   assert.equal(cluster.gangs.starts, 2);
 });
 
 test('when a machine dies while the gang gathers, a new attempt replaces the old one', async () => {
   const cluster = new SimCluster({ seed: 4 });
-  cluster.submit(gang('j-1', { imageGb: 6 }));
-  const [first] = await untilGathered(cluster, 'j-1', 1);
+  cluster.submit(gangJob('j-1', { imageGb: 6 }));
+  const [first] = await runUntilGathered(cluster, 'j-1', 1);
   const host = cluster.cloud.hosts.get(first ?? '');
   assert.ok(host && cluster.gangs.starts === 0);
   cluster.cloud.die(host);
-  await finish(cluster, 'j-1', 160);
+  await runUntilDone(cluster, 'j-1', 160);
   assert.equal(cluster.gangs.starts, 1);
 });
 
@@ -98,14 +98,14 @@
 test('a shard owner that crashes between two commits of a gang start leaves no partial gang behind', async () => {
   for (const seed of [5, 6, 7]) {
     const cluster = new SimCluster({ seed, settings: { valueBytes: 560, txnOps: 4 } });
-    let cuts = 0;
-    const isPart = (write: Record<string, unknown>): boolean =>
+    let lostCommitCount = 0;
+    const isGangRecord = (write: Record<string, unknown>): boolean =>
       String(write['Set']).startsWith(LOG_PREFIX) && JSON.stringify(write['V']).includes('"gang"');
     // The commit that completes the start loses its response, and its sender crashes. It is applied late or never.
     cluster.store.isLate = (writes) => {
-      const isCut = cuts === 0 && writes.some(isPart);
-      if (!isCut) return false;
-      cuts++;
+      const isLost = lostCommitCount === 0 && writes.some(isGangRecord);
+      if (!isLost) return false;
+      lostCommitCount++;
       const owner = [...cluster.store.rows].find(([path]) => path === 'mw/now/share/0')?.[1].value['Member'];
       const index = Number(String(owner).split('-')[1]);
       cluster.clock.at(SECOND / 5, () => {
@@ -116,17 +116,17 @@
       });
       return true;
     };
-    cluster.submit(gang('j-1', { taskCount: 6, cpus: 1, memGb: 1 }));
-    await finish(cluster, 'j-1', 160);
-    assert.equal(cuts, 1);
+    cluster.submit(gangJob('j-1', { taskCount: 6, cpus: 1, memGb: 1 }));
+    await runUntilDone(cluster, 'j-1', 160);
+    assert.equal(lostCommitCount, 1);
     assert.equal(cluster.gangs.starts, 1);
   }
 });
 
 test('a gang that is cancelled while it gathers stops within the cancellation deadline', async () => {
   const cluster = new SimCluster({ seed: 8 });
-  cluster.submit(gang('j-1', { imageGb: 4 }));
-  await untilGathered(cluster, 'j-1', 1);
+  cluster.submit(gangJob('j-1', { imageGb: 4 }));
+  await runUntilGathered(cluster, 'j-1', 1);
   void cluster.cancelJob('j-1', 1);
   await cluster.run(40 * SECOND);
   assert.equal(cluster.lastStatuses.get('j-1'), 'cancelled');
@@ -136,13 +136,19 @@
 test('large gangs are not starved by a stream of small tasks on a full fleet', async () => {
   const cluster = new SimCluster({ seed: 9, capacity: 2 });
   for (let i = 0; i < 120; i++) {
-    const small = sampleJob(`j-${100 + i}`, { taskCount: 2, cpus: 1, memGb: 1, estimateS: 6, imageGb: 0.2 });
+    const smallJob = sampleJob(`j-${100 + i}`, {
+      taskCount: 2,
+      cpus: 1,
+      memGb: 1,
+      estimateS: 6,
+      imageGb: 0.2,
+    });
     cluster.clock.at(i * SECOND, () => {
-      cluster.submit(small);
+      cluster.submit(smallJob);
     });
   }
   cluster.clock.at(40 * SECOND, () => {
-    cluster.submit(gang('j-1', { taskCount: 6, allowsSpot: true }));
+    cluster.submit(gangJob('j-1', { taskCount: 6, allowsSpot: true }));
   });
   await cluster.run(130 * SECOND);
   assert.ok(cluster.gangs.starts > 0, 'the gang has not started');
--- a/packages/testkit/invariants.test.ts
+++ b/packages/testkit/invariants.test.ts
@@ -8,191 +8,195 @@
 const west: MachineFacts = { host: 'n-2', machineType: 'small', zone: 'west', spot: false };
 const LIMITS = new Map([['blue', { cpus: 6, gpus: 0 }]]);
 
-function checker(change: Parameters<typeof sampleJob>[1] = {}): InvariantChecker {
-  const checked = new InvariantChecker(LIMITS, 10 * SECOND);
-  checked.jobSubmitted(sampleJob('j-1', change), 0);
-  checked.answerReceived('j-1', { status: 201, state: 'pending', now: 0 });
-  return checked;
+function createChecker(change: Parameters<typeof sampleJob>[1] = {}): InvariantChecker {
+  const checker = new InvariantChecker(LIMITS, 10 * SECOND);
+  checker.jobSubmitted(sampleJob('j-1', change), 0);
+  checker.answerReceived('j-1', { status: 201, state: 'pending', now: 0 });
+  return checker;
 }
 
 /** Functions that each violate one invariant; the checker must report its name. */
-const VIOLATIONS: [invariant: string, step: () => void][] = [
+const VIOLATIONS: [invariant: string, violate: () => void][] = [
   [
     'forgotten',
     () => {
-      const checked = checker();
-      checked.faultsEnded(20 * SECOND);
-      checked.answerReceived('j-1', { status: 200, state: 'pending', now: 30 * SECOND });
-      checked.check(104 * SECOND);
-      checked.answerReceived('j-1', { status: 503, state: null, now: 104 * SECOND });
-      checked.check(106 * SECOND);
+      const checker = createChecker();
+      checker.faultsEnded(20 * SECOND);
+      checker.answerReceived('j-1', { status: 200, state: 'pending', now: 30 * SECOND });
+      checker.checkDeadlines(104 * SECOND);
+      checker.answerReceived('j-1', { status: 503, state: null, now: 104 * SECOND });
+      checker.checkDeadlines(106 * SECOND);
     },
   ],
   [
     'ran_twice',
     () => {
-      const checked = checker();
-      checked.taskStarted('j-1/0', east, { now: 1 });
-      checked.taskStarted('j-1/0', west, { now: 2 });
+      const checker = createChecker();
+      checker.taskStarted('j-1/0', east, { now: 1 });
+      checker.taskStarted('j-1/0', west, { now: 2 });
     },
   ],
   [
     'quota',
     () => {
-      const checked = checker({ taskCount: 4 });
-      for (const i of [0, 1, 2, 3]) checked.taskStarted(`j-1/${i}`, east, { now: 1 });
+      const checker = createChecker({ taskCount: 4 });
+      for (const i of [0, 1, 2, 3]) checker.taskStarted(`j-1/${i}`, east, { now: 1 });
     },
   ],
-  ['wrong_place', () => checker({ machineTypes: ['large'] }).taskStarted('j-1/0', east, { now: 1 })],
-  ['wrong_place', () => checker({ zone: 'west' }).taskStarted('j-1/0', east, { now: 1 })],
+  ['wrong_place', () => createChecker({ machineTypes: ['large'] }).taskStarted('j-1/0', east, { now: 1 })],
+  ['wrong_place', () => createChecker({ zone: 'west' }).taskStarted('j-1/0', east, { now: 1 })],
   [
     'wrong_place',
-    () => checker({ allowsSpot: false }).taskStarted('j-1/0', { ...east, spot: true }, { now: 1 }),
+    () => createChecker({ allowsSpot: false }).taskStarted('j-1/0', { ...east, spot: true }, { now: 1 }),
   ],
   [
     'wrong_place',
     () => {
-      const checked = checker({ singleZone: true });
-      checked.taskStarted('j-1/0', east, { now: 1 });
-      checked.taskStarted('j-1/1', west, { now: 1 });
+      const checker = createChecker({ singleZone: true });
+      checker.taskStarted('j-1/0', east, { now: 1 });
+      checker.taskStarted('j-1/1', west, { now: 1 });
     },
   ],
   [
     'wrong_place',
     () => {
-      const checked = checker({ spreadZones: true, taskCount: 3 });
-      for (const i of [0, 1, 2]) checked.taskStarted(`j-1/${i}`, east, { now: 1 });
+      const checker = createChecker({ spreadZones: true, taskCount: 3 });
+      for (const i of [0, 1, 2]) checker.taskStarted(`j-1/${i}`, east, { now: 1 });
     },
   ],
   [
     'ran_cancelled',
     () => {
-      const checked = checker();
-      checked.taskStarted('j-1/0', east, { now: 1 });
-      checked.cancellationRequested('j-1');
-      checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: SECOND });
-      checked.check(12 * SECOND);
+      const checker = createChecker();
+      checker.taskStarted('j-1/0', east, { now: 1 });
+      checker.cancellationRequested('j-1');
+      checker.answerReceived('j-1', { status: 200, state: 'cancelled', now: SECOND });
+      checker.checkDeadlines(12 * SECOND);
     },
   ],
   [
     'ran_cancelled',
     () => {
-      const checked = checker();
-      checked.cancellationRequested('j-1');
-      checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: SECOND });
-      checked.taskStarted('j-1/0', east, { now: 12 * SECOND });
+      const checker = createChecker();
+      checker.cancellationRequested('j-1');
+      checker.answerReceived('j-1', { status: 200, state: 'cancelled', now: SECOND });
+      checker.taskStarted('j-1/0', east, { now: 12 * SECOND });
     },
   ],
-  ['forgotten', () => checker().answerReceived('j-1', { status: 404, state: null, now: 1 })],
-  ['forgotten', () => checker().answerReceived('j-1', { status: 422, state: null, now: 1 })],
-  ['invented', () => checker().answerReceived('j-2', { status: 200, state: 'pending', now: 1 })],
-  ['not_done', () => checker().answerReceived('j-1', { status: 200, state: 'done', now: 1 })],
+  ['forgotten', () => createChecker().answerReceived('j-1', { status: 404, state: null, now: 1 })],
+  ['forgotten', () => createChecker().answerReceived('j-1', { status: 422, state: null, now: 1 })],
+  ['invented', () => createChecker().answerReceived('j-2', { status: 200, state: 'pending', now: 1 })],
+  ['not_done', () => createChecker().answerReceived('j-1', { status: 200, state: 'done', now: 1 })],
   [
     'went_back',
     () => {
-      const checked = checker({ taskCount: 1 });
-      checked.taskStarted('j-1/0', east, { now: 1 });
-      checked.taskEnded('j-1/0', true);
-      checked.answerReceived('j-1', { status: 200, state: 'done', now: 2 });
-      checked.answerReceived('j-1', { status: 200, state: 'running', now: 3 });
+      const checker = createChecker({ taskCount: 1 });
+      checker.taskStarted('j-1/0', east, { now: 1 });
+      checker.taskEnded('j-1/0', true);
+      checker.answerReceived('j-1', { status: 200, state: 'done', now: 2 });
+      checker.answerReceived('j-1', { status: 200, state: 'running', now: 3 });
     },
   ],
-  ['went_back', () => checker().answerReceived('j-1', { status: 200, state: 'cancelled', now: 1 })],
+  ['went_back', () => createChecker().answerReceived('j-1', { status: 200, state: 'cancelled', now: 1 })],
   [
     'went_back',
     () => {
-      const checked = checker();
-      checked.cancellationRequested('j-1');
-      checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
+      const checker = createChecker();
+      checker.cancellationRequested('j-1');
+      checker.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
       // A request that is sent when the terminal status is received, or later, must not get an older status.
-      checked.answerReceived('j-1', { status: 200, state: 'pending', now: 3, sentAt: 2 });
+      checker.answerReceived('j-1', { status: 200, state: 'pending', now: 3, sentAt: 2 });
     },
   ],
   [
     'went_back',
     () => {
-      const checked = checker();
-      checked.cancellationRequested('j-1');
-      checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
+      const checker = createChecker();
+      checker.cancellationRequested('j-1');
+      checker.answerReceived('j-1', { status: 200, state: 'cancelled', now: 2, sentAt: 1 });
       // Two different terminal statuses are a contradiction, in whichever order they were requested.
-      checked.taskEnded('j-1/0', true);
-      checked.taskEnded('j-1/1', true);
-      checked.taskEnded('j-1/2', true);
-      checked.answerReceived('j-1', { status: 200, state: 'done', now: 3, sentAt: 1 });
+      checker.taskEnded('j-1/0', true);
+      checker.taskEnded('j-1/1', true);
+      checker.taskEnded('j-1/2', true);
+      checker.answerReceived('j-1', { status: 200, state: 'done', now: 3, sentAt: 1 });
     },
   ],
   [
     'left_waiting',
     () => {
-      const checked = checker();
-      checked.faultsEnded(0);
-      const room = { machine: east, cpus: 2, gpus: 0, memGb: 4 };
-      for (const s of [1, 50, 90, 92]) checked.checkWaitingJobs(s * SECOND, [room]);
+      const checker = createChecker();
+      checker.faultsEnded(0);
+      const capacity = { machine: east, cpus: 2, gpus: 0, memGb: 4 };
+      for (const s of [1, 50, 90, 92]) checker.checkWaitingJobs(s * SECOND, [capacity]);
     },
   ],
 ];
 
-for (const [invariant, step] of VIOLATIONS) {
+for (const [invariant, violate] of VIOLATIONS) {
   test(`the checker reports a violation of ${invariant}`, () => {
     assert.throws(
-      step,
+      violate,
       (cause: unknown) => cause instanceof InvariantViolation && cause.invariant === invariant,
     );
   });
 }
 
 test('the checker accepts a late answer with an older status if it was requested before the terminal status arrived', () => {
-  const checked = checker();
-  checked.cancellationRequested('j-1');
-  checked.answerReceived('j-1', { status: 200, state: 'cancelled', now: 5, sentAt: 3 });
-  checked.answerReceived('j-1', { status: 200, state: 'running', now: 6, sentAt: 4 });
+  const checker = createChecker();
+  checker.cancellationRequested('j-1');
+  checker.answerReceived('j-1', { status: 200, state: 'cancelled', now: 5, sentAt: 3 });
+  checker.answerReceived('j-1', { status: 200, state: 'running', now: 6, sentAt: 4 });
 });
 
 test('the checker allows a job to wait without suitable capacity, at its team limit, or during faults', () => {
-  const waits = (change: Parameters<typeof sampleJob>[1], cpus: number, calm = true): void => {
-    const checked = checker(change);
-    if (calm) checked.faultsEnded(0);
-    const room = { machine: east, cpus, gpus: 0, memGb: 16 };
-    for (let s = 0; s < 200; s += 50) checked.checkWaitingJobs(s * SECOND, [room]);
+  const assertMayWait = (
+    change: Parameters<typeof sampleJob>[1],
+    cpus: number,
+    faultsHaveEnded = true,
+  ): void => {
+    const checker = createChecker(change);
+    if (faultsHaveEnded) checker.faultsEnded(0);
+    const capacity = { machine: east, cpus, gpus: 0, memGb: 16 };
+    for (let s = 0; s < 200; s += 50) checker.checkWaitingJobs(s * SECOND, [capacity]);
   };
-  waits({ cpus: 4 }, 2);
-  waits({ cpus: 8 }, 12);
-  waits({ zone: 'west' }, 4);
-  waits({}, 4, false);
+  assertMayWait({ cpus: 4 }, 2);
+  assertMayWait({ cpus: 8 }, 12);
+  assertMayWait({ zone: 'west' }, 4);
+  assertMayWait({}, 4, false);
 });
 
 test('the checker accepts a job that runs without incident', () => {
-  const checked = checker({ taskCount: 2 });
-  for (const i of [0, 1]) checked.taskStarted(`j-1/${i}`, east, { now: 1 });
-  for (const i of [0, 1]) checked.taskEnded(`j-1/${i}`, true);
-  checked.answerReceived('j-1', { status: 200, state: 'done', now: 3 });
-  checked.check(100 * SECOND);
-  assert.deepEqual(checked.unfinishedJobs(), []);
+  const checker = createChecker({ taskCount: 2 });
+  for (const i of [0, 1]) checker.taskStarted(`j-1/${i}`, east, { now: 1 });
+  for (const i of [0, 1]) checker.taskEnded(`j-1/${i}`, true);
+  checker.answerReceived('j-1', { status: 200, state: 'done', now: 3 });
+  checker.checkDeadlines(100 * SECOND);
+  assert.deepEqual(checker.unfinishedJobs(), []);
 });
 
 test('the checker reports neglected classes, teams and largest jobs, and no others', () => {
-  const checked = new InvariantChecker(LIMITS, 10 * SECOND);
+  const checker = new InvariantChecker(LIMITS, 10 * SECOND);
   const jobs = [
     sampleJob('j-1', { jobClass: 'fast', taskCount: 1 }),
     sampleJob('j-2', { jobClass: 'slow', taskCount: 4, team: 'green' }),
     sampleJob('j-3', { jobClass: 'slow', taskCount: 1 }),
   ];
   for (const job of jobs) {
-    checked.jobSubmitted(job, 0);
-    checked.answerReceived(job.id, { status: 201, state: 'pending', now: 0 });
+    checker.jobSubmitted(job, 0);
+    checker.answerReceived(job.id, { status: 201, state: 'pending', now: 0 });
   }
   for (const id of ['j-1', 'j-3']) {
-    checked.taskStarted(`${id}/0`, east, { now: SECOND });
-    checked.taskEnded(`${id}/0`, true);
+    checker.taskStarted(`${id}/0`, east, { now: SECOND });
+    checker.taskEnded(`${id}/0`, true);
   }
-  assert.deepEqual(checked.neglectedGroups(), [
+  assert.deepEqual(checker.neglectedGroups(), [
     'j-2 of slow started too late',
     'team green: 0 of 1 done',
     'largest of slow: 0 of 1 done',
   ]);
   for (let i = 0; i < 4; i++) {
-    checked.taskStarted(`j-2/${i}`, east, { now: 241 * SECOND });
-    checked.taskEnded(`j-2/${i}`, true);
+    checker.taskStarted(`j-2/${i}`, east, { now: 241 * SECOND });
+    checker.taskEnded(`j-2/${i}`, true);
   }
-  assert.deepEqual(checked.neglectedGroups(), ['j-2 of slow started too late']);
+  assert.deepEqual(checker.neglectedGroups(), ['j-2 of slow started too late']);
 });
--- a/packages/testkit/invariants.ts
+++ b/packages/testkit/invariants.ts
@@ -28,7 +28,7 @@
   private readonly jobs = new Map<string, JobObservation>();
   private readonly running: RunningTasks;
   /** Ids of jobs whose cancellation is confirmed and whose cancellation deadline has not passed. */
-  private readonly cancelled = new Set<string>();
+  private readonly pendingCancellations = new Set<string>();
   /** Ids of jobs whose users have not received a terminal status yet. */
   private readonly jobsAwaitingEnd = new Set<string>();
   private faultsEndedAt: Micros = Infinity;
@@ -127,9 +127,9 @@
   checkWaitingJobs(now: Micros, capacities: readonly FreeCapacity[]): void {
     if (now < this.faultsEndedAt) return;
     for (const [id, job] of this.jobs) {
-      const waits = job.isAccepted && !job.isCancellationRequested && this.waiting(id, job) > 0;
+      const isWaiting = job.isAccepted && !job.isCancellationRequested && this.waitingTaskCount(id, job) > 0;
       const free =
-        waits && this.running.isUnderLimit(job.spec)
+        isWaiting && this.running.isUnderLimit(job.spec)
           ? this.running.capacityFor(job.spec, capacities)
           : undefined;
       if (!free) job.waitingSince = null;
@@ -143,18 +143,18 @@
   }
 
   /** Returns the number of the job's tasks that are neither done nor running. */
-  private waiting(id: string, job: JobObservation): number {
+  private waitingTaskCount(id: string, job: JobObservation): number {
     return job.spec.taskCount - job.doneTasks.size - this.runningTasks(id).length;
   }
 
   /** True if all tasks of the job are done. */
-  isComplete(id: string): boolean {
+  isJobComplete(id: string): boolean {
     const job = this.jobs.get(id);
     return job !== undefined && job.doneTasks.size >= job.spec.taskCount;
   }
 
   /** True if the task has completed its work. */
-  isDone(taskName: string): boolean {
+  isTaskDone(taskName: string): boolean {
     const { id, index } = splitTaskName(taskName);
     return this.jobs.get(id)?.doneTasks.has(index) ?? false;
   }
@@ -165,7 +165,7 @@
   }
 
   /** Checks the deadlines of answers and of cancellations. Called after every step of the simulation. */
-  check(now: Micros): void {
+  checkDeadlines(now: Micros): void {
     for (const id of this.jobsAwaitingEnd) {
       const job = this.jobs.get(id);
       if (!job || isTerminal(job.lastStatus)) this.jobsAwaitingEnd.delete(id);
@@ -173,14 +173,14 @@
         throw new InvariantViolation('forgotten', `no status request for ${id} is answered`);
       }
     }
-    for (const id of this.cancelled) {
+    for (const id of this.pendingCancellations) {
       const at = this.jobs.get(id)?.cancelledAt ?? now;
       if (now <= at + this.cancellationDeadline) continue;
       for (const task of this.running.ofJob(id)) {
         throw new InvariantViolation('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
       // taskStarted() catches every later start.
-      this.cancelled.delete(id);
+      this.pendingCancellations.delete(id);
     }
   }
 
@@ -210,7 +210,7 @@
     if (isTerminal(state)) job.endedAt ??= now;
     if (state === 'cancelled' && job.cancelledAt === null) {
       job.cancelledAt = now;
-      this.cancelled.add(id);
+      this.pendingCancellations.add(id);
       this.onEvent('confirmed');
     }
   }
--- a/packages/testkit/ledger-agreement.ts
+++ b/packages/testkit/ledger-agreement.ts
@@ -66,15 +66,17 @@
   }
 
   /** Compares the replicas that have applied everything up to the given revision with the reference ledger. */
-  check(copies: readonly ReplicaFacts[], revision: number): void {
-    const current = copies.filter((copy) => copy.state === 'following' && copy.applied === revision);
+  check(replicas: readonly ReplicaFacts[], revision: number): void {
+    const current = replicas.filter(
+      (replica) => replica.state === 'following' && replica.applied === revision,
+    );
     if (current.length === 0) return;
-    const expected = describe(factsOfLedger(this.reference));
+    const expected = describeSorted(factsOfLedger(this.reference));
     for (const { describeLedger, member } of current) {
-      const actual = describe(describeLedger());
-      const wrong = actual.find((line, i) => line !== expected[i]) ?? expected[actual.length];
-      if (wrong !== undefined)
-        throw new InvariantViolation('agreement', `${member} at revision ${revision}: ${wrong}`);
+      const actual = describeSorted(describeLedger());
+      const difference = actual.find((line, i) => line !== expected[i]) ?? expected[actual.length];
+      if (difference !== undefined)
+        throw new InvariantViolation('agreement', `${member} at revision ${revision}: ${difference}`);
     }
   }
 
@@ -113,7 +115,7 @@
 }
 
 /** Describes machines and placements one per line, sorted so that the order of the commits does not matter. */
-function describe({ machines, placements }: LedgerFacts): string[] {
+function describeSorted({ machines, placements }: LedgerFacts): string[] {
   const machineLines = machines.map((machine) => {
     const { host, shard, destination, ownershipCount, status, lastHeartbeat } = machine;
     return [host, shard, destination, ownershipCount, status, JSON.stringify(lastHeartbeat)].join(' ');
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -269,7 +269,7 @@
 
   private watch(): void {
     this.services.failure.guard(() => {
-      this.services.invariants.check(this.clock.time);
+      this.services.invariants.checkDeadlines(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
       if (!this.isOver) this.watch();
--- a/packages/testkit/mutations.ts
+++ b/packages/testkit/mutations.ts
@@ -54,11 +54,11 @@
   }
 }
 
-let missed = 0;
+let missedCount = 0;
 for (const mutation of mutations) {
   if (!mutation.name.includes(process.argv[2] ?? '')) continue;
   const caught = isCaught(mutation);
-  if (!caught) missed++;
+  if (!caught) missedCount++;
   process.stdout.write(`${caught ? 'caught' : 'MISSED'}: without "${mutation.name}"\n`);
 }
-process.exitCode = missed === 0 ? 0 : 1;
+process.exitCode = missedCount === 0 ? 0 : 1;
--- a/packages/testkit/neglected-groups.ts
+++ b/packages/testkit/neglected-groups.ts
@@ -29,18 +29,18 @@
     add(`class ${job.spec.jobClass}`, job);
     add(`team ${job.spec.team}`, job);
   }
-  const complaints: string[] = [];
+  const descriptions: string[] = [];
   for (const jobClass of new Set(jobs.map(({ spec }) => spec.jobClass))) {
     for (const job of largestOf(jobs, jobClass)) {
       add(`largest of ${jobClass}`, job);
       const wait = (job.startedAt ?? Infinity) - job.submittedAt;
       if (wait > LARGEST_JOB_START_DEADLINE)
-        complaints.push(`${job.spec.id} of ${jobClass} started too late`);
+        descriptions.push(`${job.spec.id} of ${jobClass} started too late`);
     }
   }
   for (const [name, members] of groups) {
-    const served = members.filter((job) => job.doneTasks.size >= job.spec.taskCount).length;
-    if (served * 2 < members.length) complaints.push(`${name}: ${served} of ${members.length} done`);
+    const completed = members.filter((job) => job.doneTasks.size >= job.spec.taskCount).length;
+    if (completed * 2 < members.length) descriptions.push(`${name}: ${completed} of ${members.length} done`);
   }
-  return complaints;
+  return descriptions;
 }
--- a/packages/testkit/network-faults.ts
+++ b/packages/testkit/network-faults.ts
@@ -51,7 +51,7 @@
 }
 
 /** Delivers a worker's heartbeats but loses every response to it. */
-export function loseAnswersToWorker(target: FaultTarget): void {
+export function loseResponsesToWorker(target: FaultTarget): void {
   if (!target.worker) return;
   const { unansweredParties } = target.cluster.net;
   const { host } = target.worker.machine;
@@ -86,7 +86,7 @@
 }
 
 /** Refuses connections between all controllers. */
-export function refuseAllPeers(target: FaultTarget): void {
+export function refuseAllPeerConnections(target: FaultTarget): void {
   const indexes = target.nodeIndexes;
   const links = indexes.flatMap((from) => indexes.map((to) => `node-${from}>10.0.0.${to}:81`));
   target.refuseLinks(links, target.randomSeconds(5, 20));
--- a/packages/testkit/node-faults.ts
+++ b/packages/testkit/node-faults.ts
@@ -25,6 +25,6 @@
 }
 
 /** Suspends a node's process while its clocks run on, for 1 s to 30 s: from less than its lease to well over a worker's lease. */
-export function freezeNode(target: FaultTarget): void {
+export function suspendNode(target: FaultTarget): void {
   target.cluster.freezeNode(target.nodeIndex, target.randomSeconds(1, 29) * SECOND);
 }
--- a/packages/testkit/random-jobs.ts
+++ b/packages/testkit/random-jobs.ts
@@ -10,11 +10,11 @@
 }
 
 /** Fraction of the random jobs that are gangs. */
-const GANGS = 0.25;
+const GANG_RATE = 0.25;
 
-/** Creates a gang that fits into its team's limit; `n` becomes part of its id. */
-export function randomGang(random: () => number, n: number): JobSpec {
-  return sampleJob(`j-${String(n).padStart(6, '0')}`, {
+/** Creates a gang that fits into its team's limit; `jobNumber` becomes part of its id. */
+export function randomGang(random: () => number, jobNumber: number): JobSpec {
+  return sampleJob(`j-${String(jobNumber).padStart(6, '0')}`, {
     shape: 'gang',
     jobClass: 'joint',
     team: pick(random, ['blue', 'green']),
@@ -31,18 +31,18 @@
   });
 }
 
-/** Creates an array or a gang; `n` becomes part of its id. */
-export function randomJob(random: () => number, n: number): JobSpec {
-  return random() < GANGS ? randomGang(random, n) : randomArray(random, n);
+/** Creates an array or a gang; `jobNumber` becomes part of its id. */
+export function randomJob(random: () => number, jobNumber: number): JobSpec {
+  return random() < GANG_RATE ? randomGang(random, jobNumber) : randomArray(random, jobNumber);
 }
 
-/** Creates an array of independent tasks; `n` becomes part of its id. */
-export function randomArray(random: () => number, n: number): JobSpec {
-  const pieces = 1 + Math.floor(random() * 6);
-  return sampleJob(`j-${String(n).padStart(6, '0')}`, {
+/** Creates an array of independent tasks; `jobNumber` becomes part of its id. */
+export function randomArray(random: () => number, jobNumber: number): JobSpec {
+  const arraySize = 1 + Math.floor(random() * 6);
+  return sampleJob(`j-${String(jobNumber).padStart(6, '0')}`, {
     team: pick(random, ['blue', 'green']),
     rank: pick(random, RANKS),
-    taskCount: pieces,
+    taskCount: arraySize,
     cpus: pick(random, [1, 2, 4]),
     memGb: pick(random, [1, 4, 14]),
     image: pick(random, ['img-1', 'img-2']),
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -17,18 +17,18 @@
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
 /** Longer than the lease of a node, on which all its roles depend, and than a worker's lease. */
-const OVER_A_TERM = 12 * SECOND;
+const LONGER_THAN_LEASE = 12 * SECOND;
 
 /** Creates a cluster in which jobs of three teams start and end continuously, so that it scales out and in all the time. */
 function createBusyCluster(options: SimClusterOptions): SimCluster {
   const cluster = new SimCluster({ ...options, settings: { teams: TEAMS, ...options.settings } });
   const { random, clock } = cluster;
-  let jobs = 0;
+  let jobCount = 0;
   const arrive = (): void => {
     if (clock.time > 150 * SECOND) return;
-    const team = TEAMS[jobs % TEAMS.length]?.name ?? '';
+    const team = TEAMS[jobCount % TEAMS.length]?.name ?? '';
     const taskCount = 2 + Math.floor(random() * 6);
-    cluster.submit(sampleJob(`j-${jobs++}`, { team, taskCount, estimateS: 5 + random() * 20 }));
+    cluster.submit(sampleJob(`j-${jobCount++}`, { team, taskCount, estimateS: 5 + random() * 20 }));
     clock.at((4 + random() * 8) * SECOND, arrive);
   };
   clock.at(SECOND, arrive);
@@ -46,19 +46,19 @@
   return cluster.store.rows.get(LEADER_KEY)?.revision ?? 0;
 }
 
-/** Calls `act` when, after 25 s, a record with the given field is first committed to the leader's log. */
-function onceRecorded(cluster: SimCluster, field: keyof WireFields, act: () => void): void {
+/** Calls the callback when, after 25 s, a record with the given field is first committed to the leader's log. */
+function onFirstRecord(cluster: SimCluster, field: keyof WireFields, callback: () => void): void {
   const { afterApply } = cluster.store;
-  let isOver = false;
+  let hasOccurred = false;
   cluster.store.afterApply = (writes) => {
     afterApply(writes);
-    const isIt = (write: WireFields): boolean => {
-      const isLeaders = String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
-      return isLeaders && isWireFields(write['V']) && write['V'][field] !== undefined;
+    const isInRecord = (write: WireFields): boolean => {
+      const isInLeaderLog = String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
+      return isInLeaderLog && isWireFields(write['V']) && write['V'][field] !== undefined;
     };
-    if (isOver || cluster.clock.time < 25 * SECOND || !writes.some(isIt)) return;
-    isOver = true;
-    act();
+    if (hasOccurred || cluster.clock.time < 25 * SECOND || !writes.some(isInRecord)) return;
+    hasOccurred = true;
+    callback();
   };
 }
 
@@ -86,8 +86,8 @@
     for (let i = 0; i < successors; i++) {
       const leader = leaderOf(cluster);
       const term = termOf(cluster);
-      cluster.freezeNode(leader, OVER_A_TERM);
-      await cluster.run(OVER_A_TERM + SECOND);
+      cluster.freezeNode(leader, LONGER_THAN_LEASE);
+      await cluster.run(LONGER_THAN_LEASE + SECOND);
       assert.notEqual(termOf(cluster), term, 'no other node became the leader');
     }
     const held = cluster.net.release(name, CLOUD);
@@ -105,19 +105,19 @@
     [214, 'moves'],
   ] as const) {
     const cluster = createBusyCluster({ seed });
-    let frozen = -1;
+    let suspended = -1;
     let term = 0;
-    onceRecorded(cluster, field, () => {
-      frozen = leaderOf(cluster);
+    onFirstRecord(cluster, field, () => {
+      suspended = leaderOf(cluster);
       term = termOf(cluster);
-      cluster.freezeNode(frozen, OVER_A_TERM);
+      cluster.freezeNode(suspended, LONGER_THAN_LEASE);
     });
     await cluster.run(100 * SECOND);
-    assert.ok(frozen >= 0, `no ${field} were recorded`);
+    assert.ok(suspended >= 0, `no ${field} were recorded`);
     assert.notEqual(termOf(cluster), term, 'no other node became the leader');
     await finish(cluster);
-    const open = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
-    assert.deepEqual(open?.scaleOutRequests, [], 'a scale-out request is still open');
+    const openIntents = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
+    assert.deepEqual(openIntents?.scaleOutRequests, [], 'a scale-out request is still open');
   }
 });
 
@@ -125,24 +125,24 @@
   for (const seed of [221, 222, 223]) {
     const cluster = createBusyCluster({ seed });
     const { cloud } = cluster;
-    const { onScaleOut: onRented } = cloud;
-    const frozen: { node: number; term: number }[] = [];
+    const { onScaleOut: originalOnScaleOut } = cloud;
+    const suspended: { node: number; term: number }[] = [];
     cloud.onScaleOut = (name, sender) => {
-      onRented(name, sender);
-      if (frozen.length > 0) return;
+      originalOnScaleOut(name, sender);
+      if (suspended.length > 0) return;
       const node = leaderOf(cluster);
-      frozen.push({ node, term: termOf(cluster) });
-      cluster.freezeNode(node, OVER_A_TERM);
+      suspended.push({ node, term: termOf(cluster) });
+      cluster.freezeNode(node, LONGER_THAN_LEASE);
     };
     await cluster.run(60 * SECOND);
-    const [old] = frozen;
-    assert.ok(old, 'no scale-out was requested');
-    assert.notEqual(termOf(cluster), old.term, 'no other node became the leader');
+    const [oldLeader] = suspended;
+    assert.ok(oldLeader, 'no scale-out was requested');
+    assert.notEqual(termOf(cluster), oldLeader.term, 'no other node became the leader');
     // The other nodes are killed, so that the old leader leads again under a later term.
-    for (let i = 0; i < cluster.nodeCount; i++) if (i !== old.node) cluster.killNode(i);
+    for (let i = 0; i < cluster.nodeCount; i++) if (i !== oldLeader.node) cluster.killNode(i);
     await cluster.run(10 * SECOND);
-    assert.equal(leaderOf(cluster), old.node);
-    assert.ok(termOf(cluster) > old.term);
+    assert.equal(leaderOf(cluster), oldLeader.node);
+    assert.ok(termOf(cluster) > oldLeader.term);
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(30 * SECOND);
     await finish(cluster);
@@ -197,20 +197,20 @@
   for (const seed of [251, 252, 253]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
-    const isLeaders = (write: WireFields): boolean =>
+    const oldLeader = leaderOf(cluster);
+    const isInLeaderLog = (write: WireFields): boolean =>
       String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
     let delayed = 0;
     cluster.store.isLate = (writes) => {
-      if (!writes.some(isLeaders)) return false;
+      if (!writes.some(isInLeaderLog)) return false;
       delayed++;
       return true;
     };
     for (let i = 0; i < 60 && delayed === 0; i++) await cluster.run(0.5 * SECOND);
     assert.ok(delayed > 0, 'the leader recorded nothing');
-    cluster.freezeNode(old, OVER_A_TERM);
+    cluster.freezeNode(oldLeader, LONGER_THAN_LEASE);
     cluster.store.isLate = () => false;
-    await cluster.run(OVER_A_TERM + SECOND);
+    await cluster.run(LONGER_THAN_LEASE + SECOND);
     assert.ok(cluster.store.lateCommits.came > 0, 'no commit arrived late');
     await finish(cluster);
   }
@@ -219,12 +219,12 @@
 test('a renewal that arrives after its lease has expired does not restore the leadership', async () => {
   const cluster = createBusyCluster({ seed: 261 });
   await cluster.run(30 * SECOND);
-  const old = leaderOf(cluster);
+  const oldLeader = leaderOf(cluster);
   const term = termOf(cluster);
-  cluster.net.hold(`node-${old}`, '10.2.0.1:2379');
+  cluster.net.hold(`node-${oldLeader}`, '10.2.0.1:2379');
   await cluster.run(5 * SECOND);
   assert.notEqual(termOf(cluster), term, 'the lease did not expire');
-  assert.ok(cluster.net.release(`node-${old}`, '10.2.0.1:2379') > 0, 'no message was held back');
+  assert.ok(cluster.net.release(`node-${oldLeader}`, '10.2.0.1:2379') > 0, 'no message was held back');
   await cluster.run(5 * SECOND);
   assert.notEqual(termOf(cluster), term);
   await finish(cluster);
@@ -234,14 +234,14 @@
   for (const seed of [271, 272]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
-    cluster.store.refusedNodes.add(`node-${old}`);
+    const oldLeader = leaderOf(cluster);
+    cluster.store.refusedNodes.add(`node-${oldLeader}`);
     await cluster.run(2 * SECOND);
     cluster.store.setOutage(true);
     await cluster.run(20 * SECOND);
     cluster.store.setOutage(false);
     await cluster.run(5 * SECOND);
-    assert.notEqual(leaderOf(cluster), old, 'the refused node is still the leader');
+    assert.notEqual(leaderOf(cluster), oldLeader, 'the refused node is still the leader');
     cluster.store.refusedNodes.clear();
     await cluster.run(20 * SECOND);
     await finish(cluster);
@@ -249,7 +249,7 @@
 });
 
 test('invariants hold when a leader is partitioned from only the cloud, its workers or its peers', async () => {
-  const cuts: ((cluster: SimCluster, leader: number) => string[])[] = [
+  const partitions: ((cluster: SimCluster, leader: number) => string[])[] = [
     (_cluster, leader) => [`node-${leader}>${CLOUD}`],
     (cluster, leader) => [...cluster.workers.keys()].map((host) => `${host}>10.0.0.${leader}:80`),
     (cluster, leader) =>
@@ -258,7 +258,7 @@
         `node-${i}>10.0.0.${leader}:81`,
       ]),
   ];
-  for (const [i, linksOf] of cuts.entries()) {
+  for (const [i, linksOf] of partitions.entries()) {
     const cluster = createBusyCluster({ seed: 281 + i });
     await cluster.run(30 * SECOND);
     const links = linksOf(cluster, leaderOf(cluster));
@@ -273,17 +273,17 @@
 test('leadership is handed off to another node on request', async () => {
   const cluster = createBusyCluster({ seed: 291 });
   await cluster.run(30 * SECOND);
-  const old = leaderOf(cluster);
+  const oldLeader = leaderOf(cluster);
   const term = termOf(cluster);
   const results: string[] = [];
   void cluster
-    .controller(old)
+    .controller(oldLeader)
     ?.resignRole('lead')
     .then((result) => results.push(result.kind));
   await cluster.run(6 * SECOND);
   assert.deepEqual(results, ['handed_over']);
   assert.ok(termOf(cluster) > term);
-  assert.notEqual(leaderOf(cluster), old);
+  assert.notEqual(leaderOf(cluster), oldLeader);
   await finish(cluster);
 });
 
@@ -312,20 +312,24 @@
   for (const seed of [297, 298]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
+    const oldLeader = leaderOf(cluster);
     const ownedBy = (node: number): number[] =>
       [0, 1, 2].filter(
         (shard) => cluster.store.rows.get(`mw/now/share/${shard}`)?.value['Member'] === `node-${node}`,
       );
-    void cluster.controller(old)?.retire();
+    void cluster.controller(oldLeader)?.retire();
     // Half of the lease duration.
     await cluster.run(1.5 * SECOND);
-    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== old, 'no node is the leader');
-    assert.equal(cluster.store.rows.has(`mw/now/member/node-${old}`), false);
-    assert.equal([0, 1, 2].filter((node) => node !== old).flatMap(ownedBy).length, 3, 'a shard has no owner');
-    cluster.killNode(old);
+    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== oldLeader, 'no node is the leader');
+    assert.equal(cluster.store.rows.has(`mw/now/member/node-${oldLeader}`), false);
+    assert.equal(
+      [0, 1, 2].filter((node) => node !== oldLeader).flatMap(ownedBy).length,
+      3,
+      'a shard has no owner',
+    );
+    cluster.killNode(oldLeader);
     await cluster.run(5 * SECOND);
-    cluster.startNode(old);
+    cluster.startNode(oldLeader);
     await cluster.run(20 * SECOND);
     await finish(cluster);
   }
@@ -333,7 +337,11 @@
 
 test('a hand-off that is not safe is refused with the reason', async () => {
   const reasons: string[] = [];
-  const ask = async (cluster: SimCluster, node: number, role: 'lead' | number): Promise<string> => {
+  const requestHandOff = async (
+    cluster: SimCluster,
+    node: number,
+    role: 'lead' | number,
+  ): Promise<string> => {
     let reason = '';
     void cluster
       .controller(node)
@@ -347,16 +355,16 @@
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
   const other = (leader + 1) % cluster.nodeCount;
-  assert.match(await ask(cluster, other, 'lead'), /not held here: node-\d holds it/);
+  assert.match(await requestHandOff(cluster, other, 'lead'), /not held here: node-\d holds it/);
   cluster.store.setOutage(true);
   await cluster.run(5 * SECOND);
-  assert.match(await ask(cluster, leader, 'lead'), /state service/);
+  assert.match(await requestHandOff(cluster, leader, 'lead'), /state service/);
   cluster.store.setOutage(false);
   await cluster.run(10 * SECOND);
-  const present = leaderOf(cluster);
-  for (let i = 0; i < cluster.nodeCount; i++) if (i !== present) cluster.killNode(i);
+  const currentLeader = leaderOf(cluster);
+  for (let i = 0; i < cluster.nodeCount; i++) if (i !== currentLeader) cluster.killNode(i);
   await cluster.run(8 * SECOND);
-  assert.match(await ask(cluster, present, 'lead'), /no other member/);
+  assert.match(await requestHandOff(cluster, currentLeader, 'lead'), /no other member/);
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(10 * SECOND);
   await finish(cluster);
@@ -387,20 +395,20 @@
 
 test('an unreadable row of a role blocks only that role, is logged and crashes no node', async () => {
   const errors: string[] = [];
-  const note = (fields: object): void => {
+  const recordKey = (fields: object): void => {
     if ('key' in fields) errors.push(String(fields.key));
   };
-  const log = { debug: () => undefined, info: () => undefined, error: note };
+  const log = { debug: () => undefined, info: () => undefined, error: recordKey };
   const cluster = createBusyCluster({ seed: 295, log });
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
-  const spoil = (path: string, value: WireFields): void => {
+  const corruptRow = (path: string, value: WireFields): void => {
     // Simulates a write by another program that keeps the lease of the row.
     const Permit = cluster.store.rows.get(path)?.leaseId ?? null;
     cluster.store.spoil({ Set: path, V: value, Permit });
   };
-  spoil(LEADER_KEY, { Member: 7 });
-  spoil('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
+  corruptRow(LEADER_KEY, { Member: 7 });
+  corruptRow('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
   await cluster.run(5 * SECOND);
   assert.ok(errors.includes(LEADER_KEY) && errors.includes('mw/now/share/1'), errors.join(' '));
   for (let i = 0; i < cluster.nodeCount; i++) {
@@ -432,16 +440,16 @@
   assert.ok(row);
   cluster.store.spoil({ Set: 'mw/now/token', V: { Token: 'many' } });
   await cluster.run(3 * SECOND);
-  const answered = (): number => [0, 1, 2].reduce((sum, i) => sum + cluster.heartbeatCount(i), 0);
-  const before = answered();
+  const answeredHeartbeats = (): number => [0, 1, 2].reduce((sum, i) => sum + cluster.heartbeatCount(i), 0);
+  const before = answeredHeartbeats();
   cluster.killNode(leaderOf(cluster));
   await cluster.run(8 * SECOND);
-  assert.equal(answered(), before, 'workers were answered without a fencing token');
+  assert.equal(answeredHeartbeats(), before, 'workers were answered without a fencing token');
   assert.deepEqual(cluster.store.rows.get('mw/now/token')?.value, { Token: 'many' });
   cluster.store.spoil({ Set: 'mw/now/token', V: row.value });
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(20 * SECOND);
-  assert.ok(answered() > before);
+  assert.ok(answeredHeartbeats() > before);
   await finish(cluster);
 });
 
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -9,14 +9,14 @@
  * Longest delay of a cloud request. It is shorter than a run but longer than any retry, boot or lease, so that late
  * requests arrive when even the successor of their sender has been replaced.
  */
-const LATE_BY = 300 * SECOND;
+const MAX_REQUEST_DELAY = 300 * SECOND;
 
 /** Runs a cluster with random faults while the cloud executes requests up to five minutes late and boots machines slowly. */
-async function lateRequests(seed: number): Promise<SimCluster> {
+async function runWithLateRequests(seed: number): Promise<SimCluster> {
   const cluster = new SimCluster({ seed });
   const { clock, cloud } = cluster;
   cloud.lateRequestRate = 0.3;
-  cloud.maxRequestDelay = LATE_BY;
+  cloud.maxRequestDelay = MAX_REQUEST_DELAY;
   cloud.slowBootRate = 0.3;
   submitRandomJobs(cluster, { until: 150 * SECOND, maxGapS: 5, cancellation: { rate: 0.15, withinS: 20 } });
   scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 150 * SECOND, minGapS: 4, extraGapS: 20 });
@@ -32,7 +32,7 @@
 const [FROM, RUNS] = [Number(process.env['DUTIES_FROM'] ?? 1), Number(process.env['DUTIES_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`late scale-out and deletion requests harm no machine in use, seed ${seed}`, async () => {
-    const cluster = await lateRequests(seed);
+    const cluster = await runWithLateRequests(seed);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
     assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -15,13 +15,13 @@
 const RUNS = Number(process.env['VACANCY_RUNS'] ?? 4);
 const CAUSES: VacancyCause[] = ['freeze', 'crash', 'cut'];
 /** Duration of the fault: longer than the lease of a node, so that the role holder is replaced. */
-const TROUBLE = 12 * SECOND;
+const FAULT_DURATION = 12 * SECOND;
 /**
  * Upper bounds in milliseconds. Leases last 3 s and may expire 100 ms late; the rest is the time for the election and,
  * for shards, the assignment after it.
  */
-const MOST_LEAD_MS = 4_500;
-const MOST_SHARE_MS = 6_500;
+const MAX_LEADER_VACANCY_MS = 4_500;
+const MAX_SHARD_VACANCY_MS = 6_500;
 
 function holderOf(cluster: SimCluster, path: string): number {
   return Number(String(cluster.store.rows.get(path)?.value['Member']).slice('node-'.length));
@@ -50,10 +50,10 @@
     }
   }
   const link = `node-${leader}>${STATE}`;
-  if (cause === 'freeze') cluster.freezeNode(leader, TROUBLE);
+  if (cause === 'freeze') cluster.freezeNode(leader, FAULT_DURATION);
   else if (cause === 'crash') cluster.killNode(leader);
   else net.refusedLinks.add(link);
-  await cluster.run(TROUBLE);
+  await cluster.run(FAULT_DURATION);
   net.refusedLinks.delete(link);
   cluster.startNode(leader);
   await cluster.run(10 * SECOND);
@@ -66,6 +66,6 @@
   }
   for (const line of meter.report()) t.diagnostic(line);
   assert.ok(meter.count >= 2 * RUNS * CAUSES.length, `only ${meter.count} vacancies`);
-  assert.ok(meter.longest('lead') <= MOST_LEAD_MS, `${meter.longest('lead')} ms without a leader`);
-  assert.ok(meter.longest('shard') <= MOST_SHARE_MS, `${meter.longest('shard')} ms without an owner`);
+  assert.ok(meter.longest('lead') <= MAX_LEADER_VACANCY_MS, `${meter.longest('lead')} ms without a leader`);
+  assert.ok(meter.longest('shard') <= MAX_SHARD_VACANCY_MS, `${meter.longest('shard')} ms without an owner`);
 });
--- a/packages/testkit/running-tasks.ts
+++ b/packages/testkit/running-tasks.ts
@@ -56,12 +56,12 @@
 
   /** Finds a machine with capacity for one of the job's tasks; for a gang, one of a set with capacity for all its tasks. */
   capacityFor(spec: JobSpec, capacities: readonly FreeCapacity[]): FreeCapacity | undefined {
-    const open = capacities.filter((free) => this.fits(spec, free));
-    if (spec.shape === 'array') return open[0];
+    const suitable = capacities.filter((free) => this.fits(spec, free));
+    if (spec.shape === 'array') return suitable[0];
     const slots = new Map<string, number>();
-    return open.find((free) => {
+    return suitable.find((free) => {
       const zone = spec.singleZone ? free.machine.zone : '';
-      slots.set(zone, (slots.get(zone) ?? 0) + slotsIn(spec, free));
+      slots.set(zone, (slots.get(zone) ?? 0) + countSlots(spec, free));
       return (slots.get(zone) ?? 0) >= spec.taskCount;
     });
   }
@@ -92,8 +92,9 @@
   }
 
   private checkPlacement(spec: JobSpec, taskName: string, machine: MachineFacts): void {
-    const why = this.placementViolation(spec, machine);
-    if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
+    const reason = this.placementViolation(spec, machine);
+    if (reason !== null)
+      throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${reason}`);
   }
 
   /** Returns the reason why one more task of the job must not run on that machine now, or null. */
@@ -101,16 +102,18 @@
     if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
     if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
     if (!spec.allowsSpot && machine.spot) return 'spot';
-    const others = [...this.running.values()].filter((r) => r.spec.id === spec.id).map((r) => r.machine.zone);
-    if (spec.singleZone && others.some((zone) => zone !== machine.zone))
+    const otherZones = [...this.running.values()]
+      .filter((r) => r.spec.id === spec.id)
+      .map((r) => r.machine.zone);
+    if (spec.singleZone && otherZones.some((zone) => zone !== machine.zone))
       return 'not the zone of its other tasks';
-    const here = others.filter((zone) => zone === machine.zone).length + 1;
-    return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
+    const tasksInZone = otherZones.filter((zone) => zone === machine.zone).length + 1;
+    return spec.spreadZones && tasksInZone > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
   }
 
-  private tasksOf(team: string): string {
-    const owned = [...this.running.values()].filter((r) => r.spec.team === team);
-    return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
+  private describeTasksOf(team: string): string {
+    const teamTasks = [...this.running.values()].filter((r) => r.spec.team === team);
+    return teamTasks.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
 
   private updateUsage(spec: JobSpec, sign: 1 | -1): void {
@@ -122,15 +125,15 @@
     if (limit && (used.cpus > limit.cpus + EPSILON || used.gpus > limit.gpus + EPSILON)) {
       throw new InvariantViolation(
         'quota',
-        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
+        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.describeTasksOf(spec.team)}`,
       );
     }
   }
 }
 
 /** Returns how many of the job's tasks fit into the free capacity. */
-function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
-  const part = (room: number, need: number): number =>
-    need > 0 ? Math.floor(room / need + EPSILON) : Infinity;
-  return Math.min(part(cpus, spec.cpus), part(gpus, spec.gpus), part(memGb, spec.memGb));
+function countSlots(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
+  const slotsFor = (available: number, required: number): number =>
+    required > 0 ? Math.floor(available / required + EPSILON) : Infinity;
+  return Math.min(slotsFor(cpus, spec.cpus), slotsFor(gpus, spec.gpus), slotsFor(memGb, spec.memGb));
 }
--- a/packages/testkit/service-faults.ts
+++ b/packages/testkit/service-faults.ts
@@ -3,8 +3,8 @@
 import type { FaultTarget } from './fault-target.js';
 
 /** Causes an outage of the state service. */
-export function stopStore(target: FaultTarget): void {
-  target.stopStore(target.randomSeconds(3, 25));
+export function failStore(target: FaultTarget): void {
+  target.failStore(target.randomSeconds(3, 25));
 }
 
 /** Makes the state service refuse one node and serve the others. */
@@ -30,16 +30,16 @@
  * Makes the state service refuse one node, and then causes an outage. The outage lasts for about the cancellation
  * deadline minus the workers' lease, or for longer than the cancellation deadline.
  */
-export function refuseNodeThenStopStore(target: FaultTarget): void {
+export function refuseNodeThenFailStore(target: FaultTarget): void {
   const { clock, random } = target.cluster;
   target.refuseNodeAtStore(target.randomSeconds(5, 20));
   clock.at(random() * 3 * SECOND, () => {
-    target.stopStore(random() < 0.5 ? target.randomSeconds(14, 4) : target.randomSeconds(26, 6));
+    target.failStore(random() < 0.5 ? target.randomSeconds(14, 4) : target.randomSeconds(26, 6));
   });
 }
 
 /** Causes an outage of the cloud's API. */
-export function stopCloud(target: FaultTarget): void {
+export function failCloud(target: FaultTarget): void {
   const { cloud } = target.cluster;
   target.during(
     target.randomSeconds(3, 20),
--- a/packages/testkit/sim-cluster.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '#settings';
 import { type JobSpec, type JobStatus, type MachineType, type Micros, SECOND, type WireFields } from '#wire';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { checkCheckpoint, eventsOf, ReplicaChecks } from './cluster-checks.js';
+import { checkCheckpointIsComplete, clusterEventsOf, ReplicaChecks } from './cluster-checks.js';
 import type { FreeCapacity, InvariantChecker } from './invariants.js';
 import type { ReplicaFacts } from './ledger-agreement.js';
 import type { RoleHistory } from './role-history.js';
@@ -171,7 +171,7 @@
   async run(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => {
       this.services.failure.rethrow();
-      this.invariants.check(this.clock.time);
+      this.invariants.checkDeadlines(this.clock.time);
       this.replicaChecks.check(this.replicas(), this.store);
       if (this.clock.time < this.nextWaitingCheck) return;
       this.nextWaitingCheck = this.clock.time + SECOND;
@@ -239,8 +239,8 @@
 
   private handleCommit(writes: WireFields[]): void {
     this.replicaChecks.transactionApplied(writes);
-    checkCheckpoint(this.store, writes);
-    for (const event of eventsOf(writes)) this.onEvent(event);
+    checkCheckpointIsComplete(this.store, writes);
+    for (const event of clusterEventsOf(writes)) this.onEvent(event);
   }
 
   private setUpWorker(host: CloudHost, limits: Settings): WorkerSetup {
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -241,7 +241,7 @@
     }
     task.status = 'running';
     this.hasChanged = true;
-    const known = invariants.isDone(task.taskName);
+    const known = invariants.isTaskDone(task.taskName);
     const run = known ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
     const fails = this.options.isFaulty || spec.jobClass === 'broken';
     const finish = (): void => {
@@ -255,7 +255,7 @@
   /** Waits for the other tasks of its attempt: it is on its machine meanwhile, and makes no progress. */
   private joinGang(task: Task, spec: JobSpec): void {
     const { clock, gangs, invariants } = this.options;
-    if (invariants.isDone(task.taskName)) {
+    if (invariants.isTaskDone(task.taskName)) {
       // The result of an earlier attempt was kept.
       this.exit(task, 'done');
       return;
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -25,9 +25,9 @@
 }
 
 /** Upgrades one node after the other. A node that is down at its turn comes back with the current version. */
-function rollUpgrade(cluster: SimCluster, at: number, every: number, downFor: number): void {
+function scheduleRollingUpgrade(cluster: SimCluster, firstAt: number, every: number, downFor: number): void {
   for (let i = 0; i < cluster.nodeCount; i++) {
-    cluster.clock.at((at + i * every) * SECOND, () => {
+    cluster.clock.at((firstAt + i * every) * SECOND, () => {
       cluster.upgradeNode(i, downFor * SECOND);
     });
   }
@@ -36,17 +36,17 @@
 const [FROM, RUNS] = [Number(process.env['UPGRADE_FROM'] ?? 1), Number(process.env['UPGRADE_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`invariants hold during a rolling upgrade under random faults and falling limits, seed ${seed}`, async () => {
-    const old = { valueBytes: 1400, txnOps: 6, stateWriteRps: 40 };
+    const productionLimits = { valueBytes: 1400, txnOps: 6, stateWriteRps: 40 };
     const settings = { valueBytes: 700, txnOps: 4, stateWriteRps: 28 };
-    const cluster = new SimCluster({ seed, settings, production: { version, settings: old } });
+    const cluster = new SimCluster({ seed, settings, production: { version, settings: productionLimits } });
     cluster.store.lowerLimits({
-      valueBytes: old.valueBytes,
-      txnOps: old.txnOps,
-      writeRps: old.stateWriteRps,
+      valueBytes: productionLimits.valueBytes,
+      txnOps: productionLimits.txnOps,
+      writeRps: productionLimits.stateWriteRps,
     });
     const { random, clock } = cluster;
     submitJobs(cluster, 170);
-    rollUpgrade(cluster, 40 + random() * 10, 6 + random() * 12, 1 + random() * 6);
+    scheduleRollingUpgrade(cluster, 40 + random() * 10, 6 + random() * 12, 1 + random() * 6);
     clock.at((100 + random() * 10) * SECOND, () => {
       cluster.store.lowerLimits({ valueBytes: 700, txnOps: 4, writeRps: 28 });
     });
@@ -75,21 +75,21 @@
   cluster.specs.set(gang.id, gang);
   cluster.invariants.jobSubmitted(gang, 0);
   const answers: (string | number)[] = [];
-  const at = (second: number, node: number): void => {
+  const submitAt = (second: number, node: number): void => {
     cluster.clock.at(second * SECOND, () => void submit(node).then((status) => answers.push(status)));
   };
-  const upgrade = (second: number, node: number, downFor: number): void => {
+  const scheduleUpgrade = (second: number, node: number, downFor: number): void => {
     cluster.clock.at(second * SECOND, () => {
       cluster.upgradeNode(node, downFor * SECOND);
     });
   };
-  upgrade(10, 0, 2);
-  upgrade(20, 1, 2);
-  at(30, 0);
+  scheduleUpgrade(10, 0, 2);
+  scheduleUpgrade(20, 1, 2);
+  submitAt(30, 0);
   // At the second request the last old node is down. It has announced no capabilities and might come back unupgraded.
-  upgrade(40, 2, 20);
-  at(50, 1);
-  at(75, 2);
+  scheduleUpgrade(40, 2, 20);
+  submitAt(50, 1);
+  submitAt(75, 2);
   await cluster.run(80 * SECOND);
   assert.deepEqual(answers, [503, 503, 201]);
 });
