--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -30,6 +30,7 @@
   return cluster;
 }
 
+/** Returns the index of the node that holds the role with the given key. */
 function holderOf(cluster: SimCluster, key: string): number {
   return Number(String(cluster.store.rows.get(key)?.value['Member']).slice('node-'.length));
 }
@@ -44,6 +45,7 @@
   return { leader, job };
 }
 
+/** Returns the index of a node other than the given one. */
 function otherThan(cluster: SimCluster, node: number): number {
   return (node + 1) % cluster.nodeCount;
 }
@@ -435,6 +437,7 @@
   }
 });
 
+/** Requests the job's status from the given node, and returns the HTTP status; 0 if no answer arrives within 2 s. */
 async function statusFromNode(cluster: SimCluster, job: string, node: number): Promise<number> {
   let status = 0;
   void cluster
--- a/packages/testkit/data-loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -43,7 +43,7 @@
 
 /** Kinds of data loss. Each function causes a loss and returns a function that restores the lost data. */
 const LOSSES = {
-  'all of it': (cluster: SimCluster) => {
+  'all data': (cluster: SimCluster) => {
     const fullBackup = cluster.store.backup();
     cluster.store.wipe();
     return () => {
@@ -73,7 +73,7 @@
         meter,
       );
       await noticedMeasurement;
-      await measureTransition(cluster, `frozen after it, ${lossKind}`, ['frozen'], meter);
+      await measureTransition(cluster, `frozen after noticed, ${lossKind}`, ['frozen'], meter);
       await cluster.run(10 * SECOND);
       restoreData();
       await measureTransition(cluster, `serving again, ${lossKind}`, ['serving'], meter);
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -47,8 +47,8 @@
     const { starts } = cluster.invariants;
     const commits = countCommits(cluster);
     await cluster.run(LONGER_THAN_LEASES);
-    assert.equal(cluster.invariants.starts, starts, 'something was started');
-    assert.equal(commits.count, 0, 'something was written');
+    assert.equal(cluster.invariants.starts, starts, 'a task was started');
+    assert.equal(commits.count, 0, 'a transaction was applied');
     cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
@@ -69,7 +69,7 @@
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
     await cluster.run(LONGER_THAN_LEASES);
-    assert.equal(cluster.invariants.starts, starts, 'something was started');
+    assert.equal(cluster.invariants.starts, starts, 'a task was started');
     cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
@@ -92,7 +92,7 @@
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(10 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    assert.equal(commits.count, 0, 'something was written');
+    assert.equal(commits.count, 0, 'a transaction was applied');
     cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
@@ -105,7 +105,10 @@
     const olderBackup = cluster.store.backup();
     await cluster.run(5 * SECOND);
     const fullBackup = cluster.store.backup();
-    assert.ok(fullBackup.revision > olderBackup.revision, 'nothing was lost');
+    assert.ok(
+      fullBackup.revision > olderBackup.revision,
+      'no transaction was applied since the older backup',
+    );
     cluster.store.restore(olderBackup);
     cluster.killNode(0);
     // The first request of each other node after the loss may be a commit. The node rejects its result.
@@ -114,7 +117,7 @@
     cluster.startNode(0);
     await cluster.run(8 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    assert.equal(commits.count, 0, 'something was written');
+    assert.equal(commits.count, 0, 'a transaction was applied');
     cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
@@ -136,12 +139,12 @@
     await cluster.run(50 * SECOND);
     const fullBackup = cluster.store.backup();
     const lostKeys = cluster.store.loseKeys(isLost, true);
-    assert.ok(lostKeys.length > 0, `${lostData}: nothing to lose`);
+    assert.ok(lostKeys.length > 0, `${lostData}: no such key is stored`);
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
     await cluster.run(LONGER_THAN_LEASES);
-    assert.equal(cluster.invariants.starts, starts, `${lostData}: something was started`);
+    assert.equal(cluster.invariants.starts, starts, `${lostData}: a task was started`);
     cluster.store.restoreKeys(fullBackup, lostKeys);
     await finishAllJobs(cluster);
   }
@@ -155,7 +158,10 @@
     cluster.store.refusedNodes.add('node-1');
     await cluster.run(8 * SECOND);
     const fullBackup = cluster.store.backup();
-    assert.ok(fullBackup.revision > olderBackup.revision, 'nothing was lost');
+    assert.ok(
+      fullBackup.revision > olderBackup.revision,
+      'no transaction was applied since the older backup',
+    );
     cluster.store.restore(olderBackup);
     await cluster.run(10 * SECOND);
     cluster.store.refusedNodes.clear();
@@ -201,6 +207,6 @@
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
   const { starts } = cluster.invariants;
   await cluster.run(LONGER_THAN_LEASES);
-  assert.equal(cluster.invariants.starts, starts, 'something was started');
+  assert.equal(cluster.invariants.starts, starts, 'a task was started');
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
 });
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -25,7 +25,7 @@
   const { random, clock } = cluster;
   let jobCount = 0;
   const nextId = (): string => `j-${String(jobCount++).padStart(6, '0')}`;
-  const cancelAfter = (rate: number): number | null => (random() < rate ? random() * 20 * SECOND : null);
+  const cancelDelay = (rate: number): number | null => (random() < rate ? random() * 20 * SECOND : null);
   const submitGuestJobs = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
     const change = {
@@ -36,7 +36,7 @@
       cpus: 0.5,
       memGb: 1,
     };
-    cluster.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelAfter(0.1));
+    cluster.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelDelay(0.1));
     clock.at(random() * 0.6 * SECOND, submitGuestJobs);
   };
   const submitTeamJobs = (): void => {
@@ -52,7 +52,7 @@
       checkpointS: hasCheckpoints ? 2 : 0,
       saveS: hasCheckpoints ? 1 : 0,
     };
-    cluster.submit(sampleJob(nextId(), change as object), cancelAfter(0.1));
+    cluster.submit(sampleJob(nextId(), change as object), cancelDelay(0.1));
     clock.at(random() * 4 * SECOND, submitTeamJobs);
   };
   const crashNode = (): void => {
--- a/packages/testkit/invariants.test.ts
+++ b/packages/testkit/invariants.test.ts
@@ -8,6 +8,7 @@
 const west: MachineFacts = { host: 'n-2', machineType: 'small', zone: 'west', spot: false };
 const LIMITS = new Map([['blue', { cpus: 6, gpus: 0 }]]);
 
+/** Creates a checker that has observed the submission and acceptance of job `j-1`. */
 function createChecker(change: Parameters<typeof sampleJob>[1] = {}): InvariantChecker {
   const checker = new InvariantChecker(LIMITS, 10 * SECOND);
   checker.jobSubmitted(sampleJob('j-1', change), 0);
--- a/packages/testkit/machine-faults.ts
+++ b/packages/testkit/machine-faults.ts
@@ -3,9 +3,10 @@
 import type { FaultTarget } from './fault-target.js';
 import type { SimWorker } from './sim-worker.js';
 
-/** Seconds between the cloud's reclaim notice for a machine and the reclaim itself. */
+/** Seconds between the cloud's reclaim notice for a spot machine and the reclaim itself. */
 const RECLAIM_NOTICE_S = 4;
 
+/** Makes the worker hang for 2 s to 22 s. */
 function hang(target: FaultTarget, worker: SimWorker): void {
   target.during(
     target.randomSeconds(2, 20),
--- a/packages/testkit/mutations.ts
+++ b/packages/testkit/mutations.ts
@@ -41,7 +41,7 @@
     const path = join(folder, 'target', file);
     const text = readFileSync(path, 'utf8');
     if (!text.includes(from))
-      throw new Error(`mutation "${name}": target/${file} does not contain "${from}"`);
+      throw new Error(`mutation "${name}": target/${file} does not contain the text of "from"`);
     writeFileSync(
       path,
       text.replace(from, () => to),
--- a/packages/testkit/network-faults.ts
+++ b/packages/testkit/network-faults.ts
@@ -5,6 +5,7 @@
 import { STATE } from './sample-settings.js';
 import type { NetworkFaults } from './sim-net.js';
 
+/** Sets random network faults for the given number of seconds. */
 function withNetworkFaults(target: FaultTarget, seconds: number, faults: NetworkFaults): void {
   const { net } = target.cluster;
   target.during(
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -63,7 +63,7 @@
 }
 
 /** Runs on without faults, and asserts that all jobs have ended. */
-async function finish(cluster: SimCluster): Promise<void> {
+async function assertAllJobsEnd(cluster: SimCluster): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
   await cluster.run(160 * SECOND);
   assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
@@ -79,8 +79,8 @@
   ] as const) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const first = leaderOf(cluster);
-    const name = `node-${first}`;
+    const firstLeader = leaderOf(cluster);
+    const name = `node-${firstLeader}`;
     cluster.net.hold(name, CLOUD);
     await cluster.run(20 * SECOND);
     for (let i = 0; i < successors; i++) {
@@ -88,12 +88,12 @@
       const term = termOf(cluster);
       cluster.freezeNode(leader, LONGER_THAN_LEASE);
       await cluster.run(LONGER_THAN_LEASE + SECOND);
-      assert.notEqual(termOf(cluster), term, 'no other node became the leader');
+      assert.notEqual(termOf(cluster), term, 'no new term began');
     }
     const held = cluster.net.release(name, CLOUD);
     assert.ok(held > 0, 'no request was held back');
     await cluster.run(40 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -114,8 +114,8 @@
     });
     await cluster.run(100 * SECOND);
     assert.ok(suspended >= 0, `no ${field} were recorded`);
-    assert.notEqual(termOf(cluster), term, 'no other node became the leader');
-    await finish(cluster);
+    assert.notEqual(termOf(cluster), term, 'no new term began');
+    await assertAllJobsEnd(cluster);
     const openIntents = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
     assert.deepEqual(openIntents?.scaleOutRequests, [], 'a scale-out request is still open');
   }
@@ -137,7 +137,7 @@
     await cluster.run(60 * SECOND);
     const [oldLeader] = suspended;
     assert.ok(oldLeader, 'no scale-out was requested');
-    assert.notEqual(termOf(cluster), oldLeader.term, 'no other node became the leader');
+    assert.notEqual(termOf(cluster), oldLeader.term, 'no new term began');
     // The other nodes are killed, so that the old leader leads again under a later term.
     for (let i = 0; i < cluster.nodeCount; i++) if (i !== oldLeader.node) cluster.killNode(i);
     await cluster.run(10 * SECOND);
@@ -145,7 +145,7 @@
     assert.ok(termOf(cluster) > oldLeader.term);
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(30 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -189,7 +189,7 @@
     }
     await cluster.run(60 * SECOND);
     assert.ok(terms.size > 2, 'the leader did not change');
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -212,7 +212,7 @@
     cluster.store.isLate = () => false;
     await cluster.run(LONGER_THAN_LEASE + SECOND);
     assert.ok(cluster.store.lateCommits.came > 0, 'no commit arrived late');
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -227,7 +227,7 @@
   assert.ok(cluster.net.release(`node-${oldLeader}`, '10.2.0.1:2379') > 0, 'no message was held back');
   await cluster.run(5 * SECOND);
   assert.notEqual(termOf(cluster), term);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('a leader that the state service refuses before an outage is replaced, and nothing is done twice', async () => {
@@ -244,7 +244,7 @@
     assert.notEqual(leaderOf(cluster), oldLeader, 'the refused node is still the leader');
     cluster.store.refusedNodes.clear();
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -266,7 +266,7 @@
     await cluster.run(40 * SECOND);
     for (const link of links) cluster.net.refusedLinks.delete(link);
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -284,7 +284,7 @@
   assert.deepEqual(results, ['handed_over']);
   assert.ok(termOf(cluster) > term);
   assert.notEqual(leaderOf(cluster), oldLeader);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('a shard is handed off on request: the leader assigns it to another node under a higher fencing token', async () => {
@@ -305,7 +305,7 @@
   assert.deepEqual(results, ['handed_over']);
   assert.notEqual(ownerOf(1), owner);
   assert.ok(tokenOf() > fencingToken);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('a node that is shut down hands off its roles in less time than its lease would take to expire', async () => {
@@ -331,7 +331,7 @@
     await cluster.run(5 * SECOND);
     cluster.startNode(oldLeader);
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -367,7 +367,7 @@
   assert.match(await requestHandOff(cluster, currentLeader, 'lead'), /no other member/);
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(10 * SECOND);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('shards are handed off only once every node has announced the hand-off capability', async () => {
@@ -390,7 +390,7 @@
   for (const [path, { value }] of members) assert.equal(value['Resigned'], undefined, path);
   cluster.upgradeNode(2, SECOND);
   await cluster.run(40 * SECOND);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('an unreadable row of a role blocks only that role, is logged and crashes no node', async () => {
@@ -430,7 +430,7 @@
     'many',
     'the shard was not reassigned',
   );
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('while the fencing token is unreadable no worker is answered and no shard assigned; all resumes once it is readable', async () => {
@@ -450,7 +450,7 @@
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(20 * SECOND);
   assert.ok(answeredHeartbeats() > before);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
 test('all jobs end although controllers crash in pairs during hand-offs and restart within a second', async () => {
@@ -472,7 +472,7 @@
       }
     }
     await cluster.run(60 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
@@ -497,7 +497,7 @@
     cloud.slowBootRate = 0;
     cluster.invariants.faultsEnded(clock.time);
     await cluster.run(160 * SECOND);
-    assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
+    assert.ok(cluster.history.counts.deletions > 0, 'no machine was deleted');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
   }
 });
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -34,7 +34,7 @@
   test(`late scale-out and deletion requests harm no machine in use, seed ${seed}`, async () => {
     const cluster = await runWithLateRequests(seed);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
-    assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
+    assert.ok(cluster.history.counts.deletions > 0, 'no machine was deleted');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
   });
 }
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -23,10 +23,12 @@
 const MAX_LEADER_VACANCY_MS = 4_500;
 const MAX_SHARD_VACANCY_MS = 6_500;
 
+/** Returns the index of the node that holds the role with the given key. */
 function holderOf(cluster: SimCluster, path: string): number {
   return Number(String(cluster.store.rows.get(path)?.value['Member']).slice('node-'.length));
 }
 
+/** Causes the fault in the leader of a new cluster, and records the vacancies of its roles. */
 async function replaceLeader(seed: number, cause: VacancyCause, meter: VacancyMeter): Promise<void> {
   const cluster = new SimCluster({ seed });
   const { clock, store, net } = cluster;
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -10,6 +10,7 @@
 
 const version = await loadProductionVersion();
 
+/** True if every node runs the current version. */
 function isUpgraded(cluster: SimCluster): boolean {
   return ![...Array(cluster.nodeCount).keys()].some((i) => cluster.isOld(i));
 }
