--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -337,11 +337,7 @@
 
 test('a hand-off that is not safe is refused with the reason', async () => {
   const reasons: string[] = [];
-  const requestHandOff = async (
-    cluster: SimCluster,
-    node: number,
-    role: 'lead' | number,
-  ): Promise<string> => {
+  const handOff = async (cluster: SimCluster, node: number, role: 'lead' | number): Promise<string> => {
     let reason = '';
     void cluster
       .controller(node)
@@ -355,16 +351,16 @@
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
   const other = (leader + 1) % cluster.nodeCount;
-  assert.match(await requestHandOff(cluster, other, 'lead'), /not held here: node-\d holds it/);
+  assert.match(await handOff(cluster, other, 'lead'), /not held here: node-\d holds it/);
   cluster.store.setOutage(true);
   await cluster.run(5 * SECOND);
-  assert.match(await requestHandOff(cluster, leader, 'lead'), /state service/);
+  assert.match(await handOff(cluster, leader, 'lead'), /state service/);
   cluster.store.setOutage(false);
   await cluster.run(10 * SECOND);
   const currentLeader = leaderOf(cluster);
   for (let i = 0; i < cluster.nodeCount; i++) if (i !== currentLeader) cluster.killNode(i);
   await cluster.run(8 * SECOND);
-  assert.match(await requestHandOff(cluster, currentLeader, 'lead'), /no other member/);
+  assert.match(await handOff(cluster, currentLeader, 'lead'), /no other member/);
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(10 * SECOND);
   await assertAllJobsEnd(cluster);
