--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -277,7 +277,7 @@
   /** Checks the invariants every 100 ms. */
   private checkInvariants(): void {
     this.services.failure.guard(() => {
-      this.services.invariants.check(this.clock.time);
+      this.services.invariants.checkDeadlines(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
       if (!this.isStopped) this.checkInvariants();
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -258,7 +258,7 @@
     }
     task.status = 'running';
     this.hasChanged = true;
-    const wasDone = invariants.isDone(task.taskName);
+    const wasDone = invariants.isTaskDone(task.taskName);
     const runTime = wasDone ? 0 : fromSeconds(spec.estimateS * (0.6 + random() * 0.8));
     const fails = this.options.isFaulty || spec.jobClass === 'broken';
     const finish = (): void => {
@@ -272,7 +272,7 @@
   /** Makes a task wait for the other tasks of its attempt. It occupies its machine meanwhile, without progress. */
   private joinGang(task: Task, spec: JobSpec): void {
     const { clock, gangs, invariants } = this.options;
-    if (invariants.isDone(task.taskName)) {
+    if (invariants.isTaskDone(task.taskName)) {
       // An earlier attempt has completed the task, and its result is stored.
       this.exitTask(task, 'done');
       return;
