--- a/packages/testkit/loopback-node.ts
+++ b/packages/testkit/loopback-node.ts
@@ -1,4 +1,4 @@
-/** A controller as a real process of this repository: started, frozen, thawed, killed and started again by its id. */
+/** A node as a real process on loopback, which trials start, suspend, resume, kill and start again. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -8,7 +8,7 @@
 const MAIN = fileURLToPath(new URL('../daemon/main.js', import.meta.url));
 const ZONES = ['east', 'west'];
 
-/** Name, zone and addresses of a node on loopback. */
+/** Name, zone and addresses of a node. */
 export interface NodeAddresses {
   member: string;
   zone: string;
@@ -29,8 +29,12 @@
   };
 }
 
-/** The platform's settings of one node; workers and leases are quicker than any real ones. */
-function platformSettings(self: NodeAddresses, all: readonly NodeAddresses[], services: Services): string {
+/** Returns the platform settings of one node as TOML. Heartbeat intervals and leases are shorter than any real ones. */
+function platformSettings(
+  self: NodeAddresses,
+  all: readonly NodeAddresses[],
+  services: ServiceAddresses,
+): string {
   const peers = all
     .filter((other) => other !== self)
     .flatMap((peer) => [
@@ -81,34 +85,36 @@
 }
 
 /** Addresses of the simulated services. */
-export interface Services {
+export interface ServiceAddresses {
   state: string;
   cloud: string;
 }
 
-/** A controller process on loopback. */
+/** A node's process on loopback. */
 export class LoopbackNode {
-  isFrozen = false;
+  /** True while the process is suspended. */
+  isSuspended = false;
   private child: ChildProcess | null = null;
   private readonly args: string[];
 
   constructor(
     readonly addresses: NodeAddresses,
     all: readonly NodeAddresses[],
-    services: Services,
+    services: ServiceAddresses,
     folder: string,
   ) {
     const config = join(folder, `${addresses.member}.toml`);
     const operator = join(folder, `${addresses.member}.xml`);
     writeFileSync(config, platformSettings(addresses, all, services));
     const listen = `<listen>${addresses.operators}</listen>`;
-    const stop = '<handOverOnStop>true</handOverOnStop>';
+    const handOverOnStop = '<handOverOnStop>true</handOverOnStop>';
     const recovery = '<recovery><noticeLoss>true</noticeLoss></recovery>';
-    const operations = `<operations>${listen}${stop}</operations>`;
+    const operations = `<operations>${listen}${handOverOnStop}</operations>`;
     writeFileSync(operator, `<micaworks>${operations}${recovery}</micaworks>`);
     this.args = [MAIN, '--config', config, '--operator', operator];
   }
 
+  /** True if the process runs or is suspended. */
   get isUp(): boolean {
     return this.child !== null;
   }
@@ -117,6 +123,7 @@
     return this.child?.pid;
   }
 
+  /** Starts the process unless it is up. */
   start(): void {
     if (this.child) return;
     const env = { ...process.env, LOG_LEVEL: 'error' };
@@ -127,17 +134,19 @@
     });
   }
 
-  freeze(): void {
-    this.isFrozen = this.child?.kill('SIGSTOP') ?? false;
+  /** Suspends the process with SIGSTOP. */
+  suspend(): void {
+    this.isSuspended = this.child?.kill('SIGSTOP') ?? false;
   }
 
-  thaw(): void {
+  /** Resumes the suspended process. */
+  resume(): void {
     this.child?.kill('SIGCONT');
-    this.isFrozen = false;
+    this.isSuspended = false;
   }
 
-  /** Asks the process to end, as for a planned stop; resolves with its exit code. */
-  retire(): Promise<number | null> {
+  /** Ends the process with SIGTERM, as a planned stop does; resolves with its exit code. */
+  stopGracefully(): Promise<number | null> {
     const { child } = this;
     this.child = null;
     return new Promise((resolve) => {
@@ -146,11 +155,11 @@
     });
   }
 
-  /** Ends the process, frozen or not. */
+  /** Ends the process with SIGKILL, whether it runs or is suspended. */
   kill(): void {
     const { child } = this;
     this.child = null;
-    this.isFrozen = false;
+    this.isSuspended = false;
     child?.kill('SIGKILL');
   }
 }
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -1,7 +1,7 @@
 /**
- * The controller as the version in production has it, to be run side by side with the present one. Its code lies under
- * `fixtures/` as that version's own build made it; see `fixtures/README.md`. This module alone knows the names that
- * version gives to its settings, its methods and its state, and maps them onto those of the present version.
+ * The controller of the production version, for tests that run it next to the current one. Its code is the output of
+ * that version's own build, in `fixtures/`; see `fixtures/README.md`. Only this module knows the names of that
+ * version's settings, methods and state. It maps them to those of the current version; its interfaces keep them.
  */
 import type { ServiceResponse } from '#api';
 import type { Destination, Logger, MachineStatus, Ping, ReplicaState } from '#cluster';
@@ -13,7 +13,7 @@
 
 const FIXTURE = new URL('../../packages/testkit/fixtures/production-version.mjs', import.meta.url);
 
-/** Settings under the names of the production version; all others have kept their names. */
+/** Settings of the production version. Those declared here have other names than in the current version. */
 interface ProductionSettings extends Omit<
   Settings,
   'heartbeatInterval' | 'workerLease' | 'cancellationDeadline' | 'machineListLag'
@@ -24,31 +24,31 @@
   readonly listLag: Micros;
 }
 
-/** Operators' settings under the names of the production version. */
+/** Operator settings of the production version. */
 interface ProductionTuning extends Omit<Tuning, 'priorityDoublingTime' | 'detectsDataLoss'> {
   readonly waitDoubles: Micros;
 }
 
-/** What the production version tells its peers. */
-interface ProductionPeerWord {
+/** The status that a controller of the production version reports to its peers. */
+interface ProductionPeerStatus {
   readonly token: number;
   readonly served: boolean;
   readonly referred: Record<string, number>;
 }
 
-interface ProductionPingAnswer {
+interface ProductionPingResult {
   readonly result: 'ok' | 'refused' | 'silent';
-  readonly word: ProductionPeerWord | null;
+  readonly word: ProductionPeerStatus | null;
 }
 
-interface ProductionParts {
+interface ProductionOptions {
   readonly settings: ProductionSettings;
   readonly tuning: ProductionTuning;
   readonly clock: Clock;
   readonly random: () => number;
   readonly incarnation: string;
   readonly call: HttpClient;
-  readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingAnswer>;
+  readonly ping: (endpoint: string, timeout: Micros) => Promise<ProductionPingResult>;
   readonly log: Logger;
 }
 
@@ -76,20 +76,20 @@
   readonly onHost: ReadonlyMap<string, ReadonlyMap<string, ProductionPlacement>>;
 }
 
-interface ProductionStateCopy {
+interface ProductionReplicaSnapshot {
   readonly member: string;
   readonly state: ReplicaState;
   readonly applied: number;
   readonly ledger: ProductionLedger;
 }
 
-/** The controller class of the production version, as far as a simulated cluster uses it. */
+/** The part of the production version's controller that a simulated cluster uses. */
 interface ProductionController {
   start(): void;
   report(body: unknown): Promise<ServiceResponse>;
   health(): ServiceResponse;
-  word(): ProductionPeerWord;
-  stateCopy(): ProductionStateCopy;
+  word(): ProductionPeerStatus;
+  stateCopy(): ProductionReplicaSnapshot;
   readonly users: {
     submit(body: unknown): Promise<ServiceResponse>;
     show(id: string): Promise<ServiceResponse>;
@@ -97,11 +97,12 @@
   };
 }
 
-/** Makes controllers of the production version. */
+/** Creates controllers of the production version. */
 export interface ProductionVersion {
   createController(options: ControllerOptions): SimulatedController;
 }
 
+/** Machine statuses of the current version. Keyed by those of the production version. */
 const MACHINE_STATUSES: Readonly<Record<ProductionMachineStatus, MachineStatus>> = {
   new: 'new',
   up: 'up',
@@ -111,15 +112,15 @@
   lost: 'lost',
 };
 
-/** Loads the controller of the version in production. */
+/** Loads the controller of the production version. */
 export async function loadProductionVersion(): Promise<ProductionVersion> {
   const fixture = (await import(FIXTURE.href)) as {
-    Controller: new (parts: ProductionParts) => ProductionController;
+    Controller: new (parts: ProductionOptions) => ProductionController;
   };
-  return { createController: (options) => adapt(new fixture.Controller(partsOf(options))) };
+  return { createController: (options) => toSimulatedController(new fixture.Controller(optionsOf(options))) };
 }
 
-function adapt(controller: ProductionController): SimulatedController {
+function toSimulatedController(controller: ProductionController): SimulatedController {
   const { users } = controller;
   return {
     start: () => {
@@ -138,7 +139,7 @@
   };
 }
 
-function partsOf(options: ControllerOptions): ProductionParts {
+function optionsOf(options: ControllerOptions): ProductionOptions {
   return {
     settings: settingsOf(options.settings),
     tuning: tuningOf(options.tuning),
@@ -167,19 +168,23 @@
   return { ...others, waitDoubles: priorityDoublingTime };
 }
 
-function pingOf(ping: Ping): ProductionParts['ping'] {
+function pingOf(ping: Ping): ProductionOptions['ping'] {
   return async (endpoint, timeout) => {
     const answer = await ping(endpoint, timeout);
     if (answer.status === null) return { result: answer.result, word: null };
-    const { status: word } = answer;
+    const { status } = answer;
     return {
       result: answer.result,
-      word: { token: word.fencingToken, served: word.isStoreReachable, referred: word.redirectedWorkers },
+      word: {
+        token: status.fencingToken,
+        served: status.isStoreReachable,
+        referred: status.redirectedWorkers,
+      },
     };
   };
 }
 
-function replicaFactsOf({ member, state, applied, ledger }: ProductionStateCopy): ReplicaFacts {
+function replicaFactsOf({ member, state, applied, ledger }: ProductionReplicaSnapshot): ReplicaFacts {
   return { member, state, applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
 }
 
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -1,7 +1,7 @@
 /**
- * The hard cases of docs/duties.md: a holder that stands still at the worst moment, requests that are carried out long
- * after its term, clocks that disagree, and hand-overs in the middle of failures. The checker of histories throws
- * on every effect that no term and no record covers; each test asserts that what it is about did occur.
+ * The edge cases of docs/duties.md: a role holder that is suspended at the worst moment, requests that are executed long
+ * after its term, clocks that disagree, and hand-offs during faults. The role history checker throws on every effect
+ * that no term and no record allows. Each test asserts that the case in question did occur.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,64 +11,66 @@
 import { randomArray } from './random-jobs.js';
 import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { sampleJob } from './sample-job.js';
-import { CLOUD } from './sample-settings.js';
+import { CLOUD_ENDPOINT } from './sample-settings.js';
 import { SimCluster } from './sim-cluster.js';
 import type { SimClusterOptions } from './sim-cluster-options.js';
 
 const TEAMS = ['blue', 'green', 'red'].map((name) => ({ name, cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 2 }));
-/** Longer than the life of the grant on which all duties hang, and than a worker's lease. */
-const OVER_A_TERM = 12 * SECOND;
+/** Longer than the lease of a node, on which all its roles depend, and than a worker's lease. */
+const LONGER_THAN_LEASE = 12 * SECOND;
 
-/** Three teams whose jobs come and go, so that machines are rented and returned all the time. */
+/** Creates a cluster in which jobs of three teams start and end continuously, so that it scales out and in all the time. */
 function createBusyCluster(options: SimClusterOptions): SimCluster {
   const cluster = new SimCluster({ ...options, settings: { teams: TEAMS, ...options.settings } });
   const { random, clock } = cluster;
-  let jobs = 0;
+  let jobCount = 0;
   const arrive = (): void => {
     if (clock.time > 150 * SECOND) return;
-    const team = TEAMS[jobs % TEAMS.length]?.name ?? '';
+    const team = TEAMS[jobCount % TEAMS.length]?.name ?? '';
     const taskCount = 2 + Math.floor(random() * 6);
-    cluster.submit(sampleJob(`j-${jobs++}`, { team, taskCount, estimateS: 5 + random() * 20 }));
+    cluster.submit(sampleJob(`j-${jobCount++}`, { team, taskCount, estimateS: 5 + random() * 20 }));
     clock.at((4 + random() * 8) * SECOND, arrive);
   };
   clock.at(SECOND, arrive);
   return cluster;
 }
 
+/** Returns the node that is the leader, or -1 if there is none. */
 function leaderOf(cluster: SimCluster): number {
   const row = cluster.store.rows.get(LEADER_KEY);
   return row ? Number(String(row.value['Member']).slice('node-'.length)) : -1;
 }
 
+/** Returns the leader's term, or 0 if there is no leader. */
 function termOf(cluster: SimCluster): number {
   return cluster.store.rows.get(LEADER_KEY)?.revision ?? 0;
 }
 
-/** Calls once, when the leader's log takes a record with one of these fields. */
-function onceRecorded(cluster: SimCluster, field: keyof WireFields, act: () => void): void {
+/** Calls the callback when, after 25 s, a record with the given field is first committed to the leader's log. */
+function onFirstRecord(cluster: SimCluster, field: keyof WireFields, callback: () => void): void {
   const { afterApply } = cluster.store;
-  let isOver = false;
+  let hasOccurred = false;
   cluster.store.afterApply = (writes) => {
     afterApply(writes);
-    const isIt = (write: WireFields): boolean => {
-      const isLeaders = String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
-      return isLeaders && isWireFields(write['V']) && write['V'][field] !== undefined;
+    const isInRecord = (write: WireFields): boolean => {
+      const isInLeaderLog = String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
+      return isInLeaderLog && isWireFields(write['V']) && write['V'][field] !== undefined;
     };
-    if (isOver || cluster.clock.time < 25 * SECOND || !writes.some(isIt)) return;
-    isOver = true;
-    act();
+    if (hasOccurred || cluster.clock.time < 25 * SECOND || !writes.some(isInRecord)) return;
+    hasOccurred = true;
+    callback();
   };
 }
 
-/** Runs on until all work is over, and demands that nothing was lost. */
-async function finish(cluster: SimCluster): Promise<void> {
+/** Runs on without faults, and asserts that all jobs have ended. */
+async function assertAllJobsEnd(cluster: SimCluster): Promise<void> {
   cluster.invariants.faultsEnded(cluster.clock.time);
   await cluster.run(160 * SECOND);
   assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
   assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
 }
 
-test('requests to the cloud that stay behind with a replaced leader harm nobody, after one successor and after two', async () => {
+test('cloud requests of a replaced leader that arrive late do no harm, after one successor and after two', async () => {
   for (const [seed, successors] of [
     [201, 1],
     [202, 2],
@@ -77,25 +79,25 @@
   ] as const) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const first = leaderOf(cluster);
-    const name = `node-${first}`;
-    cluster.net.hold(name, CLOUD);
+    const firstLeader = leaderOf(cluster);
+    const name = `node-${firstLeader}`;
+    cluster.net.hold(name, CLOUD_ENDPOINT);
     await cluster.run(20 * SECOND);
     for (let i = 0; i < successors; i++) {
       const leader = leaderOf(cluster);
       const term = termOf(cluster);
-      cluster.freezeNode(leader, OVER_A_TERM);
-      await cluster.run(OVER_A_TERM + SECOND);
-      assert.notEqual(termOf(cluster), term, 'nobody took over');
+      cluster.suspendNode(leader, LONGER_THAN_LEASE);
+      await cluster.run(LONGER_THAN_LEASE + SECOND);
+      assert.notEqual(termOf(cluster), term, 'no new term began');
     }
-    const held = cluster.net.release(name, CLOUD);
-    assert.ok(held > 0, 'nothing was held');
+    const held = cluster.net.release(name, CLOUD_ENDPOINT);
+    assert.ok(held > 0, 'no request was held back');
     await cluster.run(40 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('a leader that stands still between its record and its request leaves an intent that the successor finishes', async () => {
+test('the successor completes the intent of a leader that was suspended between its record and its request', async () => {
   for (const [seed, field] of [
     [211, 'rentals'],
     [212, 'rentals'],
@@ -103,51 +105,51 @@
     [214, 'moves'],
   ] as const) {
     const cluster = createBusyCluster({ seed });
-    let frozen = -1;
+    let suspended = -1;
     let term = 0;
-    onceRecorded(cluster, field, () => {
-      frozen = leaderOf(cluster);
+    onFirstRecord(cluster, field, () => {
+      suspended = leaderOf(cluster);
       term = termOf(cluster);
-      cluster.freezeNode(frozen, OVER_A_TERM);
+      cluster.suspendNode(suspended, LONGER_THAN_LEASE);
     });
     await cluster.run(100 * SECOND);
-    assert.ok(frozen >= 0, `no ${field} were recorded`);
-    assert.notEqual(termOf(cluster), term, 'nobody took over');
-    await finish(cluster);
-    const open = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
-    assert.deepEqual(open?.scaleOutRequests, [], 'a rental was left open');
+    assert.ok(suspended >= 0, `no ${field} were recorded`);
+    assert.notEqual(termOf(cluster), term, 'no new term began');
+    await assertAllJobsEnd(cluster);
+    const openIntents = cluster.controller(leaderOf(cluster))?.roleStatus().roles[0]?.openIntents;
+    assert.deepEqual(openIntents?.scaleOutRequests, [], 'a scale-out request is still open');
   }
 });
 
-test('a leader that stands still between act and record, and is leader again later, records nothing of its old term', async () => {
+test('a leader that is suspended between request and record and leads again later records nothing of its old term', async () => {
   for (const seed of [221, 222, 223]) {
     const cluster = createBusyCluster({ seed });
     const { cloud } = cluster;
-    const { onScaleOut: onRented } = cloud;
-    const frozen: { node: number; term: number }[] = [];
+    const { onScaleOut: originalOnScaleOut } = cloud;
+    const suspended: { node: number; term: number }[] = [];
     cloud.onScaleOut = (name, sender) => {
-      onRented(name, sender);
-      if (frozen.length > 0) return;
+      originalOnScaleOut(name, sender);
+      if (suspended.length > 0) return;
       const node = leaderOf(cluster);
-      frozen.push({ node, term: termOf(cluster) });
-      cluster.freezeNode(node, OVER_A_TERM);
+      suspended.push({ node, term: termOf(cluster) });
+      cluster.suspendNode(node, LONGER_THAN_LEASE);
     };
     await cluster.run(60 * SECOND);
-    const [old] = frozen;
-    assert.ok(old, 'nothing was rented');
-    assert.notEqual(termOf(cluster), old.term, 'nobody took over');
-    // The others end, so that the old leader leads again, under a later term.
-    for (let i = 0; i < cluster.nodeCount; i++) if (i !== old.node) cluster.killNode(i);
+    const [oldLeader] = suspended;
+    assert.ok(oldLeader, 'no scale-out was requested');
+    assert.notEqual(termOf(cluster), oldLeader.term, 'no new term began');
+    // The other nodes are killed, so that the old leader leads again under a later term.
+    for (let i = 0; i < cluster.nodeCount; i++) if (i !== oldLeader.node) cluster.killNode(i);
     await cluster.run(10 * SECOND);
-    assert.equal(leaderOf(cluster), old.node);
-    assert.ok(termOf(cluster) > old.term);
+    assert.equal(leaderOf(cluster), oldLeader.node);
+    assert.ok(termOf(cluster) > oldLeader.term);
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(30 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('clocks that are hours apart cost time, never a machine in use', async () => {
+test('wall clocks that are hours apart cause delays but never the deletion of a machine in use', async () => {
   for (const seed of [231, 232, 233]) {
     const hours = [-2, 0, 3];
     const clockError = (index: number): { drift: number; wallClockOffset: number } => ({
@@ -161,19 +163,19 @@
     await cluster.run(200 * SECOND);
     cluster.cloud.lateRequestRate = 0;
     cluster.cloud.slowBootRate = 0;
-    // Times of day in the records make some waits as long as the clocks are apart: nothing is asked of those.
+    // Wall-clock times in the records can make waits as long as the clock differences, so the end of jobs is not asserted.
     await cluster.run(200 * SECOND);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
   }
 });
 
-test('a holder whose monotonic clock runs far too slowly or too fast is fenced all the same', async () => {
+test('a leader whose monotonic clock runs far too slowly or too fast is still fenced', async () => {
   for (const [seed, drift] of [
     [241, -0.6],
     [242, -0.9],
     [243, 0.6],
   ] as const) {
-    // One node's clock is wrong; nothing but leaders is troubled, since proofs of workers' leases do rest on clocks.
+    // Only one node's clock is wrong, and only leaders get faults, because proofs of expired worker leases rely on clocks.
     const clockError = (index: number): { drift: number; wallClockOffset: number } => ({
       drift: index === 0 ? drift : 0,
       wallClockOffset: 0,
@@ -183,72 +185,72 @@
     for (let i = 0; i < 5; i++) {
       await cluster.run(15 * SECOND);
       terms.add(termOf(cluster));
-      cluster.freezeNode(leaderOf(cluster), 5 * SECOND);
+      cluster.suspendNode(leaderOf(cluster), 5 * SECOND);
     }
     await cluster.run(60 * SECOND);
-    assert.ok(terms.size > 2, 'the lead did not change hands');
-    await finish(cluster);
+    assert.ok(terms.size > 2, 'the leader did not change');
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('the commit of an old leader that lands late has no effect', async () => {
+test('a late commit of an old leader has no effect', async () => {
   for (const seed of [251, 252, 253]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
-    const isLeaders = (write: WireFields): boolean =>
+    const oldLeader = leaderOf(cluster);
+    const isInLeaderLog = (write: WireFields): boolean =>
       String(write['Set'] ?? '').startsWith(`${LOG_PREFIX}lead/`);
     let delayed = 0;
-    cluster.store.isLate = (writes) => {
-      if (!writes.some(isLeaders)) return false;
+    cluster.store.delaysCommit = (writes) => {
+      if (!writes.some(isInLeaderLog)) return false;
       delayed++;
       return true;
     };
     for (let i = 0; i < 60 && delayed === 0; i++) await cluster.run(0.5 * SECOND);
     assert.ok(delayed > 0, 'the leader recorded nothing');
-    cluster.freezeNode(old, OVER_A_TERM);
-    cluster.store.isLate = () => false;
-    await cluster.run(OVER_A_TERM + SECOND);
-    assert.ok(cluster.store.lateCommits.came > 0, 'no commit came late');
-    await finish(cluster);
+    cluster.suspendNode(oldLeader, LONGER_THAN_LEASE);
+    cluster.store.delaysCommit = () => false;
+    await cluster.run(LONGER_THAN_LEASE + SECOND);
+    assert.ok(cluster.store.lateCommits.executed > 0, 'no commit arrived late');
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('a renewal that arrives after its lease has expired revives nothing', async () => {
+test('a renewal that arrives after its lease has expired does not restore the leadership', async () => {
   const cluster = createBusyCluster({ seed: 261 });
   await cluster.run(30 * SECOND);
-  const old = leaderOf(cluster);
+  const oldLeader = leaderOf(cluster);
   const term = termOf(cluster);
-  cluster.net.hold(`node-${old}`, '10.2.0.1:2379');
+  cluster.net.hold(`node-${oldLeader}`, '10.2.0.1:2379');
   await cluster.run(5 * SECOND);
-  assert.notEqual(termOf(cluster), term, 'the grant did not end');
-  assert.ok(cluster.net.release(`node-${old}`, '10.2.0.1:2379') > 0, 'nothing was under way');
+  assert.notEqual(termOf(cluster), term, 'the lease did not expire');
+  assert.ok(cluster.net.release(`node-${oldLeader}`, '10.2.0.1:2379') > 0, 'no message was held back');
   await cluster.run(5 * SECOND);
   assert.notEqual(termOf(cluster), term);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
-test('a leader that is refused alone, then with all, keeps or loses the lead, and nothing is done twice', async () => {
+test('a leader that the state service refuses before an outage is replaced, and nothing is done twice', async () => {
   for (const seed of [271, 272]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
-    cluster.store.refusedNodes.add(`node-${old}`);
+    const oldLeader = leaderOf(cluster);
+    cluster.store.refusedNodes.add(`node-${oldLeader}`);
     await cluster.run(2 * SECOND);
     cluster.store.setOutage(true);
     await cluster.run(20 * SECOND);
     cluster.store.setOutage(false);
     await cluster.run(5 * SECOND);
-    assert.notEqual(leaderOf(cluster), old, 'it still leads though it is refused');
+    assert.notEqual(leaderOf(cluster), oldLeader, 'the refused node is still the leader');
     cluster.store.refusedNodes.clear();
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('a leader partitioned from the cloud, its peers or its workers only keeps the invariants', async () => {
-  const cuts: ((cluster: SimCluster, leader: number) => string[])[] = [
-    (_cluster, leader) => [`node-${leader}>${CLOUD}`],
+test('invariants hold when a leader is partitioned from only the cloud, its workers or its peers', async () => {
+  const partitions: ((cluster: SimCluster, leader: number) => string[])[] = [
+    (_cluster, leader) => [`node-${leader}>${CLOUD_ENDPOINT}`],
     (cluster, leader) => [...cluster.workers.keys()].map((host) => `${host}>10.0.0.${leader}:80`),
     (cluster, leader) =>
       [...Array(cluster.nodeCount).keys()].flatMap((i) => [
@@ -256,7 +258,7 @@
         `node-${i}>10.0.0.${leader}:81`,
       ]),
   ];
-  for (const [i, linksOf] of cuts.entries()) {
+  for (const [i, linksOf] of partitions.entries()) {
     const cluster = createBusyCluster({ seed: 281 + i });
     await cluster.run(30 * SECOND);
     const links = linksOf(cluster, leaderOf(cluster));
@@ -264,28 +266,28 @@
     await cluster.run(40 * SECOND);
     for (const link of links) cluster.net.refusedLinks.delete(link);
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('leadership is handed over on request, to another node and within a second', async () => {
+test('leadership is handed off to another node on request', async () => {
   const cluster = createBusyCluster({ seed: 291 });
   await cluster.run(30 * SECOND);
-  const old = leaderOf(cluster);
+  const oldLeader = leaderOf(cluster);
   const term = termOf(cluster);
   const results: string[] = [];
   void cluster
-    .controller(old)
+    .controller(oldLeader)
     ?.resignRole('lead')
     .then((result) => results.push(result.kind));
   await cluster.run(6 * SECOND);
   assert.deepEqual(results, ['handed_over']);
   assert.ok(termOf(cluster) > term);
-  assert.notEqual(leaderOf(cluster), old);
-  await finish(cluster);
+  assert.notEqual(leaderOf(cluster), oldLeader);
+  await assertAllJobsEnd(cluster);
 });
 
-test('a shard is handed over on request: the leader assigns it to another node under a higher fencing token', async () => {
+test('a shard is handed off on request: the leader assigns it to another node under a higher fencing token', async () => {
   const cluster = createBusyCluster({ seed: 292 });
   await cluster.run(30 * SECOND);
   const ownerOf = (shard: number): unknown =>
@@ -303,35 +305,39 @@
   assert.deepEqual(results, ['handed_over']);
   assert.notEqual(ownerOf(1), owner);
   assert.ok(tokenOf() > fencingToken);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
-test('a node that is stopped on purpose leaves nothing vacant for as long as a grant lives', async () => {
+test('a node that is shut down hands off its roles in less time than its lease would take to expire', async () => {
   for (const seed of [297, 298]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = leaderOf(cluster);
+    const oldLeader = leaderOf(cluster);
     const ownedBy = (node: number): number[] =>
       [0, 1, 2].filter(
         (shard) => cluster.store.rows.get(`mw/now/share/${shard}`)?.value['Member'] === `node-${node}`,
       );
-    void cluster.controller(old)?.retire();
-    // Half of what a grant lives after its last renewal.
+    void cluster.controller(oldLeader)?.retire();
+    // Half of the lease duration.
     await cluster.run(1.5 * SECOND);
-    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== old, 'nobody leads');
-    assert.equal(cluster.store.rows.has(`mw/now/member/node-${old}`), false);
-    assert.equal([0, 1, 2].filter((node) => node !== old).flatMap(ownedBy).length, 3, 'a shard has no owner');
-    cluster.killNode(old);
+    assert.ok(leaderOf(cluster) >= 0 && leaderOf(cluster) !== oldLeader, 'no node is the leader');
+    assert.equal(cluster.store.rows.has(`mw/now/member/node-${oldLeader}`), false);
+    assert.equal(
+      [0, 1, 2].filter((node) => node !== oldLeader).flatMap(ownedBy).length,
+      3,
+      'a shard has no owner',
+    );
+    cluster.killNode(oldLeader);
     await cluster.run(5 * SECOND);
-    cluster.startNode(old);
+    cluster.startNode(oldLeader);
     await cluster.run(20 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('a hand-over is refused with the reason where it can not be done safely', async () => {
+test('a hand-off that is not safe is refused with the reason', async () => {
   const reasons: string[] = [];
-  const ask = async (cluster: SimCluster, node: number, role: 'lead' | number): Promise<string> => {
+  const handOff = async (cluster: SimCluster, node: number, role: 'lead' | number): Promise<string> => {
     let reason = '';
     void cluster
       .controller(node)
@@ -345,22 +351,22 @@
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
   const other = (leader + 1) % cluster.nodeCount;
-  assert.match(await ask(cluster, other, 'lead'), /not held here: node-\d holds it/);
+  assert.match(await handOff(cluster, other, 'lead'), /not held here: node-\d holds it/);
   cluster.store.setOutage(true);
   await cluster.run(5 * SECOND);
-  assert.match(await ask(cluster, leader, 'lead'), /state service/);
+  assert.match(await handOff(cluster, leader, 'lead'), /state service/);
   cluster.store.setOutage(false);
   await cluster.run(10 * SECOND);
-  const present = leaderOf(cluster);
-  for (let i = 0; i < cluster.nodeCount; i++) if (i !== present) cluster.killNode(i);
+  const currentLeader = leaderOf(cluster);
+  for (let i = 0; i < cluster.nodeCount; i++) if (i !== currentLeader) cluster.killNode(i);
   await cluster.run(8 * SECOND);
-  assert.match(await ask(cluster, present, 'lead'), /no other member/);
+  assert.match(await handOff(cluster, currentLeader, 'lead'), /no other member/);
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(10 * SECOND);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
-test('shards are handed over only once every node has announced the hand-over capability', async () => {
+test('shards are handed off only once every node has announced the hand-off capability', async () => {
   const version = await loadProductionVersion();
   const cluster = createBusyCluster({ seed: 294, production: { version } });
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
@@ -368,7 +374,7 @@
   const shard = [0, 1, 2].find(
     (s) => cluster.store.rows.get(`mw/now/share/${s}`)?.value['Member'] === 'node-0',
   );
-  assert.ok(shard !== undefined, 'node-0 owns nothing');
+  assert.ok(shard !== undefined, 'node-0 owns no shard');
   let reason = '';
   void cluster
     .controller(0)
@@ -380,43 +386,47 @@
   for (const [path, { value }] of members) assert.equal(value['Resigned'], undefined, path);
   cluster.upgradeNode(2, SECOND);
   await cluster.run(40 * SECOND);
-  await finish(cluster);
+  await assertAllJobsEnd(cluster);
 });
 
-test('an unreadable row of a role blocks that role alone, is logged and ends no node', async () => {
+test('an unreadable row of a role blocks only that role, is logged and crashes no node', async () => {
   const errors: string[] = [];
-  const note = (fields: object): void => {
+  const recordKey = (fields: object): void => {
     if ('key' in fields) errors.push(String(fields.key));
   };
-  const log = { debug: () => undefined, info: () => undefined, error: note };
+  const log = { debug: () => undefined, info: () => undefined, error: recordKey };
   const cluster = createBusyCluster({ seed: 295, log });
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
-  const spoil = (path: string, value: WireFields): void => {
-    // As if a foreign hand had written it, with the grant that the row had.
+  const corruptRow = (path: string, value: WireFields): void => {
+    // Simulates a write by another program that keeps the lease of the row.
     const Permit = cluster.store.rows.get(path)?.leaseId ?? null;
-    cluster.store.spoil({ Set: path, V: value, Permit });
+    cluster.store.writeUnguarded({ Set: path, V: value, Permit });
   };
-  spoil(LEADER_KEY, { Member: 7 });
-  spoil('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
+  corruptRow(LEADER_KEY, { Member: 7 });
+  corruptRow('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
   await cluster.run(5 * SECOND);
   assert.ok(errors.includes(LEADER_KEY) && errors.includes('mw/now/share/1'), errors.join(' '));
   for (let i = 0; i < cluster.nodeCount; i++) {
     assert.equal(
       cluster.controller(i)?.leaderTerm(),
       null,
-      'somebody leads under a row that nobody can read',
+      'a node leads although the leader row is unreadable',
     );
     assert.equal(cluster.health(i), 200);
   }
-  // Its grant ends with the process that wrote it before: then the lead is free again.
+  // The lease of the row expires with the process that created it. After that the leadership is vacant again.
   cluster.killNode(leader);
   await cluster.run(10 * SECOND);
   cluster.startNode(leader);
   await cluster.run(20 * SECOND);
   assert.ok(leaderOf(cluster) >= 0);
-  assert.notEqual(cluster.store.rows.get('mw/now/share/1')?.value['Token'], 'many', 'it was not dealt anew');
-  await finish(cluster);
+  assert.notEqual(
+    cluster.store.rows.get('mw/now/share/1')?.value['Token'],
+    'many',
+    'the shard was not reassigned',
+  );
+  await assertAllJobsEnd(cluster);
 });
 
 test('while the fencing token is unreadable no worker is answered and no shard assigned; all resumes once it is readable', async () => {
@@ -424,22 +434,22 @@
   await cluster.run(30 * SECOND);
   const row = cluster.store.rows.get('mw/now/token');
   assert.ok(row);
-  cluster.store.spoil({ Set: 'mw/now/token', V: { Token: 'many' } });
+  cluster.store.writeUnguarded({ Set: 'mw/now/token', V: { Token: 'many' } });
   await cluster.run(3 * SECOND);
-  const answered = (): number => [0, 1, 2].reduce((sum, i) => sum + cluster.heartbeatCount(i), 0);
-  const before = answered();
+  const answeredHeartbeats = (): number => [0, 1, 2].reduce((sum, i) => sum + cluster.heartbeatCount(i), 0);
+  const before = answeredHeartbeats();
   cluster.killNode(leaderOf(cluster));
   await cluster.run(8 * SECOND);
-  assert.equal(answered(), before, 'workers were answered under no token');
+  assert.equal(answeredHeartbeats(), before, 'workers were answered without a fencing token');
   assert.deepEqual(cluster.store.rows.get('mw/now/token')?.value, { Token: 'many' });
-  cluster.store.spoil({ Set: 'mw/now/token', V: row.value });
+  cluster.store.writeUnguarded({ Set: 'mw/now/token', V: row.value });
   for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
   await cluster.run(20 * SECOND);
-  assert.ok(answered() > before);
-  await finish(cluster);
+  assert.ok(answeredHeartbeats() > before);
+  await assertAllJobsEnd(cluster);
 });
 
-test('controllers end in pairs in the middle of a hand-over and are back within a fraction of a second', async () => {
+test('all jobs end although controllers crash in pairs during hand-offs and restart within a second', async () => {
   for (const seed of [301, 302, 303, 304]) {
     const cluster = createBusyCluster({ seed });
     const { random, clock } = cluster;
@@ -458,11 +468,11 @@
       }
     }
     await cluster.run(60 * SECOND);
-    await finish(cluster);
+    await assertAllJobsEnd(cluster);
   }
 });
 
-test('beside the version in production, which knows neither records nor hand-overs, nothing of ours goes unrecorded', async () => {
+test('next to the production version, which has no records or hand-offs, the current version leaves nothing unrecorded', async () => {
   const version = await loadProductionVersion();
   for (const seed of [311, 312, 313]) {
     const cluster = new SimCluster({ seed, production: { version } });
@@ -471,7 +481,7 @@
     cloud.slowBootRate = 0.2;
     submitRandomJobs(cluster, { until: 140 * SECOND, maxGapS: 5, createJob: randomArray });
     scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 140 * SECOND, minGapS: 5, extraGapS: 20 });
-    // Two nodes are upgraded, and one comes back old only at the end of the run.
+    // Two nodes are upgraded; the third runs the production version until the end of the run.
     clock.at(40 * SECOND, () => {
       cluster.upgradeNode(0, SECOND);
     });
@@ -483,7 +493,7 @@
     cloud.slowBootRate = 0;
     cluster.invariants.faultsEnded(clock.time);
     await cluster.run(160 * SECOND);
-    assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
+    assert.ok(cluster.history.counts.deletions > 0, 'no machine was deleted');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
   }
 });
--- a/packages/testkit/sim-clock.ts
+++ b/packages/testkit/sim-clock.ts
@@ -1,28 +1,32 @@
-/** Simulated time: a queue of events that tests play as fast as they can. */
+/** Simulated time: a queue of events that a test executes as fast as the machine allows. */
 import type { Clock, Micros, Timer } from '#wire';
 
-interface Event {
+interface ScheduledEvent {
   at: Micros;
   order: number;
   run: () => void;
 }
 
 /**
- * Lets a step happen to a process: at once, never if the process is gone, or once it moves again if it stands
- * still meanwhile.
+ * Delivers a step (a timer, a response or a request) to a simulated process. It runs the step at once if the process
+ * runs, after the process is resumed if it is suspended, and never if the process has ended.
  */
 export type Gate = (step: () => void) => void;
 
-/** Time as the stand-ins see it: simulated, or that of the machine. */
+/** The clock of the simulated services: simulated time, or the monotonic time of the machine. */
 export interface SimulationClock {
+  /** The current time. */
   readonly time: Micros;
+  /** Schedules a callback that runs after the delay. */
   at(delay: Micros, run: () => void): Timer;
 }
 
-/** Simulated time: events in order, each followed by everything that it made ready. */
+/** Simulated time. Events run one by one, ordered by time; what an event triggers settles before the next event. */
 export class SimClock implements SimulationClock {
   time: Micros = 1_000_000;
-  private heap: Event[] = [];
+  /** A binary heap; the earliest event is at index 0. */
+  private heap: ScheduledEvent[] = [];
+  /** Number of events scheduled so far; events at the same time run in the order in which they were scheduled. */
   private order = 0;
 
   at(delay: Micros, run: () => void): Timer {
@@ -36,10 +40,10 @@
   }
 
   /**
-   * A process's own view: its steady clock runs a little off, its time of day too; its timers die with it. Both
-   * clocks run on while it stands still.
+   * Creates the clock of one simulated process. Its monotonic clock drifts by the given part, and its wall clock is off
+   * by the given offset. Its timers end with the process. Both clocks continue while the process is suspended.
    */
-  view(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
+  createProcessClock(gate: Gate, drift: number, wallClockOffset: Micros): Clock {
     return {
       now: () => Math.floor(this.time * (1 + drift)),
       wall: () => 1_790_000_000_000_000 + this.time + wallClockOffset,
@@ -60,7 +64,7 @@
     };
   }
 
-  /** Plays all events up to `until`; `afterEach` runs once all that an event set off has settled. */
+  /** Runs all events up to `until`. Calls `afterEach` after each event, once all that it triggered has settled. */
   async run(until: Micros, afterEach: () => void): Promise<void> {
     for (;;) {
       const next = this.heap[0];
@@ -75,18 +79,18 @@
     this.time = until;
   }
 
-  private before(a: Event, b: Event): boolean {
+  private isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
     return a.at < b.at || (a.at === b.at && a.order < b.order);
   }
 
-  private push(event: Event): void {
+  private push(event: ScheduledEvent): void {
     const heap = this.heap;
     let i = heap.push(event) - 1;
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!this.before(event, heap[up] as Event)) break;
-      heap[i] = heap[up] as Event;
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!this.isBefore(event, heap[parent] as ScheduledEvent)) break;
+      heap[i] = heap[parent] as ScheduledEvent;
+      i = parent;
     }
     heap[i] = event;
   }
@@ -99,9 +103,13 @@
     for (;;) {
       let child = 2 * i + 1;
       if (child >= heap.length) break;
-      if (child + 1 < heap.length && this.before(heap[child + 1] as Event, heap[child] as Event)) child++;
-      if (!this.before(heap[child] as Event, last)) break;
-      heap[i] = heap[child] as Event;
+      if (
+        child + 1 < heap.length &&
+        this.isBefore(heap[child + 1] as ScheduledEvent, heap[child] as ScheduledEvent)
+      )
+        child++;
+      if (!this.isBefore(heap[child] as ScheduledEvent, last)) break;
+      heap[i] = heap[child] as ScheduledEvent;
       i = child;
     }
     heap[i] = last;
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -1,44 +1,50 @@
-/** Gangs as the workers run them: tasks of one attempt find each other, start together and complete together. */
+/** Simulated execution of gangs: the tasks of one attempt find each other, start together and complete together. */
 import { fromSeconds, type JobSpec, type Micros, SECOND } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 
-/** A gang's task on its machine, as the others of the gang see it. */
+/** A task of a gang on its machine, as the gang's other tasks see it. */
 export interface GangMember {
   readonly task: string;
-  /** It is on its machine and makes progress there; a machine that hangs does not answer. */
+  /** True if the task is on its machine and makes progress; false on a machine that hangs. */
   isAnswering(): boolean;
+  /** Called once all tasks of the attempt are present. */
   started(): void;
+  /** Called when the gang has completed. */
   completed(): void;
+  /** Called when the task notices that another task of its attempt is lost. */
   lostPeer(): void;
 }
 
 /** Time limits of gangs. */
 export interface GangTimes {
-  /** For how long a task waits for the others. */
-  wait: Micros;
-  /** Within what time a task notices that another one is gone. */
-  peer: Micros;
+  /** How long a task waits for the other tasks of its attempt. */
+  gatherTimeout: Micros;
+  /** Longest time until a task notices the loss of another one. */
+  peerLossTimeout: Micros;
 }
 
 type RunState = 'gathering' | 'running' | 'broken' | 'done';
 
+/** One attempt of a gang. */
 interface GangRun {
   state: RunState;
+  /** Keyed by task name. */
   members: Map<string, GangMember>;
   startedAt: Micros;
 }
 
-/** How often the tasks of a running gang look after each other. */
-const WATCH_EVERY: Micros = SECOND / 2;
+/** Interval at which the tasks of a running gang check each other. */
+const MEMBER_CHECK_INTERVAL: Micros = SECOND / 2;
 
-/** All gangs of a cluster, as their workers see them. */
+/** All gangs of a cluster. */
 export class SimGangs {
-  /** By job and attempt. */
+  /** Keyed by `job#attempt`. */
   private readonly runs = new Map<string, GangRun>();
-  /** By job: progress that was saved, which the next attempt goes on from. */
-  private readonly saved = new Map<string, Micros>();
+  /** Progress in the last checkpoint, from which the next attempt continues. Keyed by job id. */
+  private readonly checkpoints = new Map<string, Micros>();
+  /** Total run time, drawn at random. Keyed by job id. */
   private readonly runTimes = new Map<string, Micros>();
-  /** Attempts that came together. */
+  /** Number of attempts whose tasks started together. */
   starts = 0;
 
   constructor(
@@ -47,22 +53,22 @@
     readonly times: GangTimes,
   ) {}
 
-  /** The task has its image and waits for the others of its attempt. */
-  arrive(spec: JobSpec, attempt: number, member: GangMember): void {
-    const run = this.run(spec.id, attempt);
+  /** Adds a task that has its image; the attempt starts once all of its tasks have joined. */
+  join(spec: JobSpec, attempt: number, member: GangMember): void {
+    const run = this.findOrCreateRun(spec.id, attempt);
     run.members.set(member.task, member);
     if (run.state === 'gathering' && run.members.size === spec.taskCount) this.start(spec, run);
   }
 
-  /** The task is off its machine. What waits goes on waiting; what runs breaks up. */
+  /** Removes a task that no longer runs. A gathering attempt continues to wait; a running attempt breaks up. */
   leave(spec: JobSpec, attempt: number, member: GangMember): void {
-    const run = this.run(spec.id, attempt);
+    const run = this.findOrCreateRun(spec.id, attempt);
     if (run.members.get(member.task) !== member) return;
     run.members.delete(member.task);
     if (run.state === 'running') this.breakUp(spec, run);
   }
 
-  private run(job: string, attempt: number): GangRun {
+  private findOrCreateRun(job: string, attempt: number): GangRun {
     const key = `${job}#${attempt}`;
     let run = this.runs.get(key);
     if (!run) this.runs.set(key, (run = { state: 'gathering', members: new Map(), startedAt: 0 }));
@@ -74,10 +80,10 @@
     run.startedAt = this.clock.time;
     this.starts++;
     for (const member of run.members.values()) member.started();
-    this.watch(spec, run);
+    this.checkMembers(spec, run);
   }
 
-  private watch(spec: JobSpec, run: GangRun): void {
+  private checkMembers(spec: JobSpec, run: GangRun): void {
     if (run.state !== 'running') return;
     const members = [...run.members.values()];
     if (members.some((member) => !member.isAnswering())) {
@@ -86,28 +92,32 @@
       run.state = 'done';
       for (const member of members) member.completed();
     } else {
-      this.clock.at(WATCH_EVERY, () => {
-        this.watch(spec, run);
+      this.clock.at(MEMBER_CHECK_INTERVAL, () => {
+        this.checkMembers(spec, run);
       });
     }
   }
 
-  /** Progress since the last checkpoint is lost; the tasks that are left notice within their time. */
+  /** Ends a running attempt. Progress since the checkpoint is lost; each remaining task notices within a timeout. */
   private breakUp(spec: JobSpec, run: GangRun): void {
-    const interval = fromSeconds(spec.checkpointS);
-    if (interval > 0) {
-      this.saved.set(spec.id, Math.floor(this.progress(spec, run) / interval) * interval);
+    const checkpointInterval = fromSeconds(spec.checkpointS);
+    if (checkpointInterval > 0) {
+      this.checkpoints.set(
+        spec.id,
+        Math.floor(this.progress(spec, run) / checkpointInterval) * checkpointInterval,
+      );
     }
     run.state = 'broken';
     for (const member of run.members.values()) {
-      this.clock.at(this.random() * this.times.peer, () => {
+      this.clock.at(this.random() * this.times.peerLossTimeout, () => {
         if (run.members.get(member.task) === member) member.lostPeer();
       });
     }
   }
 
+  /** Returns the progress of a running attempt, including that of its checkpoint. */
   private progress(spec: JobSpec, run: GangRun): Micros {
-    return (this.saved.get(spec.id) ?? 0) + this.clock.time - run.startedAt;
+    return (this.checkpoints.get(spec.id) ?? 0) + this.clock.time - run.startedAt;
   }
 
   private runTime(spec: JobSpec): Micros {
