--- a/packages/cluster/capabilities.ts
+++ b/packages/cluster/capabilities.ts
@@ -18,7 +18,9 @@
 export interface AnnouncedCapabilities {
   /** Keyed by living member. Capabilities that the member's current process announces. */
   readonly livingMembers: ReadonlyMap<string, { capabilities: ReadonlySet<string> }>;
-  /** Keyed by member. Capabilities that the member's last process of a version with announcements announced. */
+  /**
+   * Keyed by member. The member's last announcement. A process of a version without announcements leaves it unchanged.
+   */
   readonly lastAnnounced: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
--- a/packages/cluster/gang.test.ts
+++ b/packages/cluster/gang.test.ts
@@ -18,7 +18,14 @@
 
 function partialStart(indices: number[], attempt = ATTEMPT): StartGroup {
   const tasks = indices.map((i): StartGroup['tasks'][number] => [i, HOSTS[i]!, 1]);
-  return { job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], gang: { attempt, size: 3 }, tasks };
+  return {
+    job: 'j-1',
+    team: 'blue',
+    image: 'i',
+    taskResources: [2, 0, 4],
+    gang: { attempt, size: 3 },
+    tasks,
+  };
 }
 
 function completenessOfPlacements(ledger: Ledger): boolean[] {
--- a/packages/cluster/jobs.ts
+++ b/packages/cluster/jobs.ts
@@ -10,5 +10,5 @@
   acceptedRevision: number;
 }
 
-/** How a job ended. */
+/** The final state of a job. */
 export type TerminalStatus = 'done' | 'cancelled';
--- a/packages/cluster/ledger-entries.ts
+++ b/packages/cluster/ledger-entries.ts
@@ -46,7 +46,7 @@
 /** Returns the placement that the start of a task creates. */
 export function newPlacement(task: TaskRow, { group, attempt, startedAtMs }: GroupStart): Placement {
   const [index, host, workerIncarnation] = task;
-  const [cpus, gpus, memGb] = group.need;
+  const [cpus, gpus, memGb] = group.taskResources;
   return {
     job: group.job,
     index,
--- a/packages/cluster/ledger.test.ts
+++ b/packages/cluster/ledger.test.ts
@@ -25,7 +25,9 @@
     const draft: Partial<PlacementRecord> = {};
     let log: LogId = a % 2;
     if (kind === 0) {
-      draft.starts = [{ job, team: 'blue', image: `i-${a}`, need: [1, 0, 2], tasks: [[b, host, 1]] }];
+      draft.starts = [
+        { job, team: 'blue', image: `i-${a}`, taskResources: [1, 0, 2], tasks: [[b, host, 1]] },
+      ];
       draft.prices = { small: [0.1 * a, 0, 0] };
     } else if (kind === 1 && placement) {
       draft.completions = [
@@ -118,7 +120,13 @@
     const starts: StartGroup[] = [];
     for (let i = 0; i < tasks.length; i += 25) {
       const part = tasks.slice(i, i + 25);
-      starts.push({ job: `j-${i}`, team: 'blue', image: `img-${i % 7}`, need: [2, 0, 7.1], tasks: part });
+      starts.push({
+        job: `j-${i}`,
+        team: 'blue',
+        image: `img-${i % 7}`,
+        taskResources: [2, 0, 7.1],
+        tasks: part,
+      });
     }
     ledger.apply(shard, { sequence: 1, recordedAtMs: 1.7e12 + 500, starts });
   }
@@ -148,7 +156,12 @@
 });
 
 const machineRow = (host: string, shard: number): MachineRow => [host, 'small', 'east', false, 0, shard];
-const START_GROUP = { job: 'j-1', team: 'blue', image: 'i', need: [1, 0, 1] as [number, number, number] };
+const START_GROUP = {
+  job: 'j-1',
+  team: 'blue',
+  image: 'i',
+  taskResources: [1, 0, 1] as [number, number, number],
+};
 
 test('rejects a record after a gap in its log and ignores a record that is already applied', () => {
   const ledger = new Ledger();
--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -15,7 +15,7 @@
   const holders = new Map<RoleName, RoleHolder>([['lead', holder(1)]]);
   for (const [shard, term] of shards) holders.set(shard, holder(term));
   const source = { holders: () => holders, isOurs: () => true };
-  return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: SECOND });
+  return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseDuration: SECOND });
 }
 
 const SILENT_LOGGER = { debug: () => undefined, info: () => undefined, error: () => undefined };
--- a/packages/cluster/log-writer.ts
+++ b/packages/cluster/log-writer.ts
@@ -55,7 +55,7 @@
     this.checkpointWriter = new CheckpointWriter({ store, replica, roles, clock, limits, rateLimiter, log });
   }
 
-  /** Returns the delay before the next append, which leaves users' submissions their part of the write rate. */
+  /** Returns the delay before the next append, which leaves users' submissions their part of the allowed write rate. */
   appendDelay(): Micros {
     return this.options.recordLimiter.delay();
   }
@@ -90,7 +90,7 @@
       const proofs = this.proveRolesHeld(new Set(shards));
       if (!proofs) return;
       const batch = jobs.slice(i, i + batchSize);
-      // An earlier cancellation has changed the key: the guard then fails, and the job stays cancelled.
+      // If the job was cancelled meanwhile, its row has a later revision: the guard fails, and the job stays cancelled.
       const guards = batch.map(([id, job]) => ({ path: jobKey(id), revision: job.acceptedRevision }));
       const writes = batch.map(([id]) => terminalStatusWrite(id, 'done'));
       if (!(await this.commitAndAwait({ proofs, action: 'end jobs', guards, writes }))) return;
@@ -148,7 +148,7 @@
     return first ? [first, ...others] : null;
   }
 
-  /** Commits, and resolves to true once the replica has applied the commit. False leaves open whether it is applied. */
+  /** Commits, and resolves to true once the replica has applied the commit. After false the outcome is unknown. */
   private async commitAndAwait(commit: FencedCommit): Promise<boolean> {
     const { store, replica, limits, recordLimiter: rateLimiter, log } = this.options;
     const { action, guards, writes } = commit;
--- a/packages/cluster/member-status.ts
+++ b/packages/cluster/member-status.ts
@@ -21,7 +21,7 @@
   readonly replaceRecord: (memberRecord: OwnMemberRecord) => Promise<CommitResult>;
 }
 
-/** Writes the member record of a node whenever it differs from the node's status. */
+/** Keeps the status of a node, and writes it to the node's member record when the record differs. */
 export class MemberStatusPublisher {
   private currentStatus: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   private isPublishing = false;
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Changes the status and writes it, unless the member record already has it or another write is in progress. A failed
-   * write is not retried here: the next call compares the status with the record again.
+   * Changes the status. Then writes it to the member record, unless the record already has it or another write is in
+   * progress. A failed write is not retried here: the next call compares the status with the record again.
    */
   async publish(change: Partial<MemberStatus>): Promise<void> {
     this.currentStatus = { ...this.currentStatus, ...change };
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -141,7 +141,7 @@
       holders: () => roleHolders(replica),
       isOurs: (nonce: string) => this.isOwnNonce(nonce),
     };
-    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_DURATION });
+    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseDuration: LEASE_DURATION });
   }
 
   private isStopped(): boolean {
--- a/packages/cluster/peer-monitor.ts
+++ b/packages/cluster/peer-monitor.ts
@@ -39,8 +39,8 @@
 /** Time after the last answer of a peer from which the peer counts as unreachable if it does not answer. */
 const SILENT_PEER_TIMEOUT: Micros = 1700 * MS;
 /**
- * The same for a peer whose host refuses the connection. The host of a dead process does so, too. After this longer
- * time the member key of a dead process has expired, so that the process counts as dead rather than partitioned.
+ * The same timeout for a peer whose host refuses the connection, as the host of a dead process does. It is longer than
+ * the lease of the member key, so that a dead process has no member key any more and counts as dead, not partitioned.
  */
 const REFUSING_PEER_TIMEOUT: Micros = 4500 * MS;
 
@@ -56,14 +56,15 @@
   readonly ping: Ping;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Called after each ping with the unreachable members, sorted. */
-  readonly onReachabilityChange: (unreachable: string[]) => void;
+  /** Called after each ping with the members that count as unreachable, sorted. */
+  readonly onUnreachablePeers: (unreachable: string[]) => void;
+  /** Called with each status that a peer publishes with its answer. */
   readonly onStatus: (status: PeerStatus, member: string) => void;
 }
 
 /** A peer and the outcome of its latest pings. */
 interface PeerState extends Peer {
-  /** Monotonic time. */
+  /** Monotonic time of the last answer to a ping; before the first answer, that at which the monitor was created. */
   lastAnswerAt: Micros;
   lastResult: PingResult;
 }
@@ -103,14 +104,14 @@
   }
 
   private async runPingLoop(peer: PeerState): Promise<void> {
-    const { ping, clock, log, onReachabilityChange, onStatus } = this.options;
+    const { ping, clock, log, onUnreachablePeers, onStatus } = this.options;
     while (this.isRunning) {
       const { result, status } = await ping(peer.endpoint, PING_TIMEOUT);
       if (status) onStatus(status, peer.member);
       if (result !== peer.lastResult) log.debug({ peer: peer.member, result }, 'peer link changed');
       peer.lastResult = result;
       if (result === 'ok') peer.lastAnswerAt = clock.now();
-      onReachabilityChange(this.unreachable());
+      onUnreachablePeers(this.unreachable());
       await sleep(clock, PING_INTERVAL);
     }
   }
--- a/packages/cluster/placement.ts
+++ b/packages/cluster/placement.ts
@@ -2,7 +2,7 @@
 import type { GangAttempt } from './gang.js';
 import type { Count } from '#wire';
 
-/** Price of each resource on machines of one shape. */
+/** Prices of one CPU, one GPU and one GB of memory on machines of one shape, in units of priority. */
 export interface ShapePrice {
   cpu: number;
   gpu: number;
@@ -19,6 +19,7 @@
 /** A task that is, or may be, on a machine. The placement ends when the completion of the attempt is recorded. */
 export interface Placement extends ResourceDemand {
   job: string;
+  /** Number of the task within its job, from 0. */
   index: number;
   taskName: string;
   team: string;
@@ -64,7 +65,7 @@
   lastHeartbeat: HeartbeatPosition | null;
   /** Images fetched for tasks on the machine, the most recent last. */
   cachedImages: string[];
-  /** Number of tasks that failed on the machine since the last that was done. */
+  /** Number of tasks that failed on the machine in a row, since the last one that ended with the outcome `done`. */
   consecutiveFailures: number;
   /** Wall-clock time of the last failure, in milliseconds. */
   lastFailureAtMs: number;
@@ -85,8 +86,8 @@
 
 /**
  * How an attempt of a task ended. `stopped`: the task exited on request or with its gang. `refused`: the worker did not
- * start it. `lost`: the worker ended it unreported, or its machine was lost. `undelivered`: the start can no longer
- * reach the worker.
+ * start it. `lost`: the worker ended it without a report, or its machine was lost. `undelivered`: the start can no
+ * longer reach the worker.
  */
 export type Outcome = 'done' | 'stopped' | 'failed' | 'refused' | 'lost' | 'undelivered';
 
@@ -100,19 +101,19 @@
   /** Name of the job's image, which the machines have cached from then on. */
   image: string;
   /** Resources of each task. */
-  need: [cpus: number, gpus: number, memGb: number];
+  taskResources: [cpus: number, gpus: number, memGb: number];
   /** Absent for independent tasks. */
   gang?: GangAttempt;
   tasks: TaskRow[];
 }
 
-/** A machine that joins the fleet. `since`: wall-clock time in milliseconds. */
+/** A machine that joins the fleet. `acquiredAtMs`: wall-clock time, in milliseconds. */
 export type MachineRow = [
   host: string,
   machineType: string,
   zone: string,
   spot: boolean,
-  since: number,
+  acquiredAtMs: number,
   shard: number,
 ];
 
@@ -132,7 +133,7 @@
 export type StatusRow = [host: string, status: MachineStatus];
 /** A machine that its shard releases, and the last heartbeat that the owner processed. */
 export type ReleaseRow = [host: string, lastHeartbeat: HeartbeatPosition | null];
-/** Price of each resource on machines of one shape. */
+/** The cells of a {@link ShapePrice}. */
 export type PriceRow = [cpu: number, gpu: number, mem: number];
 
 /** One entry of a log. The leader writes the first group of optional fields, the owner of a shard the second. */
@@ -141,7 +142,10 @@
   sequence: number;
   /** Wall-clock time at which the record was written, in milliseconds. */
   recordedAtMs: number;
-  /** Position within the commit. A later record may start a task that an earlier record of another log completed. */
+  /**
+   * Index of the record within its commit; absent for the first record. Records are applied in this order, since a
+   * record may rely on a completion in an earlier record of another log.
+   */
   commitIndex?: number;
 
   machines?: MachineRow[];
@@ -150,6 +154,7 @@
   scaleOuts?: ScaleOutRow[];
   /** Ids of scale-outs that are no longer pending. */
   settledScaleOuts?: string[];
+  /** Machines whose transfer target changes. */
   transferTargets?: [host: string, to: Destination][];
 
   completions?: CompletionRow[];
@@ -158,12 +163,13 @@
   /** Hosts of machines that the shard acquires. */
   acquisitions?: string[];
   starts?: StartGroup[];
-  /** Keyed by shape. */
+  /** Keyed by shape. Prices that the writer's last scheduling round computed. */
   prices?: Record<string, PriceRow>;
+  /** Keyed by team. CPUs required by tasks for which the writer's last scheduling round found no capacity. */
   unmetCpus?: Record<string, number>;
 }
 
-/** Positions by log. */
+/** Keyed by log. Sequence number of the last record that is written, applied or covered. */
 export type Positions = Record<string, number>;
 
 /** The content of a record without its position, which {@link RecordPosition} holds. */
--- a/packages/cluster/read-barrier.ts
+++ b/packages/cluster/read-barrier.ts
@@ -20,7 +20,7 @@
   readonly limiter: RateLimiter;
   /** Resolves to true once the replica has applied the revision, or to false after the timeout. */
   readonly waitForRevision: (revision: number, timeout: Micros) => Promise<boolean>;
-  /** Returns true if the replica, which contains all commits before `sentAt`, may be relied on. */
+  /** Returns true if the replica, which contains all commits before the monotonic time `sentAt`, may be relied on. */
   readonly confirmReplica: (sentAt: Micros) => boolean;
 }
 
--- a/packages/cluster/replica-loader.ts
+++ b/packages/cluster/replica-loader.ts
@@ -5,7 +5,7 @@
 import type { StateIntegrityCheck } from './state-integrity-check.js';
 import type { Row } from '#store';
 
-/** Number of missing keys that one complete read looks up individually. */
+/** Maximum number of missing keys that one complete read looks up individually. */
 const MAX_MISSING_KEY_LOOKUPS = 20;
 
 /** Lists rows of the state service page by page. */
@@ -37,7 +37,7 @@
   async load(): Promise<LoadedState> {
     const live = await this.readLiveState();
     const ledger = buildLedger(live);
-    await this.findMissingKeys(live);
+    await this.reportFoundKeys(live);
     return { live, ledger };
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Reports the missing keys that are present again, replaced by their successor key, or no longer needed. */
-  private async findMissingKeys(live: LiveRows): Promise<void> {
+  private async reportFoundKeys(live: LiveRows): Promise<void> {
     const liveKeys = new Set(live.rows.map(({ path }) => path));
     const missing = this.integrityCheck.missingKeys();
     for (const key of missing)
--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -16,7 +16,7 @@
 }
 
 function startOn(machine: string): StartGroup[] {
-  return [{ job: 'j-1', team: 'blue', image: 'img', need: [1, 0, 1], tasks: [[0, machine, 1]] }];
+  return [{ job: 'j-1', team: 'blue', image: 'img', taskResources: [1, 0, 1], tasks: [[0, machine, 1]] }];
 }
 
 /**
--- a/packages/cluster/replica.ts
+++ b/packages/cluster/replica.ts
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Returns this node's part of a quota that all nodes share. Each living member gets an equal part. */
+  /** Returns this node's part of a quota that all nodes share. Each member with a lease gets an equal part. */
   perMemberQuota(total: number): number {
     return total / Math.max(1, this.members.size);
   }
@@ -136,8 +136,8 @@
       } catch (cause) {
         this.log.debug({ error: String(cause) }, 'state watch interrupted');
         if (cause instanceof IncompleteStateError) this.integrity.reportIncompleteRead(cause.message);
-        const isRefusal = cause instanceof StoreError && this.integrity.isOpen();
-        await sleep(this.clock, isRefusal ? RETRY_DELAY : RELOAD_INTERVAL);
+        const isStoreFailure = cause instanceof StoreError && this.integrity.isOpen();
+        await sleep(this.clock, isStoreFailure ? RETRY_DELAY : RELOAD_INTERVAL);
       }
     }
   }
@@ -239,7 +239,7 @@
     this.notifyIfCurrent();
   }
 
-  /** Applies the rows of a complete read. The ledger already has the log records, so only their slots are tracked. */
+  /** Applies the rows of a complete read. The new ledger contains the log records, so only their slots are tracked. */
   private applyLiveRows({ rows }: LiveRows): void {
     for (const row of rows) {
       if (row.path.startsWith(LOG_PREFIX)) this.applier.trackLogSlot(row);
@@ -248,11 +248,11 @@
   }
 
   private async watch(): Promise<void> {
-    // The delay batches changes in quick succession: after every answer the next watch costs one more request.
+    // Each answer costs one more request for the next watch. The delay lets one answer carry several changes.
     const delay = this.watchLimiter.delay();
     if (delay > 0) await sleep(this.clock, delay);
     this.watchLimiter.consume(1);
-    const answer = await this.failOnIntegrityLoss(
+    const answer = await this.rejectOnCheckClose(
       this.store.watch(ROOT_PREFIX, this.appliedRevision, WATCH_TIMEOUT),
     );
     if (this.isStopped()) return;
@@ -276,8 +276,8 @@
     }
   }
 
-  /** Resolves to the answer of a watch. Rejects when the integrity check closes, since a watch may stay open long. */
-  private failOnIntegrityLoss<T>(watch: Promise<T>): Promise<T> {
+  /** Resolves to the answer of the watch. Rejects once the integrity check closes, since a watch may take seconds. */
+  private rejectOnCheckClose<T>(watch: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       this.abortWatch = () => {
         reject(new StoreError(0));
--- a/packages/cluster/shard-assignment.ts
+++ b/packages/cluster/shard-assignment.ts
@@ -25,7 +25,7 @@
   /** Keyed by shard. */
   readonly owners: ReadonlyMap<number, ShardHolder>;
   readonly members: readonly AssignableMember[];
-  /** Keyed by member. The default weight is 1. */
+  /** Keyed by member. A member gets shards in proportion to its weight; the default weight is 1. */
   readonly weights: ReadonlyMap<string, number>;
 }
 
@@ -71,7 +71,7 @@
   return transfer ? [transfer] : [];
 }
 
-/** Planned shards of each member during one planning pass. */
+/** The shards that each member owns or is planned to own, as one planning pass changes them. */
 class ShardPlan {
   private readonly members: readonly AssignableMember[];
   private readonly targets: ReadonlyMap<string, number>;
@@ -130,7 +130,7 @@
     return candidates.length > 0 ? candidates.map(({ member }) => member) : [...this.ownedShards.keys()];
   }
 
-  /** Returns the number of shards that the member lacks to its target; negative if it has more than its target. */
+  /** Returns the number of shards by which the member is below its target; negative if it is above. */
   private deficit(member: string): number {
     return (this.targets.get(member) ?? 0) - (this.ownedShards.get(member)?.length ?? 0);
   }
--- a/packages/cluster/state-integrity-check.ts
+++ b/packages/cluster/state-integrity-check.ts
@@ -1,4 +1,4 @@
-/** The interface by which a replica has the data that it reads checked for data loss. */
+/** The interface through which a replica checks the data that it reads for data loss. */
 import type { Micros } from '#wire';
 import type { Positions } from './placement.js';
 
@@ -6,7 +6,7 @@
 export interface HighWaterMarks {
   /** Highest revision seen. */
   revision: number;
-  /** The cluster's fencing token. */
+  /** The cluster's highest fencing token. */
   fencingToken: number;
   /** Sequence number of the last record of each log. */
   positions: Positions;
@@ -30,26 +30,30 @@
   forked: readonly string[];
   /** Rows whose revision is lower than in the replica. */
   regressed: readonly string[];
-  /** Rows that are missing. This is no data loss where a job has ended. */
+  /** Rows that are missing. The row of a job may be missing without data loss, since archiving the job removes it. */
   absent: readonly string[];
 }
 
 /**
- * Checks the data that the state service returns for data loss. While the check is closed, a replica keeps its state
- * and repeats the complete read.
+ * Checks the data that the state service returns for data loss. The check is open while the data may be used, and
+ * closed while data loss is suspected or confirmed. While it is closed, a replica keeps its state and repeats the
+ * complete read.
  */
 export interface StateIntegrityCheck {
-  /** Returns true unless data loss is suspected. */
+  /** Returns true unless data loss is suspected or confirmed. */
   isOpen(): boolean;
-  /** Returns false for a while after the start, since peers' and workers' observations of a loss may still arrive. */
+  /**
+   * Returns true once a replica may start to load. After the start of a node the check first waits for the observations
+   * of its peers or workers, without which it cannot detect a loss.
+   */
   isReady(): boolean;
   /** Registers a listener that is called whenever the check closes. */
   onClose(listener: () => void): void;
-  /** Returns the highest revision that any answer of the state service has shown. */
+  /** Returns the highest revision of any answer so far. Without data loss no later answer has a lower one. */
   minimumRevision(): number;
   /** Returns true if the replica may accept this read. Opens or closes the check accordingly. */
   verifyReading(reading: StateReading): boolean;
-  /** Returns true if the replica, which holds all commits before the time `sentAt`, may be relied on. */
+  /** Returns true if the replica, which holds all commits before the monotonic time `sentAt`, may be relied on. */
   confirmReplica(sentAt: Micros, replicaMarks: HighWaterMarks): boolean;
   /** Reports keys that were removed although no node removes them. Returns true if that closes the check. */
   reportLostKeys(lostKeys: readonly string[]): boolean;
@@ -57,7 +61,7 @@
   missingKeys(): readonly string[];
   /** Reports that a missing key was found again. */
   reportFoundKey(key: string): void;
-  /** Reports a read that lacks parts. A change during the read may cause this, too. */
+  /** Reports a complete read that lacks parts, because of data loss or of a change during the read. */
   reportIncompleteRead(reason: string): void;
 }
 
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -54,7 +54,7 @@
 
 const NO_LOG = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STORE_ENDPOINT = '10.2.0.1:2379';
-/** The time of day of every record, in milliseconds. */
+/** The wall-clock time of every record, in milliseconds. */
 const WALL_MS = 1_790_000_000_123;
 /** An integer that a `number` can't represent exactly. */
 const UNSAFE_COUNT = 2n ** 63n + 1n;
@@ -460,14 +460,14 @@
       job: 'j-1',
       team: 'blue',
       image: 'img-1',
-      need: [2, 0, 4.5],
+      taskResources: [2, 0, 4.5],
       tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? UNSAFE_COUNT : 1]),
     },
     {
       job: 'j-2',
       team: 'green',
       image: 'img-2',
-      need: [1.5, 1, 8],
+      taskResources: [1.5, 1, 8],
       gang: { attempt: 1024, size: 2 },
       tasks: [
         [0, 'n-1', 1],
@@ -621,7 +621,7 @@
     job: 'j-1',
     team: 'blue',
     image: 'img-1',
-    need: [2, 0, 4],
+    taskResources: [2, 0, 4],
     gang: { attempt: 1024, size: 60 },
     tasks,
   };
@@ -737,7 +737,10 @@
     i === 3 ? UNSAFE_COUNT : 2,
   ]);
   const image = `img-${'x'.repeat(300)}`;
-  await node.append([0, { starts: [{ job: 'j-3', team: 'blue', image, need: [0.5, 0, 1], tasks }] }]);
+  await node.append([
+    0,
+    { starts: [{ job: 'j-3', team: 'blue', image, taskResources: [0.5, 0, 1], tasks }] },
+  ]);
   const attempt = 4 * 1024;
   await node.append([
     0,
@@ -751,7 +754,7 @@
           job: 'j-1',
           team: 'blue',
           image,
-          need: [0.5, 0, 1],
+          taskResources: [0.5, 0, 1],
           tasks: tasks.map(([, host, incarnation], i): [number, string, Count] => [i, host, incarnation]),
         },
       ],
--- a/packages/cluster/stored/checkpoint-codec.ts
+++ b/packages/cluster/stored/checkpoint-codec.ts
@@ -54,7 +54,7 @@
   restorePrice(shard: number, shape: string, row: PriceRow): void;
   /** `ranges` is a comma-separated list of ranges of task indexes. */
   restoreDoneTasks(job: string, ranges: string): void;
-  /** `startedAtMs` is the time of day in milliseconds. */
+  /** `startedAtMs` is the wall-clock time in milliseconds. */
   restoreStartGroup(group: StartGroup, attempt: number, startedAtMs: number): void;
 }
 
@@ -131,7 +131,7 @@
   return [['t', baseMs], ...names.rows(), ...rows];
 }
 
-/** What the rows of placements refer to. */
+/** Tables by which the rows of placements refer to names and machines, and their base time. */
 interface PlacementRowContext {
   baseMs: number;
   names: NameTable;
@@ -202,7 +202,7 @@
         hosts[machine] ?? '',
         incarnation,
       ]);
-      const group: StartGroup = { job, team: nameByNumber(team), image: '', need, tasks };
+      const group: StartGroup = { job, team: nameByNumber(team), image: '', taskResources: need, tasks };
       if (gangSize !== undefined) group.gang = { attempt, size: gangSize };
       sink.restoreStartGroup(group, attempt, baseMs + startedOffsetMs);
     }
--- a/packages/cluster/stored/checkpoint-row.ts
+++ b/packages/cluster/stored/checkpoint-row.ts
@@ -45,7 +45,7 @@
   lastFailureAtMs?: number,
 ];
 
-/** A scale-out request that is not settled yet. `share` is its shard; `at` is the time of day in milliseconds. */
+/** A scale-out request that is not settled yet. `share` is its shard; `at` is the wall-clock time in milliseconds. */
 export interface StoredPendingScaleOut {
   id: string;
   machineType: string;
--- a/packages/cluster/stored/job-codec.ts
+++ b/packages/cluster/stored/job-codec.ts
@@ -88,7 +88,7 @@
   };
 }
 
-/** Encodes the row of a live job. `acceptedAtMs` is the time of day in milliseconds. */
+/** Encodes the row of a live job. `acceptedAtMs` is the wall-clock time in milliseconds. */
 export function encodeJobRow(spec: JobSpec, acceptedAtMs: number): WireFields {
   return { At: acceptedAtMs, Job: encodeJobSpec(spec) };
 }
--- a/packages/cluster/stored/machine-cells.ts
+++ b/packages/cluster/stored/machine-cells.ts
@@ -19,7 +19,7 @@
 /** Default values of the optional cells. The default of the images, `undefined` here, is an empty list. */
 const DEFAULT_CELLS = [0, undefined, 0, null, null, 0, 0] as const;
 
-/** Encodes a machine. `baseMs` is the time of day, in milliseconds, to which its stored time is relative. */
+/** Encodes a machine. `baseMs` is the wall-clock time, in milliseconds, to which its stored time is relative. */
 export function encodeMachine(machine: MachineEntry, baseMs: number, names: NameTable): StoredMachineCells {
   const { lastHeartbeat, destination } = machine;
   // The images are numbered before the machine type and the zone. This fixes the order of names in the stored table.
--- a/packages/cluster/stored/record-codec.ts
+++ b/packages/cluster/stored/record-codec.ts
@@ -20,12 +20,12 @@
 export type StoredResources = [cpus: number, gpus: number, memGb: number];
 /** The last heartbeat of a worker that a shard owner processed. */
 export type StoredHeartbeatPosition = [incarnation: Count, sequence: Count];
-/** The stored words of machine statuses. */
+/** The stored strings of machine statuses. */
 export type StoredMachineStatus = 'new' | 'up' | 'silent' | 'recalled' | 'faulty' | 'lost';
 /** The number of the shard that a machine is transferred to, or `return` if it is to be scaled in. */
 export type StoredDestination = number | 'return';
 
-/** A machine that joins the fleet. `acquiredAtMs` is the time of day in milliseconds. */
+/** A machine that joins the fleet. `acquiredAtMs` is the wall-clock time in milliseconds. */
 export type StoredMachineRow = [
   host: string,
   machineType: string,
@@ -83,7 +83,7 @@
 /** The position of a record in its log and its commit. */
 export interface StoredRecordPosition {
   sequence: number;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time, in milliseconds. */
   at: number;
   /** Position among the records of the same commit. Absent for the first. */
   order?: number;
@@ -251,8 +251,8 @@
   return [host, lastHeartbeat && [lastHeartbeat[0], lastHeartbeat[1]]];
 }
 
-function encodeStartGroup({ job, team, image, need, gang, tasks }: StartGroup): StoredStartGroup {
-  const [cpus, gpus, memGb] = need;
+function encodeStartGroup({ job, team, image, taskResources, gang, tasks }: StartGroup): StoredStartGroup {
+  const [cpus, gpus, memGb] = taskResources;
   const header = { job, team, image, need: [cpus, gpus, memGb] satisfies StoredResources };
   const rows = tasks.map(([index, host, incarnation]): StoredTaskRow => [index, host, incarnation]);
   if (!gang) return { ...header, tasks: rows };
@@ -260,7 +260,7 @@
 }
 
 function decodeStartGroup({ job, team, image, need, gang, tasks }: StoredStartGroup): StartGroup {
-  const group: StartGroup = { job, team, image, need, tasks };
+  const group: StartGroup = { job, team, image, taskResources: need, tasks };
   if (gang) group.gang = { attempt: gang.attempt, size: gang.size };
   return group;
 }
--- a/packages/daemon/answer-format.test.ts
+++ b/packages/daemon/answer-format.test.ts
@@ -103,7 +103,7 @@
       job: 'j-1',
       team: 'blue',
       image: 'img-1',
-      need: [2, 0, 4],
+      taskResources: [2, 0, 4],
       tasks: [
         [0, 'n-1', 1],
         [1, 'n-1', 1],
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -256,7 +256,7 @@
       ping,
       clock,
       log,
-      onReachabilityChange: onUnreachable,
+      onUnreachablePeers: onUnreachable,
       onStatus,
     });
   }
--- a/packages/daemon/role-handoff.test.ts
+++ b/packages/daemon/role-handoff.test.ts
@@ -70,7 +70,7 @@
     source: { holders: () => holders, isOurs: (nonce) => nonce === 'ours' },
     clock,
     keyOf: (role) => `key of ${role}`,
-    leaseLife: 600 * SECOND,
+    leaseDuration: 600 * SECOND,
   });
   roles.onLeaseRenewed(0);
   const published: string[] = [];
--- a/packages/fleet/fleet-manager.test.ts
+++ b/packages/fleet/fleet-manager.test.ts
@@ -32,7 +32,7 @@
     );
     const holder = { member: 'node-0', nonce: 'ours', term: 1 };
     const source = { holders: () => new Map([['lead' as const, holder]]), isOurs: () => true };
-    const registry = new RoleRegistry({ source, clock, keyOf: () => 'lead', leaseLife: 3600 * SECOND });
+    const registry = new RoleRegistry({ source, clock, keyOf: () => 'lead', leaseDuration: 3600 * SECOND });
     registry.onLeaseRenewed(clock.now());
     const cloud = {
       listMachines: () => Promise.resolve(this.listed),
--- a/packages/operations/answer-format.test.ts
+++ b/packages/operations/answer-format.test.ts
@@ -68,7 +68,7 @@
     source: { holders: () => holders, isOurs: (nonce) => nonce === 'ours' },
     clock,
     keyOf: (role) => `key of ${role}`,
-    leaseLife: 3 * SECOND,
+    leaseDuration: 3 * SECOND,
   });
 }
 
--- a/packages/recovery/data-loss-status.ts
+++ b/packages/recovery/data-loss-status.ts
@@ -1,4 +1,4 @@
-/** Types of what a node reports to operators about data loss in the state service. */
+/** Types of the data-loss status that a node reports to operators. */
 import { describeInconsistency, type Inconsistency, type PartialHighWaterMarks } from './inconsistencies.js';
 
 /**
@@ -25,7 +25,7 @@
   readonly evidence: readonly Evidence[];
   /** Number of alarms that the first complete reading did not confirm. */
   readonly falseAlarms: number;
-  /** The highest marks that this node, its workers and its peers have observed; `GET /recovery` answers with this name. */
+  /** The highest marks that this node, its workers and its peers have observed; `GET /recovery` uses the same name. */
   readonly seen: PartialHighWaterMarks;
 }
 
--- a/packages/recovery/snapshot-codec.ts
+++ b/packages/recovery/snapshot-codec.ts
@@ -1,6 +1,6 @@
 /**
  * Maps the state to the lines of a snapshot, field by field, and converts lines to text and back. The types of the lines
- * list every value that a file may hold. Renaming such a value in the code alone is therefore a compile error.
+ * list every enumerated value that a file may contain, so that renaming such a value only in the code is a compile error.
  */
 import type { CheckpointRow, TerminalStatus, LiveJob, HighWaterMarks } from '#cluster';
 import type { JobSpec, MachineType } from '#wire';
@@ -61,7 +61,7 @@
   return { kind: 'final', id, status };
 }
 
-/** Returns the line for a checkpoint row, which keeps the cells of the stored row. */
+/** Returns the line for a row of the ledger's checkpoint. The line contains the cells as they are stored. */
 export function encodeCheckpointRow(row: CheckpointRow): CheckpointRowLine {
   return { kind: 'ledger', row };
 }
@@ -72,8 +72,8 @@
 }
 
 /**
- * Parses the bytes of one line; null if they are not a JSON object with a `kind`. The kind and the other fields are not
- * validated.
+ * Parses the bytes of one line. Returns null if they are not a JSON object with a `kind`. Does not validate the kind and
+ * the other fields.
  */
 export function parseLine(bytes: Buffer): SnapshotLine | null {
   try {
--- a/packages/recovery/snapshot-format.test.ts
+++ b/packages/recovery/snapshot-format.test.ts
@@ -51,7 +51,7 @@
         job: 'j-000001',
         team: 'blue',
         image: 'img-1',
-        need: [2, 0, 4],
+        taskResources: [2, 0, 4],
         tasks: [
           [0, 'n-000001', 1],
           [1, 'n-000001', 1],
@@ -62,7 +62,7 @@
         job: 'j-000002',
         team: 'green',
         image: 'img-2',
-        need: [1, 0.5, 1.25],
+        taskResources: [1, 0.5, 1.25],
         gang: { attempt: 1_024, size: 2 },
         tasks: [
           [0, 'n-000001', 1],
--- a/packages/recovery/snapshot-scale.test.ts
+++ b/packages/recovery/snapshot-scale.test.ts
@@ -33,7 +33,7 @@
     job: `j-${job}`,
     team: 'blue',
     image: 'img',
-    need: [1, 0, 1],
+    taskResources: [1, 0, 1],
     tasks: [...Array(TASKS / JOBS).keys()].map((i) => [i, host((job * 8 + i) % MACHINES), 1]),
   }));
   ledger.apply(0, { sequence: 1, recordedAtMs: 1, starts });
--- a/packages/roles/role-registry.ts
+++ b/packages/roles/role-registry.ts
@@ -19,7 +19,7 @@
   /** Returns the key that holds a role's record in the state service. The record names the role's holder. */
   readonly keyOf: (role: RoleName) => string;
   /** Duration of the node's lease, counted from its last renewal. All roles of a node are bound to this lease. */
-  readonly leaseLife: Micros;
+  readonly leaseDuration: Micros;
 }
 
 /**
@@ -37,7 +37,7 @@
   private readonly refusals = new Map<RoleName, RefusedAction>();
   /** Number of actions that have been sent and not yet been answered. Keyed by role. */
   private readonly pendingActions = new Map<RoleName, number>();
-  /** Steady time at which the last successful lease renewal was sent. */
+  /** Monotonic time at which the last successful lease renewal was sent. */
   private lastRenewalSentAt: Micros = -Infinity;
 
   constructor(private readonly options: RoleRegistryOptions) {}
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Records that the lease was renewed by a request sent at this steady time. */
+  /** Records that the lease was renewed by a request sent at this monotonic time. */
   onLeaseRenewed(sentAt: Micros): void {
     this.lastRenewalSentAt = Math.max(this.lastRenewalSentAt, sentAt);
     this.refresh();
@@ -123,9 +123,9 @@
     this.stateMachine(role).resignationFailed(this.options.clock.now());
   }
 
-  /** Returns the time until the lease expires by this node's steady clock. */
+  /** Returns the time until the lease expires by this node's monotonic clock. */
   remainingLease(): Micros {
-    return Math.max(0, this.lastRenewalSentAt + this.options.leaseLife - this.options.clock.now());
+    return Math.max(0, this.lastRenewalSentAt + this.options.leaseDuration - this.options.clock.now());
   }
 
   /** Returns the role's last refused action, or null if none was refused. */
@@ -158,7 +158,7 @@
   }
 
   private isLeaseSuspected(now: Micros): boolean {
-    return now > this.lastRenewalSentAt + this.options.leaseLife - LEASE_SAFETY_MARGIN;
+    return now > this.lastRenewalSentAt + this.options.leaseDuration - LEASE_SAFETY_MARGIN;
   }
 
   private stateMachine(role: RoleName): RoleStateMachine {
--- a/packages/roles/role-state-machine.ts
+++ b/packages/roles/role-state-machine.ts
@@ -6,7 +6,7 @@
 import type { Micros } from '#wire';
 import type { RoleHolder } from './role.js';
 
-/** State of a role as one node observes it. `since` is the steady time at which the role entered the state. */
+/** State of a role as one node observes it. `since` is the monotonic time at which the role entered the state. */
 export type RoleState =
   /** No member holds the role. */
   | { readonly name: 'vacant'; readonly since: Micros }
@@ -26,7 +26,7 @@
 
 /**
  * Tracks the state of one role on one node. A transition that doesn't apply to the current state has no effect. All
- * times are steady times of the node's clock.
+ * times are monotonic times of the node's clock.
  */
 export class RoleStateMachine {
   private current: RoleState;
--- a/packages/roles/role-status.ts
+++ b/packages/roles/role-status.ts
@@ -35,7 +35,7 @@
   readonly lastRefused: RefusedActionStatus | null;
 }
 
-/** Returns the status of every role that this node has observed, at the steady time `now`. */
+/** Returns the status of every role that this node has observed, at the monotonic time `now`. */
 export function roleStatuses(registry: RoleRegistry, ledger: IntentLedger, now: Micros): RoleStatus[] {
   registry.refresh();
   return registry.observedRoles().map((role) => ({
--- a/packages/roles/role.ts
+++ b/packages/roles/role.ts
@@ -37,6 +37,6 @@
   readonly action: string;
   readonly reason: string;
   readonly term: number;
-  /** Steady time of the refusal. */
+  /** Monotonic time of the refusal. */
   readonly at: Micros;
 }
--- a/packages/roles/roles.property.test.ts
+++ b/packages/roles/roles.property.test.ts
@@ -84,7 +84,7 @@
       new Map(this.observedHolder ? [['lead', this.observedHolder]] : []);
     const isOurs = (nonce: string): boolean => nonce === `process-${index}`;
     const source = { holders, isOurs };
-    this.registry = new RoleRegistry({ source, clock, keyOf: () => KEY, leaseLife: LEASE_DURATION });
+    this.registry = new RoleRegistry({ source, clock, keyOf: () => KEY, leaseDuration: LEASE_DURATION });
     const compareAndSwap = (guards: Guard[], writes: Write[]): Promise<CommitResult> =>
       new Promise((respond) => service.inFlight.push({ guards, term: writes.length, respond }));
     this.store = new FencedStore({ compareAndSwap }, this.registry);
--- a/packages/scheduling/scheduler.ts
+++ b/packages/scheduling/scheduler.ts
@@ -206,9 +206,9 @@
   /** Returns a start group of the job without tasks. */
   private createStartGroup(job: string, spec: JobSpec, shard: number): StartGroup {
     const { team, image, cpus, gpus, memGb } = spec;
-    const need: StartGroup['need'] = [cpus, gpus, memGb];
-    if (spec.shape !== 'gang') return { job, team, image, need, tasks: [] };
-    return { job, team, image, need, gang: this.gangAttempt(spec, shard), tasks: [] };
+    const taskResources: StartGroup['taskResources'] = [cpus, gpus, memGb];
+    if (spec.shape !== 'gang') return { job, team, image, taskResources, tasks: [] };
+    return { job, team, image, taskResources, gang: this.gangAttempt(spec, shard), tasks: [] };
   }
 
   /** Returns the attempt of a gang. The number comes from the shard of the first of its tasks in the round. */
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -133,7 +133,7 @@
 
   /**
    * Confirms that a missing lease has expired, and was not lost together with other state. If state was lost, no member
-   * may take over what the lease protected, so the read of the current revision rejects.
+   * may acquire what the lease protected, so the read of the current revision rejects.
    */
   private async confirmExpiry(): Promise<false> {
     if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
--- a/packages/workers/completion-detector.ts
+++ b/packages/workers/completion-detector.ts
@@ -31,7 +31,7 @@
 interface WorkerView extends RecordedState {
   readonly worker: TrackedWorker;
   readonly ownership: MachineOwnership;
-  /** Steady time. */
+  /** Monotonic time. */
   readonly now: Micros;
 }
 
--- a/packages/workers/tracked-worker.ts
+++ b/packages/workers/tracked-worker.ts
@@ -12,16 +12,16 @@
   liveness: WorkerLiveness;
   /** The newest heartbeat. */
   readonly heartbeat: Heartbeat;
-  /** Steady time at which the newest heartbeat arrived. */
+  /** Monotonic time at which the newest heartbeat arrived. */
   readonly heartbeatAt: Micros;
-  /** Steady time of the last heartbeat response, which renewed the lease; -Infinity if none was sent. */
+  /** Monotonic time of the last heartbeat response, which renewed the lease; -Infinity if none was sent. */
   respondedAt: Micros;
   /** True if the worker has seen this owner's fencing token. It then ignores the responses of earlier owners. */
   readonly hasSeenToken: boolean;
-  /** Steady time at which the cloud reclaims the machine; null without a notice. A notice is never withdrawn. */
+  /** Monotonic time at which the cloud reclaims the machine; null without a notice. A notice is never withdrawn. */
   readonly reclaimAt: Micros | null;
   /**
-   * Steady time at which this owner first saw an attempt running; null if the attempt was already running in the
+   * Monotonic time at which this owner first saw an attempt running; null if the attempt was already running in the
    * first heartbeat of the worker's incarnation. Keyed by attempt key.
    */
   readonly runningSince: Map<string, Micros | null>;
@@ -31,12 +31,12 @@
    */
   readonly sentStarts: Set<string>;
   /**
-   * Steady time since which responses seem not to reach the worker, or null. Heartbeats may arrive meanwhile, so
+   * Monotonic time since which responses seem not to reach the worker, or null. Heartbeats may arrive meanwhile, so
    * this fault doesn't show as a missing heartbeat. A task placed on the worker can neither start nor be proven
    * stopped before the lease has expired.
    */
   readonly unreachableSince: Micros | null;
-  /** Steady time until which the worker gets no new tasks, because it refused a task. */
+  /** Monotonic time until which the worker gets no new tasks, because it refused a task. */
   avoidedUntil: Micros;
 }
 
@@ -47,7 +47,7 @@
   readonly previous: TrackedWorker | null;
   /** True if the heartbeat proves that the worker has seen this owner's fencing token. */
   readonly hasSeenToken: boolean;
-  /** Steady time at which the heartbeat arrived. */
+  /** Monotonic time at which the heartbeat arrived. */
   readonly now: Micros;
 }
 
--- a/packages/workers/worker-registry.test.ts
+++ b/packages/workers/worker-registry.test.ts
@@ -37,7 +37,7 @@
   ledger.apply(0, {
     sequence: 1,
     recordedAtMs: 0,
-    starts: [{ job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], tasks: [[0, 'n-1', 1]] }],
+    starts: [{ job: 'j-1', team: 'blue', image: 'i', taskResources: [2, 0, 4], tasks: [[0, 'n-1', 1]] }],
   });
   const workers = new WorkerRegistry(LIMITS);
   workers.syncOwnership({ ledger, owners: OWNERS, fencingToken: 5, now: NOW });
@@ -164,7 +164,9 @@
   ledger.apply('lead', { sequence: 1, recordedAtMs: 0, machines });
   const tasks = placed.map(([index, host]): StartGroup['tasks'][number] => [index, host, 1]);
   const gang = { attempt: ATTEMPT, size: 2 };
-  const starts = [{ job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], gang, tasks }] as StartGroup[];
+  const starts = [
+    { job: 'j-1', team: 'blue', image: 'i', taskResources: [2, 0, 4], gang, tasks },
+  ] as StartGroup[];
   ledger.apply(0, { sequence: 1, recordedAtMs: 0, starts });
   const workers = new WorkerRegistry(LIMITS);
   workers.syncOwnership({ ledger, owners: OWNERS, fencingToken: 5, now: NOW });
@@ -192,7 +194,14 @@
   workers.onHeartbeat(heartbeat(), NOW);
   assert.equal(workers.findCompletions(ledger, jobs, NOW + 1)[0]?.outcome, 'undelivered');
   const gang = { attempt: ATTEMPT, size: 2 };
-  const lateStart = { job: 'j-1', team: 'blue', image: 'i', need: [2, 0, 4], gang, tasks: [[1, 'n-2', 1]] };
+  const lateStart = {
+    job: 'j-1',
+    team: 'blue',
+    image: 'i',
+    taskResources: [2, 0, 4],
+    gang,
+    tasks: [[1, 'n-2', 1]],
+  };
   ledger.apply(0, { sequence: 2, recordedAtMs: 0, starts: [lateStart as StartGroup] });
   workers.onHeartbeat(heartbeat({ sequence: 2 }), NOW + 2);
   assert.deepEqual(workers.commands('n-1', { ledger, jobs, allowsStarts: true }), []);
--- a/packages/workers/worker-registry.ts
+++ b/packages/workers/worker-registry.ts
@@ -11,7 +11,7 @@
 
 /**
  * Tracks the workers on the machines that this node owns, detects task completions and builds the commands for the
- * workers. All times are steady times of this node's clock.
+ * workers. All times are monotonic times of this node's clock.
  */
 export class WorkerRegistry {
   /** The workers that have sent a heartbeat since this node acquired their machine. Keyed by host. */
--- a/packages/workers/worker-timeouts.ts
+++ b/packages/workers/worker-timeouts.ts
@@ -12,17 +12,18 @@
 }
 
 /**
- * Returns the time on this node's clock after which a duration has certainly passed on any other node's clock.
- * Steady clocks drift apart by at most 0.05%. The margin of 0.2% and 100 ms covers that drift.
+ * Returns the time to wait on this node's clock until the duration has certainly passed on any other node's clock.
+ * Monotonic clocks drift apart by at most 0.05%. The margin of 0.2% and 100 ms covers that drift.
  */
 export function withDriftMargin(duration: Micros): Micros {
   return Math.ceil(duration * 1.002) + 100 * MS;
 }
 
 /**
- * Returns the time for which an owner may renew leases after the last moment at which its state was known to be
- * complete. A cancellation may be confirmed on another node after that moment. The last lease that the owner renewed
- * expires `workerLease` later, and so within `cancellationDeadline` of the cancellation.
+ * Returns the renewal bound: the time for which an owner may renew leases after the last moment at which its state was
+ * known to be complete. A cancellation may be confirmed on another node after that moment. The last lease that the
+ * owner renewed expires `workerLease` later, and so within `cancellationDeadline` of the cancellation. The factor and
+ * the subtracted second are safety margins, which cover clock drift.
  */
 export function renewalBound(timeouts: WorkerTimeouts): Micros {
   return Math.max(0, Math.floor((timeouts.cancellationDeadline - timeouts.workerLease) * 0.996) - SECOND);
