--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -1,4 +1,4 @@
-/** Checkpoints of the placement ledger, archival of terminal jobs, and garbage collection. Only the leader acts. */
+/** Writes checkpoints of the placement ledger, archives terminal jobs and removes stale chunks, on the leader only. */
 import { adaptLimits, VALUE_FRAME_BYTES, valuesPerCommit } from './commit-limits.js';
 import {
   CHECKPOINT_HEAD_KEY,
@@ -141,8 +141,8 @@
 
   /**
    * Writes a part of a checkpoint and retries if it was not applied. Without a retry the parts already written would be
-   * useless, and the logs cannot grow without checkpoints. Retries are safe: the chunk keys are unique to the
-   * checkpoint, and the commit of its head is guarded.
+   * useless, and a full log accepts no records until a checkpoint covers its slots. Retries are safe: the chunk keys are
+   * unique to the checkpoint, and the commit of its head is guarded.
    */
   private async writeWithRetry(termProof: TermProof, guards: Guard[], writes: Write[]): Promise<boolean> {
     const { store, clock, rateLimiter } = this.options;
--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -231,8 +231,8 @@
     revision: number,
   ): Promise<CommitResult> {
     const { store, member, zone } = this.options;
-    const notes = this.statusPublisher.status;
-    const value = encodeMember({ nonce, zone, leaseId, notes, capabilities: SUPPORTED_CAPABILITIES });
+    const status = this.statusPublisher.status;
+    const value = encodeMember({ nonce, zone, leaseId, status, capabilities: SUPPORTED_CAPABILITIES });
     return store.compareAndSwap(
       [{ path: memberKey(member), revision }],
       [{ set: memberKey(member), value, leaseId }],
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -288,12 +288,12 @@
     'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
     'mw/now/share/1': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
   });
-  const notes: MemberStatus = {
+  const status: MemberStatus = {
     unreachable: ['node-2', 'node-3'],
     workersUnreachable: true,
     resignedShards: [0, 2],
   };
-  await node.runUntil(node.membership.publishStatus(notes));
+  await node.runUntil(node.membership.publishStatus(status));
   const memberRow =
     '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
   assert.deepEqual(node.rowTexts(MEMBER_PREFIX), { 'mw/now/member/node-1': memberRow });
@@ -310,7 +310,7 @@
   const capabilities = new Set(['gangs', 'handover', 'memory']);
   assert.deepEqual<Member[]>(
     [...replica.members.values()],
-    [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
+    [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...status, revision: 3 }],
   );
   assert.deepEqual(replica.capabilities.get('node-1'), capabilities);
   assert.deepEqual<ShardOwner>(replica.shardOwners.get(2), {
@@ -332,7 +332,7 @@
   });
   assert.deepEqual(replica.fencingToken, { value: -1, revision: 1 });
   assert.deepEqual<LeaseHolder>(replica.leader, { member: '', nonce: '', revision: 2 });
-  const notes: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
+  const status: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   assert.deepEqual<Member[]>(
     [...replica.members.values()],
     [
@@ -342,7 +342,7 @@
         zone: 'east',
         leaseId: 1,
         capabilities: new Set(),
-        ...notes,
+        ...status,
         revision: 3,
       },
     ],
--- a/packages/cluster/stored/member-codec.ts
+++ b/packages/cluster/stored/member-codec.ts
@@ -16,21 +16,21 @@
   zone: string;
   leaseId: Count;
   /** The status that the member publishes. */
-  notes: MemberStatus;
+  status: MemberStatus;
   capabilities: readonly Capability[];
 }
 
 /** Encodes the row of a member. */
-export function encodeMember({ nonce, zone, leaseId, notes, capabilities }: MemberRowSource): WireFields {
+export function encodeMember({ nonce, zone, leaseId, status, capabilities }: MemberRowSource): WireFields {
   const value: WireFields = {
     Nonce: nonce,
     Zone: zone,
     Permit: leaseId,
-    Unreachable: notes.unreachable,
-    WorkersUnreachable: notes.workersUnreachable,
+    Unreachable: status.unreachable,
+    WorkersUnreachable: status.workersUnreachable,
   };
   // Older nodes don't know this field: it is set only once all nodes have announced support, and omitted if empty.
-  if (notes.resignedShards.length > 0) value['Resigned'] = notes.resignedShards;
+  if (status.resignedShards.length > 0) value['Resigned'] = status.resignedShards;
   return { ...value, ...encodeCapabilities(capabilities) };
 }
 
--- a/packages/cluster/worker-reachability.ts
+++ b/packages/cluster/worker-reachability.ts
@@ -10,8 +10,8 @@
 export const REACHABILITY_CHECK_INTERVAL: Micros = 500 * MS;
 
 /**
- * The state `unreachable` ends after a pause: without shards a node gets no heartbeats, so only a new trial with shards
- * shows whether workers reach it again.
+ * The state `unreachable` ends after a pause: without shards a node gets no heartbeats, so only a new assignment of
+ * shards shows whether workers reach it again.
  */
 export type WorkerReachabilityState = 'reached' | 'unreachable';
 
@@ -24,7 +24,7 @@
  * half a second, and peers publish their redirects every half second.
  */
 const MIN_CONSECUTIVE_REDIRECT_CHECKS = 3;
-/** Pause before an unreachable node is tried again, in worker leases. It doubles with each immediate failure. */
+/** Pause before an unreachable node may get shards again, in worker leases. It doubles with each immediate failure. */
 const MIN_PAUSE_LEASES = 3;
 /** Upper bound of the pause, in worker leases. */
 const MAX_PAUSE_LEASES = 24;
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -76,9 +76,7 @@
     } catch {
       return { kind: 'unknown' };
     }
-    return this.continuesSeenHistory(reply, writes, minimum)
-      ? decodeCommitResult(reply)
-      : { kind: 'unknown' };
+    return this.passesRevisionCheck(reply, writes, minimum) ? decodeCommitResult(reply) : { kind: 'unknown' };
   }
 
   /** Creates a lease that expires when it is not renewed for `duration`. Resolves with the id of the lease. */
@@ -119,8 +117,8 @@
     return { revision: this.requireAccepted(minimum, decodeRevision(body)), changes };
   }
 
-  /** True if the answer to a commit passes the revision check. Otherwise the result of the commit is unknown. */
-  private continuesSeenHistory(
+  /** Returns true if the answer to a commit passes the revision check. If not, the result of the commit is unknown. */
+  private passesRevisionCheck(
     { status, body }: HttpReply,
     writes: readonly Write[],
     minimum: number,
--- a/packages/workers/completion-detector.ts
+++ b/packages/workers/completion-detector.ts
@@ -31,7 +31,7 @@
 interface WorkerView extends RecordedState {
   readonly worker: TrackedWorker;
   readonly ownership: MachineOwnership;
-  /** Monotonic time. */
+  /** The current monotonic time. */
   readonly now: Micros;
 }
 
--- a/packages/workers/machine-ownership.ts
+++ b/packages/workers/machine-ownership.ts
@@ -11,7 +11,7 @@
   readonly shard: number;
   readonly ownerRevision: number;
   readonly ownershipCount: number;
-  /** Monotonic time at which this node learned that it owns the machine. */
+  /** Monotonic time at which this node first observed that it owns the machine. */
   readonly since: Micros;
   /** A worker that has seen this fencing token ignores the responses of earlier owners. */
   readonly fencingToken: number;
@@ -28,7 +28,7 @@
   readonly owners: ReadonlyMap<number, ShardOwner>;
   /** The cluster's current fencing token. */
   readonly fencingToken: number;
-  /** Monotonic time. */
+  /** The current monotonic time. */
   readonly now: Micros;
 }
 
--- a/packages/workers/worker-liveness.ts
+++ b/packages/workers/worker-liveness.ts
@@ -22,7 +22,7 @@
   readonly worker: TrackedWorker;
   /** If undefined, the machine counts as acquired now. */
   readonly ownership: MachineOwnership | undefined;
-  /** Monotonic time. */
+  /** The current monotonic time. */
   readonly now: Micros;
 }
 
