--- a/packages/cli/cli.test.ts
+++ b/packages/cli/cli.test.ts
@@ -115,7 +115,7 @@
   yield* textOf(lines);
 }
 
-/** Runs a test against a listener of a node that reports {@link ROLE_STATUS} and hands over only the role `lead`. */
+/** Runs a test against a listener of a node that reports {@link ROLE_STATUS} and hands off only the role `lead`. */
 async function withListener(
   use: (address: string, requestedRoles: RoleName[]) => Promise<void>,
 ): Promise<void> {
@@ -189,7 +189,7 @@
   });
 });
 
-test('duties resign hands a role over, or fails with the reason', async () => {
+test('duties resign hands off a role, or fails with the reason', async () => {
   await withListener(async (address, requestedRoles) => {
     assert.deepEqual(await run('duties', 'resign', 'lead', '--node', address), {
       code: 0,
--- a/packages/cli/duties.ts
+++ b/packages/cli/duties.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * Asks a node to hand over the role of this name. Throws {@link CommandFailure} with the reason if the node does not
- * hand it over.
+ * Requests that a node hand off the role with this name. Throws {@link CommandFailure} with the reason if the node does
+ * not hand it off.
  */
 export async function resignRole(name: string, node: string, print: Print): Promise<void> {
   const address = validateAddress(node);
--- a/packages/cli/jobs.ts
+++ b/packages/cli/jobs.ts
@@ -15,7 +15,7 @@
 import { CommandFailure, messageOf, UsageError } from './errors.js';
 import type { Print } from './output.js';
 
-/** While the service is unavailable, a request is retried for this time. */
+/** Maximum time for which a request is retried while the service is unavailable. */
 const MAX_RETRY_MS = 60_000;
 /** Pause between two attempts of a request. */
 const RETRY_PAUSE_MS = 1000;
--- a/packages/daemon/controller.ts
+++ b/packages/daemon/controller.ts
@@ -269,7 +269,7 @@
   }
 }
 
-/** Builds the replica, the membership, and the clients that check the fencing token of a role. */
+/** Builds the replica, the membership, and the fenced clients, which act only under a role that this node holds. */
 function buildClusterComponents(
   options: ControllerOptions,
   store: StoreClient,
--- a/packages/daemon/heartbeat-handler.ts
+++ b/packages/daemon/heartbeat-handler.ts
@@ -30,12 +30,12 @@
 }
 
 /**
- * The wait of a heartbeat that reports a completion, or that is the first of its machine, for the round that records
- * it. A response that is sent before that round carries neither the next start nor the `reap` command that makes the
- * worker send its next heartbeat at once. The free capacity then stays idle until that heartbeat is due.
+ * How long the response to a heartbeat waits for the round that records the completion, or the new machine, that the
+ * heartbeat reports. A response that is sent before that round carries neither the next start nor the `forget` command
+ * that makes the worker send its next heartbeat at once. The free capacity then stays idle until that heartbeat is due.
  */
-const CHANGE_WAIT: RoundWait = { intervalFraction: 0.45, maxWait: 1500 * MS };
-/** The wait of a heartbeat for the round that releases or acquires the machine. */
+const RECORDING_WAIT: RoundWait = { intervalFraction: 0.45, maxWait: 1500 * MS };
+/** How long the response to a heartbeat waits for the round that releases or acquires the machine. */
 const TRANSFER_WAIT: RoundWait = { intervalFraction: 0.2, maxWait: 700 * MS };
 
 /** Dependencies of {@link HeartbeatHandler}. */
@@ -68,16 +68,16 @@
     if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
     this.options.workerReachability.onHeartbeat();
     this.options.dataLossDetector?.observeHeartbeat(heartbeat);
-    // A worker that is refused during a transfer asks the other nodes for its owner, which takes a second for each.
+    // A worker that is refused during a transfer asks each other node for its owner, which takes a second per node.
     if (this.isInTransfer(heartbeat.host)) await this.waitForNextRound(TRANSFER_WAIT);
     const refusal = this.authorityRefusal(heartbeat);
     if (refusal) return refusal;
     ownership.syncWorkers();
-    const isFirst = !workers.trackedWorkers.has(heartbeat.host);
+    const isFirstHeartbeat = !workers.trackedWorkers.has(heartbeat.host);
     // A later heartbeat of the worker has been received, so the worker no longer waits for this response.
     if (!workers.onHeartbeat(heartbeat, clock.now())) return unavailable('stale report');
-    if (isFirst || scheduler.hasUnrecordedCompletion(heartbeat.host))
-      await this.waitForNextRound(CHANGE_WAIT);
+    if (isFirstHeartbeat || scheduler.hasUnrecordedCompletion(heartbeat.host))
+      await this.waitForNextRound(RECORDING_WAIT);
     return this.authorityRefusal(heartbeat) ?? this.respond(heartbeat);
   }
 
@@ -86,7 +86,7 @@
     const { clock, workers, replica, freshness } = this.options;
     const { host } = heartbeat;
     this.options.ownership.syncWorkers();
-    // If the machine left and returned to this node during the wait, the registry has no heartbeat of its worker.
+    // If the machine was transferred away and back during the wait, the registry has no heartbeat of its worker.
     if (workers.trackedWorkers.get(host)?.heartbeat !== heartbeat) return unavailable('stale report');
     const now = clock.now();
     const commands = workers.commands(host, {
@@ -125,7 +125,7 @@
   /** Returns the refusal if this node's replica is not recent enough to command the worker; null if it is. */
   private stateRefusal(heartbeat: Heartbeat): ServiceResponse | null {
     const { replica, freshness, settings } = this.options;
-    // The worker has seen a higher fencing token than this node: another member may own this shard by now.
+    // The worker or a peer has seen a higher fencing token than this node: another member may own this shard by now.
     if (heartbeat.fencingToken > replica.fencingToken.value || freshness.isOutdated())
       return unavailable('superseded');
     if (this.isBehindWorker(heartbeat)) return unavailable('state behind the worker');
@@ -146,7 +146,7 @@
     return this.options.ownership.ownedShards().has(shard ?? -1);
   }
 
-  /** Waits for the next round, which plans with everything received until now. */
+  /** Waits for the next round, which takes into account everything that was received before this call. */
   private waitForNextRound({ intervalFraction, maxWait }: RoundWait): Promise<void> {
     const { roundLoop, settings } = this.options;
     return roundLoop.waitForNextRound(Math.min(maxWait, settings.heartbeatInterval * intervalFraction));
--- a/packages/daemon/job-feasibility.ts
+++ b/packages/daemon/job-feasibility.ts
@@ -5,7 +5,7 @@
 
 type Team = Settings['teams'][number];
 
-/** The teams with their limits, and the machine types, by which feasibility is checked. */
+/** What the feasibility of a job is checked against: the limits of the teams, and the machine types of the cloud. */
 export interface FeasibilityLimits {
   readonly teams: readonly Team[];
   readonly machineTypes: Iterable<MachineType>;
@@ -24,8 +24,8 @@
 function infeasibleGangReason(job: JobSpec, team: Team): string | null {
   if (!isWithinTeamLimit(team, job, job.taskCount))
     return `all tasks together need more than the limit of team ${job.team}`;
-  const isInOneZone = job.singleZone || job.zone !== null;
-  if (job.spreadZones && job.taskCount > 1 && isInOneZone)
+  const requiresOneZone = job.singleZone || job.zone !== null;
+  if (job.spreadZones && job.taskCount > 1 && requiresOneZone)
     return 'all tasks can not be in one zone and spread over zones at the same time';
   return null;
 }
--- a/packages/daemon/leader.ts
+++ b/packages/daemon/leader.ts
@@ -109,7 +109,7 @@
     this.statusLogger.logIfDue();
   }
 
-  /** Appends the fleet manager's changes to the leader's log. Rounds go on meanwhile because they write other logs. */
+  /** Appends the fleet manager's changes to the leader's log. Rounds continue because they write to other logs. */
   private async recordFleetChanges(): Promise<void> {
     const draft = this.fleetManager.draft();
     if (isEmptyDraft(draft)) return;
--- a/packages/daemon/machine-drainer.ts
+++ b/packages/daemon/machine-drainer.ts
@@ -12,7 +12,7 @@
 import type { Forecaster, OwnerForecast } from '#scheduling';
 import { type Clock, fromSeconds, type Micros, SECOND } from '#wire';
 
-/** Thresholds of the selection. */
+/** Conditions under which a machine is drained. */
 const DRAIN_OPTIONS: DrainOptions = { maxUtilization: 0.6, minUnderusedTime: 6 * SECOND, spareFactor: 2 };
 
 /** Dependencies of {@link MachineDrainer}. */
@@ -25,7 +25,7 @@
 /** Decides which machines get no new tasks, so that they can be scaled in once empty. Runs on the leader. */
 export class MachineDrainer {
   private readonly warmPool = new WarmPool();
-  /** Time since which a machine has been underused. Keyed by host. */
+  /** Monotonic time at which a machine became underused. Keyed by host. */
   private readonly underusedSince = new Map<string, Micros>();
 
   constructor(private readonly options: MachineDrainerOptions) {}
@@ -36,7 +36,7 @@
     this.warmPool.clear();
   }
 
-  /** True if the machine is held ready for jobs that can't wait for a machine to boot. */
+  /** True if the machine is kept ready for jobs that can't wait for a machine to boot. */
   isInWarmPool(host: string): boolean {
     return this.warmPool.contains(host);
   }
@@ -75,9 +75,9 @@
   }
 
   /** Records the utilization of the machine and returns how long the machine has been underused. */
-  private observeUtilization(host: string, used: number): Micros {
+  private observeUtilization(host: string, usedFraction: number): Micros {
     const now = this.options.clock.now();
-    if (used > DRAIN_OPTIONS.maxUtilization) this.underusedSince.delete(host);
+    if (usedFraction > DRAIN_OPTIONS.maxUtilization) this.underusedSince.delete(host);
     else if (!this.underusedSince.has(host)) this.underusedSince.set(host, now);
     return now - (this.underusedSince.get(host) ?? now);
   }
--- a/packages/daemon/machine-rebalancer.ts
+++ b/packages/daemon/machine-rebalancer.ts
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Sets the targets of this step's transfers. Returns each owner's remaining unmet demand, under its first shard. */
+  /** Sets the targets of this step's transfers. Returns each owner's remaining unmet demand for its first shard. */
   transferToDemand(forecasts: readonly OwnerForecast[]): ShardDemand[] {
     const reachability = new ZoneReachability(this.options.replica);
     const { transfers, unmetDemand } = this.plan(forecasts, reachability);
@@ -122,7 +122,7 @@
       free,
       total: resourcesOf(type),
       // A reserved machine counts as used by the task for which it is reserved.
-      isInCooldown:
+      isPinned:
         forecast.reservedHosts.has(host) || this.isRecentlyTransferred(host) || this.hasGangTask(host),
       busyFor: () => runTimeEstimator.busyFor(host),
     };
--- a/packages/daemon/node-components.ts
+++ b/packages/daemon/node-components.ts
@@ -66,8 +66,8 @@
 }
 
 /**
- * The basis of this node's authority over workers: the shards that it owns and the freshness of its replica. With them
- * are the registry of the workers that follow from the shards, and the tracker of whether workers reach this node.
+ * The basis of this node's authority over workers: the shards that it owns and the freshness of its replica. Also the
+ * registry of the workers on the machines of these shards, and the tracker of whether workers reach this node.
  */
 export interface AuthorityComponents {
   readonly workers: WorkerRegistry;
--- a/packages/daemon/pending-releases.ts
+++ b/packages/daemon/pending-releases.ts
@@ -4,7 +4,7 @@
 /** A release that has been submitted to a log. */
 interface PendingRelease {
   readonly log: number;
-  /** The log's position when the outcome of the write was unknown; infinite while the write is in progress. */
+  /** The log's position when the write ended without a known outcome; infinite while the write is in progress. */
   readonly sequence: number;
 }
 
--- a/packages/daemon/role-handoff.test.ts
+++ b/packages/daemon/role-handoff.test.ts
@@ -51,7 +51,7 @@
 
 interface HandoffFixture {
   clock: Clock;
-  handover: RoleHandoff;
+  handoff: RoleHandoff;
   roles: RoleRegistry;
   /** The lists of resigned shards that this node published, in order. */
   published: string[];
@@ -98,12 +98,12 @@
     freshness: freshness as StateFreshness,
     allNodes: ['node-1', 'node-2'],
   };
-  return { clock, handover: new RoleHandoff(options), roles, published };
+  return { clock, handoff: new RoleHandoff(options), roles, published };
 }
 
 /** Hands a role off in a changed scenario and returns the result as JSON. */
 async function handoffResult(role: RoleName, overrides: Partial<Scenario> = {}): Promise<string> {
-  return JSON.stringify(await createFixture(overrides).handover.resign(role));
+  return JSON.stringify(await createFixture(overrides).handoff.resign(role));
 }
 
 /** The JSON of a refusal with this reason. */
@@ -138,14 +138,14 @@
   const alreadyResigning = createFixture();
   assert.ok(alreadyResigning.roles.resign('lead'));
   assert.equal(
-    JSON.stringify(await alreadyResigning.handover.resign('lead')),
+    JSON.stringify(await alreadyResigning.handoff.resign('lead')),
     refusal('lead is being handed over'),
   );
   const leaseExpired = createFixture();
   // Advances the time beyond the expiry of the lease.
   leaseExpired.clock.after(700 * SECOND, () => undefined);
   assert.equal(
-    JSON.stringify(await leaseExpired.handover.resign('lead')),
+    JSON.stringify(await leaseExpired.handoff.resign('lead')),
     refusal('lead is not held for certain'),
   );
 });
--- a/packages/daemon/role-handoff.ts
+++ b/packages/daemon/role-handoff.ts
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Gives up all roles before a planned stop. Leadership is handed off if another member can take it. Then the
+   * Resigns all roles before a planned stop. Leadership is handed off if another member can take it. Then the
    * membership lease, on which the other roles depend, is released. If a release is refused or not answered, the role
    * ends when that lease expires, seconds later.
    */
--- a/packages/daemon/round-loop.ts
+++ b/packages/daemon/round-loop.ts
@@ -87,7 +87,7 @@
 
   /**
    * Returns the time until the next round may start; it may be negative. Planning blocks the process, so the spacing
-   * leaves a multiple of the planning time for requests of workers and users. It applies even if no request is late.
+   * leaves a multiple of the planning time for requests of workers and users. It applies even if no request waits.
    */
   private delayUntilNextRound(): Micros {
     const { tuning, shardRound, clock, logWriter } = this.options;
--- a/packages/daemon/run-node.ts
+++ b/packages/daemon/run-node.ts
@@ -37,7 +37,7 @@
   readonly tuning: Tuning;
 }
 
-/** Creates a monotonic clock. Its `wall` is the time of day. */
+/** Creates the clock of the process from the monotonic clock and the wall clock of the operating system. */
 function createClock(): Clock {
   return {
     now: () => Math.floor(Number(hrtime.bigint() / NANOS_PER_MICRO)),
@@ -71,7 +71,7 @@
   return 2 * clientSockets(settings) + SOCKETS_PER_PEER * settings.peers.length + SPARE_SOCKETS + operators;
 }
 
-/** Exits the process on SIGTERM, once the node has given up its roles or {@link RETIRE_TIMEOUT} has passed. */
+/** Exits the process on SIGTERM, once the node has resigned its roles or {@link RETIRE_TIMEOUT} has passed. */
 function retireOnSignal(controller: Controller): void {
   process.once('SIGTERM', () => {
     setTimeout(() => process.exit(0), RETIRE_TIMEOUT / MS);
@@ -151,6 +151,6 @@
   controller.start();
   if (tuning.operatorListen !== null) await serveOperators(controller, tuning.operatorListen, onError);
   await serveUsersAndWorkers(controller, { settings, tuning }, onError);
-  if (tuning.handsOverOnStop) retireOnSignal(controller);
+  if (tuning.handsOffOnStop) retireOnSignal(controller);
   log.info({ bind: settings.bind, incarnation }, 'node started');
 }
--- a/packages/daemon/shard-assigner.ts
+++ b/packages/daemon/shard-assigner.ts
@@ -57,7 +57,7 @@
     const fencingToken = replica.fencingToken.value + 1;
     const guards = this.guards(assignments);
     const writes = this.writes(assignments, fencingToken);
-    // The name of the action is part of the refusals that operators are shown, so it stays as it is.
+    // The name of the action is part of the refusals that operators are shown, so it must not change.
     const result = await store.compareAndSwap({
       proofs: [termProof],
       action: 'deal shares',
--- a/packages/daemon/stored-rows.test.ts
+++ b/packages/daemon/stored-rows.test.ts
@@ -28,7 +28,7 @@
 import { JobService } from './job-service.js';
 
 const SILENT = { debug: () => undefined, info: () => undefined, error: () => undefined };
-/** Time of day of every submission, in milliseconds. */
+/** Wall-clock time of every submission, in milliseconds. */
 const SUBMITTED_AT_MS = 1_790_000_000_123;
 
 const TYPE_ROWS = {
--- a/packages/fleet/capacity-backoff.ts
+++ b/packages/fleet/capacity-backoff.ts
@@ -5,7 +5,7 @@
 const INITIAL_BACKOFF: Micros = 10 * SECOND;
 const MAX_BACKOFF: Micros = 40 * SECOND;
 
-/** The backoff of one offer: when it ends on the monotonic clock, and how long it takes in all. */
+/** The backoff of one offer: the monotonic time at which it ends, and its total duration. */
 interface Backoff {
   readonly until: Micros;
   readonly duration: Micros;
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -78,14 +78,14 @@
   }
 
   /** Runs one step: plans scale-out for unmet demand, selects machines to scale in, and sends the recorded requests. */
-  step(shards: readonly ShardDemand[]): void {
+  step(demands: readonly ShardDemand[]): void {
     const { termProof } = this;
     if (!termProof) return;
     this.machineList.trackMachines(this.state().ledger);
-    for (const shard of shards) this.scaleOut.plan(shard, termProof);
+    for (const demand of demands) this.scaleOut.plan(demand, termProof);
     this.scaleOut.sendAll(termProof);
     void this.adoption.adoptListed(termProof);
-    this.scaleIn.selectIdle(shards.some((shard) => shard.unmetDemand.length > 0));
+    this.scaleIn.selectIdle(demands.some((demand) => demand.unmetDemand.length > 0));
     this.scaleIn.selectUnusable();
     void this.deletion.deleteReleased(termProof);
     if (!this.changes.isEmpty) this.requestRound();
--- a/packages/fleet/machine-adoption.ts
+++ b/packages/fleet/machine-adoption.ts
@@ -11,7 +11,7 @@
 const DELETED_MACHINE_RETENTION: Micros = 120 * SECOND;
 
 /** A machine to adopt. */
-export interface AdoptedMachine extends Offer {
+export interface AdoptionCandidate extends Offer {
   readonly host: string;
   /** The shard that the machine will belong to. */
   readonly shard: number;
@@ -30,12 +30,13 @@
     this.recentlyDeleted.clear();
   }
 
+  /** Prevents the adoption of a deleted machine while the cloud's list may still contain it. */
   onDeleted(host: string): void {
     this.recentlyDeleted.set(host, this.context.clock.now() + DELETED_MACHINE_RETENTION);
   }
 
   /** Adds the machine to the pending changes unless it is in the ledger, pending already or recently deleted. */
-  adopt({ host, machineType, zone, spot, shard, ageS }: AdoptedMachine): void {
+  adopt({ host, machineType, zone, spot, shard, ageS }: AdoptionCandidate): void {
     if (!this.isUnknown(host)) return;
     const acquiredAtMs = Math.floor(this.context.clock.wall() / MS - ageS * 1000);
     this.context.changes.addMachine([host, machineType, zone, spot, acquiredAtMs, shard]);
--- a/packages/fleet/machine-list.ts
+++ b/packages/fleet/machine-list.ts
@@ -8,7 +8,7 @@
 /** A machine counts as gone if it is missing from the list for this time plus twice the list's nominal lag. */
 const MISSING_MACHINE_MARGIN: Micros = 8 * SECOND;
 
-/** Reads the cloud's list under the current term, and tells which machines stopped or no longer exist. */
+/** Reads the cloud's list under the current term, and determines which machines stopped or no longer exist. */
 export class MachineList {
   /** Listed machines that stopped by themselves and are not in the ledger. Keyed by host. */
   readonly stoppedMachines = new Map<string, ScaleInIntent>();
--- a/packages/fleet/scale-in-selection.ts
+++ b/packages/fleet/scale-in-selection.ts
@@ -13,7 +13,7 @@
 
 /** Sets the target of the selected machines to scale-in. Each is deleted after its owner has released it. */
 export class ScaleInSelection {
-  /** Time since which a machine has been up without tasks. Keyed by host. */
+  /** Monotonic time from which a machine has been up without tasks. Keyed by host. */
   private readonly idleSince = new Map<string, Micros>();
   private termStartedAt: Micros = 0;
 
--- a/packages/fleet/transfer-planner.test.ts
+++ b/packages/fleet/transfer-planner.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-test('transfers unused capacity first, then by price and for guarantees; not in cooldown or across partitions', () => {
+test('transfers unused capacity first, then by price and for guarantees; not if pinned or across partitions', () => {
   const total = { cpus: 4, gpus: 0, memGb: 16 };
   const machine = (host: string, change: Partial<TransferCandidate> = {}): TransferCandidate => ({
     host,
@@ -35,7 +35,7 @@
     owner: 'b',
     total,
     free: { ...total },
-    isInCooldown: false,
+    isPinned: false,
     busyFor: () => 0,
     ...change,
   });
@@ -59,7 +59,7 @@
       maxDeficitTransfers: 2,
     }).transfers.map(({ host }) => host);
   assert.deepEqual(transferred([machine('n-1', { free: full }), machine('n-2')]), ['n-2']);
-  assert.deepEqual(transferred([machine('n-1', { free: full }), machine('n-2', { isInCooldown: true })]), [
+  assert.deepEqual(transferred([machine('n-1', { free: full }), machine('n-2', { isPinned: true })]), [
     'n-1',
   ]);
   assert.deepEqual(transferred([machine('n-1')], true), []);
--- a/packages/fleet/transfer-planner.ts
+++ b/packages/fleet/transfer-planner.ts
@@ -12,8 +12,11 @@
   owner: string;
   free: Resources;
   total: Resources;
-  /** True if the machine was transferred recently. Another transfer at once would only keep it from running tasks. */
-  isInCooldown: boolean;
+  /**
+   * True if the machine must stay with its owner for now: it is reserved for a task, runs a task of a gang, or was
+   * transferred recently. Another transfer so soon would only keep it from running tasks.
+   */
+  isPinned: boolean;
   /** Returns the expected time until all tasks on the machine have ended. */
   busyFor: () => Micros;
 }
@@ -167,7 +170,7 @@
   private isTransferable(machine: TransferCandidate, owner: string): boolean {
     return (
       machine.owner !== owner &&
-      !machine.isInCooldown &&
+      !machine.isPinned &&
       !this.transferredHosts.has(machine.host) &&
       this.input.canReach(owner, machine.zone)
     );
--- a/packages/pricing/gang-placement.ts
+++ b/packages/pricing/gang-placement.ts
@@ -149,7 +149,7 @@
   if (!best)
     return { kind: 'unplaced', missingTaskCount: job.pendingTaskCount, zone: null, reservedHosts: [] };
   const missingTaskCount = Math.max(1, job.pendingTaskCount - best.taskCapacity);
-  // For a gang that must be spread over zones, capacity in one zone does not tell when the gang can start.
+  // For a gang that must be spread over zones, capacity in one zone does not show when the gang can start.
   const reservedHosts =
     !job.spreadZones && becomesFreeInTime(job, best) ? reserveCapacity(job, best.machines) : [];
   return { kind: 'unplaced', missingTaskCount, zone: best.zone, reservedHosts };
--- a/packages/pricing/types.ts
+++ b/packages/pricing/types.ts
@@ -61,7 +61,7 @@
   cachedImages: readonly string[];
   /** Returns the expected time until all tasks on the machine have ended. */
   busyFor: () => Micros;
-  /** Time until the worker's next heartbeat. Only a heartbeat response can tell the worker to start a task. */
+  /** Time until the worker's next heartbeat. Only a heartbeat response can command the worker to start a task. */
   nextHeartbeatIn: Micros;
   /** Cost of the machine per hour and CPU. It only decides between shapes of equal utility. */
   hourlyCostPerCpu: number;
--- a/packages/pricing/zone-constraint.ts
+++ b/packages/pricing/zone-constraint.ts
@@ -37,11 +37,11 @@
   }
 }
 
-/** Returns the zone with free capacity for most of the job's tasks, in which a single-zone job starts; null if none. */
+/** Returns the zone with capacity for the most tasks of the job, in which a single-zone job starts; null if none. */
 function zoneWithMostCapacity(job: PendingJob, machines: readonly CandidateMachine[]): string | null {
   const taskCapacity = new Map<string, number>();
   for (const machine of machines) {
-    if (!admits(job, machine)) continue;
+    if (!allowsMachine(job, machine)) continue;
     taskCapacity.set(
       machine.zone,
       (taskCapacity.get(machine.zone) ?? 0) + countFitting(job.taskResources, machine.free),
@@ -51,7 +51,7 @@
 }
 
 /** True if the job's constraints allow the machine, regardless of its free capacity. */
-function admits(job: PendingJob, machine: CandidateMachine): boolean {
+function allowsMachine(job: PendingJob, machine: CandidateMachine): boolean {
   if (machine.spot && !job.allowsSpot) return false;
   if (job.machineTypes && !job.machineTypes.includes(machine.machineType)) return false;
   return job.zone === null || job.zone === machine.zone;
--- a/packages/scheduling/round-input-builder.ts
+++ b/packages/scheduling/round-input-builder.ts
@@ -265,7 +265,7 @@
 /**
  * Returns the factor by which waiting raises a priority. It grows linearly at first and quadratically later. On a
  * fleet that stays full, a linear factor would let best-effort tasks start only after all normal ones, minutes after
- * their users had given up on them.
+ * their users had abandoned them.
  * @param waitMultiple - waiting time as a multiple of the time that doubles the priority
  */
 export function waitingBoost(waitMultiple: number): number {
--- a/packages/settings/operator.ts
+++ b/packages/settings/operator.ts
@@ -10,24 +10,24 @@
   roundGap: Micros;
   /** Time after which a scheduling round runs even if no state has changed. */
   roundIdle: Micros;
-  /** Number of price adjustments per scheduling round. */
+  /** Number of price passes in a scheduling round. */
   passes: number;
-  /** Price change for an unmet demand of a whole machine, as a fraction of the top priority. */
+  /** Price step for an unmet demand of a whole machine, as a fraction of the highest priority. */
   step: number;
-  /** Price of a GPU shape for a task without GPUs, as a fraction of the top priority. */
+  /** Extra cost of a GPU shape for a task that needs no GPU, as a fraction of the highest priority. */
   gpuShapeCost: number;
-  /** Fraction by which GPUs raise a task's priority. */
+  /** Increase in priority for a task that needs GPUs, as a fraction of its own priority. */
   gpuTaskWeight: number;
-  /** Priority raise for use within a team's guarantee, as a fraction of the top priority. */
+  /** Increase in priority for tasks within their team's guarantee, as a fraction of the highest priority. */
   guaranteeWeight: number;
   /** Waiting time after which a job's priority has doubled. */
   priorityDoublingTime: Micros;
-  /** Number of randomly chosen machines with free capacity that are considered for each task. */
+  /** Number of random machines with free capacity compared for each task. The fullest of them gets the task. */
   choices: number;
   /** Address of the operators' listener; null for none. */
   operatorListen: string | null;
-  /** True if the node hands its roles over when its process receives SIGTERM. */
-  handsOverOnStop: boolean;
+  /** True if the node hands off its roles when its process receives SIGTERM. */
+  handsOffOnStop: boolean;
   /** True if the node detects data loss in the state service, and commits nothing while data is lost. */
   detectsDataLoss: boolean;
 }
@@ -128,7 +128,7 @@
     priorityDoublingTime: 60 * SECOND,
     choices: 6,
     operatorListen: null,
-    handsOverOnStop: false,
+    handsOffOnStop: false,
     detectsDataLoss: false,
   };
 }
@@ -145,7 +145,7 @@
     if (value !== null) Object.assign(tuning, parameter.apply(value));
   }
   tuning.operatorListen = addressAt(root, 'operations/listen');
-  tuning.handsOverOnStop = flagAt(root, 'operations/handOverOnStop');
+  tuning.handsOffOnStop = flagAt(root, 'operations/handOverOnStop');
   tuning.detectsDataLoss = flagAt(root, 'recovery/noticeLoss');
   return tuning;
 }
--- a/packages/settings/settings-format.test.ts
+++ b/packages/settings/settings-format.test.ts
@@ -379,7 +379,7 @@
     ['pricing/waitDoublesS', '1.5', { priorityDoublingTime: 1.5 * SECOND }],
     ['placement/choices', '64', { choices: 64 }],
     ['operations/listen', ' 127.0.0.1:07070 ', { operatorListen: '127.0.0.1:7070' }],
-    ['operations/handOverOnStop', 'true', { handsOverOnStop: true }],
+    ['operations/handOverOnStop', 'true', { handsOffOnStop: true }],
     ['operations/handOverOnStop', 'false', {}],
     ['recovery/noticeLoss', 'true', { detectsDataLoss: true }],
     ['recovery/noticeLoss', 'false', {}],
@@ -394,7 +394,7 @@
 test("without an operators' file the documented defaults apply", () => {
   const expected: Tuning = {
     operatorListen: null,
-    handsOverOnStop: false,
+    handsOffOnStop: false,
     detectsDataLoss: false,
     roundGap: 250_000,
     roundIdle: SECOND,
--- a/packages/settings/settings.test.ts
+++ b/packages/settings/settings.test.ts
@@ -134,10 +134,10 @@
 test('optional features are off by default, and the files under deploy enable them', async () => {
   const read = (name: string): string =>
     readFileSync(new URL(`../../deploy/${name}`, import.meta.url), 'utf8');
-  const { operatorListen, handsOverOnStop, detectsDataLoss } = defaultTuning();
-  assert.deepEqual([operatorListen, handsOverOnStop, detectsDataLoss], [null, false, false]);
+  const { operatorListen, handsOffOnStop, detectsDataLoss } = defaultTuning();
+  assert.deepEqual([operatorListen, handsOffOnStop, detectsDataLoss], [null, false, false]);
   const roles = await parseTuning(read('operator.listener.xml'));
-  assert.deepEqual([roles.operatorListen, roles.handsOverOnStop], ['127.0.0.1:7070', true]);
+  assert.deepEqual([roles.operatorListen, roles.handsOffOnStop], ['127.0.0.1:7070', true]);
   const recovery = await parseTuning(read('operator.recovery.xml'));
   assert.deepEqual([recovery.operatorListen, recovery.detectsDataLoss], ['127.0.0.1:7070', true]);
   const invalidFlag = '<micaworks><recovery><noticeLoss>yes</noticeLoss></recovery></micaworks>';
--- a/packages/wire/time.ts
+++ b/packages/wire/time.ts
@@ -22,9 +22,9 @@
 
 /** The only source of time in the service, so that tests can run on a simulated clock. */
 export interface Clock {
-  /** Returns the monotonic time. */
+  /** Returns the monotonic time, which is comparable only with other values of the same clock. */
   now(): Micros;
-  /** Returns the time of day, whose error the setting `time_bound_ms` bounds. */
+  /** Returns the wall-clock time since the Unix epoch. The setting `time_bound_ms` is the upper bound of its error. */
   wall(): Micros;
   /** Runs the callback once after the delay. */
   after(delay: Micros, callback: () => void): Timer;
