--- a/packages/api/server.ts
+++ b/packages/api/server.ts
@@ -11,7 +11,7 @@
 export function listen(app: Koa, address: string, maxConnections: number): Promise<Server> {
   const handle = app.callback();
   const server = createServer((req, res) => {
-    // The promise never rejects: Koa answers a failure of its middleware with an error response.
+    // The promise never rejects: Koa responds with an error if its middleware fails.
     void handle(req, res);
   });
   server.keepAliveTimeout = KEEP_ALIVE_MS;
--- a/packages/api/service.ts
+++ b/packages/api/service.ts
@@ -1,6 +1,6 @@
 /** The interface between the HTTP layer and a node. */
 
-/** The answer to a user or a worker, before it is encoded. */
+/** The response to a user or a worker, before it is encoded. */
 export interface ServiceResponse {
   /** HTTP status. */
   readonly status: number;
--- a/packages/cloud/cloud-client.ts
+++ b/packages/cloud/cloud-client.ts
@@ -19,8 +19,8 @@
 
 /**
  * The result of a scale-out request. `rented`: the hosts are starting. `no_capacity`: the cloud currently has no such
- * machines. `failed`: the cloud rejected the request for another reason. `unknown`: there is no answer, so the request
- * may have been executed or may still be.
+ * machines. `failed`: the cloud rejected the request for another reason. `unknown`: there is no response, so the
+ * request may have been executed or may still be.
  */
 export type ScaleOutResult =
   | { readonly kind: 'rented'; readonly hosts: readonly string[] }
@@ -35,7 +35,7 @@
 /** The maximum number of machines in one scale-out request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
 
-/** The client of the cloud. Its methods never reject: the results show missing and unexpected answers. */
+/** The client of the cloud. Its methods never reject: the results show missing and unexpected responses. */
 export class CloudClient {
   constructor(
     private readonly endpoint: string,
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Sends a request. Returns its answer, or null if there was none in time. */
+  /** Sends a request. Returns its response, or null if there was none in time. */
   private async send(method: HttpMethod, path: string, body?: unknown): Promise<HttpReply | null> {
     try {
       return await this.httpClient(this.endpoint, method, path, body, REQUEST_TIMEOUT);
--- a/packages/cloud/request-format.test.ts
+++ b/packages/cloud/request-format.test.ts
@@ -1,4 +1,4 @@
-/** Golden tests of the requests to the cloud and of its answers. Expectations change only with the protocol. */
+/** Golden tests of the requests to the cloud and of its responses. Expectations change only with the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HttpClient, WireFields, ListedMachine, MachineType, Micros, HttpReply } from '#wire';
@@ -69,7 +69,7 @@
   assert.deepEqual(requests, Array(5).fill('GET /machine_types'));
 });
 
-test('machines are requested under the protocol names, and each answer is read as its result', async () => {
+test('machines are requested under the protocol names, and each response is read as its result', async () => {
   const { client, requests } = clientWithReplies(
     makeReply(200, '{"Hosts":["n-000231","n-000232"]}'),
     makeReply(200, '{"Hosts":[]}'),
--- a/packages/cloud/wire-format.ts
+++ b/packages/cloud/wire-format.ts
@@ -1,4 +1,4 @@
-/** Codecs of the cloud's requests and answers. */
+/** Codecs of the requests to the cloud and of its responses. */
 import {
   type WireFields,
   isWireFields,
@@ -7,7 +7,7 @@
   type ScaleOutRequest,
 } from '#wire';
 
-/** Reads the machine types from an answer. Returns null if the answer has no list of them. */
+/** Reads the machine types from a response. Returns null if the response has no list of them. */
 export function decodeMachineTypes(body: WireFields): MachineType[] | null {
   return decodeMaps(body['Builds'])?.map(decodeMachineType) ?? null;
 }
@@ -32,7 +32,7 @@
   return { Hire: id, Build: machineType, Hall: zone, Loaners: spot, Number: count };
 }
 
-/** Reads the hosts of new machines from an answer. Returns null if the answer has no list of them. */
+/** Reads the hosts of new machines from a response. Returns null if the response has no list of them. */
 export function decodeNewHosts(body: WireFields): string[] | null {
   return Array.isArray(body['Hosts']) ? body['Hosts'].map(String) : null;
 }
@@ -42,7 +42,7 @@
   return { Hosts: hosts };
 }
 
-/** Reads the machines of a page of the machine list. Returns null if the answer is not a page. */
+/** Reads the machines of a page of the machine list. Returns null if the response is not a page. */
 export function decodeMachines(body: WireFields): ListedMachine[] | null {
   return decodeMaps(body['Hosts'])?.map(decodeMachine) ?? null;
 }
--- a/packages/fleet/capacity-backoff.ts
+++ b/packages/fleet/capacity-backoff.ts
@@ -11,7 +11,7 @@
   readonly duration: Micros;
 }
 
-/** Tracks the offers that must not be requested for a while. Keyed by offer. */
+/** Tracks which offers must not be requested because the cloud recently had too few machines of them. */
 export class CapacityBackoff {
   private readonly backoffs = new Map<string, Backoff>();
 
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -94,7 +94,7 @@
   /**
    * Deletes the machines that the last committed record allows to delete, without waiting for the next step. On a large
    * fleet the next step is seconds away, and tasks of machines that no longer exist start elsewhere only after the
-   * cloud has answered the deletion.
+   * cloud has confirmed the deletion.
    */
   deleteReleasedMachines(): void {
     if (this.termProof) void this.deletion.deleteReleased(this.termProof);
--- a/packages/scheduling/run-time-estimator.ts
+++ b/packages/scheduling/run-time-estimator.ts
@@ -27,7 +27,7 @@
 
   constructor(private readonly options: RunTimeEstimatorOptions) {}
 
-  /** Updates the ratio of the job class from a completion. A machine that refused the task is avoided for a while. */
+  /** Updates the ratio of the job class from a completion. A machine that refused the task is avoided temporarily. */
   onCompletion({ placement, outcome }: TaskCompletion): void {
     const { clock, workers } = this.options;
     const worker = workers.trackedWorkers.get(placement.host);
--- a/packages/wire/http-client.ts
+++ b/packages/wire/http-client.ts
@@ -3,7 +3,7 @@
 import { decode, encode, type WireFields, isWireFields } from './codec.js';
 import { type Micros, MS } from './time.js';
 
-/** The maximum size, in bytes, of the body of a request, and of an answer to a user or worker. */
+/** The maximum size, in bytes, of the body of a request, and of a response to a user or worker. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const MAX_IDLE_CONNECTIONS = 8;
--- a/packages/wire/job-state-codec.ts
+++ b/packages/wire/job-state-codec.ts
@@ -1,4 +1,4 @@
-/** Codec of the answers to queries of the state of a job. */
+/** Codec of the responses to queries of the state of a job. */
 import type { WireFields } from './codec.js';
 import type { JobState, JobStatus } from './jobs.js';
 
@@ -19,7 +19,7 @@
   return fields;
 }
 
-/** Reads the status of a job from an answer. Returns null if the answer has none, as in an error. */
+/** Reads the status of a job from a response. Returns null if the response has none, as in an error. */
 export function decodeJobStatus(body: WireFields): JobStatus | null {
   return STATUSES.find((status) => WIRE_STATUSES[status] === body['Status']) ?? null;
 }
--- a/packages/wire/machines.ts
+++ b/packages/wire/machines.ts
@@ -23,7 +23,7 @@
 
 /** A request for machines that all have the same type and zone and are all spot machines or all on demand. */
 export interface ScaleOutRequest {
-  /** Unique across all nodes and requests: the cloud answers a repeated id with the same machines. */
+  /** Unique across all nodes and requests: the cloud responds to a repeated id with the same machines. */
   readonly id: string;
   readonly machineType: string;
   readonly zone: string;
