--- a/packages/cluster/replica.test.ts
+++ b/packages/cluster/replica.test.ts
@@ -108,7 +108,7 @@
   });
   for (const commit of COMMITS.slice(0, initialCommits)) store.commit(commit);
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -1,25 +1,28 @@
-/** Roles under random faults and late requests: what a replaced holder did has no effect, or does no harm. */
+/** Roles under random faults and late requests: actions of a replaced role holder have no effect or do no harm. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
 import { scheduleRandomFaults, submitRandomJobs } from './random-runs.js';
 import { SimCluster } from './sim-cluster.js';
 
-/** Within a run and yet longer than any retry, boot or lease: late requests meet successors of their sender's successor. */
-const LATE_BY = 300 * SECOND;
+/**
+ * Longest delay of a cloud request. It is shorter than a run but longer than any retry, boot or lease, so that late
+ * requests arrive when even the successor of their sender has been replaced.
+ */
+const MAX_REQUEST_DELAY = 300 * SECOND;
 
-/** Random faults while the cloud executes requests up to five minutes late and boots slowly. */
-async function lateRequests(seed: number): Promise<SimCluster> {
+/** Runs a cluster with random faults while the cloud executes requests up to five minutes late and boots machines slowly. */
+async function runWithLateRequests(seed: number): Promise<SimCluster> {
   const cluster = new SimCluster({ seed });
   const { clock, cloud } = cluster;
   cloud.lateRequestRate = 0.3;
-  cloud.maxRequestDelay = LATE_BY;
+  cloud.maxRequestDelay = MAX_REQUEST_DELAY;
   cloud.slowBootRate = 0.3;
   submitRandomJobs(cluster, { until: 150 * SECOND, maxGapS: 5, cancellation: { rate: 0.15, withinS: 20 } });
   scheduleRandomFaults(cluster, { from: 20 * SECOND, until: 150 * SECOND, minGapS: 4, extraGapS: 20 });
   await cluster.run(220 * SECOND);
   cloud.lateRequestRate = 0;
-  // Slow boots are a fault, too: with one machine type a job can meet four of them in a row (seed 108).
+  // Slow boots count as a fault: a job that fits one machine type only can get four of them in a row (seed 108).
   cloud.slowBootRate = 0;
   cluster.invariants.faultsEnded(clock.time);
   await cluster.run(160 * SECOND);
@@ -29,9 +32,9 @@
 const [FROM, RUNS] = [Number(process.env['DUTIES_FROM'] ?? 1), Number(process.env['DUTIES_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
   test(`late scale-out and deletion requests harm no machine in use, seed ${seed}`, async () => {
-    const cluster = await lateRequests(seed);
+    const cluster = await runWithLateRequests(seed);
     assert.ok(cluster.invariants.starts > 20, `only ${cluster.invariants.starts} starts`);
-    assert.ok(cluster.history.counts.deletions > 0, 'nothing was deleted');
+    assert.ok(cluster.history.counts.deletions > 0, 'no machine was deleted');
     assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
   });
 }
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -1,4 +1,4 @@
-/** A simulated state service: rows with revisions, guarded commits, leases and watches. */
+/** A simulated state service: rows with revisions, compare-and-swap transactions, leases and watches. */
 import { type WireFields, isWireFields, jsonBytes, type HttpMethod, type Micros, MS, SECOND } from '#wire';
 import type { SimulationClock } from './sim-clock.js';
 import type { Handler, SimResponse } from './sim-net.js';
@@ -9,13 +9,13 @@
   leaseId: number | null;
 }
 
-/** All that the state service held at one revision. */
+/** A copy of all data of the state service at one revision. */
 export interface StoreBackup {
   rows: ReadonlyMap<string, Row>;
-  /** How long each grant lives. */
+  /** Duration of each lease. Keyed by lease id. */
   leases: ReadonlyMap<number, Micros>;
-  /** The latest changes, for watches. */
-  history: readonly StoredChange[];
+  /** The latest changes, from which watches are answered. */
+  recentChanges: readonly StoredChange[];
   revision: number;
 }
 
@@ -27,140 +27,162 @@
 
 /** Limits of the simulated state service. */
 export interface StoreLimits {
+  /** Requests per second. */
   rps: number;
+  /** Written rows per second. */
   writeRps: number;
+  /** Most writes in one transaction. */
   txnOps: number;
+  /** Most bytes of one value. */
   valueBytes: number;
-  /** Rows that one answer to a list request holds at most. */
+  /** Most rows in one response to a list request. */
   pageRows: number;
 }
 
-/** Bytes that one answer to a list request holds at most. */
+/** Most bytes of rows in one response to a list request, unless its first row alone is larger. */
 const PAGE_BYTES = 512 * 1024;
 
+/** An open watch request. */
 interface Watch {
+  /** The party that sent it. */
   from: string;
   prefix: string;
+  /** The watch reports changes after this revision. */
   after: number;
-  /** When it is answered even without news. */
+  /** Time at which the watch is answered even if nothing has changed. */
   until: Micros;
-  answer: (served: SimResponse) => void;
+  respond: (response: SimResponse) => void;
 }
 
-/** The state service, as its page describes it. */
+/** The state service, as its specification describes it. */
 export class SimStore {
+  /** All rows. Keyed by path. */
   readonly rows = new Map<string, Row>();
+  /** Revision of the latest change. */
   revision = 0;
-  isOut = false;
-  /** Requests that came, and those that were over a limit. */
+  /** True during an outage: every request is answered with 503, and no lease expires. */
+  isUnavailable = false;
+  /** Number of requests received. */
   requestCount = 0;
+  /** Number of requests refused because they exceeded a rate limit. */
   refusedRequestCount = 0;
-  /** Renewals of grants among them. */
+  /** Number of lease renewals. */
   renewalCount = 0;
-  /** Writes that were larger than lowered limits allow. */
+  /** Number of transactions refused because their size exceeded a limit. */
   oversizedWriteCount = 0;
-  /** Nodes that alone get 503. */
+  /** Nodes whose requests are answered with 503 while all others are served. */
   readonly refusedNodes = new Set<string>();
-  /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+  /** Share of transactions that get no response and are executed 2 to 12 s later, after newer ones. */
   lateCommitRate = 0;
-  /** Whether this very transaction gets no answer and is carried out late, too. */
-  isLate: (writes: readonly WireFields[]) => boolean = () => false;
-  /** Transactions that came to their turn late, and how many of those still changed something. */
-  lateCommits = { came: 0, applied: 0 };
-  /** Called with every transaction that is applied, before it is. */
+  /** Returns true for a further transaction that gets no response and is executed late. */
+  delaysCommit: (writes: readonly WireFields[]) => boolean = () => false;
+  /** Number of transactions executed late, and how many of them still changed something. */
+  lateCommits = { executed: 0, applied: 0 };
+  /** Called with the guards and writes of each transaction whose guards hold, before its writes are applied. */
   beforeApply: (guards: WireFields[], writes: WireFields[]) => void = () => undefined;
-  /** Called with every transaction that was applied. */
+  /** Called with the writes of each transaction after they are applied. */
   afterApply: (writes: WireFields[]) => void = () => undefined;
-  /** What it shows is not what was committed: see {@link restore}. */
+  /** True while committed data is missing because an older backup was restored. */
   hasLostData = false;
-  private newest = 0;
-  private readonly leases = new Map<number, { life: Micros; until: Micros }>();
+  /** The highest revision before data was lost. */
+  private highestRevision = 0;
+  private readonly leases = new Map<number, { duration: Micros; until: Micros }>();
   private nextLeaseId = 1;
-  private history: StoredChange[] = [];
-  private forgotten = 0;
+  private recentChanges: StoredChange[] = [];
+  /** Watches that start before this revision are answered with 410: their changes are no longer kept. */
+  private compactedRevision = 0;
   private watches: Watch[] = [];
-  private areLowered = false;
-  private requests = { tokens: 0, at: 0 };
-  private changes = { tokens: 0, at: 0 };
+  private hasLoweredLimits = false;
+  /** Token buckets of the rate limits. */
+  private requestBucket = { tokens: 0, at: 0 };
+  private writeBucket = { tokens: 0, at: 0 };
 
   constructor(
     private readonly clock: SimulationClock,
     private readonly random: () => number,
     private limits: StoreLimits,
   ) {
-    this.requests.tokens = limits.rps;
-    this.changes.tokens = limits.writeRps;
+    this.requestBucket.tokens = limits.rps;
+    this.writeBucket.tokens = limits.writeRps;
     this.sweep();
   }
 
-  /** From now on less is allowed; what is stored stays readable. */
+  /** Lowers limits at run time. Larger values that are already stored stay readable. */
   lowerLimits(limits: Partial<StoreLimits>): void {
     this.limits = { ...this.limits, ...limits };
-    this.areLowered = true;
+    this.hasLoweredLimits = true;
   }
 
+  /** Starts or ends an outage. */
   setOutage(on: boolean): void {
-    this.isOut = on;
-    // After an outage every grant gets its full time again.
-    if (!on) for (const g of this.leases.values()) g.until = this.clock.time + g.life;
-    if (!on) this.wakeWatches();
+    this.isUnavailable = on;
+    // After an outage every lease gets its full duration again.
+    if (!on) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
+    if (!on) this.answerDueWatches();
   }
 
+  /** Handles a request to the state service. */
   readonly handler: Handler = (from, method, path, body) => {
     this.requestCount++;
-    if (!this.admit(this.requests, this.limits.rps, 1)) return { status: 429, body: {} };
-    if (this.isOut || this.refusedNodes.has(from)) return { status: 503, body: {} };
+    if (!this.admit(this.requestBucket, this.limits.rps, 1)) return { status: 429, body: {} };
+    if (this.isUnavailable || this.refusedNodes.has(from)) return { status: 503, body: {} };
     if (path === '/commit' && isWireFields(body)) {
       const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
-      const isUnlucky = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
-      if (isUnlucky || this.isLate(writes)) return this.commitLate(body);
+      const isDelayed = this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
+      if (isDelayed || this.delaysCommit(writes)) return this.commitLate(body);
     }
     return this.route(from, method, path, body);
   };
 
-  /** Writes a row without asking anybody, as a foreign hand might. */
-  spoil(write: WireFields): void {
+  /** Writes a row without any guard or limit, as a program other than the controllers might. */
+  writeUnguarded(write: WireFields): void {
     this.revision++;
     const leaseId = typeof write['Permit'] === 'number' ? write['Permit'] : null;
-    this.put(String(write['Set']), write['V'] as WireFields, leaseId);
-    this.wakeWatches();
+    this.putRow(String(write['Set']), write['V'] as WireFields, leaseId);
+    this.answerDueWatches();
   }
 
+  /** Returns a copy of all data. */
   backup(): StoreBackup {
-    const grants = new Map([...this.leases].map(([id, { life }]) => [id, life]));
-    return { rows: new Map(this.rows), leases: grants, history: [...this.history], revision: this.revision };
+    const leases = new Map([...this.leases].map(([id, { duration }]) => [id, duration]));
+    return {
+      rows: new Map(this.rows),
+      leases,
+      recentChanges: [...this.recentChanges],
+      revision: this.revision,
+    };
   }
 
-  /** Holds what it held at the backup, and knows nothing of what was committed since; grants get their full time. */
-  restore({ rows, leases: grants, history, revision }: StoreBackup): void {
-    if (!this.hasLostData) this.newest = this.revision;
-    this.hasLostData = revision < this.newest;
+  /** Replaces all data by a backup, so that later commits are lost. Leases get their full duration again. */
+  restore({ rows, leases, recentChanges, revision }: StoreBackup): void {
+    if (!this.hasLostData) this.highestRevision = this.revision;
+    this.hasLostData = revision < this.highestRevision;
     this.rows.clear();
     for (const [path, row] of rows) this.rows.set(path, row);
     this.leases.clear();
-    for (const [id, life] of grants) this.leases.set(id, { life, until: this.clock.time + life });
+    for (const [id, duration] of leases) this.leases.set(id, { duration, until: this.clock.time + duration });
     this.revision = revision;
-    this.history = [...history];
+    this.recentChanges = [...recentChanges];
   }
 
-  /** Loses everything, as one that was set up anew. */
+  /** Loses all data and starts again at revision 0, as a new installation does. */
   wipe(): void {
-    this.restore({ rows: new Map(), leases: new Map(), history: [], revision: 0 });
+    this.restore({ rows: new Map(), leases: new Map(), recentChanges: [], revision: 0 });
   }
 
-  /** Loses some keys; open watches are told of it, or nobody is. */
-  loseKeys(isLost: (path: string) => boolean, isTold: boolean): string[] {
+  /** Loses some rows and returns their paths; open watches are notified of the deletions only if asked for. */
+  loseKeys(isLost: (path: string) => boolean, notifiesWatches: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
-    if (isTold) this.revision++;
+    if (notifiesWatches) this.revision++;
     for (const path of lost) {
-      if (isTold) this.drop(path);
+      if (notifiesWatches) this.deleteRow(path);
       else this.rows.delete(path);
     }
-    this.wakeWatches();
+    this.answerDueWatches();
     return lost;
   }
 
-  /** Puts lost keys back as they were, under their own revisions. */
+  /** Restores lost rows from a backup, with the revisions that they had. */
   restoreKeys({ rows }: StoreBackup, paths: Iterable<string>): void {
     for (const path of paths) {
       const row = rows.get(path);
@@ -176,39 +198,39 @@
   ): SimResponse | Promise<SimResponse> {
     const url = new URL(path, 'http://state');
     const fields = isWireFields(body) ? body : {};
-    if (method === 'GET' && url.pathname === '/store') return this.list(url.searchParams);
-    if (method === 'GET' && url.pathname === '/follow') return this.follow(from, url.searchParams);
-    if (method === 'GET' && url.pathname.startsWith('/store/')) return this.get(url.pathname.slice(7));
+    if (method === 'GET' && url.pathname === '/store') return this.listRows(url.searchParams);
+    if (method === 'GET' && url.pathname === '/follow') return this.openWatch(from, url.searchParams);
+    if (method === 'GET' && url.pathname.startsWith('/store/')) return this.getRow(url.pathname.slice(7));
     if (method === 'POST' && url.pathname === '/commit') return this.commit(fields);
     if (method === 'POST' && url.pathname === '/grants') {
-      const life = Number(fields['LifeMs']) * MS;
+      const duration = Number(fields['LifeMs']) * MS;
       const id = this.nextLeaseId++;
-      this.leases.set(id, { life, until: this.clock.time + life });
+      this.leases.set(id, { duration, until: this.clock.time + duration });
       return { status: 200, body: { Permit: id } };
     }
-    const handleLease = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
-    if (handleLease) return this.grant(Number(handleLease[1]), method);
+    const leaseMatch = /^\/grants\/(\d+)(\/renew)?$/.exec(url.pathname);
+    if (leaseMatch) return this.handleLease(Number(leaseMatch[1]), method);
     return { status: 400, body: {} };
   }
 
-  private grant(id: number, method: HttpMethod): SimResponse {
-    const grant = this.leases.get(id);
-    if (!grant) return { status: 404, body: {} };
-    if (method === 'DELETE') this.expire(id);
+  private handleLease(id: number, method: HttpMethod): SimResponse {
+    const lease = this.leases.get(id);
+    if (!lease) return { status: 404, body: {} };
+    if (method === 'DELETE') this.expireLease(id);
     else {
       this.renewalCount++;
-      grant.until = this.clock.time + grant.life;
+      lease.until = this.clock.time + lease.duration;
     }
     return { status: 200, body: {} };
   }
 
-  private get(key: string): SimResponse {
+  private getRow(key: string): SimResponse {
     const row = this.rows.get(key);
     if (!row) return { status: 404, body: { Epoch: this.revision } };
     return { status: 200, body: { Path: key, V: row.value, Stamp: row.revision, Permit: row.leaseId } };
   }
 
-  private list(query: URLSearchParams): SimResponse {
+  private listRows(query: URLSearchParams): SimResponse {
     const prefix = query.get('Starts') ?? '';
     const after = query.get('After') ?? '';
     const limit = Math.min(this.limits.pageRows, Number(query.get('Limit') ?? this.limits.pageRows));
@@ -228,16 +250,17 @@
     const guards = (body['Guards'] as WireFields[] | undefined) ?? [];
     const writes = (body['Writes'] as WireFields[] | undefined) ?? [];
     if (writes.length > this.limits.txnOps || guards.length > 4 * this.limits.txnOps)
-      return this.tooManyWrites();
-    if (!this.admit(this.changes, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
-    for (const w of writes) {
-      if (w['Set'] === undefined) continue;
-      if (jsonBytes(w['V']) > this.limits.valueBytes) {
-        if (!this.areLowered) throw new Error(`value of ${String(w['Set'])} is over the limit`);
+      return this.refuseOversizedCommit();
+    if (!this.admit(this.writeBucket, this.limits.writeRps, writes.length)) return { status: 429, body: {} };
+    for (const write of writes) {
+      if (write['Set'] === undefined) continue;
+      if (jsonBytes(write['V']) > this.limits.valueBytes) {
+        if (!this.hasLoweredLimits)
+          throw new Error(`value of row ${String(write['Set'])} exceeds ${this.limits.valueBytes} bytes`);
         this.oversizedWriteCount++;
         return { status: 400, body: {} };
       }
-      const leaseId = w['Permit'];
+      const leaseId = write['Permit'];
       if (leaseId !== undefined && leaseId !== null && !this.leases.has(Number(leaseId))) {
         return { status: 400, body: { error: 'no such lease' } };
       }
@@ -249,101 +272,107 @@
     this.beforeApply(guards, writes);
     if (writes.length > 0) {
       this.revision++;
-      for (const w of writes) {
-        if (w['Set'] !== undefined) {
-          const leaseId = w['Permit'];
-          this.put(
-            String(w['Set']),
-            w['V'] as WireFields,
+      for (const write of writes) {
+        if (write['Set'] !== undefined) {
+          const leaseId = write['Permit'];
+          this.putRow(
+            String(write['Set']),
+            write['V'] as WireFields,
             leaseId === undefined || leaseId === null ? null : Number(leaseId),
           );
-        } else this.drop(String(w['Remove']));
+        } else this.deleteRow(String(write['Remove']));
       }
       this.afterApply(writes);
-      this.wakeWatches();
+      this.answerDueWatches();
     }
     return { status: 200, body: { Epoch: this.revision } };
   }
 
-  private tooManyWrites(): SimResponse {
+  private refuseOversizedCommit(): SimResponse {
     this.oversizedWriteCount++;
     return { status: 400, body: {} };
   }
 
+  /** Executes a transaction 2 to 12 s later; its sender gets no response. */
   private commitLate(body: WireFields): Promise<SimResponse> {
     this.clock.at((2 + this.random() * 10) * SECOND, () => {
       const before = this.revision;
       this.commit(body);
-      this.lateCommits.came++;
+      this.lateCommits.executed++;
       if (this.revision > before) this.lateCommits.applied++;
     });
     return new Promise(() => undefined);
   }
 
-  private put(path: string, value: WireFields, leaseId: number | null): void {
+  private putRow(path: string, value: WireFields, leaseId: number | null): void {
     this.rows.set(path, { value, revision: this.revision, leaseId });
-    this.remember({ path, value, revision: this.revision });
+    this.recordChange({ path, value, revision: this.revision });
   }
 
-  private drop(path: string): void {
-    if (this.rows.delete(path)) this.remember({ path, value: null, revision: this.revision });
+  private deleteRow(path: string): void {
+    if (this.rows.delete(path)) this.recordChange({ path, value: null, revision: this.revision });
   }
 
-  private remember(change: StoredChange): void {
-    this.history.push(change);
-    if (this.history.length > 10_000) this.forgotten = this.history.shift()?.revision ?? this.forgotten;
+  private recordChange(change: StoredChange): void {
+    this.recentChanges.push(change);
+    if (this.recentChanges.length > 10_000)
+      this.compactedRevision = this.recentChanges.shift()?.revision ?? this.compactedRevision;
   }
 
-  private follow(from: string, query: URLSearchParams): Promise<SimResponse> | SimResponse {
+  private openWatch(from: string, query: URLSearchParams): Promise<SimResponse> | SimResponse {
     const after = Number(query.get('After'));
     const prefix = query.get('Starts') ?? '';
-    if (after < this.forgotten) return { status: 410, body: {} };
+    if (after < this.compactedRevision) return { status: 410, body: {} };
     return new Promise((resolve) => {
       const until = this.clock.time + Number(query.get('BlockMs') ?? 0) * MS;
-      this.watches.push({ from, prefix, after, until, answer: resolve });
-      this.wakeWatches();
+      this.watches.push({ from, prefix, after, until, respond: resolve });
+      this.answerDueWatches();
     });
   }
 
-  private wakeWatches(): void {
-    if (this.isOut) return;
-    for (const w of [...this.watches]) {
-      // A node that alone is refused waits as all do in an outage, also beyond the time it asked for.
-      if (this.refusedNodes.has(w.from)) continue;
-      if (this.clock.time >= w.until) this.reply(w);
-      else if (this.history.some((c) => c.revision > w.after && c.path.startsWith(w.prefix))) this.reply(w);
+  /** Answers the watches for which there is a change, or whose time is over. */
+  private answerDueWatches(): void {
+    if (this.isUnavailable) return;
+    for (const watch of [...this.watches]) {
+      // A refused node waits as all nodes do in an outage, also beyond the time that it asked for.
+      if (this.refusedNodes.has(watch.from)) continue;
+      if (this.clock.time >= watch.until) this.answerWatch(watch);
+      else if (this.recentChanges.some((c) => c.revision > watch.after && c.path.startsWith(watch.prefix)))
+        this.answerWatch(watch);
     }
   }
 
-  private reply(watch: Watch): void {
+  private answerWatch(watch: Watch): void {
     this.watches = this.watches.filter((w) => w !== watch);
-    const News = this.history
+    const News = this.recentChanges
       .filter((c) => c.revision > watch.after && c.path.startsWith(watch.prefix))
       .map((c) =>
         c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
       );
-    watch.answer({ status: 200, body: { Epoch: this.revision, News } });
+    watch.respond({ status: 200, body: { Epoch: this.revision, News } });
   }
 
-  private expire(id: number): void {
+  private expireLease(id: number): void {
     this.leases.delete(id);
     const keys = [...this.rows].filter(([, r]) => r.leaseId === id).map(([k]) => k);
     if (keys.length === 0) return;
     this.revision++;
-    for (const key of keys) this.drop(key);
-    this.wakeWatches();
+    for (const key of keys) this.deleteRow(key);
+    this.answerDueWatches();
   }
 
+  /** Expires leases and answers watches, every 50 ms. */
   private sweep(): void {
-    if (!this.isOut) {
-      for (const [id, g] of this.leases) if (g.until < this.clock.time) this.expire(id);
+    if (!this.isUnavailable) {
+      for (const [id, lease] of this.leases) if (lease.until < this.clock.time) this.expireLease(id);
     }
-    this.wakeWatches();
+    this.answerDueWatches();
     this.clock.at(50 * MS, () => {
       this.sweep();
     });
   }
 
+  /** Takes tokens from a rate limit's bucket; returns false if it holds too few. */
   private admit(bucket: { tokens: number; at: Micros }, rate: number, cost: number): boolean {
     bucket.tokens = Math.min(rate, bucket.tokens + ((this.clock.time - bucket.at) * rate) / SECOND);
     bucket.at = this.clock.time;
