--- a/packages/testkit/data-loss-randomized.test.ts
+++ b/packages/testkit/data-loss-randomized.test.ts
@@ -1,4 +1,7 @@
-/** Seeded random runs in which the state service loses data while other faults are injected, and some in which it doesn't. */
+/**
+ * Seeded random runs with faults. In some of them the state service also loses data, and in the others no data loss may
+ * be reported.
+ */
 import assert from 'node:assert/strict';
 import { scheduleRandomFaults } from './random-runs.js';
 import { test } from 'node:test';
@@ -7,23 +10,23 @@
 
 const [FROM, RUNS] = [Number(process.env['LOST_FROM'] ?? 1), Number(process.env['LOST_RUNS'] ?? 6)];
 for (let seed = FROM; seed < FROM + RUNS; seed++) {
-  test(`lost and restored state under random faults, seed ${seed}`, async () => {
+  test(`invariants hold and all jobs end when state is lost and restored under random faults, seed ${seed}`, async () => {
     const cluster = createDataLossCluster({ seed: 700 + seed });
     const { random, clock, store } = cluster;
     let losses = 0;
     let isRestored = true;
     const loseData = (): void => {
       if (clock.time > 120 * SECOND) return;
-      const old = store.backup();
+      const olderBackup = store.backup();
       clock.at((1 + random() * 10) * SECOND, () => {
-        const whole = store.backup();
-        if (whole.revision === old.revision) return;
+        const fullBackup = store.backup();
+        if (fullBackup.revision === olderBackup.revision) return;
         losses++;
         isRestored = false;
         if (random() < 0.4) store.wipe();
-        else store.restore(old);
+        else store.restore(olderBackup);
         clock.at((1 + random() * 20) * SECOND, () => {
-          store.restore(whole);
+          store.restore(fullBackup);
           isRestored = true;
         });
       });
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -1,6 +1,6 @@
 /**
- * The state service loses data while machines fail: nodes that notice do nothing that the lost part would forbid, no
- * task runs twice, and all work ends once the state is back. docs/recovery.md names the cases.
+ * The state service loses data. Nodes that detect the loss do nothing that the lost data would forbid, no task runs
+ * twice, and all jobs end once the state is restored. docs/recovery.md lists the cases.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,10 +22,10 @@
   createDataLossCluster,
 } from './data-loss-cluster.js';
 
-/** Longer than any lease, and than the bound up to which leases are renewed without the state. */
-const LONG = 40 * SECOND;
+/** Longer than any lease, and than the bound up to which leases are renewed without the state service. */
+const LONGER_THAN_LEASES = 40 * SECOND;
 
-/** Counts the transactions that are applied from now on. */
+/** Returns a counter of the transactions that are applied from now on. */
 function countCommits({ store }: SimCluster): { count: number } {
   const commits = { count: 0 };
   const { afterApply } = store;
@@ -36,91 +36,94 @@
   return commits;
 }
 
-test('after everything was lost nobody starts, ends or forgets anything, and all goes on once it is back', async () => {
+test('after a total loss no node starts a task or commits, and all jobs end once the state is restored', async () => {
   for (const seed of [601, 602]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const whole = cluster.store.backup();
+    const fullBackup = cluster.store.backup();
     cluster.store.wipe();
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
     const commits = countCommits(cluster);
-    await cluster.run(LONG);
-    assert.equal(cluster.invariants.starts, starts, 'something was started');
-    assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    await cluster.run(LONGER_THAN_LEASES);
+    assert.equal(cluster.invariants.starts, starts, 'a task was started');
+    assert.equal(commits.count, 0, 'a transaction was applied');
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
-test('after the state went back with its watches open nobody starts or forgets anything', async () => {
-  for (const [seed, back] of [
+test('after the state is rolled back under open watches no node starts a task or forgets a job', async () => {
+  for (const [seed, rewoundTime] of [
     [611, 25 * SECOND],
     [613, SECOND],
   ] as const) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = cluster.store.backup();
-    await cluster.run(back);
-    const whole = cluster.store.backup();
-    cluster.store.restore(old);
+    const olderBackup = cluster.store.backup();
+    await cluster.run(rewoundTime);
+    const fullBackup = cluster.store.backup();
+    cluster.store.restore(olderBackup);
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
-    await cluster.run(LONG);
-    assert.equal(cluster.invariants.starts, starts, 'something was started');
-    cluster.store.restore(whole);
+    await cluster.run(LONGER_THAN_LEASES);
+    assert.equal(cluster.invariants.starts, starts, 'a task was started');
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
-test('with all controllers down at the loss, the workers alone remember that there was more', async () => {
+test('with all controllers down at the loss, the heartbeats of the workers reveal it', async () => {
   for (const [seed, isWiped] of [
     [621, true],
     [623, false],
   ] as const) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(30 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     await cluster.run(20 * SECOND);
-    const whole = cluster.store.backup();
+    const fullBackup = cluster.store.backup();
     for (let i = 0; i < cluster.nodeCount; i++) cluster.killNode(i);
     if (isWiped) cluster.store.wipe();
-    else cluster.store.restore(old);
+    else cluster.store.restore(olderBackup);
     const commits = countCommits(cluster);
     for (let i = 0; i < cluster.nodeCount; i++) cluster.startNode(i);
     await cluster.run(10 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    assert.equal(commits.count, 0, 'a transaction was applied');
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
-test('a controller that starts anew during the loss learns of it from its peers', async () => {
+test('a controller that restarts during the loss learns of it from its peers', async () => {
   for (const seed of [632, 633]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(45 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     await cluster.run(5 * SECOND);
-    const whole = cluster.store.backup();
-    assert.ok(whole.revision > old.revision, 'nothing was lost');
-    cluster.store.restore(old);
+    const fullBackup = cluster.store.backup();
+    assert.ok(
+      fullBackup.revision > olderBackup.revision,
+      'no transaction was applied since the older backup',
+    );
+    cluster.store.restore(olderBackup);
     cluster.killNode(0);
-    // The first request of each of the others to what is left may be a commit, which it then doesn't believe.
+    // The first request of each other node after the loss may be a commit. The node rejects its result.
     await cluster.run(3 * SECOND);
     const commits = countCommits(cluster);
     cluster.startNode(0);
     await cluster.run(8 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    assert.equal(commits.count, 0, 'something was written');
-    cluster.store.restore(whole);
+    assert.equal(commits.count, 0, 'a transaction was applied');
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
-test('keys that no node removes are missed, and all goes on once they are there again', async () => {
+test('the loss of keys that no node removes is detected, and all jobs end once they are restored', async () => {
   const cases: [number, string, (path: string) => boolean][] = [
     [641, 'token', (path) => path === FENCING_TOKEN_KEY],
     [
@@ -129,50 +132,53 @@
       (path) => path.startsWith(`${LOG_PREFIX}0/`) && Number(path.slice(-4)) % 5 === 2,
     ],
     [643, 'jobs', (path) => path.startsWith(JOB_PREFIX)],
-    [644, 'what became of jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
+    [644, 'the statuses of ended jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
   ];
-  for (const [seed, what, isLost] of cases) {
+  for (const [seed, lostData, isLost] of cases) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const whole = cluster.store.backup();
-    const lost = cluster.store.loseKeys(isLost, true);
-    assert.ok(lost.length > 0, `${what}: nothing to lose`);
+    const fullBackup = cluster.store.backup();
+    const lostKeys = cluster.store.loseKeys(isLost, true);
+    assert.ok(lostKeys.length > 0, `${lostData}: no such key is stored`);
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
     const { starts } = cluster.invariants;
-    await cluster.run(LONG);
-    assert.equal(cluster.invariants.starts, starts, `${what}: something was started`);
-    cluster.store.restoreKeys(whole, lost);
+    await cluster.run(LONGER_THAN_LEASES);
+    assert.equal(cluster.invariants.starts, starts, `${lostData}: a task was started`);
+    cluster.store.restoreKeys(fullBackup, lostKeys);
     await finishAllJobs(cluster);
   }
 });
 
-test('a loss while the state service refuses one node alone is noticed by that node, too', async () => {
+test('a loss while the state service refuses one node is detected by that node, too', async () => {
   for (const seed of [651, 652]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(50 * SECOND);
-    const old = cluster.store.backup();
+    const olderBackup = cluster.store.backup();
     cluster.store.refusedNodes.add('node-1');
     await cluster.run(8 * SECOND);
-    const whole = cluster.store.backup();
-    assert.ok(whole.revision > old.revision, 'nothing was lost');
-    cluster.store.restore(old);
+    const fullBackup = cluster.store.backup();
+    assert.ok(
+      fullBackup.revision > olderBackup.revision,
+      'no transaction was applied since the older backup',
+    );
+    cluster.store.restore(olderBackup);
     await cluster.run(10 * SECOND);
     cluster.store.refusedNodes.clear();
     await cluster.run(4 * SECOND);
     assertDataLossStates(cluster, 'frozen');
-    cluster.store.restore(whole);
+    cluster.store.restore(fullBackup);
     await finishAllJobs(cluster);
   }
 });
 
-test('a node that starts anew beside a checkpoint whose parts are gone does nothing until it can be read whole', async () => {
+test('a node that restarts while chunks of the checkpoint are missing does not serve until they are restored', async () => {
   for (const seed of [671, 672]) {
     const cluster = createDataLossCluster({ seed });
     await cluster.run(90 * SECOND);
-    const whole = cluster.store.backup();
-    const lost = cluster.store.loseKeys((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
-    assert.ok(lost.length > 0, 'there is no checkpoint');
+    const fullBackup = cluster.store.backup();
+    const lostKeys = cluster.store.loseKeys((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
+    assert.ok(lostKeys.length > 0, 'there is no checkpoint');
     cluster.killNode(1);
     await cluster.run(SECOND);
     cluster.startNode(1);
@@ -180,26 +186,27 @@
     const { state, evidence } = dataLossStatusOf(cluster, 1);
     assert.notEqual(state, 'serving');
     assert.equal(evidence[0]?.inconsistency.kind, 'state_incomplete');
-    // Those that have it all in memory go on: no change has told them of the loss.
+    // Nodes with the complete state in memory go on serving, because no change event has revealed the loss to them.
     assert.equal(dataLossStatusOf(cluster, 0).state, 'serving');
-    cluster.store.restoreKeys(whole, lost);
+    cluster.store.restoreKeys(fullBackup, lostKeys);
     await finishAllJobs(cluster);
   }
 });
 
-test('a node of the version in production, which does not watch, starts nothing after a total loss, as little as the others', async () => {
+test('after a total loss a node of the production version, which has no data loss detection, starts nothing either', async () => {
   const version = await loadProductionVersion();
-  // Only jobs that are known and last: the old node would take repeated submissions for new ones (docs/recovery.md).
+  // All jobs are accepted before the loss and outlast the test, because the old node would take repeated submissions
+  // for new jobs (docs/recovery.md).
   const cluster = new SimCluster({ seed: 661, production: { version }, tuning: { detectsDataLoss: true } });
   for (const node of [0, 1]) cluster.upgradeNode(node, SECOND);
   for (let i = 0; i < 8; i++) cluster.submit(sampleJob(`j-${i}`, { taskCount: 4, estimateS: 400 }));
   await cluster.run(50 * SECOND);
-  assert.ok(cluster.isOld(2) && cluster.invariants.starts > 0);
+  assert.ok(cluster.runsProductionVersion(2) && cluster.invariants.starts > 0);
   cluster.store.wipe();
   await cluster.run(4 * SECOND);
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
   const { starts } = cluster.invariants;
-  await cluster.run(LONG);
-  assert.equal(cluster.invariants.starts, starts, 'something was started');
+  await cluster.run(LONGER_THAN_LEASES);
+  assert.equal(cluster.invariants.starts, starts, 'a task was started');
   for (const node of [0, 1]) assert.equal(dataLossStatusOf(cluster, node).state, 'frozen');
 });
--- a/packages/testkit/running-tasks.ts
+++ b/packages/testkit/running-tasks.ts
@@ -1,4 +1,4 @@
-/** Tasks on simulated machines: where they may run, and how much of its limit each team uses. */
+/** Tasks on simulated machines: which machines they may run on, and the resources that each team uses. */
 import type { JobSpec } from '#wire';
 import {
   type FreeCapacity,
@@ -7,7 +7,7 @@
   type TeamLimits,
 } from './invariant-types.js';
 
-/** Tolerance for sums of fractions of CPUs. */
+/** Tolerance for rounding errors in sums of fractional CPUs. */
 const EPSILON = 1e-6;
 
 /** One task on a machine. */
@@ -18,14 +18,16 @@
   readonly attempt: number;
 }
 
-/** All running tasks. Throws an {@link InvariantViolation} for a start that must not happen. */
+/** All running tasks. Throws an {@link InvariantViolation} for a start that violates the protocol. */
 export class RunningTasks {
+  /** Keyed by task name. */
   private readonly running = new Map<string, RunningTask>();
+  /** Resources in use. Keyed by team. */
   private readonly used = new Map<string, { cpus: number; gpus: number }>();
 
   constructor(private readonly limits: TeamLimits) {}
 
-  /** A task starts on its machine. */
+  /** Records that a task starts, and checks its placement, its attempt and the limit of its team. */
   start(task: RunningTask): void {
     const { taskName, spec, machine, attempt } = task;
     this.checkPlacement(spec, taskName, machine);
@@ -34,7 +36,7 @@
     this.updateUsage(spec, 1);
   }
 
-  /** A task is off its machine; unknown tasks are ignored. */
+  /** Records that a task has left its machine; unknown tasks are ignored. */
   end(taskName: string): void {
     const task = this.running.get(taskName);
     if (!task) return;
@@ -42,29 +44,29 @@
     this.updateUsage(task.spec, -1);
   }
 
-  /** The task of that name, if it runs. */
+  /** Returns the task with that name if it is running. */
   get(taskName: string): RunningTask | undefined {
     return this.running.get(taskName);
   }
 
-  /** The running tasks of a job. */
+  /** Returns the running tasks of a job. */
   ofJob(id: string): RunningTask[] {
     return [...this.running.values()].filter((task) => task.spec.id === id);
   }
 
-  /** A machine with room for one of the job's tasks; for a gang, one of those that have room for all of them. */
+  /** Finds a machine with capacity for one of the job's tasks; for a gang, one of a set with capacity for all its tasks. */
   capacityFor(spec: JobSpec, capacities: readonly FreeCapacity[]): FreeCapacity | undefined {
-    const open = capacities.filter((free) => this.fits(spec, free));
-    if (spec.shape === 'array') return open[0];
+    const suitable = capacities.filter((free) => this.fits(spec, free));
+    if (spec.shape === 'array') return suitable[0];
     const slots = new Map<string, number>();
-    return open.find((free) => {
+    return suitable.find((free) => {
       const zone = spec.singleZone ? free.machine.zone : '';
-      slots.set(zone, (slots.get(zone) ?? 0) + slotsIn(spec, free));
+      slots.set(zone, (slots.get(zone) ?? 0) + countSlots(spec, free));
       return (slots.get(zone) ?? 0) >= spec.taskCount;
     });
   }
 
-  /** Whether the job's team could use the resources of one more task, or of the whole gang, within its limit. */
+  /** True if one more task of the job, or the whole gang, stays within the team's limit. */
   isUnderLimit({ team, cpus, gpus, shape, taskCount }: JobSpec): boolean {
     const limit = this.limits.get(team);
     const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
@@ -81,34 +83,37 @@
     );
   }
 
-  /** A promise beyond the protocol: a new attempt of a gang begins only once the old one is off all machines. */
+  /** Checks a guarantee beyond the protocol: a new attempt of a gang starts only after the old one has left all machines. */
   private checkAttempt(taskName: string, job: string, attempt: number): void {
     const other = [...this.running.values()].find((r) => r.spec.id === job && r.attempt !== attempt);
     if (!other) return;
-    const detail = `${taskName} of attempt ${attempt} meets ${other.taskName} of ${other.attempt}`;
+    const detail = `${taskName} of attempt ${attempt} starts while ${other.taskName} of attempt ${other.attempt} runs`;
     throw new InvariantViolation('mixed_attempts', detail);
   }
 
   private checkPlacement(spec: JobSpec, taskName: string, machine: MachineFacts): void {
-    const why = this.placementViolation(spec, machine);
-    if (why !== null) throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${why}`);
+    const reason = this.placementViolation(spec, machine);
+    if (reason !== null)
+      throw new InvariantViolation('wrong_place', `${taskName} on ${machine.host}: ${reason}`);
   }
 
-  /** Why one more task of the job must not be on that machine now, or null. */
+  /** Returns the reason why one more task of the job must not run on that machine now, or null. */
   private placementViolation(spec: JobSpec, machine: MachineFacts): string | null {
     if (spec.machineTypes && !spec.machineTypes.includes(machine.machineType)) return 'type';
     if (spec.zone !== null && spec.zone !== machine.zone) return 'zone';
     if (!spec.allowsSpot && machine.spot) return 'spot';
-    const others = [...this.running.values()].filter((r) => r.spec.id === spec.id).map((r) => r.machine.zone);
-    if (spec.singleZone && others.some((zone) => zone !== machine.zone))
+    const otherZones = [...this.running.values()]
+      .filter((r) => r.spec.id === spec.id)
+      .map((r) => r.machine.zone);
+    if (spec.singleZone && otherZones.some((zone) => zone !== machine.zone))
       return 'not the zone of its other tasks';
-    const here = others.filter((zone) => zone === machine.zone).length + 1;
-    return spec.spreadZones && here > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
+    const tasksInZone = otherZones.filter((zone) => zone === machine.zone).length + 1;
+    return spec.spreadZones && tasksInZone > Math.ceil(spec.taskCount / 2) ? 'too many in one zone' : null;
   }
 
-  private tasksOf(team: string): string {
-    const owned = [...this.running.values()].filter((r) => r.spec.team === team);
-    return owned.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
+  private describeTasksOf(team: string): string {
+    const teamTasks = [...this.running.values()].filter((r) => r.spec.team === team);
+    return teamTasks.map((r) => `${r.taskName} on ${r.machine.host}`).join(', ');
   }
 
   private updateUsage(spec: JobSpec, sign: 1 | -1): void {
@@ -120,15 +125,15 @@
     if (limit && (used.cpus > limit.cpus + EPSILON || used.gpus > limit.gpus + EPSILON)) {
       throw new InvariantViolation(
         'quota',
-        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.tasksOf(spec.team)}`,
+        `${spec.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${this.describeTasksOf(spec.team)}`,
       );
     }
   }
 }
 
-/** How many of the job's tasks the free capacity takes. */
-function slotsIn(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
-  const part = (room: number, need: number): number =>
-    need > 0 ? Math.floor(room / need + EPSILON) : Infinity;
-  return Math.min(part(cpus, spec.cpus), part(gpus, spec.gpus), part(memGb, spec.memGb));
+/** Returns how many of the job's tasks fit into the free capacity. */
+function countSlots(spec: JobSpec, { cpus, gpus, memGb }: FreeCapacity): number {
+  const slotsFor = (available: number, required: number): number =>
+    required > 0 ? Math.floor(available / required + EPSILON) : Infinity;
+  return Math.min(slotsFor(cpus, spec.cpus), slotsFor(gpus, spec.gpus), slotsFor(memGb, spec.memGb));
 }
--- a/packages/testkit/sample-job.ts
+++ b/packages/testkit/sample-job.ts
@@ -1,8 +1,8 @@
 /** A sample job for tests. */
 import type { JobSpec } from '#wire';
 
-/** A job as users might submit it, for tests to vary. */
-export function sampleJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
+/** Returns the specification of a small job, with the given fields replaced. */
+export function sampleJob(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     jobClass: 'batch',
@@ -24,6 +24,6 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...change,
+    ...overrides,
   };
 }
--- a/packages/testkit/sim-users.ts
+++ b/packages/testkit/sim-users.ts
@@ -1,11 +1,11 @@
-/** Users of a simulated cluster: they submit jobs, ask for their status and cancel them. */
+/** Users of a simulated cluster, who submit jobs, poll their status and cancel them. */
 import { decodeJobStatus, encodeSubmission, type JobSpec, type JobStatus, type Micros, SECOND } from '#wire';
 import { userEndpoint } from './sample-settings.js';
 import type { SimClock } from './sim-clock.js';
 import type { SimNet } from './sim-net.js';
 import type { SimServices } from './sim-services.js';
 
-/** A request of a job's user to one node. */
+/** A request from a job's user to one node. */
 export interface UserRequest {
   readonly node: number;
   readonly method: 'GET' | 'POST';
@@ -13,7 +13,7 @@
   readonly body?: unknown;
 }
 
-/** What users need of the cluster. */
+/** Dependencies of {@link SimUsers}. */
 export interface SimUsersOptions {
   readonly clock: SimClock;
   readonly random: () => number;
@@ -24,12 +24,12 @@
 
 /** All users of a simulated cluster. */
 export class SimUsers {
-  /** By job: the last status that its user received. */
+  /** The last status that each user received. Keyed by job id. */
   readonly lastStatuses = new Map<string, JobStatus>();
 
   constructor(private readonly options: SimUsersOptions) {}
 
-  /** Submits a job until it is accepted, then asks for its status until it has ended. */
+  /** Submits a job until it is accepted, then polls its status until it has ended. */
   submit(spec: JobSpec, cancelAfter: Micros | null): void {
     const { services, clock } = this.options;
     services.specs.set(spec.id, spec);
@@ -37,14 +37,14 @@
     void this.simulateUser(spec, cancelAfter);
   }
 
-  /** Sends one request, without retry; returns the status of the answer, 0 if none arrives in time. */
+  /** Sends one request, without retry; returns the status of the response, 0 if none arrives in time. */
   async send(id: string, { node, method, path, body }: UserRequest): Promise<number> {
     const { net, clock, services } = this.options;
-    const call = net.caller(`user-${id}`, null, (step) => {
+    const httpClient = net.createClient(`user-${id}`, null, (step) => {
       step();
     });
     const sentAt = clock.time;
-    const reply = await call(userEndpoint(node), method, path, body, 2 * SECOND).catch(() => null);
+    const reply = await httpClient(userEndpoint(node), method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return 0;
     const state = decodeJobStatus(reply.body);
     services.failure.guard(() => {
@@ -68,22 +68,22 @@
   }
 
   private async simulateUser(spec: JobSpec, cancelAfter: Micros | null): Promise<void> {
-    const began = this.options.clock.time;
+    const submittedAt = this.options.clock.time;
     if (!(await this.submitUntilAccepted(spec))) return;
     for (;;) {
       await this.pause(3 * SECOND);
       if (this.hasEnded(spec.id)) break;
-      if (cancelAfter !== null && this.options.clock.time > began + cancelAfter) {
+      if (cancelAfter !== null && this.options.clock.time > submittedAt + cancelAfter) {
         this.options.services.invariants.cancellationRequested(spec.id);
         await this.sendToAnyNode(spec.id, { method: 'POST', path: `/submissions/${spec.id}/withdraw` });
       } else await this.sendToAnyNode(spec.id, { method: 'GET', path: `/submissions/${spec.id}` });
     }
-    // Long after the end a repeated submission still gets the same answer.
+    // A repeated submission is idempotent: it still gets the same response long after the job has ended.
     await this.pause(20 * SECOND);
     await this.sendSubmission(spec);
   }
 
-  /** False if the cluster rejects the job. */
+  /** Returns true once the cluster accepts the job, false if it rejects the job. */
   private async submitUntilAccepted(spec: JobSpec): Promise<boolean> {
     for (;;) {
       const status = await this.sendSubmission(spec);
