--- a/packages/cluster/membership.ts
+++ b/packages/cluster/membership.ts
@@ -141,7 +141,7 @@
       holders: () => roleHolders(replica),
       isOurs: (nonce: string) => this.isOwnNonce(nonce),
     };
-    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseLife: LEASE_DURATION });
+    return new RoleRegistry({ source, clock, keyOf: ownershipKey, leaseDuration: LEASE_DURATION });
   }
 
   private isStopped(): boolean {
@@ -231,8 +231,8 @@
     revision: number,
   ): Promise<CommitResult> {
     const { store, member, zone } = this.options;
-    const notes = this.statusPublisher.status;
-    const value = encodeMember({ nonce, zone, leaseId, notes, capabilities: SUPPORTED_CAPABILITIES });
+    const status = this.statusPublisher.status;
+    const value = encodeMember({ nonce, zone, leaseId, status, capabilities: SUPPORTED_CAPABILITIES });
     return store.compareAndSwap(
       [{ path: memberKey(member), revision }],
       [{ set: memberKey(member), value, leaseId }],
--- a/packages/cluster/stored-rows.test.ts
+++ b/packages/cluster/stored-rows.test.ts
@@ -54,7 +54,7 @@
 
 const NO_LOG = { debug: () => undefined, info: () => undefined, error: () => undefined };
 const STORE_ENDPOINT = '10.2.0.1:2379';
-/** The time of day of every record, in milliseconds. */
+/** The wall-clock time of every record, in milliseconds. */
 const WALL_MS = 1_790_000_000_123;
 /** An integer that a `number` can't represent exactly. */
 const UNSAFE_COUNT = 2n ** 63n + 1n;
@@ -289,12 +289,12 @@
     'mw/now/share/0': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
     'mw/now/share/1': '{"Member":"node-1","Nonce":"p1.1","Token":1}',
   });
-  const notes: MemberStatus = {
+  const status: MemberStatus = {
     unreachable: ['node-2', 'node-3'],
     workersUnreachable: true,
     resignedShards: [0, 2],
   };
-  await node.runUntil(node.membership.publishStatus(notes));
+  await node.runUntil(node.membership.publishStatus(status));
   const memberRow =
     '{"Nonce":"p1.1","Zone":"east","Permit":1,"Unreachable":["node-2","node-3"],"WorkersUnreachable":true,"Resigned":[0,2],"Capabilities":["gangs","handover","memory"]}';
   assert.deepEqual(node.rowTexts(MEMBER_PREFIX), { 'mw/now/member/node-1': memberRow });
@@ -311,7 +311,7 @@
   const capabilities = new Set(['gangs', 'handover', 'memory']);
   assert.deepEqual<Member[]>(
     [...replica.members.values()],
-    [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...notes, revision: 3 }],
+    [{ member: 'node-1', nonce: 'p1.1', zone: 'east', leaseId: 1, capabilities, ...status, revision: 3 }],
   );
   assert.deepEqual(replica.capabilities.get('node-1'), capabilities);
   assert.deepEqual<ShardOwner>(replica.shardOwners.get(2), {
@@ -333,7 +333,7 @@
   });
   assert.deepEqual(replica.fencingToken, { value: -1, revision: 1 });
   assert.deepEqual<LeaseHolder>(replica.leader, { member: '', nonce: '', revision: 2 });
-  const notes: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
+  const status: MemberStatus = { unreachable: [], workersUnreachable: false, resignedShards: [] };
   assert.deepEqual<Member[]>(
     [...replica.members.values()],
     [
@@ -343,7 +343,7 @@
         zone: 'east',
         leaseId: 1,
         capabilities: new Set(),
-        ...notes,
+        ...status,
         revision: 3,
       },
     ],
@@ -461,14 +461,14 @@
       job: 'j-1',
       team: 'blue',
       image: 'img-1',
-      need: [2, 0, 4.5],
+      taskResources: [2, 0, 4.5],
       tasks: OUTCOMES.map((_, i): [number, string, Count] => [i, 'n-1', i === 0 ? UNSAFE_COUNT : 1]),
     },
     {
       job: 'j-2',
       team: 'green',
       image: 'img-2',
-      need: [1.5, 1, 8],
+      taskResources: [1.5, 1, 8],
       gang: { attempt: 1024, size: 2 },
       tasks: [
         [0, 'n-1', 1],
@@ -622,7 +622,7 @@
     job: 'j-1',
     team: 'blue',
     image: 'img-1',
-    need: [2, 0, 4],
+    taskResources: [2, 0, 4],
     gang: { attempt: 1024, size: 60 },
     tasks,
   };
@@ -738,7 +738,10 @@
     i === 3 ? UNSAFE_COUNT : 2,
   ]);
   const image = `img-${'x'.repeat(300)}`;
-  await node.append([0, { starts: [{ job: 'j-3', team: 'blue', image, need: [0.5, 0, 1], tasks }] }]);
+  await node.append([
+    0,
+    { starts: [{ job: 'j-3', team: 'blue', image, taskResources: [0.5, 0, 1], tasks }] },
+  ]);
   const attempt = 4 * 1024;
   await node.append([
     0,
@@ -752,7 +755,7 @@
           job: 'j-1',
           team: 'blue',
           image,
-          need: [0.5, 0, 1],
+          taskResources: [0.5, 0, 1],
           tasks: tasks.map(([, host, incarnation], i): [number, string, Count] => [i, host, incarnation]),
         },
       ],
--- a/packages/fleet/fleet-manager.ts
+++ b/packages/fleet/fleet-manager.ts
@@ -78,14 +78,14 @@
   }
 
   /** Runs one step: plans scale-out for unmet demand, selects machines to scale in, and sends the recorded requests. */
-  step(shards: readonly ShardDemand[]): void {
+  step(demands: readonly ShardDemand[]): void {
     const { termProof } = this;
     if (!termProof) return;
     this.machineList.trackMachines(this.state().ledger);
-    for (const shard of shards) this.scaleOut.plan(shard, termProof);
+    for (const demand of demands) this.scaleOut.plan(demand, termProof);
     this.scaleOut.sendAll(termProof);
     void this.adoption.adoptListed(termProof);
-    this.scaleIn.selectIdle(shards.some((shard) => shard.unmetDemand.length > 0));
+    this.scaleIn.selectIdle(demands.some((demand) => demand.unmetDemand.length > 0));
     this.scaleIn.selectUnusable();
     void this.deletion.deleteReleased(termProof);
     if (!this.changes.isEmpty) this.requestRound();
@@ -94,7 +94,7 @@
   /**
    * Deletes the machines that the last committed record allows to delete, without waiting for the next step. On a large
    * fleet the next step is seconds away, and tasks of machines that no longer exist start elsewhere only after the
-   * cloud has answered the deletion.
+   * cloud has confirmed the deletion.
    */
   deleteReleasedMachines(): void {
     if (this.termProof) void this.deletion.deleteReleased(this.termProof);
--- a/packages/store/store-client.ts
+++ b/packages/store/store-client.ts
@@ -76,9 +76,7 @@
     } catch {
       return { kind: 'unknown' };
     }
-    return this.continuesSeenHistory(reply, writes, minimum)
-      ? decodeCommitResult(reply)
-      : { kind: 'unknown' };
+    return this.passesRevisionCheck(reply, writes, minimum) ? decodeCommitResult(reply) : { kind: 'unknown' };
   }
 
   /** Creates a lease that expires when it is not renewed for `duration`. Resolves with the id of the lease. */
@@ -119,8 +117,8 @@
     return { revision: this.requireAccepted(minimum, decodeRevision(body)), changes };
   }
 
-  /** True if the answer to a commit passes the revision check. Otherwise the result of the commit is unknown. */
-  private continuesSeenHistory(
+  /** Returns true if the answer to a commit passes the revision check. If not, the result of the commit is unknown. */
+  private passesRevisionCheck(
     { status, body }: HttpReply,
     writes: readonly Write[],
     minimum: number,
@@ -133,7 +131,7 @@
 
   /**
    * Confirms that a missing lease has expired, and was not lost together with other state. If state was lost, no member
-   * may take over what the lease protected, so the read of the current revision rejects.
+   * may acquire what the lease protected, so the read of the current revision rejects.
    */
   private async confirmExpiry(): Promise<false> {
     if (this.revisionCheck !== NO_REVISION_CHECK) await this.get(UNUSED_KEY);
