--- a/packages/wire/codec.test.ts
+++ b/packages/wire/codec.test.ts
@@ -1,4 +1,4 @@
-/** Codecs of the wire: what is encoded reads back, and invalid bodies are refused. */
+/** Tests that the codecs decode what they encode and reject invalid bodies. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -9,7 +9,7 @@
 import { encodeSubmission, parseSubmission } from './submission-codec.js';
 import type { Command } from './heartbeat.js';
 
-const JOB = {
+const SUBMISSION = {
   Uid: 'j-000412',
   Lane: 'train',
   Crew: 'vision',
@@ -32,25 +32,25 @@
   DueS: 900,
 };
 
-test('counts up to 2^64 - 1 survive the wire', () => {
+test('counts up to 2^64 - 1 are decoded to the same integer', () => {
   fc.assert(
     fc.property(fc.bigInt(0n, (1n << 64n) - 1n), (count) => {
-      const back = decode(encode({ count })) as { count: number | bigint };
-      assert.ok(isCount(back.count));
-      assert.ok(countsEqual(back.count, count));
+      const decoded = decode(encode({ count })) as { count: number | bigint };
+      assert.ok(isCount(decoded.count));
+      assert.ok(countsEqual(decoded.count, count));
     }),
     { seed: 7, numRuns: 300 },
   );
 });
 
-function parsed(body: unknown): JobSpec {
+function parseValidSubmission(body: unknown): JobSpec {
   const result = parseSubmission(body);
   if ('invalid' in result) assert.fail(`${result.invalid} is invalid`);
   return result.job;
 }
 
-test('each field of a submission is read by its name in the protocol', () => {
-  assert.deepEqual(parsed(JOB), {
+test('each field of a submission is read under its protocol name', () => {
+  assert.deepEqual(parseValidSubmission(SUBMISSION), {
     id: 'j-000412',
     jobClass: 'train',
     team: 'vision',
@@ -74,7 +74,7 @@
   });
 });
 
-test('a heartbeat and its response keep their meaning on the wire', () => {
+test('a heartbeat and its response are mapped to and from their protocol names', () => {
   const body = {
     Host: 'n-000231',
     Endpoint: '10.1.0.232:9000',
@@ -128,7 +128,7 @@
   assert.deepEqual(encodeRedirect('hive-2'), { Foreman: 'hive-2' });
 });
 
-test('the status of a job survives encoding and decoding', () => {
+test('the status of a job is decoded to the encoded value', () => {
   for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
     assert.equal(decodeJobStatus(encodeJobState({ id: 'j-1', status })), status);
   }
@@ -136,29 +136,34 @@
   assert.equal(decodeJobStatus({ error: 'no such job' }), null);
 });
 
-test('a submission is read without unknown fields; optional ones may be left out', () => {
-  const { Builds, Hall, DueS, ...rest } = JOB;
-  assert.deepEqual(encodeSubmission(parsed({ ...JOB, Extra: 1 })), JOB);
-  assert.deepEqual(encodeSubmission(parsed(rest)), { ...rest, Builds: null, Hall: null, DueS: null });
+test('unknown fields of a submission are ignored, and optional ones may be omitted', () => {
+  const { Builds, Hall, DueS, ...rest } = SUBMISSION;
+  assert.deepEqual(encodeSubmission(parseValidSubmission({ ...SUBMISSION, Extra: 1 })), SUBMISSION);
+  assert.deepEqual(encodeSubmission(parseValidSubmission(rest)), {
+    ...rest,
+    Builds: null,
+    Hall: null,
+    DueS: null,
+  });
   assert.deepEqual([Builds, Hall, DueS], [['g8'], null, 900]);
 });
 
-test('a gang is submitted under the protocol name of its shape', () => {
-  const submitted = parseSubmission({ ...JOB, Shape: 'ensemble' });
+test('the shape of a gang is mapped to and from its protocol name', () => {
+  const submitted = parseSubmission({ ...SUBMISSION, Shape: 'ensemble' });
   assert.ok('job' in submitted);
   assert.equal(submitted.job.shape, 'gang');
   assert.equal(encodeSubmission(submitted.job)['Shape'], 'ensemble');
 });
 
-test('a submission with a field missing or of the wrong type names that field as invalid', () => {
+test('a submission with a missing or invalid field is rejected with the name of the field', () => {
   const optional = ['Builds', 'Hall', 'DueS'];
-  for (const field of Object.keys(JOB)) {
+  for (const field of Object.keys(SUBMISSION)) {
     if (!optional.includes(field)) {
-      assert.deepEqual(parseSubmission({ ...JOB, [field]: undefined }), { invalid: field });
+      assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: undefined }), { invalid: field });
     }
-    assert.deepEqual(parseSubmission({ ...JOB, [field]: { odd: 1 } }), { invalid: field });
+    assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: { odd: 1 } }), { invalid: field });
   }
-  const bad: [string, unknown][] = [
+  const invalidFields: [string, unknown][] = [
     ['Uid', 'x-1'],
     ['Uid', 'j-1/2'],
     ['Shape', 'service'],
@@ -174,8 +179,8 @@
     ['DueS', -5],
     ['Bundle', ''],
   ];
-  for (const [field, value] of bad) {
-    assert.deepEqual(parseSubmission({ ...JOB, [field]: value }), { invalid: field });
+  for (const [field, value] of invalidFields) {
+    assert.deepEqual(parseSubmission({ ...SUBMISSION, [field]: value }), { invalid: field });
   }
   for (const body of [null, 1, 'x', [], new Uint8Array(2)]) {
     assert.deepEqual(parseSubmission(body), { invalid: 'body' });
