--- a/packages/pricing/preemption.test.ts
+++ b/packages/pricing/preemption.test.ts
@@ -7,10 +7,10 @@
 const JOB: PendingJob = {
   id: 'j-1',
   team: 'blue',
-  need: NEED,
+  taskResources: NEED,
   priority: 4,
   acceptanceOrder: 1,
-  pendingTasks: 1,
+  pendingTaskCount: 1,
   taskCount: 1,
   isGang: false,
   machineTypes: null,
@@ -36,29 +36,29 @@
   };
 }
 
-function preempted(victims: Victim[], change: { rank?: number; guaranteed?: boolean } = {}): string[] {
+function preempted(victims: Victim[], change: { rank?: number; isWithinGuarantee?: boolean } = {}): string[] {
   const freeResources = { cpus: 0, gpus: 0, memGb: 8 };
   const machines = ['n-1', 'n-2'].map((host) => ({ host, freeResources, isAllowed: () => true }));
-  const requests = [{ job: JOB, count: 1, rank: 2, guaranteed: false, ...change }];
+  const requests = [{ job: JOB, count: 1, rank: 2, isWithinGuarantee: false, ...change }];
   return planPreemptions({ requests, machines, victims, maxPreemptions: 5 }).map(({ taskName }) => taskName);
 }
 
-test('tasks of lower rank are preempted, on the machine where the fewest have to be', () => {
+test('preempts tasks of lower rank on the machine that needs the fewest victims', () => {
   const two = [victim('a/0'), victim('a/1')];
   assert.deepEqual(preempted([...two, victim('b/0', { host: 'n-2', cpus: 4 })]), ['b/0']);
   assert.deepEqual(preempted(two), ['a/0', 'a/1']);
 });
 
-test('tasks of equal or higher rank and tasks without checkpoints are not preempted', () => {
+test('does not preempt tasks of equal or higher rank, or tasks without checkpoints', () => {
   assert.deepEqual(preempted([victim('a/0', { rank: 2 }), victim('a/1', { rank: 3 })]), []);
   assert.deepEqual(preempted([victim('a/0', { canCheckpoint: false }), victim('a/1')]), []);
 });
 
-test('for a team within its guarantee, tasks beyond another guarantee are preempted at any rank', () => {
+test("preempts tasks above another team's guarantee at any rank for a team within its guarantee", () => {
   const high = [
     victim('a/0', { rank: 3, isAboveGuarantee: true }),
     victim('a/1', { rank: 3, isAboveGuarantee: true }),
   ];
   assert.deepEqual(preempted(high, { rank: 1 }), []);
-  assert.deepEqual(preempted(high, { rank: 1, guaranteed: true }), ['a/0', 'a/1']);
+  assert.deepEqual(preempted(high, { rank: 1, isWithinGuarantee: true }), ['a/0', 'a/1']);
 });
