--- a/packages/cluster/log-writer.test.ts
+++ b/packages/cluster/log-writer.test.ts
@@ -24,7 +24,7 @@
 // planned one round every two seconds at 900 machines, while the other nodes planned four per second.
 test('a large checkpoint is paced by its own limiter and does not delay the scheduling rounds of the leader', async () => {
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
@@ -83,7 +83,7 @@
 /** Returns a writer of a node that leads and owns shard 0. The state service records and refuses every commit. */
 function recordingWriter(): RecordingWriter {
   const clock = new SimClock();
-  const view = clock.view(
+  const view = clock.createProcessClock(
     (step) => {
       step();
     },
--- a/packages/recovery/recovery.property.test.ts
+++ b/packages/recovery/recovery.property.test.ts
@@ -78,7 +78,7 @@
   fc.assert(
     fc.property(fc.array(arbitraryStep, { maxLength: 60 }), (history) => {
       const clock = new SimClock();
-      const view = clock.view(
+      const view = clock.createProcessClock(
         (step) => {
           step();
         },
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment of real processes on loopback: controllers of this repository, stand-ins for state service, cloud and
- * workers in the process of the trial. Controllers are frozen, thawed, killed and started again at random, and what the
- * cloud is asked is often carried out late. Every rule, and every effect of a role, is checked as it happens.
+ * A deployment on loopback with real node processes. State service, cloud and workers are simulated in the process of
+ * the trial. Nodes are suspended, resumed, killed and started again at random, and the cloud executes many requests
+ * late. The invariants and the effects of each role are checked as they occur.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,36 +20,42 @@
 import type { SimStore } from './sim-store.js';
 import { VacancyMeter } from './vacancy-meter.js';
 
-const NODES = 3;
+const NODE_COUNT = 3;
 const TEAMS = ['blue', 'green', 'red'];
-/** How long a frozen leader is left frozen at most until another one is named. */
-const REPLACEMENT_MS = 15_000;
-/** How long users and machines have at most to end their work once the troubles are over. */
+/** Longest wait for a leader; also the longest time for which a suspended leader waits for its successor. */
+const LEADER_TIMEOUT_MS = 15_000;
+/** Longest time until all jobs end once no more faults are injected. */
 const SETTLE_MS = 90_000;
 
-/** What a trial can be given. */
+/** Options of a trial. */
 export interface TrialOptions {
   seed: number;
-  /** How long processes are frozen and killed. */
+  /** For how long faults are injected and jobs are submitted. */
   durationMs: number;
 }
 
-/** What happened in a trial. */
+/** Results of a trial. */
 export interface TrialReport {
+  /** Number of terms of the leader. */
   terms: number;
+  /** Number of times a process was suspended. */
   freezes: number;
   kills: number;
+  /** Number of task starts. */
   starts: number;
+  /** Number of submitted jobs. */
   jobs: number;
+  /** Ids of the jobs that have not ended. */
   unfinished: string[];
   effects: EffectCounts;
-  /** Requests to the state service a second, and the renewals of grants among them. */
+  /** Requests to the state service per second. */
   stateRequestRate: number;
+  /** Lease renewals per second, which are among these requests. */
   renewalRate: number;
   vacancies: VacancyMeter;
 }
 
-/** One trial with real controller processes. */
+/** One trial with real node processes. */
 export class LoopbackTrial {
   readonly nodes: LoopbackNode[] = [];
   private readonly clock = new RealClock();
@@ -60,7 +66,7 @@
   private readonly servers: LoopbackServer[] = [];
   private readonly folder = mkdtempSync(join(tmpdir(), 'micaworks-loopback-'));
   private readonly counts = { terms: 0, freezes: 0, kills: 0 };
-  private isOver = false;
+  private isStopped = false;
 
   constructor(private readonly options: TrialOptions) {
     const generator = xoroshiro128plus(options.seed);
@@ -80,7 +86,7 @@
       random: this.random,
       storeLimits: { rps: 200, writeRps: 80, txnOps: 8, valueBytes: 4096, pageRows: 1000 },
       cloud: { types: LOOPBACK_TYPES, capacity: 4, listLag: SECOND },
-      gangTimes: { wait: 20 * SECOND, peer: 3 * SECOND },
+      gangTimes: { gatherTimeout: 20 * SECOND, peerLossTimeout: 3 * SECOND },
       teamLimits: new Map(TEAMS.map((team) => [team, { cpus: 24, gpus: 0 }])),
       cancellationDeadline: 20 * SECOND,
       onCommit: (writes) => {
@@ -90,27 +96,27 @@
     });
   }
 
-  /** Starts all processes; the trial's own checks run from here on. */
+  /** Starts the services and all node processes, and the check of the invariants. */
   async start(): Promise<void> {
     const state = await this.serve((...args) => this.services.store.handler(...args));
     const cloud = await this.serve((...args) => this.services.cloud.handler(...args));
-    const all = await Promise.all([...Array(NODES).keys()].map(chooseAddresses));
+    const all = await Promise.all([...Array(NODE_COUNT).keys()].map(chooseAddresses));
     for (const addresses of all) {
       this.nodes.push(new LoopbackNode(addresses, all, { state, cloud }, this.folder));
     }
     for (const node of this.nodes) node.start();
-    this.watch();
+    this.checkInvariants();
   }
 
-  /** The whole trial: troubles for the given time, then quiet until all work is over. */
+  /** Runs the trial: injects faults for the given time, then waits until all jobs have ended. */
   async run(): Promise<TrialReport> {
     await this.start();
-    const began = Date.now();
+    const startedAt = Date.now();
     const jobs = this.submitJobs(this.options.durationMs);
-    await this.replaceFrozenLeader();
-    while (Date.now() < began + this.options.durationMs) await this.injectRandomFault();
+    await this.replaceSuspendedLeader();
+    while (Date.now() < startedAt + this.options.durationMs) await this.injectRandomFault();
     this.services.cloud.lateRequestRate = 0;
-    const seconds = (Date.now() - began) / 1000;
+    const seconds = (Date.now() - startedAt) / 1000;
     const stateRequestRate = perSecond(this.services.store.requestCount, seconds);
     const renewalRate = perSecond(this.services.store.renewalCount, seconds);
     await this.waitFor(jobs, SETTLE_MS);
@@ -126,9 +132,9 @@
     };
   }
 
-  /** Resolves with the leader that the condition holds for, or undefined if there is none in time. */
+  /** Resolves with the leader for which the condition holds, or with undefined if there is none in time. */
   async leaderWhere(condition: (leader: LoopbackNode) => boolean): Promise<LoopbackNode | undefined> {
-    for (const end = Date.now() + REPLACEMENT_MS; Date.now() < end;) {
+    for (const end = Date.now() + LEADER_TIMEOUT_MS; Date.now() < end;) {
       const leader = this.leader;
       if (leader && condition(leader)) return leader;
       await pause(50);
@@ -136,23 +142,23 @@
     return undefined;
   }
 
-  /** The state service loses everything; the function brings it back. */
+  /** Deletes all data of the state service; the returned function restores it. */
   loseData(): () => void {
-    const whole = this.services.store.backup();
+    const backup = this.services.store.backup();
     this.services.store.wipe();
     return () => {
-      this.services.store.restore(whole);
+      this.services.store.restore(backup);
     };
   }
 
-  /** Tasks started so far, and jobs that are not over yet. */
+  /** The number of task starts so far, and the ids of the jobs that have not ended. */
   get progress(): { starts: number; unfinished: string[] } {
     return { starts: this.services.invariants.starts, unfinished: this.services.invariants.unfinishedJobs() };
   }
 
-  /** Ends the trial's own children and servers; throws what broke on the way. */
+  /** Ends all processes and servers of the trial; throws the first failure that occurred in a callback. */
   stop(): void {
-    this.isOver = true;
+    this.isStopped = true;
     this.users.stop();
     for (const node of this.nodes) node.kill();
     for (const worker of this.services.workers.values()) worker.destroy();
@@ -162,7 +168,7 @@
     this.services.failure.rethrow();
   }
 
-  /** The node that leads, as the state service has it. */
+  /** The leader according to the state service. */
   get leader(): LoopbackNode | undefined {
     const member = this.services.store.rows.get(LEADER_KEY)?.value['Member'];
     return this.nodes.find((node) => node.addresses.member === member);
@@ -175,40 +181,40 @@
   }
 
   /**
-   * The case that every trial has to show: a holder that stands still until it is replaced, and then goes on. Which
-   * leaders the random troubles meet, and for how long, depends on how the processes are scheduled: in one run of CI
-   * each of the few freezes ended before the grant did, and no term ever changed.
+   * Suspends the leader until it is replaced, then resumes it. Every trial must cover this case. The random faults
+   * alone don't ensure it, as their effect depends on how the processes are scheduled: in one CI run each of the few
+   * suspensions ended before the lease expired, and the term never changed.
    */
-  private async replaceFrozenLeader(): Promise<void> {
-    const old = await this.leaderWhere(() => true);
-    if (!old) throw new Error('no leader was named');
-    // Whatever is to be wakened late has to be under way: the fleet is rented and work has begun.
+  private async replaceSuspendedLeader(): Promise<void> {
+    const firstLeader = await this.leaderWhere(() => true);
+    if (!firstLeader) throw new Error(`no leader was elected within ${LEADER_TIMEOUT_MS} ms`);
+    // Waits until machines are created and tasks have started, so that the leader has work in progress.
     await pause(4000);
-    const frozen = this.leader ?? old;
+    const suspended = this.leader ?? firstLeader;
     this.counts.freezes++;
-    this.recordVacancies(frozen, 'freeze');
-    frozen.freeze();
-    const next = await this.leaderWhere((leader) => leader !== frozen);
-    frozen.thaw();
-    if (!next) throw new Error('a frozen leader was not replaced');
+    this.recordVacancies(suspended, 'freeze');
+    suspended.suspend();
+    const successor = await this.leaderWhere((leader) => leader !== suspended);
+    suspended.resume();
+    if (!successor) throw new Error(`the suspended leader was not replaced within ${LEADER_TIMEOUT_MS} ms`);
   }
 
   private async injectRandomFault(): Promise<void> {
-    const any = this.nodes[Math.floor(this.random() * NODES)];
-    const node = this.random() < 0.7 ? (this.leader ?? any) : any;
-    if (node?.isUp === true && !node.isFrozen) {
-      if (this.random() < 0.75) await this.freeze(node);
+    const anyNode = this.nodes[Math.floor(this.random() * NODE_COUNT)];
+    const node = this.random() < 0.7 ? (this.leader ?? anyNode) : anyNode;
+    if (node?.isUp === true && !node.isSuspended) {
+      if (this.random() < 0.75) await this.suspend(node);
       else await this.kill(node);
     }
     await pause(500 + this.random() * 3000);
   }
 
-  private async freeze(node: LoopbackNode): Promise<void> {
+  private async suspend(node: LoopbackNode): Promise<void> {
     this.counts.freezes++;
     this.recordVacancies(node, 'freeze');
-    node.freeze();
+    node.suspend();
     await pause(300 + this.random() * 7000);
-    node.thaw();
+    node.resume();
     for (const role of this.rolesOf(node)) this.vacancies.recovered(role);
   }
 
@@ -220,10 +226,11 @@
     node.start();
   }
 
+  /** Returns the names of the roles that this node holds according to the state service. */
   private rolesOf(node: LoopbackNode): string[] {
     const holds = (path: string): boolean =>
       this.services.store.rows.get(path)?.value['Member'] === node.addresses.member;
-    const shards = [...Array(NODES).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
+    const shards = [...Array(NODE_COUNT).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
     return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
 
@@ -245,10 +252,10 @@
   private setUpWorker(): WorkerSetup {
     return {
       nodes: this.nodes.map(({ addresses: { member, users } }) => ({ member, endpoint: users })),
-      caller: (gate) => {
-        const call = createHttpClient(1);
+      createClient: (gate) => {
+        const httpClient = createHttpClient(1);
         return async (...args) => {
-          const reply = await call(...args);
+          const reply = await httpClient(...args);
           return new Promise((resolve) => {
             gate(() => {
               resolve(reply);
@@ -262,21 +269,22 @@
     };
   }
 
-  /** Submits jobs for the given time; resolves once all of them are done. */
+  /** Submits jobs for the given time; resolves once all of them are done, or the trial is stopped. */
   submitJobs(durationMs: number): Promise<void> {
     return this.users.submitJobs(durationMs);
   }
 
-  private watch(): void {
+  /** Checks the invariants every 100 ms. */
+  private checkInvariants(): void {
     this.services.failure.guard(() => {
-      this.services.invariants.check(this.clock.time);
+      this.services.invariants.checkDeadlines(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
-      if (!this.isOver) this.watch();
+      if (!this.isStopped) this.checkInvariants();
     });
   }
 
-  /** Waits for it, or for so long at most. */
+  /** Waits until the work is done, but no longer than the given time. */
   private async waitFor(work: Promise<void>, ms: number): Promise<void> {
     let isDone = false;
     void work.then(() => (isDone = true));
