--- a/packages/fleet/capacity-backoff.ts
+++ b/packages/fleet/capacity-backoff.ts
@@ -5,13 +5,13 @@
 const INITIAL_BACKOFF: Micros = 10 * SECOND;
 const MAX_BACKOFF: Micros = 40 * SECOND;
 
-/** The backoff of one offer: when it ends on the monotonic clock, and how long it takes in all. */
+/** The backoff of one offer: the monotonic time at which it ends, and its total duration. */
 interface Backoff {
   readonly until: Micros;
   readonly duration: Micros;
 }
 
-/** Tracks the offers that must not be requested for a while. Keyed by offer. */
+/** Tracks which offers must not be requested because the cloud recently had too few machines of them. */
 export class CapacityBackoff {
   private readonly backoffs = new Map<string, Backoff>();
 
