--- a/packages/testkit/cluster-checks.ts
+++ b/packages/testkit/cluster-checks.ts
@@ -31,7 +31,7 @@
     // After a data loss the revisions of the replicas belong to another history.
     if (hasLostData) return;
     const current = replicas.filter(
-      (replica) => replica.applied === revision && this.comparedAt.get(replica.ledger) !== revision,
+      (replica) => replica.appliedRevision === revision && this.comparedAt.get(replica.ledger) !== revision,
     );
     for (const { ledger } of current) this.comparedAt.set(ledger, revision);
     this.agreement.check(current, revision);
@@ -40,8 +40,8 @@
 
 /** Checks after a commit that all chunks of the current checkpoint are stored. */
 export function checkCheckpointIsComplete(store: SimStore, writes: readonly WireFields[]): void {
-  const paths = writes.map((write) => String(write['Set'] ?? write['Remove']));
-  if (!paths.some((path) => path === CHECKPOINT_HEAD_KEY || path.startsWith(CHECKPOINT_CHUNK_PREFIX))) return;
+  const keys = writes.map((write) => String(write['Set'] ?? write['Remove']));
+  if (!keys.some((key) => key === CHECKPOINT_HEAD_KEY || key.startsWith(CHECKPOINT_CHUNK_PREFIX))) return;
   const head = store.rows.get(CHECKPOINT_HEAD_KEY)?.value;
   for (let i = 0; i < Number(head?.['Chunks'] ?? 0); i++) {
     const key = checkpointChunkKey(String(head?.['Id']), i);
@@ -52,10 +52,10 @@
 /** Returns the events that a commit causes: changes of the leader and releases of machines. */
 export function clusterEventsOf(writes: readonly WireFields[]): ClusterEvent[] {
   return writes.flatMap((write): ClusterEvent[] => {
-    const path = String(write['Set'] ?? '');
-    if (path === LEADER_KEY) return ['lead'];
+    const key = String(write['Set'] ?? '');
+    if (key === LEADER_KEY) return ['lead'];
     const isRelease =
-      path.startsWith(LOG_PREFIX) && isWireFields(write['V']) && write['V']['releases'] !== undefined;
+      key.startsWith(LOG_PREFIX) && isWireFields(write['V']) && write['V']['releases'] !== undefined;
     return isRelease ? ['release'] : [];
   });
 }
--- a/packages/testkit/combined-failures.test.ts
+++ b/packages/testkit/combined-failures.test.ts
@@ -59,7 +59,10 @@
   assert.equal(cluster.lastStatuses.get(job), 'cancelled');
 }
 
-/** The state service refuses the leader only, another node confirms a cancellation, then an outage hits all nodes. */
+/**
+ * Makes the state service refuse only the leader, cancels a job at another node, and then causes an outage for all
+ * nodes. Asserts that the job stops although the old leader still answers workers when the outage begins.
+ */
 async function cancelBeforeOutage(
   seed: number,
   refusedS: number,
@@ -116,10 +119,10 @@
 });
 
 /** Submits one job for each team that ends within the test, and runs until all three have running tasks. */
-async function startShortJobs(cluster: SimCluster, change: Partial<JobSpec> = {}): Promise<string[]> {
+async function startShortJobs(cluster: SimCluster, overrides: Partial<JobSpec> = {}): Promise<string[]> {
   const ids = TEAMS.map((_, i) => `j-1${i}`);
   ids.forEach((id, i) => {
-    cluster.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 3, estimateS: 25, ...change }));
+    cluster.submit(sampleJob(id, { team: TEAMS[i]?.name ?? '', taskCount: 3, estimateS: 25, ...overrides }));
   });
   await cluster.run(35 * SECOND);
   for (const id of ids) assert.ok(cluster.invariants.runningTasks(id).length > 0, `${id} doesn't run`);
@@ -290,7 +293,7 @@
   }
 });
 
-test('heartbeats that reach a new shard owner late, from current and earlier worker incarnations, do no harm', async () => {
+test('heartbeats that reach a new shard owner late, from current and earlier worker incarnations, violate no invariant', async () => {
   for (const [seed, pause] of [
     [89, 6],
     [90, 14],
@@ -307,7 +310,7 @@
     const late = hosts.reduce((sum, host) => sum + cluster.net.release(host), 0);
     assert.ok(late > hosts.length, 'no heartbeat was held back');
     await cluster.run(4 * SECOND);
-    // Repeat this with the shard owner that came back.
+    // The same again, while the old leader is back and another node restarts.
     for (const host of hosts) cluster.net.hold(host);
     cluster.startNode(leader);
     await restartNodes(cluster, [otherThan(cluster, leader)], 5 * SECOND);
@@ -349,8 +352,8 @@
     const cluster = createCluster({ seed: 93 });
     const jobs = await startShortJobs(cluster, { estimateS: 120 });
     const tokens: number[] = [];
-    const asked = cluster.store.requestCount;
-    const refused = cluster.store.refusedRequestCount;
+    const requestsBefore = cluster.store.requestCount;
+    const refusedBefore = cluster.store.refusedRequestCount;
     let changes = 0;
     cluster.onEvent = (event) => {
       if (event === 'lead') changes++;
@@ -371,18 +374,18 @@
     // There is no request storm: on average the nodes send less than half of the requests per second that the state
     // service allows, and almost none is refused.
     assert.ok(
-      cluster.store.requestCount - asked < 0.5 * 100 * 120,
-      `${cluster.store.requestCount - asked} requests`,
+      cluster.store.requestCount - requestsBefore < 0.5 * 100 * 120,
+      `${cluster.store.requestCount - requestsBefore} requests`,
     );
     assert.ok(
-      cluster.store.refusedRequestCount - refused < 60,
-      `${cluster.store.refusedRequestCount - refused} refused`,
+      cluster.store.refusedRequestCount - refusedBefore < 60,
+      `${cluster.store.refusedRequestCount - refusedBefore} refused`,
     );
     await runUntilEnded(cluster, jobs);
   }
 });
 
-test('users get answers and cancellations hold while the state service is slow, refuses the leader, then all', async () => {
+test('users get answers and cancellations hold while the state service first is slow, then refuses the leader, then all nodes', async () => {
   const cluster = createCluster({ seed: 94 });
   const jobs = await startShortJobs(cluster, { estimateS: 80 });
   const leader = holderOf(cluster, LEADER_KEY);
@@ -415,7 +418,7 @@
   assert.equal(cluster.lastStatuses.get('j-11'), 'cancelled');
 });
 
-test('a leader that loses the state service and its peers but not its workers does not run cancelled jobs on', async () => {
+test('a cancelled job stops although the leader loses the state service and its peers but not its workers', async () => {
   for (const seed of [71, 73, 75]) {
     const cluster = await createBusyCluster({ seed });
     const { leader, job } = leaderWithRunningJob(cluster);
@@ -530,17 +533,17 @@
     if (jobCount < 24) cluster.clock.at(4 * SECOND, submitNext);
   };
   cluster.clock.at(SECOND, submitNext);
-  const asked = new Set<string>();
+  const requestedJobs = new Set<string>();
   cluster.onEvent = (event) => {
     if (event !== 'last end') return;
     for (const id of [...cluster.specs.keys()].filter(
-      (job) => !asked.has(job) && cluster.invariants.isJobComplete(job),
+      (job) => !requestedJobs.has(job) && cluster.invariants.isJobComplete(job),
     )) {
-      asked.add(id);
+      requestedJobs.add(id);
       const answers: number[] = [];
       answersByJob.set(id, answers);
-      const late = cluster.random() * 1.5 * SECOND;
-      cluster.clock.at(late, () => {
+      const delay = cluster.random() * 1.5 * SECOND;
+      cluster.clock.at(delay, () => {
         const spec = cluster.specs.get(id);
         void cluster.cancelJob(id, 0).then((s) => answers.push(s));
         void cluster
@@ -573,7 +576,7 @@
   for (const id of answersByJob.keys()) for (const node of [0, 1, 2]) await statusFromNode(cluster, id, node);
 });
 
-test('heartbeats that arrive after newer ones, also from earlier worker incarnations and attempts, do no harm', async () => {
+test('heartbeats that arrive after newer ones, also from earlier worker incarnations and attempts, violate no invariant', async () => {
   for (const seed of [106, 107]) {
     const cluster = createCluster({ seed });
     cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 40 * SECOND };
--- a/packages/testkit/data-loss-timing.test.ts
+++ b/packages/testkit/data-loss-timing.test.ts
@@ -52,7 +52,7 @@
   },
   'one key': (cluster: SimCluster) => {
     const fullBackup = cluster.store.backup();
-    const lostKeys = cluster.store.loseKeys((path) => path === FENCING_TOKEN_KEY, true);
+    const lostKeys = cluster.store.loseKeys((key) => key === FENCING_TOKEN_KEY, true);
     return () => {
       cluster.store.restoreKeys(fullBackup, lostKeys);
     };
--- a/packages/testkit/data-loss.test.ts
+++ b/packages/testkit/data-loss.test.ts
@@ -54,7 +54,7 @@
   }
 });
 
-test('after the state is rolled back under open watches no node starts a task or forgets a job', async () => {
+test('after the state is rolled back while watches are open no node starts a task or forgets a job', async () => {
   for (const [seed, rewoundTime] of [
     [611, 25 * SECOND],
     [613, SECOND],
@@ -123,16 +123,16 @@
   }
 });
 
-test('the loss of keys that no node removes is detected, and all jobs end once they are restored', async () => {
-  const cases: [number, string, (path: string) => boolean][] = [
-    [641, 'token', (path) => path === FENCING_TOKEN_KEY],
+test('the loss of keys that no node ever removes is detected, and all jobs end once they are restored', async () => {
+  const cases: [number, string, (key: string) => boolean][] = [
+    [641, 'token', (key) => key === FENCING_TOKEN_KEY],
     [
       642,
       'the middle of a log',
-      (path) => path.startsWith(`${LOG_PREFIX}0/`) && Number(path.slice(-4)) % 5 === 2,
+      (key) => key.startsWith(`${LOG_PREFIX}0/`) && Number(key.slice(-4)) % 5 === 2,
     ],
-    [643, 'jobs', (path) => path.startsWith(JOB_PREFIX)],
-    [644, 'the statuses of ended jobs', (path) => path.startsWith(TERMINAL_PREFIX)],
+    [643, 'jobs', (key) => key.startsWith(JOB_PREFIX)],
+    [644, 'the statuses of ended jobs', (key) => key.startsWith(TERMINAL_PREFIX)],
   ];
   for (const [seed, lostData, isLost] of cases) {
     const cluster = createDataLossCluster({ seed });
@@ -177,7 +177,7 @@
     const cluster = createDataLossCluster({ seed });
     await cluster.run(90 * SECOND);
     const fullBackup = cluster.store.backup();
-    const lostKeys = cluster.store.loseKeys((path) => path.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
+    const lostKeys = cluster.store.loseKeys((key) => key.startsWith(CHECKPOINT_CHUNK_PREFIX), false);
     assert.ok(lostKeys.length > 0, 'there is no checkpoint');
     cluster.killNode(1);
     await cluster.run(SECOND);
@@ -193,7 +193,7 @@
   }
 });
 
-test('after a total loss a node of the production version, which has no data loss detection, starts nothing either', async () => {
+test('after a total loss a node of the production version, which has no data loss detection, starts no task either', async () => {
   const version = await loadProductionVersion();
   // All jobs are accepted before the loss and outlast the test, because the old node would take repeated submissions
   // for new jobs (docs/recovery.md).
--- a/packages/testkit/fault-injection.test.ts
+++ b/packages/testkit/fault-injection.test.ts
@@ -53,7 +53,7 @@
   assert.equal(cluster.workers.has(host), false, 'the machine has not been deleted');
 });
 
-test('duplicate heartbeats, up to several leases late, mislead neither current nor later shard owners', async () => {
+test('all jobs end although duplicate heartbeats, up to several leases late, reach current and later shard owners', async () => {
   const cluster = await createBusyCluster({ seed: 42 });
   cluster.net.faults = { faultRate: 0, maxDelay: 0, duplicateRate: 1, maxDuplicateDelay: 45 * SECOND };
   for (let i = 0; i < 3; i++) {
@@ -111,7 +111,7 @@
   assert.equal(ownersOf(cluster).has(isolated), true);
 });
 
-test('a leader that restarts within a fraction of a second, during the election that it caused, does no harm', async () => {
+test('all jobs end although leaders restart within a fraction of a second, during the election that they caused', async () => {
   const cluster = await createBusyCluster({ seed: 45 });
   for (const pause of [0.05, 0.2, 0.4, 0.1]) {
     const leader = leaderOf(cluster);
@@ -130,8 +130,8 @@
   const cluster = new SimCluster({ seed: 46, capacity: 1 });
   let nextJobNumber = 10;
   const submitSmallJob = (team: string): void => {
-    const change: Partial<JobSpec> = { team, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
-    cluster.submit(sampleJob(`j-${nextJobNumber++}`, { ...change, jobClass: 'patch' }));
+    const overrides: Partial<JobSpec> = { team, rank: 'urgent', taskCount: 4, cpus: 2, estimateS: 12 };
+    cluster.submit(sampleJob(`j-${nextJobNumber++}`, { ...overrides, jobClass: 'patch' }));
   };
   const submitStream = (): void => {
     if (cluster.clock.time > 200 * SECOND) return;
@@ -141,15 +141,15 @@
   };
   cluster.clock.at(2 * SECOND, submitStream);
   cluster.clock.at(20 * SECOND, () => {
-    const change: Partial<JobSpec> = { rank: 'best_effort', taskCount: 40, cpus: 2, estimateS: 10 };
-    cluster.submit(sampleJob('j-1', { ...change, jobClass: 'bulk', team: 'green' }));
-    cluster.submit(sampleJob('j-2', { ...change, jobClass: 'bulk', team: 'blue' }));
+    const overrides: Partial<JobSpec> = { rank: 'best_effort', taskCount: 40, cpus: 2, estimateS: 10 };
+    cluster.submit(sampleJob('j-1', { ...overrides, jobClass: 'bulk', team: 'green' }));
+    cluster.submit(sampleJob('j-2', { ...overrides, jobClass: 'bulk', team: 'blue' }));
   });
   await cluster.run(700 * SECOND);
   assert.deepEqual(cluster.invariants.neglectedGroups(), []);
 });
 
-test('a node that is suspended for longer than its lease resumes without harm and owns shards again', async () => {
+test('a node that is suspended for longer than its lease answers no worker meanwhile and owns shards again afterwards', async () => {
   for (const [seed, pause] of [
     [61, 5],
     [62, 11],
--- a/packages/testkit/full-fleet.test.ts
+++ b/packages/testkit/full-fleet.test.ts
@@ -28,7 +28,7 @@
   const cancelDelay = (rate: number): number | null => (random() < rate ? random() * 20 * SECOND : null);
   const submitGuestJobs = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
-    const change = {
+    const overrides = {
       team: 'guest',
       jobClass: 'probes',
       rank: 'best_effort' as const,
@@ -36,13 +36,13 @@
       cpus: 0.5,
       memGb: 1,
     };
-    cluster.submit(sampleJob(nextId(), { ...change, estimateS: 3 + random() * 12 }), cancelDelay(0.1));
+    cluster.submit(sampleJob(nextId(), { ...overrides, estimateS: 3 + random() * 12 }), cancelDelay(0.1));
     clock.at(random() * 0.6 * SECOND, submitGuestJobs);
   };
   const submitTeamJobs = (): void => {
     if (clock.time > FAULT_PERIOD.until) return;
     const hasCheckpoints = random() < 0.5;
-    const change = {
+    const overrides = {
       team: random() < 0.5 ? 'blue' : 'green',
       rank: random() < 0.3 ? ('urgent' as const) : 'normal',
       taskCount: 1 + Math.floor(random() * 8),
@@ -52,7 +52,7 @@
       checkpointS: hasCheckpoints ? 2 : 0,
       saveS: hasCheckpoints ? 1 : 0,
     };
-    cluster.submit(sampleJob(nextId(), change as object), cancelDelay(0.1));
+    cluster.submit(sampleJob(nextId(), overrides as object), cancelDelay(0.1));
     clock.at(random() * 4 * SECOND, submitTeamJobs);
   };
   const crashNode = (): void => {
--- a/packages/testkit/gangs.test.ts
+++ b/packages/testkit/gangs.test.ts
@@ -7,25 +7,28 @@
 import { SimCluster } from './sim-cluster.js';
 
 /** Returns the specification of a gang of four tasks in one zone. */
-function gangJob(id: string, change: Partial<JobSpec> = {}): JobSpec {
+function gangJob(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   const shape = { shape: 'gang' as const, jobClass: 'joint', taskCount: 4, singleZone: true };
-  return sampleJob(id, { ...shape, checkpointS: 4, saveS: 1, estimateS: 15, ...change });
+  return sampleJob(id, { ...shape, checkpointS: 4, saveS: 1, estimateS: 15, ...overrides });
 }
 
-/** Runs until the job's tasks are done, for `within` seconds at most, and 20 s more; asserts that its user got `done`. */
-async function runUntilDone(cluster: SimCluster, id: string, within: number): Promise<void> {
-  for (let second = 0; second < within && !cluster.invariants.isJobComplete(id); second++)
+/**
+ * Runs until the job's tasks are done, for `maxSeconds` at most, and then for 20 s. Asserts that its user received the
+ * status `done`.
+ */
+async function runUntilDone(cluster: SimCluster, id: string, maxSeconds: number): Promise<void> {
+  for (let second = 0; second < maxSeconds && !cluster.invariants.isJobComplete(id); second++)
     await cluster.run(SECOND);
   await cluster.run(20 * SECOND);
   assert.equal(cluster.lastStatuses.get(id), 'done');
 }
 
 /** Runs until the given number of the gang's tasks are on machines, for 60 s at most, and returns their hosts. */
-async function runUntilGathered(cluster: SimCluster, id: string, tasks: number): Promise<string[]> {
-  for (let step = 0; step < 600 && cluster.invariants.runningTasks(id).length < tasks; step++)
+async function runUntilGathered(cluster: SimCluster, id: string, taskCount: number): Promise<string[]> {
+  for (let step = 0; step < 600 && cluster.invariants.runningTasks(id).length < taskCount; step++)
     await cluster.run(SECOND / 10);
   const hosts = cluster.invariants.runningTasks(id).map(({ host }) => host);
-  assert.ok(hosts.length >= tasks, `${hosts.length} tasks are on machines`);
+  assert.ok(hosts.length >= taskCount, `${hosts.length} tasks are on machines`);
   return hosts;
 }
 
@@ -55,9 +58,9 @@
       .then((status) => answers.push(status));
     await cluster.run(SECOND);
   }
-  const service = { ...encodeSubmission(gangJob('j-6')), Shape: 'service' };
+  const unknownShapeBody = { ...encodeSubmission(gangJob('j-6')), Shape: 'service' };
   void cluster
-    .sendUserRequest('j-6', { node: 0, method: 'POST', path: '/submissions', body: service })
+    .sendUserRequest('j-6', { node: 0, method: 'POST', path: '/submissions', body: unknownShapeBody })
     .then((status) => answers.push(status));
   await cluster.run(SECOND);
   assert.deepEqual(answers, [201, 200, 422, 422, 422, 422, 400]);
@@ -73,10 +76,10 @@
 test('when a machine of a running gang dies, the next attempt resumes from the checkpoint', async () => {
   const cluster = new SimCluster({ seed: 3 });
   cluster.submit(gangJob('j-1', { estimateS: 30 }));
-  const [first] = await runUntilGathered(cluster, 'j-1', 4);
+  const [firstHost] = await runUntilGathered(cluster, 'j-1', 4);
   await cluster.run(8 * SECOND);
   assert.equal(cluster.gangs.starts, 1);
-  const host = cluster.cloud.hosts.get(first ?? '');
+  const host = cluster.cloud.hosts.get(firstHost ?? '');
   assert.ok(host);
   cluster.cloud.crash(host);
   await runUntilDone(cluster, 'j-1', 160);
@@ -86,15 +89,16 @@
 test('when a machine dies while the gang gathers, a new attempt replaces the old one', async () => {
   const cluster = new SimCluster({ seed: 4 });
   cluster.submit(gangJob('j-1', { imageGb: 6 }));
-  const [first] = await runUntilGathered(cluster, 'j-1', 1);
-  const host = cluster.cloud.hosts.get(first ?? '');
+  const [firstHost] = await runUntilGathered(cluster, 'j-1', 1);
+  const host = cluster.cloud.hosts.get(firstHost ?? '');
   assert.ok(host && cluster.gangs.starts === 0);
   cluster.cloud.crash(host);
   await runUntilDone(cluster, 'j-1', 160);
   assert.equal(cluster.gangs.starts, 1);
 });
 
-// A record holds only a few tasks and a commit only one record, so that the start of six tasks takes several commits.
+// With these limits a record holds only a few tasks and a commit only one record, so the start of six tasks takes
+// several commits.
 test('a shard owner that crashes between two commits of a gang start leaves no partial gang behind', async () => {
   for (const seed of [5, 6, 7]) {
     const cluster = new SimCluster({ seed, settings: { valueBytes: 560, txnOps: 4 } });
@@ -106,7 +110,7 @@
       const isLost = lostCommitCount === 0 && writes.some(isGangRecord);
       if (!isLost) return false;
       lostCommitCount++;
-      const owner = [...cluster.store.rows].find(([path]) => path === 'mw/now/share/0')?.[1].value['Member'];
+      const owner = [...cluster.store.rows].find(([key]) => key === 'mw/now/share/0')?.[1].value['Member'];
       const index = Number(String(owner).split('-')[1]);
       cluster.clock.at(SECOND / 5, () => {
         cluster.killNode(index);
--- a/packages/testkit/invariants.test.ts
+++ b/packages/testkit/invariants.test.ts
@@ -9,9 +9,9 @@
 const LIMITS = new Map([['blue', { cpus: 6, gpus: 0 }]]);
 
 /** Creates a checker that has observed the submission and acceptance of job `j-1`. */
-function createChecker(change: Parameters<typeof sampleJob>[1] = {}): InvariantChecker {
+function createChecker(overrides: Parameters<typeof sampleJob>[1] = {}): InvariantChecker {
   const checker = new InvariantChecker(LIMITS, 10 * SECOND);
-  checker.jobSubmitted(sampleJob('j-1', change), 0);
+  checker.jobSubmitted(sampleJob('j-1', overrides), 0);
   checker.answerReceived('j-1', { status: 201, state: 'pending', now: 0 });
   return checker;
 }
@@ -151,11 +151,11 @@
 
 test('the checker allows a job to wait without suitable capacity, at its team limit, or during faults', () => {
   const assertMayWait = (
-    change: Parameters<typeof sampleJob>[1],
+    overrides: Parameters<typeof sampleJob>[1],
     cpus: number,
     faultsHaveEnded = true,
   ): void => {
-    const checker = createChecker(change);
+    const checker = createChecker(overrides);
     if (faultsHaveEnded) checker.faultsEnded(0);
     const capacity = { machine: east, cpus, gpus: 0, memGb: 16 };
     for (let s = 0; s < 200; s += 50) checker.checkWaitingJobs(s * SECOND, [capacity]);
--- a/packages/testkit/invariants.ts
+++ b/packages/testkit/invariants.ts
@@ -36,7 +36,7 @@
   starts = 0;
   /** Task starts between a confirmed cancellation and its deadline: allowed, but useless. */
   startsAfterConfirmation = 0;
-  /** Called with events during which tests inject further faults. */
+  /** Called for each event during which tests may inject further faults. */
   onEvent: (event: 'confirmed' | 'last end') => void = () => undefined;
 
   constructor(
@@ -105,12 +105,12 @@
     if (job.cancelledAt !== null) this.startsAfterConfirmation++;
   }
 
-  /** Records that a task has left its machine; `done` is true if it completed its work. */
-  taskEnded(taskName: string, done: boolean): void {
+  /** Records that a task has left its machine; `isDone` is true if it completed its work. */
+  taskEnded(taskName: string, isDone: boolean): void {
     this.running.end(taskName);
     const { id, index } = splitTaskName(taskName);
     const job = this.jobs.get(id);
-    if (!done || !job) return;
+    if (!isDone || !job) return;
     job.doneTasks.add(index);
     if (job.doneTasks.size >= job.spec.taskCount) this.onEvent('last end');
   }
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Checks that no task waits without reason; `capacities` holds all healthy machines. Called periodically, and
-   * without effect until all faults have ended.
+   * Checks that no job waits for longer than {@link WAITING_DEADLINE} while capacity for it is free; `capacities` holds
+   * all healthy machines. Called periodically; has no effect until all faults have ended.
    */
   checkWaitingJobs(now: Micros, capacities: readonly FreeCapacity[]): void {
     if (now < this.faultsEndedAt) return;
@@ -174,8 +174,8 @@
       }
     }
     for (const id of this.pendingCancellations) {
-      const at = this.jobs.get(id)?.cancelledAt ?? now;
-      if (now <= at + this.cancellationDeadline) continue;
+      const cancelledAt = this.jobs.get(id)?.cancelledAt ?? now;
+      if (now <= cancelledAt + this.cancellationDeadline) continue;
       for (const task of this.running.ofJob(id)) {
         throw new InvariantViolation('ran_cancelled', `${task.taskName} is still on ${task.machine.host}`);
       }
--- a/packages/testkit/ledger-agreement.ts
+++ b/packages/testkit/ledger-agreement.ts
@@ -1,4 +1,4 @@
-/** Checks that every node's replica of the placement state is the one that results from the commits. */
+/** Checks that every node's replica of the placement state equals the one that results from the commits. */
 import {
   decodeRecord,
   type Destination,
@@ -18,6 +18,7 @@
   readonly host: string;
   readonly shard: number | null;
   readonly destination: Destination | null;
+  /** Incremented whenever a shard acquires the machine. */
   readonly ownershipCount: number;
   readonly status: MachineStatus;
   readonly lastHeartbeat: { readonly incarnation: Count; readonly sequence: Count } | null;
@@ -42,33 +43,33 @@
   readonly member: string;
   readonly state: ReplicaState;
   /** Revision up to which the replica has applied every commit. */
-  readonly applied: number;
-  /** Identity of the ledger: every complete read of the state creates a new object. */
+  readonly appliedRevision: number;
+  /** The ledger itself, used only as an identity: every complete read of the state creates a new object. */
   readonly ledger: object;
-  /** Lists the whole ledger; takes time proportional to its size. */
+  /** Returns the compared contents of the whole ledger; takes time proportional to its size. */
   readonly describeLedger: () => LedgerFacts;
 }
 
 /**
- * Checks that every node's ledger equals the one that results from applying the commits in order. The reference ledger
- * is never restarted and never read from a checkpoint, and applies each commit as it happens.
+ * Checks that every node's ledger equals a reference ledger, which applies each commit as it happens and in order. The
+ * reference ledger is never rebuilt after a restart and never read from a checkpoint.
  */
 export class LedgerAgreement {
   private readonly reference = new Ledger();
 
-  /** Applies the records of a transaction that the state service has just applied to the reference ledger. */
+  /** Updates the reference ledger with the log records of a transaction that the state service has just applied. */
   transactionApplied(writes: readonly WireFields[]): void {
     for (const write of writes) {
-      const path = String(write['Set'] ?? '');
-      if (!path.startsWith(LOG_PREFIX) || !isWireFields(write['V'])) continue;
-      this.apply(logIdOfKey(path), decodeRecord(write['V']));
+      const key = String(write['Set'] ?? '');
+      if (!key.startsWith(LOG_PREFIX) || !isWireFields(write['V'])) continue;
+      this.apply(logIdOfKey(key), decodeRecord(write['V']));
     }
   }
 
   /** Compares the replicas that have applied everything up to the given revision with the reference ledger. */
   check(replicas: readonly ReplicaFacts[], revision: number): void {
     const current = replicas.filter(
-      (replica) => replica.state === 'following' && replica.applied === revision,
+      (replica) => replica.state === 'following' && replica.appliedRevision === revision,
     );
     if (current.length === 0) return;
     const expected = describeSorted(factsOfLedger(this.reference));
--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -228,8 +228,8 @@
 
   /** Returns the names of the roles that this node holds according to the state service. */
   private rolesOf(node: LoopbackNode): string[] {
-    const holds = (path: string): boolean =>
-      this.services.store.rows.get(path)?.value['Member'] === node.addresses.member;
+    const holds = (key: string): boolean =>
+      this.services.store.rows.get(key)?.value['Member'] === node.addresses.member;
     const shards = [...Array(NODE_COUNT).keys()].filter((shard) => holds(SHARD_PREFIX + String(shard)));
     return [...(holds(LEADER_KEY) ? ['lead'] : []), ...shards.map((shard) => formatRoleName(shard))];
   }
@@ -240,11 +240,11 @@
 
   private recordNewHolders(writes: readonly WireFields[]): void {
     for (const write of writes) {
-      const path = String(write['Set'] ?? '');
-      if (path === LEADER_KEY) this.counts.terms++;
-      if (path === LEADER_KEY) this.vacancies.ended('lead', this.clock.time);
-      else if (path.startsWith(SHARD_PREFIX)) {
-        this.vacancies.ended(formatRoleName(Number(path.slice(SHARD_PREFIX.length))), this.clock.time);
+      const key = String(write['Set'] ?? '');
+      if (key === LEADER_KEY) this.counts.terms++;
+      if (key === LEADER_KEY) this.vacancies.ended('lead', this.clock.time);
+      else if (key.startsWith(SHARD_PREFIX)) {
+        this.vacancies.ended(formatRoleName(Number(key.slice(SHARD_PREFIX.length))), this.clock.time);
       }
     }
   }
--- a/packages/testkit/machine-faults.ts
+++ b/packages/testkit/machine-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of rented machines and their workers. */
+/** Faults of cloud machines and their workers. */
 import { SECOND } from '#wire';
 import type { FaultTarget } from './fault-target.js';
 import type { SimWorker } from './sim-worker.js';
--- a/packages/testkit/production-version.ts
+++ b/packages/testkit/production-version.ts
@@ -185,7 +185,7 @@
 }
 
 function replicaFactsOf({ member, state, applied, ledger }: ProductionReplicaSnapshot): ReplicaFacts {
-  return { member, state, applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
+  return { member, state, appliedRevision: applied, ledger, describeLedger: () => ledgerFactsOf(ledger) };
 }
 
 function destinationOf(destination: ProductionDestination | null): Destination | null {
--- a/packages/testkit/role-edge-cases.test.ts
+++ b/packages/testkit/role-edge-cases.test.ts
@@ -1,6 +1,6 @@
 /**
- * The edge cases of docs/duties.md: a role holder that is suspended at the worst moment, requests that are executed long
- * after its term, clocks that disagree, and hand-offs during faults. The role history checker throws on every effect
+ * The edge cases of docs/duties.md: a role holder that is suspended between a decision and its effect, requests that are
+ * executed long after its term, clocks that disagree, and hand-offs during faults. The role history checker throws on every effect
  * that no term and no record allows. Each test asserts that the case in question did occur.
  */
 import assert from 'node:assert/strict';
@@ -70,7 +70,7 @@
   assert.deepEqual(cluster.invariants.unfinishedJobs(), []);
 }
 
-test('cloud requests of a replaced leader that arrive late do no harm, after one successor and after two', async () => {
+test('cloud requests of a replaced leader that arrive late violate no invariant, after one successor and after two', async () => {
   for (const [seed, successors] of [
     [201, 1],
     [202, 2],
@@ -230,7 +230,7 @@
   await assertAllJobsEnd(cluster);
 });
 
-test('a leader that the state service refuses before an outage is replaced, and nothing is done twice', async () => {
+test('a leader that the state service refuses before an outage is replaced, and no effect occurs twice', async () => {
   for (const seed of [271, 272]) {
     const cluster = createBusyCluster({ seed });
     await cluster.run(30 * SECOND);
@@ -382,8 +382,8 @@
     .then((result) => (reason = result.kind === 'refused' ? result.reason : result.kind));
   await cluster.run(2 * SECOND);
   assert.match(reason, /not every node has announced/);
-  const members = [...cluster.store.rows].filter(([path]) => path.startsWith('mw/now/member/'));
-  for (const [path, { value }] of members) assert.equal(value['Resigned'], undefined, path);
+  const members = [...cluster.store.rows].filter(([key]) => key.startsWith('mw/now/member/'));
+  for (const [key, { value }] of members) assert.equal(value['Resigned'], undefined, key);
   cluster.upgradeNode(2, SECOND);
   await cluster.run(40 * SECOND);
   await assertAllJobsEnd(cluster);
@@ -398,10 +398,10 @@
   const cluster = createBusyCluster({ seed: 295, log });
   await cluster.run(30 * SECOND);
   const leader = leaderOf(cluster);
-  const corruptRow = (path: string, value: WireFields): void => {
+  const corruptRow = (key: string, value: WireFields): void => {
     // Simulates a write by another program that keeps the lease of the row.
-    const Permit = cluster.store.rows.get(path)?.leaseId ?? null;
-    cluster.store.writeUnguarded({ Set: path, V: value, Permit });
+    const Permit = cluster.store.rows.get(key)?.leaseId ?? null;
+    cluster.store.writeUnguarded({ Set: key, V: value, Permit });
   };
   corruptRow(LEADER_KEY, { Member: 7 });
   corruptRow('mw/now/share/1', { Member: 'node-0', Nonce: 'x', Token: 'many' });
@@ -429,7 +429,7 @@
   await assertAllJobsEnd(cluster);
 });
 
-test('while the fencing token is unreadable no worker is answered and no shard assigned; all resumes once it is readable', async () => {
+test('while the fencing token is unreadable no worker is answered and no shard assigned; both resume once it is readable', async () => {
   const cluster = createBusyCluster({ seed: 296 });
   await cluster.run(30 * SECOND);
   const row = cluster.store.rows.get('mw/now/token');
@@ -472,7 +472,7 @@
   }
 });
 
-test('next to the production version, which has no records or hand-offs, the current version leaves nothing unrecorded', async () => {
+test('next to the production version, which has no records or hand-offs, the current version records every effect first', async () => {
   const version = await loadProductionVersion();
   for (const seed of [311, 312, 313]) {
     const cluster = new SimCluster({ seed, production: { version } });
--- a/packages/testkit/role-history.ts
+++ b/packages/testkit/role-history.ts
@@ -47,14 +47,14 @@
 
 /** Returns the keys of the roles that a transaction must guard to make this write. */
 function requiredRoleKeys(write: WireFields): string[] {
-  const path = String(write['Set'] ?? write['Remove']);
-  if (path.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(path))];
+  const key = String(write['Set'] ?? write['Remove']);
+  if (key.startsWith(LOG_PREFIX)) return [ownershipKey(logIdOfKey(key))];
   const isLeaderOwned = [SHARD_PREFIX, MACHINE_TYPE_PREFIX, CHECKPOINT_CHUNK_PREFIX, TERMINAL_PREFIX].some(
-    (prefix) => path.startsWith(prefix),
+    (prefix) => key.startsWith(prefix),
   );
-  if (isLeaderOwned || path === FENCING_TOKEN_KEY || path === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
+  if (isLeaderOwned || key === FENCING_TOKEN_KEY || key === CHECKPOINT_HEAD_KEY) return [LEADER_KEY];
   // Only the leader removes the rows of ended jobs.
-  return path.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
+  return key.startsWith(JOB_PREFIX) && write['Remove'] !== undefined ? [LEADER_KEY] : [];
 }
 
 /** Records the effects of roles; throws an {@link InvariantViolation} for an effect that its term did not allow. */
@@ -72,11 +72,11 @@
   private readonly ledger = new Ledger();
   private readonly recordedScaleOuts = new Set<string>();
   /** Revision of the latest leader row, which is the current term. */
-  private term = 0;
+  private currentTerm = 0;
   /** The highest fencing token. */
-  private token = 0;
+  private highestFencingToken = 0;
 
-  constructor(private readonly revisionOf: (path: string) => number) {}
+  constructor(private readonly revisionOf: (key: string) => number) {}
 
   /** Checks a transaction that the state service is about to apply. */
   beforeCommit(guards: readonly WireFields[], writes: readonly WireFields[]): void {
@@ -91,10 +91,10 @@
   /** Records a transaction that the state service has applied at this revision. */
   afterCommit(writes: readonly WireFields[], revision: number): void {
     for (const write of writes) {
-      const path = String(write['Set'] ?? '');
-      if (path === LEADER_KEY) this.term = revision;
-      if (path === FENCING_TOKEN_KEY) this.advanceToken(write['V']);
-      if (path.startsWith(LOG_PREFIX)) this.applyRecord(path, decodeRecord(write['V'] as WireFields));
+      const key = String(write['Set'] ?? '');
+      if (key === LEADER_KEY) this.currentTerm = revision;
+      if (key === FENCING_TOKEN_KEY) this.advanceToken(write['V']);
+      if (key.startsWith(LOG_PREFIX)) this.applyRecord(key, decodeRecord(write['V'] as WireFields));
     }
   }
 
@@ -103,13 +103,13 @@
     this.counts.launches++;
     const position = parseTaskName(taskName);
     const placement = position ? this.ledger.placement(position.job, position.index) : undefined;
-    if (fencingToken > this.token) {
+    if (fencingToken > this.highestFencingToken) {
       throw new InvariantViolation(
         'unrecorded',
-        `${taskName} starts under fencing token ${fencingToken}; the highest one is ${this.token}`,
+        `${taskName} starts under fencing token ${fencingToken}; the highest one is ${this.highestFencingToken}`,
       );
     }
-    if (fencingToken < this.token) this.counts.lateLaunches++;
+    if (fencingToken < this.highestFencingToken) this.counts.lateLaunches++;
     if (placement?.attempt === attempt && placement.host === host) return;
     throw new InvariantViolation(
       'unrecorded',
@@ -137,14 +137,14 @@
       const state = entry ? `shard ${entry.shard}, destination ${entry.destination}` : 'in no record';
       throw new InvariantViolation(
         'unrecorded',
-        `${host} is deleted under term ${sender.term}, the current term is ${this.term}: ${state}`,
+        `${host} is deleted under term ${sender.term}, the current term is ${this.currentTerm}: ${state}`,
       );
     }
   }
 
   /** True if the sender named a term that has ended. */
   private hasStaleTerm({ term }: Sender): boolean {
-    return term !== null && term !== this.term;
+    return term !== null && term !== this.currentTerm;
   }
 
   private checkGuard(key: string, guards: readonly WireFields[], write: WireFields): void {
@@ -166,17 +166,20 @@
 
   private advanceToken(value: unknown): void {
     const fencingToken = isWireFields(value) ? Number(value['Token']) : NaN;
-    if (!(fencingToken > this.token))
-      throw new InvariantViolation('token', `fencing token ${this.token} is followed by ${fencingToken}`);
-    this.token = fencingToken;
+    if (!(fencingToken > this.highestFencingToken))
+      throw new InvariantViolation(
+        'token',
+        `fencing token ${this.highestFencingToken} is followed by ${fencingToken}`,
+      );
+    this.highestFencingToken = fencingToken;
   }
 
-  private applyRecord(path: string, record: PlacementRecord): void {
+  private applyRecord(key: string, record: PlacementRecord): void {
     for (const [requestId] of record.scaleOuts ?? []) {
       if (this.recordedScaleOuts.has(requestId))
         throw new InvariantViolation('unrecorded', `scale-out request ${requestId} is recorded twice`);
       this.recordedScaleOuts.add(requestId);
     }
-    this.ledger.apply(logIdOfKey(path), record);
+    this.ledger.apply(logIdOfKey(key), record);
   }
 }
--- a/packages/testkit/role-randomized.test.ts
+++ b/packages/testkit/role-randomized.test.ts
@@ -1,4 +1,4 @@
-/** Roles under random faults and late requests: actions of a replaced role holder have no effect or do no harm. */
+/** Roles under random faults and late requests: late actions of a replaced role holder violate no invariant. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '#wire';
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -24,8 +24,8 @@
 const MAX_SHARD_VACANCY_MS = 6_500;
 
 /** Returns the index of the node that holds the role with the given key. */
-function holderOf(cluster: SimCluster, path: string): number {
-  return Number(String(cluster.store.rows.get(path)?.value['Member']).slice('node-'.length));
+function holderOf(cluster: SimCluster, key: string): number {
+  return Number(String(cluster.store.rows.get(key)?.value['Member']).slice('node-'.length));
 }
 
 /** Causes the fault in the leader of a new cluster, and records the vacancies of its roles. */
@@ -38,10 +38,10 @@
   const { afterApply } = store;
   store.afterApply = (writes: WireFields[]) => {
     afterApply(writes);
-    for (const { Set: path } of writes) {
-      if (path === LEADER_KEY) meter.ended('lead', clock.time);
-      else if (String(path).startsWith(SHARD_PREFIX)) {
-        meter.ended(formatRoleName(Number(String(path).slice(SHARD_PREFIX.length))), clock.time);
+    for (const { Set: key } of writes) {
+      if (key === LEADER_KEY) meter.ended('lead', clock.time);
+      else if (String(key).startsWith(SHARD_PREFIX)) {
+        meter.ended(formatRoleName(Number(String(key).slice(SHARD_PREFIX.length))), clock.time);
       }
     }
   };
--- a/packages/testkit/running-tasks.ts
+++ b/packages/testkit/running-tasks.ts
@@ -22,8 +22,8 @@
 export class RunningTasks {
   /** Keyed by task name. */
   private readonly running = new Map<string, RunningTask>();
-  /** Resources in use. Keyed by team. */
-  private readonly used = new Map<string, { cpus: number; gpus: number }>();
+  /** Resources that the running tasks of each team use. Keyed by team. */
+  private readonly usageByTeam = new Map<string, { cpus: number; gpus: number }>();
 
   constructor(private readonly limits: TeamLimits) {}
 
@@ -69,7 +69,7 @@
   /** True if one more task of the job, or the whole gang, stays within the team's limit. */
   isUnderLimit({ team, cpus, gpus, shape, taskCount }: JobSpec): boolean {
     const limit = this.limits.get(team);
-    const used = this.used.get(team) ?? { cpus: 0, gpus: 0 };
+    const used = this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
     const count = shape === 'gang' ? taskCount : 1;
     return !limit || (used.cpus + count * cpus <= limit.cpus && used.gpus + count * gpus <= limit.gpus);
   }
@@ -84,8 +84,8 @@
   }
 
   /** Checks a guarantee beyond the protocol: a new attempt of a gang starts only after the old one has left all machines. */
-  private checkAttempt(taskName: string, job: string, attempt: number): void {
-    const other = [...this.running.values()].find((r) => r.spec.id === job && r.attempt !== attempt);
+  private checkAttempt(taskName: string, jobId: string, attempt: number): void {
+    const other = [...this.running.values()].find((r) => r.spec.id === jobId && r.attempt !== attempt);
     if (!other) return;
     const detail = `${taskName} of attempt ${attempt} starts while ${other.taskName} of attempt ${other.attempt} runs`;
     throw new InvariantViolation('mixed_attempts', detail);
@@ -117,10 +117,10 @@
   }
 
   private updateUsage(spec: JobSpec, sign: 1 | -1): void {
-    const used = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    const used = this.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
     used.cpus += sign * spec.cpus;
     used.gpus += sign * spec.gpus;
-    this.used.set(spec.team, used);
+    this.usageByTeam.set(spec.team, used);
     const limit = this.limits.get(spec.team);
     if (limit && (used.cpus > limit.cpus + EPSILON || used.gpus > limit.gpus + EPSILON)) {
       throw new InvariantViolation(
--- a/packages/testkit/scale.test.ts
+++ b/packages/testkit/scale.test.ts
@@ -73,8 +73,8 @@
     cluster.submit(sampleJob('j-1', { ...checkpointing, team: 'green', taskCount: 2, memGb: 7 }));
   });
   await cluster.run(100 * SECOND);
-  const change = { rank: 'prod' as const, team: 'green', taskCount: 2, cpus: 4, memGb: 14 };
-  cluster.submit(sampleJob('j-9', { ...change, estimateS: 10 }));
+  const overrides = { rank: 'prod' as const, team: 'green', taskCount: 2, cpus: 4, memGb: 14 };
+  cluster.submit(sampleJob('j-9', { ...overrides, estimateS: 10 }));
   await cluster.run(60 * SECOND);
   assert.equal(cluster.lastStatuses.get('j-9'), 'done');
   return [...cluster.workers.values()].reduce((sum, w) => sum + w.stopCount, 0);
--- a/packages/testkit/service-faults.ts
+++ b/packages/testkit/service-faults.ts
@@ -7,12 +7,12 @@
   target.failStore(target.randomSeconds(3, 25));
 }
 
-/** Makes the state service refuse one node and serve the others. */
+/** Makes the state service answer one node's requests with 503 and serve the other nodes. */
 export function refuseNodeAtStore(target: FaultTarget): void {
   target.refuseNodeAtStore(target.randomSeconds(3, 25));
 }
 
-/** Leaves some transactions without a response and applies them late, after newer ones. */
+/** Makes the state service execute some transactions late, after newer ones, without a response. */
 export function delayCommits(target: FaultTarget): void {
   const { store } = target.cluster;
   target.during(
@@ -27,7 +27,7 @@
 }
 
 /**
- * Makes the state service refuse one node, and then causes an outage. The outage lasts for about the cancellation
+ * Makes the state service refuse one node, and then causes an outage for all nodes. The outage lasts for about the cancellation
  * deadline minus the workers' lease, or for longer than the cancellation deadline.
  */
 export function refuseNodeThenFailStore(target: FaultTarget): void {
--- a/packages/testkit/sim-cloud.ts
+++ b/packages/testkit/sim-cloud.ts
@@ -121,10 +121,10 @@
       zone: String(body['Hall']),
       spot: body['Loaners'] === true,
     };
-    const rentedCount = [...this.hosts.values()].filter(
+    const existingCount = [...this.hosts.values()].filter(
       (h) => h.machineType === facts.machineType && h.zone === facts.zone && h.spot === facts.spot,
     ).length;
-    const newHostCount = Math.min(Number(body['Number']), this.options.capacity - rentedCount);
+    const newHostCount = Math.min(Number(body['Number']), this.options.capacity - existingCount);
     if (newHostCount <= 0) return { status: 503, body: { error: 'no capacity' } };
     this.onScaleOut(requestId, senderOf(body));
     const Hosts: string[] = [];
--- a/packages/testkit/sim-cluster-options.ts
+++ b/packages/testkit/sim-cluster-options.ts
@@ -5,8 +5,8 @@
 import type { ProductionVersion } from './production-version.js';
 
 /**
- * What has just happened: a cancellation was confirmed, a job's last task ended, the leader changed ("lead"), or the
- * owner of a machine released it ("release").
+ * An event during which tests may inject further faults: a cancellation was confirmed ("confirmed"), a job's last task
+ * completed ("last end"), the leader changed ("lead"), or the shard owner of a machine released it ("release").
  */
 export type ClusterEvent = 'confirmed' | 'last end' | 'lead' | 'release';
 
@@ -24,6 +24,7 @@
   readonly seed: number;
   /** Number of nodes; 3 by default. */
   readonly nodes?: number;
+  /** Receives the log of all nodes; by default nothing is logged. */
   readonly log?: Logger;
   /** Settings that differ from the sample settings. */
   readonly settings?: Partial<Settings>;
@@ -33,11 +34,11 @@
   readonly types?: readonly MachineType[];
   /** Number of machines of each machine type in each zone, for spot and on-demand machines each; 4 by default. */
   readonly capacity?: number;
-  /** Most rows in one response of the state service to a list request; 1000 by default. */
+  /** Maximum number of rows in one response of the state service to a list request; 1000 by default. */
   readonly pageRows?: number;
   /** Runs all nodes with the production version, and with these settings, until they are upgraded. */
   readonly production?: { readonly version: ProductionVersion; readonly settings?: Partial<Settings> };
-  /** Clock errors per node, for errors beyond what the protocol allows. By default they are random and allowed. */
+  /** Returns the clock error of a node, to exceed what the protocol allows. By default it is random and within that. */
   readonly clockError?: (index: number) => ClockError;
   /** The cancellation deadline promised to users, if the controllers are configured with a different one. */
   readonly promisedCancellationDeadline?: Micros;
--- a/packages/testkit/sim-cluster.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -33,16 +33,16 @@
   readonly clock = new SimClock();
   readonly random: () => number;
   readonly net: SimNet;
-  /** Called with events during which tests inject further faults. */
+  /** Called for each event during which tests may inject further faults. */
   onEvent: (event: ClusterEvent) => void = () => undefined;
-  /** Called with the status of each heartbeat response. */
+  /** Called for each heartbeat response of a node, with its HTTP status. */
   onHeartbeat: (host: string, node: number, status: number) => void = () => undefined;
   private readonly services: SimServices;
   private readonly users: SimUsers;
   private readonly replicaChecks = new ReplicaChecks();
   private readonly nodes: readonly SimNode[];
   private readonly types: readonly MachineType[];
-  /** Number of process starts; it makes the incarnations unique. */
+  /** Number of node process starts so far, from which each process gets a unique incarnation. */
   private processStarts = 0;
   /** Time of the next check for jobs that wait although capacity is free; it runs once a second. */
   private nextWaitingCheck: Micros = 0;
@@ -84,7 +84,7 @@
     return this.services.gangs;
   }
 
-  /** The effects of each role, with the terms under which they were requested. */
+  /** Commits, task starts, scale-outs and deletions, checked against the term under which each was requested. */
   get history(): RoleHistory {
     return this.services.history;
   }
@@ -118,17 +118,17 @@
     return this.nodes[index]?.currentController ?? null;
   }
 
-  /** Returns the status of a node's response to health checks; null while the node is down. */
+  /** Returns the HTTP status of a node's response to health checks; null while the node is down. */
   health(index: number): number | null {
     return this.nodes[index]?.controller?.health().status ?? null;
   }
 
-  /** Starts the node's process unless it runs. */
+  /** Starts the node's process unless it is already running. */
   startNode(index: number): void {
     this.node(index).start();
   }
 
-  /** Ends the node's process abruptly. */
+  /** Kills the node's process; it has no chance to hand off its roles. */
   killNode(index: number): void {
     this.node(index).kill();
   }
@@ -154,17 +154,17 @@
   }
 
   /** Starts or stops refusing connections between this node and its peers, in both directions. */
-  refusePeers(index: number, on: boolean): void {
+  refusePeers(index: number, isRefused: boolean): void {
     const { refusedLinks } = this.net;
     for (let peer = 0; peer < this.nodeCount; peer++) {
       for (const link of [`node-${index}>${peerEndpoint(peer)}`, `node-${peer}>${peerEndpoint(index)}`]) {
-        if (on) refusedLinks.add(link);
+        if (isRefused) refusedLinks.add(link);
         else refusedLinks.delete(link);
       }
     }
   }
 
-  /** Simulates a job's user: submits the job until it is accepted, then polls its status until it has ended. */
+  /** Simulates a job's user: retries the submission until it is accepted, then polls the status until the job ends. */
   submit(spec: JobSpec, cancelAfter: Micros | null = null): void {
     this.users.submit(spec, cancelAfter);
   }
--- a/packages/testkit/sim-gang.ts
+++ b/packages/testkit/sim-gang.ts
@@ -4,12 +4,12 @@
 
 /** A task of a gang on its machine, as the gang's other tasks see it. */
 export interface GangMember {
-  readonly task: string;
-  /** True if the task is on its machine and makes progress; false on a machine that hangs. */
+  readonly taskName: string;
+  /** True if the task is on its machine and makes progress; false if its machine hangs. */
   isAnswering(): boolean;
   /** Called once all tasks of the attempt are present. */
   started(): void;
-  /** Called when the gang has completed. */
+  /** Called when the gang has completed its work. */
   completed(): void;
   /** Called when the task notices that another task of its attempt is lost. */
   lostPeer(): void;
@@ -42,7 +42,7 @@
   private readonly runs = new Map<string, GangRun>();
   /** Progress in the last checkpoint, from which the next attempt continues. Keyed by job id. */
   private readonly checkpoints = new Map<string, Micros>();
-  /** Total run time, drawn at random. Keyed by job id. */
+  /** Run time of the whole gang over all its attempts, drawn at random. Keyed by job id. */
   private readonly runTimes = new Map<string, Micros>();
   /** Number of attempts whose tasks started together. */
   starts = 0;
@@ -56,20 +56,20 @@
   /** Adds a task that has its image; the attempt starts once all of its tasks have joined. */
   join(spec: JobSpec, attempt: number, member: GangMember): void {
     const run = this.findOrCreateRun(spec.id, attempt);
-    run.members.set(member.task, member);
+    run.members.set(member.taskName, member);
     if (run.state === 'gathering' && run.members.size === spec.taskCount) this.start(spec, run);
   }
 
   /** Removes a task that no longer runs. A gathering attempt continues to wait; a running attempt breaks up. */
   leave(spec: JobSpec, attempt: number, member: GangMember): void {
     const run = this.findOrCreateRun(spec.id, attempt);
-    if (run.members.get(member.task) !== member) return;
-    run.members.delete(member.task);
+    if (run.members.get(member.taskName) !== member) return;
+    run.members.delete(member.taskName);
     if (run.state === 'running') this.breakUp(spec, run);
   }
 
-  private findOrCreateRun(job: string, attempt: number): GangRun {
-    const key = `${job}#${attempt}`;
+  private findOrCreateRun(jobId: string, attempt: number): GangRun {
+    const key = `${jobId}#${attempt}`;
     let run = this.runs.get(key);
     if (!run) this.runs.set(key, (run = { state: 'gathering', members: new Map(), startedAt: 0 }));
     return run;
@@ -110,7 +110,7 @@
     run.state = 'broken';
     for (const member of run.members.values()) {
       this.clock.at(this.random() * this.times.peerLossTimeout, () => {
-        if (run.members.get(member.task) === member) member.lostPeer();
+        if (run.members.get(member.taskName) === member) member.lostPeer();
       });
     }
   }
--- a/packages/testkit/sim-node.ts
+++ b/packages/testkit/sim-node.ts
@@ -29,7 +29,7 @@
   readonly net: SimNet;
   /** Returns a new incarnation for each start of a process. */
   readonly nextIncarnation: () => string;
-  /** Called with the status of each heartbeat response. */
+  /** Called for each heartbeat response, with its HTTP status. */
   readonly onHeartbeat: (host: string, status: number) => void;
 }
 
@@ -53,7 +53,7 @@
     return this.options.index;
   }
 
-  /** Starts the process unless it runs. */
+  /** Starts the process unless it is already running. */
   start(): void {
     if (this.run.isRunning) return;
     const run: ProcessRun = { isRunning: true, suspendedUntil: 0 };
@@ -66,7 +66,7 @@
     this.serveUsersAndWorkers(controller, run, gate);
   }
 
-  /** Ends the process abruptly. */
+  /** Kills the process; it has no chance to hand off its roles. */
   kill(): void {
     if (!this.run.isRunning) return;
     this.run.isRunning = false;
--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -49,7 +49,7 @@
   readonly cloud: SimCloud;
   readonly invariants: InvariantChecker;
   readonly gangs: SimGangs;
-  /** The effects of each role, with the terms under which they were requested. */
+  /** Commits, task starts, scale-outs and deletions, checked against the term under which each was requested. */
   readonly history: RoleHistory;
   /** Workers of all running machines. Keyed by host. */
   readonly workers = new Map<string, SimWorker>();
@@ -61,7 +61,7 @@
   constructor(private readonly options: SimServicesOptions) {
     const { clock, random } = options;
     this.store = new SimStore(clock, random, options.storeLimits);
-    this.history = new RoleHistory((path) => this.store.rows.get(path)?.revision ?? 0);
+    this.history = new RoleHistory((key) => this.store.rows.get(key)?.revision ?? 0);
     this.invariants = new InvariantChecker(options.teamLimits, options.cancellationDeadline);
     this.gangs = new SimGangs(clock, random, options.gangTimes);
     this.cloud = this.createCloud();
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -20,7 +20,7 @@
 }
 
 interface StoredChange {
-  path: string;
+  key: string;
   value: WireFields | null;
   revision: number;
 }
@@ -56,7 +56,7 @@
 
 /** The state service, as its specification describes it. */
 export class SimStore {
-  /** All rows. Keyed by path. */
+  /** All rows. Keyed by the key of the row. */
   readonly rows = new Map<string, Row>();
   /** Revision of the latest change. */
   revision = 0;
@@ -158,7 +158,7 @@
     if (!this.hasLostData) this.highestRevision = this.revision;
     this.hasLostData = revision < this.highestRevision;
     this.rows.clear();
-    for (const [path, row] of rows) this.rows.set(path, row);
+    for (const [key, row] of rows) this.rows.set(key, row);
     this.leases.clear();
     for (const [id, duration] of leases) this.leases.set(id, { duration, until: this.clock.time + duration });
     this.revision = revision;
@@ -170,23 +170,23 @@
     this.restore({ rows: new Map(), leases: new Map(), recentChanges: [], revision: 0 });
   }
 
-  /** Loses some rows and returns their paths; open watches are notified of the deletions only if asked for. */
-  loseKeys(isLost: (path: string) => boolean, notifiesWatches: boolean): string[] {
+  /** Loses the rows for which `isLost` holds and returns their keys; notifies watches only if `notifiesWatches`. */
+  loseKeys(isLost: (key: string) => boolean, notifiesWatches: boolean): string[] {
     const lost = [...this.rows.keys()].filter(isLost);
     if (notifiesWatches) this.revision++;
-    for (const path of lost) {
-      if (notifiesWatches) this.deleteRow(path);
-      else this.rows.delete(path);
+    for (const key of lost) {
+      if (notifiesWatches) this.deleteRow(key);
+      else this.rows.delete(key);
     }
     this.answerDueWatches();
     return lost;
   }
 
   /** Restores lost rows from a backup, with the revisions that they had. */
-  restoreKeys({ rows }: StoreBackup, paths: Iterable<string>): void {
-    for (const path of paths) {
-      const row = rows.get(path);
-      if (row) this.rows.set(path, row);
+  restoreKeys({ rows }: StoreBackup, keys: Iterable<string>): void {
+    for (const key of keys) {
+      const row = rows.get(key);
+      if (row) this.rows.set(key, row);
     }
   }
 
@@ -304,13 +304,13 @@
     return new Promise(() => undefined);
   }
 
-  private putRow(path: string, value: WireFields, leaseId: number | null): void {
-    this.rows.set(path, { value, revision: this.revision, leaseId });
-    this.recordChange({ path, value, revision: this.revision });
+  private putRow(key: string, value: WireFields, leaseId: number | null): void {
+    this.rows.set(key, { value, revision: this.revision, leaseId });
+    this.recordChange({ key, value, revision: this.revision });
   }
 
-  private deleteRow(path: string): void {
-    if (this.rows.delete(path)) this.recordChange({ path, value: null, revision: this.revision });
+  private deleteRow(key: string): void {
+    if (this.rows.delete(key)) this.recordChange({ key, value: null, revision: this.revision });
   }
 
   private recordChange(change: StoredChange): void {
@@ -334,10 +334,10 @@
   private answerDueWatches(): void {
     if (this.isUnavailable) return;
     for (const watch of [...this.watches]) {
-      // A refused node waits as all nodes do in an outage, also beyond the time that it asked for.
+      // A watch of a refused node stays open as in an outage, even beyond the timeout that the node requested.
       if (this.refusedNodes.has(watch.from)) continue;
       if (this.clock.time >= watch.until) this.answerWatch(watch);
-      else if (this.recentChanges.some((c) => c.revision > watch.after && c.path.startsWith(watch.prefix)))
+      else if (this.recentChanges.some((c) => c.revision > watch.after && c.key.startsWith(watch.prefix)))
         this.answerWatch(watch);
     }
   }
@@ -345,9 +345,9 @@
   private answerWatch(watch: Watch): void {
     this.watches = this.watches.filter((w) => w !== watch);
     const News = this.recentChanges
-      .filter((c) => c.revision > watch.after && c.path.startsWith(watch.prefix))
+      .filter((c) => c.revision > watch.after && c.key.startsWith(watch.prefix))
       .map((c) =>
-        c.value ? { Set: c.path, V: c.value, Stamp: c.revision } : { Remove: c.path, Stamp: c.revision },
+        c.value ? { Set: c.key, V: c.value, Stamp: c.revision } : { Remove: c.key, Stamp: c.revision },
       );
     watch.respond({ status: 200, body: { Epoch: this.revision, News } });
   }
--- a/packages/testkit/sim-worker.ts
+++ b/packages/testkit/sim-worker.ts
@@ -279,7 +279,7 @@
     }
     const isPlaced = (): boolean => this.isAlive && task.status !== 'exited';
     const member: GangMember = {
-      task: task.taskName,
+      taskName: task.taskName,
       isAnswering: () => isPlaced() && !this.isHanging,
       started: () => {
         task.status = 'running';
--- a/packages/testkit/simulated-controller.ts
+++ b/packages/testkit/simulated-controller.ts
@@ -32,7 +32,7 @@
     peerStatus: () => controller.peerStatus(),
     replicaFacts: () => {
       const { member, state, appliedRevision, ledger } = controller.replicaSnapshot();
-      return { member, state, applied: appliedRevision, ledger, describeLedger: () => factsOfLedger(ledger) };
+      return { member, state, appliedRevision, ledger, describeLedger: () => factsOfLedger(ledger) };
     },
   };
 }
--- a/packages/testkit/upgrades.test.ts
+++ b/packages/testkit/upgrades.test.ts
@@ -135,7 +135,7 @@
   await cluster.run(90 * SECOND);
   const text = JSON.stringify([...cluster.store.rows.values()].map((row) => row.value));
   for (const field of ['"gang"', '"gangSize"']) assert.ok(!text.includes(field), field);
-  const members = [...cluster.store.rows].filter(([path]) => path.startsWith('mw/now/member/'));
+  const members = [...cluster.store.rows].filter(([key]) => key.startsWith('mw/now/member/'));
   const announced = members.map(([, { value }]) => value['Capabilities'] !== undefined);
   assert.deepEqual(announced, [true, true, false]);
 });
--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -2,10 +2,13 @@
 import type { Micros } from '#wire';
 import { DurationMeter } from './duration-meter.js';
 
-/** Why a holder can't act: its process is suspended ("freeze"), has crashed, or is partitioned ("cut"). */
+/**
+ * Why a holder can't act: its process is suspended ("freeze"), has crashed ("crash"), or is partitioned from the state
+ * service ("cut").
+ */
 export type VacancyCause = 'freeze' | 'crash' | 'cut';
 
-/** Measures vacancies by kind of role and cause. */
+/** Measures vacancies, the periods in which a role has no holder that can act, by kind of role and cause. */
 export class VacancyMeter {
   private readonly durations = new DurationMeter();
   /** Vacancies that have not ended. Keyed by role name. */
@@ -40,6 +43,7 @@
     return this.durations.longest(`${kind} `);
   }
 
+  /** Number of vacancies that have ended. */
   get count(): number {
     return this.durations.count;
   }
