--- a/packages/testkit/loopback-trial.ts
+++ b/packages/testkit/loopback-trial.ts
@@ -165,7 +165,7 @@
     for (const server of this.servers) server.close();
     this.clock.stop();
     rmSync(this.folder, { recursive: true, force: true });
-    this.services.failure.rethrow();
+    this.services.firstFailure.rethrow();
   }
 
   /** The leader according to the state service. */
@@ -175,7 +175,9 @@
   }
 
   private async serve(handler: SimStore['handler']): Promise<string> {
-    const server = await serveOnLoopback((...args) => this.services.failure.guard(() => handler(...args)));
+    const server = await serveOnLoopback((...args) =>
+      this.services.firstFailure.guard(() => handler(...args)),
+    );
     this.servers.push(server);
     return server.address;
   }
@@ -215,7 +217,7 @@
     node.suspend();
     await pause(300 + this.random() * 7000);
     node.resume();
-    for (const role of this.rolesOf(node)) this.vacancies.recovered(role);
+    for (const role of this.rolesOf(node)) this.vacancies.holderRecovered(role);
   }
 
   private async kill(node: LoopbackNode): Promise<void> {
@@ -235,16 +237,16 @@
   }
 
   private recordVacancies(node: LoopbackNode, cause: 'freeze' | 'crash'): void {
-    for (const role of this.rolesOf(node)) this.vacancies.began(role, cause, this.clock.time);
+    for (const role of this.rolesOf(node)) this.vacancies.vacancyBegan(role, cause, this.clock.time);
   }
 
   private recordNewHolders(writes: readonly WireFields[]): void {
     for (const write of writes) {
       const key = String(write['Set'] ?? '');
       if (key === LEADER_KEY) this.counts.terms++;
-      if (key === LEADER_KEY) this.vacancies.ended('lead', this.clock.time);
+      if (key === LEADER_KEY) this.vacancies.vacancyEnded('lead', this.clock.time);
       else if (key.startsWith(SHARD_PREFIX)) {
-        this.vacancies.ended(formatRoleName(Number(key.slice(SHARD_PREFIX.length))), this.clock.time);
+        this.vacancies.vacancyEnded(formatRoleName(Number(key.slice(SHARD_PREFIX.length))), this.clock.time);
       }
     }
   }
@@ -276,7 +278,7 @@
 
   /** Checks the invariants every 100 ms. */
   private checkInvariants(): void {
-    this.services.failure.guard(() => {
+    this.services.firstFailure.guard(() => {
       this.services.invariants.checkDeadlines(this.clock.time);
     });
     this.clock.at(100 * MS, () => {
--- a/packages/testkit/loopback-users.ts
+++ b/packages/testkit/loopback-users.ts
@@ -81,7 +81,7 @@
     const reply = await createHttpClient(1)(address, method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return { status: 0, state: null };
     const state = decodeJobStatus(reply.body);
-    services.failure.guard(() => {
+    services.firstFailure.guard(() => {
       services.invariants.answerReceived(id, { status: reply.status, state, now: clock.time, sentAt });
     });
     return { status: reply.status, state };
--- a/packages/testkit/role-vacancy.test.ts
+++ b/packages/testkit/role-vacancy.test.ts
@@ -39,16 +39,16 @@
   store.afterApply = (writes: WireFields[]) => {
     afterApply(writes);
     for (const { Set: key } of writes) {
-      if (key === LEADER_KEY) meter.ended('lead', clock.time);
+      if (key === LEADER_KEY) meter.vacancyEnded('lead', clock.time);
       else if (String(key).startsWith(SHARD_PREFIX)) {
-        meter.ended(formatRoleName(Number(String(key).slice(SHARD_PREFIX.length))), clock.time);
+        meter.vacancyEnded(formatRoleName(Number(String(key).slice(SHARD_PREFIX.length))), clock.time);
       }
     }
   };
-  meter.began('lead', cause, clock.time);
+  meter.vacancyBegan('lead', cause, clock.time);
   for (let shard = 0; shard < cluster.nodeCount; shard++) {
     if (holderOf(cluster, SHARD_PREFIX + String(shard)) === leader) {
-      meter.began(formatRoleName(shard), cause, clock.time);
+      meter.vacancyBegan(formatRoleName(shard), cause, clock.time);
     }
   }
   const link = `node-${leader}>${STATE_ENDPOINT}`;
--- a/packages/testkit/sim-cluster.ts
+++ b/packages/testkit/sim-cluster.ts
@@ -61,7 +61,7 @@
       this.onEvent(event);
     };
     this.net.serve(STATE_ENDPOINT, null, (...args) =>
-      this.services.failure.guard(() => this.store.handler(...args)),
+      this.services.firstFailure.guard(() => this.store.handler(...args)),
     );
     this.net.serve(CLOUD_ENDPOINT, null, this.cloud.handler);
     this.nodes = [...Array(nodeCount).keys()].map((index) => this.createNode(index));
@@ -183,7 +183,7 @@
   /** Advances simulated time by this duration; throws the first violation of an invariant. */
   async run(duration: Micros): Promise<void> {
     await this.clock.run(this.clock.time + duration, () => {
-      this.services.failure.rethrow();
+      this.services.firstFailure.rethrow();
       this.invariants.checkDeadlines(this.clock.time);
       this.replicaChecks.check(this.replicas(), this.store);
       if (this.clock.time < this.nextWaitingCheck) return;
--- a/packages/testkit/sim-net.ts
+++ b/packages/testkit/sim-net.ts
@@ -75,9 +75,9 @@
   }
 
   /** Starts or ends a partition between two zones. The services of the region (zone null) stay reachable. */
-  setPartition(a: string, b: string, on: boolean): void {
-    for (const key of [`${a}|${b}`, `${b}|${a}`]) {
-      if (on) this.partitions.add(key);
+  setPartition(zoneA: string, zoneB: string, isPartitioned: boolean): void {
+    for (const key of [`${zoneA}|${zoneB}`, `${zoneB}|${zoneA}`]) {
+      if (isPartitioned) this.partitions.add(key);
       else this.partitions.delete(key);
     }
   }
--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -56,7 +56,7 @@
   /** Specifications of submitted jobs. Keyed by job id. */
   readonly specs = new Map<string, JobSpec>();
   /** The first failure in a callback. */
-  readonly failure = new FirstFailure();
+  readonly firstFailure = new FirstFailure();
 
   constructor(private readonly options: SimServicesOptions) {
     const { clock, random } = options;
@@ -99,12 +99,12 @@
 
   private observeCloud(): void {
     this.cloud.onScaleOut = (name, sender) => {
-      this.failure.guard(() => {
+      this.firstFailure.guard(() => {
         this.history.scaledOut(name, sender);
       });
     };
     this.cloud.onDeletion = ({ host, state }, sender) => {
-      this.failure.guard(() => {
+      this.firstFailure.guard(() => {
         this.history.deleted(host, state === 'starting' || state === 'running', sender);
       });
     };
@@ -120,7 +120,7 @@
       findJob: (id) => this.specs.get(id),
       ...this.options.setUpWorker(host),
       onLaunch: (...launch) => {
-        this.failure.guard(() => {
+        this.firstFailure.guard(() => {
           this.history.launched(...launch);
         });
       },
--- a/packages/testkit/sim-store.ts
+++ b/packages/testkit/sim-store.ts
@@ -114,11 +114,11 @@
   }
 
   /** Starts or ends an outage. */
-  setOutage(on: boolean): void {
-    this.isUnavailable = on;
+  setOutage(isOutage: boolean): void {
+    this.isUnavailable = isOutage;
     // After an outage every lease gets its full duration again.
-    if (!on) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
-    if (!on) this.answerDueWatches();
+    if (!isOutage) for (const lease of this.leases.values()) lease.until = this.clock.time + lease.duration;
+    if (!isOutage) this.answerDueWatches();
   }
 
   /** Handles a request to the state service. */
--- a/packages/testkit/sim-users.ts
+++ b/packages/testkit/sim-users.ts
@@ -47,7 +47,7 @@
     const reply = await httpClient(userEndpoint(node), method, path, body, 2 * SECOND).catch(() => null);
     if (!reply) return 0;
     const state = decodeJobStatus(reply.body);
-    services.failure.guard(() => {
+    services.firstFailure.guard(() => {
       services.invariants.answerReceived(id, { status: reply.status, state, now: clock.time, sentAt });
     });
     if (state && !this.hasEnded(id)) this.lastStatuses.set(id, state);
--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -15,17 +15,17 @@
   private readonly openVacancies = new Map<string, { since: Micros; cause: VacancyCause }>();
 
   /** Records that the holder of this role can't act from now on. */
-  began(role: string, cause: VacancyCause, now: Micros): void {
+  vacancyBegan(role: string, cause: VacancyCause, now: Micros): void {
     if (!this.openVacancies.has(role)) this.openVacancies.set(role, { since: now, cause });
   }
 
   /** Drops a vacancy: the holder can act again under its earlier term, so the role was not vacant. */
-  recovered(role: string): void {
+  holderRecovered(role: string): void {
     this.openVacancies.delete(role);
   }
 
   /** Records that the role has a new holder. */
-  ended(role: string, now: Micros): void {
+  vacancyEnded(role: string, now: Micros): void {
     const vacancy = this.openVacancies.get(role);
     if (!vacancy) return;
     this.openVacancies.delete(role);
