--- a/packages/testkit/sim-services.ts
+++ b/packages/testkit/sim-services.ts
@@ -49,19 +49,19 @@
   readonly cloud: SimCloud;
   readonly invariants: InvariantChecker;
   readonly gangs: SimGangs;
-  /** The effects of each role, with the terms under which they were requested. */
+  /** Commits, task starts, scale-outs and deletions, checked against the term under which each was requested. */
   readonly history: RoleHistory;
   /** Workers of all running machines. Keyed by host. */
   readonly workers = new Map<string, SimWorker>();
   /** Specifications of submitted jobs. Keyed by job id. */
   readonly specs = new Map<string, JobSpec>();
   /** The first failure in a callback. */
-  readonly failure = new FirstFailure();
+  readonly firstFailure = new FirstFailure();
 
   constructor(private readonly options: SimServicesOptions) {
     const { clock, random } = options;
     this.store = new SimStore(clock, random, options.storeLimits);
-    this.history = new RoleHistory((path) => this.store.rows.get(path)?.revision ?? 0);
+    this.history = new RoleHistory((key) => this.store.rows.get(key)?.revision ?? 0);
     this.invariants = new InvariantChecker(options.teamLimits, options.cancellationDeadline);
     this.gangs = new SimGangs(clock, random, options.gangTimes);
     this.cloud = this.createCloud();
@@ -99,12 +99,12 @@
 
   private observeCloud(): void {
     this.cloud.onScaleOut = (name, sender) => {
-      this.failure.guard(() => {
+      this.firstFailure.guard(() => {
         this.history.scaledOut(name, sender);
       });
     };
     this.cloud.onDeletion = ({ host, state }, sender) => {
-      this.failure.guard(() => {
+      this.firstFailure.guard(() => {
         this.history.deleted(host, state === 'starting' || state === 'running', sender);
       });
     };
@@ -120,7 +120,7 @@
       findJob: (id) => this.specs.get(id),
       ...this.options.setUpWorker(host),
       onLaunch: (...launch) => {
-        this.failure.guard(() => {
+        this.firstFailure.guard(() => {
           this.history.launched(...launch);
         });
       },
