--- a/packages/testkit/vacancy-meter.ts
+++ b/packages/testkit/vacancy-meter.ts
@@ -2,27 +2,30 @@
 import type { Micros } from '#wire';
 import { DurationMeter } from './duration-meter.js';
 
-/** Why a holder can't act: its process is suspended ("freeze"), has crashed, or is partitioned ("cut"). */
+/**
+ * Why a holder can't act: its process is suspended ("freeze"), has crashed ("crash"), or is partitioned from the state
+ * service ("cut").
+ */
 export type VacancyCause = 'freeze' | 'crash' | 'cut';
 
-/** Measures vacancies by kind of role and cause. */
+/** Measures vacancies, the periods in which a role has no holder that can act, by kind of role and cause. */
 export class VacancyMeter {
   private readonly durations = new DurationMeter();
   /** Vacancies that have not ended. Keyed by role name. */
   private readonly openVacancies = new Map<string, { since: Micros; cause: VacancyCause }>();
 
   /** Records that the holder of this role can't act from now on. */
-  began(role: string, cause: VacancyCause, now: Micros): void {
+  vacancyBegan(role: string, cause: VacancyCause, now: Micros): void {
     if (!this.openVacancies.has(role)) this.openVacancies.set(role, { since: now, cause });
   }
 
   /** Drops a vacancy: the holder can act again under its earlier term, so the role was not vacant. */
-  recovered(role: string): void {
+  holderRecovered(role: string): void {
     this.openVacancies.delete(role);
   }
 
   /** Records that the role has a new holder. */
-  ended(role: string, now: Micros): void {
+  vacancyEnded(role: string, now: Micros): void {
     const vacancy = this.openVacancies.get(role);
     if (!vacancy) return;
     this.openVacancies.delete(role);
@@ -40,6 +43,7 @@
     return this.durations.longest(`${kind} `);
   }
 
+  /** Number of vacancies that have ended. */
   get count(): number {
     return this.durations.count;
   }
