--- a/packages/cluster/checkpoint-writer.ts
+++ b/packages/cluster/checkpoint-writer.ts
@@ -154,7 +154,8 @@
       if (result.kind === 'applied') return true;
       if (result.kind === 'refused') return false;
       this.adaptLimits(result);
-      // The other chunks have the same size, so the next maintenance step starts a checkpoint with smaller chunks.
+      // The other chunks have the size that was refused, so the next maintenance step starts a checkpoint with smaller
+      // chunks.
       if (isTooLarge(result)) return false;
     }
     return false;
